--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -8,6 +8,13 @@
 import sys
 from pathlib import Path
 
+from dewpin.core import model
+from dewpin.spool.journal import Spool
+from dewpin.spool.kept import Kept
+from dewpin.spool.look import Look, state
+from dewpin.spool.records import Sheet
+from dewpin.spool.tail import Follower, Tail
+
 FOLDER = Path(__file__).parent / "sender"
 ROOT = Path(__file__).parents[2]
 SIMULATOR_COMMAND = [sys.executable, "-m", "dewpin.drill"]
@@ -42,3 +49,246 @@
         self.process.stdin.close()
         self.process.stdout.close()
         self.process.wait()
+
+
+# -- stored data --------------------------------------------------------------------------------------------------
+
+OUTCOMES = {
+    "delivered": model.DELIVERED,
+    "error_answer": model.ERROR,
+    "rejected": model.FULL,
+    "timed_out": model.TIMED_OUT,
+    "connect_failed": model.UNREACHED,
+    "sent_in_part": model.DROPPED,
+    "connection_reset": model.RESET,
+    "cancelled": model.CALLED_OFF,
+    "not_sent": model.UNSENT,
+}
+ENDINGS = {"relayed": model.RELAYED, "retryable": model.DEFERRED, "failed": model.BOUNCED}
+RECEIVER_STATES = {"active": model.READY, "draining": model.DRAINING, "removed": model.GONE}
+NAMES_OF_OUTCOMES = {word: name for name, word in OUTCOMES.items()}
+NAMES_OF_ENDINGS = {word: name for name, word in ENDINGS.items()}
+NAMES_OF_RECEIVER_STATES = {word: name for name, word in RECEIVER_STATES.items()}
+
+
+def text(content):
+    return content.decode("latin-1")
+
+
+def octets(characters):
+    return characters.encode("latin-1")
+
+
+def stored_message(facts):
+    """The record of a message with these plain facts, as it is when a client hands it in."""
+    return Sheet(
+        octets(facts["id"]),
+        octets(facts["queue_class"]),
+        octets(facts["tenant"]),
+        octets(facts["ordering_key"]),
+        octets(facts["destination"]),
+        octets(facts["idempotency_key"]),
+        octets(facts["body"]),
+        facts["received_ms"],
+        facts["expires_ms"],
+    )
+
+
+def message_facts(sheet):
+    first = None if sheet.ran_at is None else {"receiver": text(sheet.ran_to), "sent_ms": sheet.ran_at}
+    in_flight = sheet.out and {"receiver": text(sheet.out[0]), "sent_ms": sheet.out[1]}
+    notice = sheet.ending and {"retryable": sheet.ending[0], "retry_after_ms": sheet.ending[1]}
+    return {
+        "serial": sheet.serial,
+        "id": text(sheet.ident),
+        "queue_class": text(sheet.queue_class),
+        "tenant": text(sheet.account),
+        "ordering_key": text(sheet.key),
+        "destination": text(sheet.destination),
+        "idempotency_key": text(sheet.tag),
+        "body": text(sheet.body),
+        "received_ms": sheet.arrived,
+        "expires_ms": sheet.expires,
+        "attempts": sheet.tries,
+        "first_attempt_that_may_have_executed": first,
+        "attempt_in_flight": in_flight or None,
+        "notice_owed": notice or None,
+    }
+
+
+class Journal:
+    """The one writer of a folder's journal, asked in plain values."""
+
+    def __init__(self, folder, disk_bytes):
+        self.spool = Spool(str(folder), disk_bytes)
+
+    def contents(self):
+        spool = self.spool
+        return {
+            "messages": [message_facts(sheet) for sheet in spool.sheets.values()],
+            "finished": [text(ident) for ident in spool.past],
+            "detached_receivers": [text(ident) for ident in spool.detached],
+            "consumed_of_hand_over_log": spool.followed,
+            "highest_serial": spool.serial,
+            "file_bytes": spool.size,
+            "bytes_after_compaction_at_most": spool.live,
+        }
+
+    def _sheet(self, ident):
+        return next(sheet for sheet in self.spool.sheets.values() if sheet.ident == octets(ident))
+
+    def accept(self, facts, already_owed=False):
+        return self.spool.take(stored_message(facts), already_owed)
+
+    def attempt(self, ident, receiver, sent_ms):
+        return self.spool.connect(self._sheet(ident), octets(receiver), sent_ms)
+
+    def attempt_ended(self, ident, may_have_executed):
+        self.spool.settle(self._sheet(ident), may_have_executed)
+
+    def give_up(self, ident, retryable, retry_after_ms):
+        self.spool.give_up(self._sheet(ident), retryable, retry_after_ms)
+
+    def finish(self, ident):
+        self.spool.end(self._sheet(ident))
+
+    def detach(self, receiver):
+        return self.spool.detach(octets(receiver), True)
+
+    def attach(self, receiver):
+        return self.spool.detach(octets(receiver), False)
+
+    def mark_consumed(self, offset):
+        self.spool.follow(offset)
+
+    def assume_attempts_executed(self):
+        self.spool.cut()
+
+    def compact(self):
+        self.spool.compact()
+
+    def close(self):
+        self.spool.close()
+
+
+def inspected(folder):
+    """What the read-only view of a journal, as `dewpin spool` shows it, tells of a folder."""
+    look = Look(str(folder))
+    return {
+        "messages": [{"id": text(sheet.ident), "state": state(sheet)} for sheet in look.sheets()],
+        "records": {
+            text(sheet.ident): [
+                [at, kind, {name: text(fact) if isinstance(fact, bytes) else fact for name, fact in facts.items()}]
+                for at, kind, facts in look.course(sheet.serial)
+            ]
+            for sheet in look.sheets()
+        },
+        "damages": [
+            {"offset": one.offset, "bytes": one.size, "why": one.why, "records_behind": one.behind}
+            for one in look.damages
+        ],
+        "readable_bytes": look.end,
+        "compaction_under_way": look.spare,
+        "counts": {text(kind): count for kind, count in look.replay.counts.items()},
+    }
+
+
+def receiver_entry(facts):
+    return (
+        octets(facts["id"]),
+        facts["destination"],
+        RECEIVER_STATES[facts["state"]],
+        tuple(facts["address"]),
+        facts["zone"],
+        facts["kind"],
+        facts["weight"],
+    )
+
+
+def receiver_facts(entry):
+    ident, destination, listed, address, zone, kind, weight = entry
+    return {
+        "id": text(ident),
+        "destination": destination,
+        "state": NAMES_OF_RECEIVER_STATES[listed],
+        "address": list(address),
+        "zone": zone,
+        "kind": kind,
+        "weight": weight,
+    }
+
+
+class CachedList:
+    """The file with the latest list of receivers, asked in plain values."""
+
+    def __init__(self, folder, agent, disk_bytes):
+        self.kept = Kept(str(folder), agent, disk_bytes)
+
+    def contents(self):
+        return {
+            "revision": self.kept.revision,
+            "of_another_agent": self.kept.other,
+            "receivers": [receiver_facts(entry) for entry in self.kept.entries()],
+            "not_active_at_another_agent": [receiver_facts(entry) for entry in self.kept.ended()],
+        }
+
+    def is_newer_than(self, revision):
+        return self.kept.newer(revision)
+
+    def learn(self, receivers, complete, revision, now_ms):
+        self.kept.learn([receiver_entry(one) for one in receivers], complete, revision, now_ms)
+
+    def move(self, agent, disk_bytes):
+        self.kept.move(agent, disk_bytes)
+
+
+class HandOverLog:
+    """What a process that leaves writes for the next one after the journal is the next one's."""
+
+    def __init__(self, folder, journal):
+        self.tail = Tail(str(folder), journal.spool)
+
+    def accept(self, facts):
+        return self.tail.take(stored_message(facts))
+
+    def attempt_ended(self, ident, outcome, wait_ms, took_ms, load, over):
+        sheet = next(one for one in self.tail.sheets.values() if one.ident == octets(ident))
+        self.tail.heard(sheet, OUTCOMES[outcome], wait_ms, took_ms, load, over)
+
+    def detach(self, receiver):
+        return self.tail.detach(octets(receiver), True)
+
+    def attach(self, receiver):
+        return self.tail.detach(octets(receiver), False)
+
+    def count_descriptors(self, descriptors):
+        self.tail.count(descriptors)
+
+    def close(self):
+        self.tail.close()
+
+
+def consumed_hand_over_log(folder, journal):
+    """What the next process reads of that log, record by record."""
+    follower, told = Follower(str(folder), journal.spool), []
+
+    def accepted(sheet):
+        told.append({"accepted": message_facts(sheet)})
+
+    def attempt_ended(serial, outcome, wait_ms, took_ms, load, over):
+        told.append(
+            {
+                "attempt_ended": serial,
+                "outcome": NAMES_OF_OUTCOMES[outcome],
+                "wait_ms": wait_ms,
+                "took_ms": took_ms,
+                "load": load,
+                "over": over,
+            }
+        )
+
+    def detached(receiver, out):
+        told.append({"detached" if out else "attached": text(receiver)})
+
+    follower.read(accepted, attempt_ended, detached)
+    return {"records": told, "descriptors": follower.descriptors, "consumed": journal.spool.followed}
