--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -4,11 +4,20 @@
 file and no other one of `tests/golden`.
 """
 
+import json
 import subprocess
 import sys
 from pathlib import Path
+from types import SimpleNamespace
+
+import msgspec
 
 from dewpin.core import model
+from dewpin.daemon import upgrade
+from dewpin.daemon.operated import Operated
+from dewpin.relay import learnt
+from dewpin.relay.course import Relay
+from dewpin.relay.facade import Facade
 from dewpin.spool.journal import Spool
 from dewpin.spool.kept import Kept
 from dewpin.spool.look import Look, state
@@ -292,3 +301,123 @@
 
     follower.read(accepted, attempt_ended, detached)
     return {"records": told, "descriptors": follower.descriptors, "consumed": journal.spool.followed}
+
+
+# -- a sender's process without its sockets -----------------------------------------------------------------------
+
+
+class SenderProcess:
+    """Journal, decisions and the life of messages, put together as in a process, on a clock and wires of the test.
+
+    `loop`: has `time`, `call_soon` and `call_later` of asyncio's loops; `calls`: the outlet to receivers, with
+    `call`, `recall` and `close_idle` in plain values; `notices`: has `tell(id, retryable, retry_after_ms, answered)`.
+    """
+
+    def __init__(self, folder, settings, seed, loop, calls, notices):
+        self.folder = str(folder)
+        self.spool = Spool(self.folder, 3_000_000)
+        self.facade = Facade(settings, seed)
+        self.relay = Relay(loop, self.facade, self.spool, Outlet(calls), Teller(notices))
+        self.relay.clock.offset = 0.0
+        for ident in self.spool.detached:
+            self.facade.detach(ident)
+        self.follower = Follower(self.folder, self.spool)
+
+    def resume(self):
+        """After a start without a process before this one."""
+        self.relay.resume()
+
+    def take_over(self):
+        """What another process handed on; gives it as it was read."""
+        content = Path(self.folder, "handed").read_bytes()
+        handed = json.loads(content)
+        self.learn_entries(learnt.entries(handed), True)
+        self.relay.resume(self.follower, set(handed["out"]))
+        learnt.recall(self.facade, handed)
+        return handed
+
+    def follow(self, gone=False):
+        self.relay.follow(gone)
+
+    def hand_on(self):
+        """The folder is the next process's from now on; gives what was handed on as bytes."""
+        self.spool.follow(0)
+        tail = Tail(self.folder, self.spool)
+        upgrade.hand_on(self.folder, learnt.told(self.facade) | {"out": list(tail.sheets), "descriptors": 17})
+        self.relay.part(tail)
+        self.spool.close()
+        return Path(self.folder, "handed").read_bytes()
+
+    def handed_again(self):
+        """What this process would hand on now, as plain values."""
+        return json.loads(msgspec.json.encode(learnt.told(self.facade)))
+
+    def close(self):
+        self.relay.spool.close()
+
+    def learn(self, receivers, complete):
+        self.learn_entries([receiver_entry(one) for one in receivers], complete)
+
+    def learn_entries(self, entries, complete):
+        for address in self.facade.learn(entries, complete):
+            self.relay.pool.recall(address)
+            self.relay.pool.close_idle(address)
+        self.relay.wake()
+
+    def hand_in(self, facts, left_ms, repeated):
+        """(accepted, ms to come back after), or (None, status)."""
+        names = ("id", "queue_class", "tenant", "ordering_key", "destination", "idempotency_key", "body")
+        return self.relay.hand_in(*(octets(facts[name]) for name in names), left_ms, repeated)
+
+    def detach(self, receiver):
+        return self.relay.detach(octets(receiver))
+
+    def attach(self, receiver):
+        return self.relay.attach(octets(receiver))
+
+    def figures(self):
+        operated = Operated()
+        operated.serve(self.relay, SimpleNamespace(sent=0))
+        figures = operated.figures()
+        ends = {
+            text(name): {NAMES_OF_ENDINGS[word]: count for word, count in counts.items()}
+            for name, counts in figures["ends"].items()
+        }
+        return {"endings": ends, "owed": figures["owed"], "listed": figures["listed"], "avoided": figures["avoided"]}
+
+    def queues(self):
+        """What is believed of each destination, for people."""
+        now = self.relay.clock.now()
+        return [self.facade.line(line, now) for line in self.facade.lines()]
+
+
+class Outlet:
+    """The calls to receivers in plain values."""
+
+    def __init__(self, calls):
+        self.calls = calls
+
+    def call(self, address, ident, tag, body, limit, leaves, done):
+        def ended(outcome, wait_ms, took_ms, load, over):
+            done(OUTCOMES[outcome], wait_ms, took_ms, load, over)
+
+        self.calls.call(plain_address(address), text(ident), text(tag), text(body), limit, leaves, ended)
+
+    def recall(self, address):
+        self.calls.recall(plain_address(address))
+
+    def close_idle(self, address):
+        self.calls.close_idle(plain_address(address))
+
+
+class Teller:
+    def __init__(self, notices):
+        self.notices, self.owed = notices, ()
+
+    def tell(self, ident, deferred, ms, answered):
+        self.notices.tell(text(ident), deferred, ms, answered)
+
+
+def plain_address(address):
+    host, port, receiver = address
+    return [host, port, text(receiver)]
