--- a/tests/golden/sender/process_day.py
+++ b/tests/golden/sender/process_day.py
@@ -100,7 +100,8 @@
     def __init__(self, day, name):
         self.day, self.name, self.opening = day, name, {}
         self.loop = ProcessLoop(day.loop)
-        self.numbers = count()
+        self.numbers, self.left = count(), set()  # left: calls whose bytes are out
+        self.tells_notices = True  # until the folder is handed on
 
     def call(self, address, ident, idempotency_key, body, limit_ms, may_leave, ended):
         call = next(self.numbers)
@@ -117,10 +118,12 @@
         self.day.tell(self.name, "may leave", call, left)
         if left <= 0.0:
             return self.ended(call, ended, "not_sent", 0.0, 0.0, {}, False)
+        self.left.add(call)
         outcome, took, wait, load, over = self.day.fate(address[2], limit_ms)
         self.loop.call_later(took / 1000.0, self.ended, call, ended, outcome, wait, took, load, over)
 
     def ended(self, call, ended, outcome, wait_ms, took_ms, load, over):
+        self.left.discard(call)
         self.day.tell(self.name, "call ended", call, outcome, wait_ms, took_ms, load, over)
         ended(outcome, wait_ms, took_ms, load, over)
 
@@ -136,8 +139,9 @@
         self.day.tell(self.name, "notice", ident, retryable, retry_after_ms)
 
         def answer():
-            self.day.tell(self.name, "notice answered", ident)
-            answered()
+            if self.tells_notices:
+                self.day.tell(self.name, "notice answered", ident)
+                answered()
 
         self.loop.call_later(self.day.random.choice([0.004, 0.03, 0.4]), answer)
 
@@ -191,6 +195,8 @@
         self.loop.call_later(21.5, self.detach, "r71")
         self.loop.call_later(56.5, self.attach, "r71")
         self.until(HAND_ON_S)
+        while len(self.wires.left) < 2:
+            self.loop.run_until(self.loop.now + 0.01)
         self.hand_over()
         self.until(KILL_S)
         self.kill()
@@ -208,6 +214,7 @@
         first, first_wires = self.process, self.wires
         self.summary()
         handed = first.hand_on()
+        first_wires.tells_notices = False
         self.tell("handed on", json.loads(handed))
         self.handed = handed
         self.start("second")
