--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -6,13 +6,16 @@
 
 import asyncio
 import copy
+import json
 import math
 import random
 import secrets
 import sqlite3
+import tempfile
+import threading
 import tomllib
-from collections.abc import Callable
-from contextlib import closing
+from collections.abc import Callable, Iterator
+from contextlib import closing, contextmanager
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -23,6 +26,8 @@
 from dewpin.cluster.configuration import parse_configuration, parse_patch
 from dewpin.cluster.errors import ANSWERS, ErrorKind
 from dewpin.cluster.netstring import Decoder
+from dewpin.cluster.placement import replicas
+from dewpin.cluster.platform_list import PlatformList, PlatformUnavailable
 from dewpin.cluster.receivers import DirectoryVersion, Receiver, receiver_from_platform
 from dewpin.cluster.relay_messages import LeaseGrant, RelayNews, RenewRequest, WatchRequest
 from dewpin.cluster.rpc import RpcError, RpcServer, error_message
@@ -37,6 +42,7 @@
 from dewpin.controlplane.control_server import ControlServer
 from dewpin.controlplane.heartbeat_messages import ChosenState, Heartbeat, HeartbeatAnswer
 from dewpin.controlplane.ledger_replica import LedgerRecord
+from dewpin.controlplane.operator_api import OperatorApi, serve_operator
 from dewpin.controlplane.order_history import OrderPage, OrdersRequest, TakenOrder
 from dewpin.controlplane.register_messages import BODY, AcceptCall, PrepareCall
 from dewpin.controlplane.storage import Storage
@@ -61,6 +67,14 @@
     TurnsRequest,
 )
 from dewpin.controlplane.turn_table import IndexEntry
+from dewpin.dataplane.answer_format import render_chunk, render_whole
+from dewpin.dataplane.cluster_agent import ClusterAgent
+from dewpin.dataplane.cluster_state import ClusterState
+from dewpin.dataplane.ingress import Ingress
+from dewpin.dataplane.messages import own_answer
+from dewpin.dataplane.program_store import BudgetSpent, StoreUnavailable, TurnUnknown
+from dewpin.dataplane.readiness import ReadyServer
+from dewpin.dataplane.request_path import RequestPath, share_of_key
 
 Json = dict[str, Any]
 
@@ -752,3 +766,192 @@
     purged = await machine.store.purge_step()
     left = await machine.ask_store("store.pull_ledgers", _CHANGING_VIEW, member="m2", after="", most=100)
     return {"purged": purged, "ledgers": [record["program"] for record in left["ledgers"]]}
+
+
+# HTTP: the operator, the platform, clients and receivers
+
+Address = tuple[str, int]
+LOOPBACK = ("127.0.0.1", 0)
+
+
+class Operator:
+    """The operator's API of a control server whose register has one member, on a loop of its own."""
+
+    def __init__(self, folder: Path) -> None:
+        self._loop = asyncio.new_event_loop()
+        self._thread = threading.Thread(target=self._loop.run_forever, daemon=True)
+        self._thread.start()
+        self._machine = self._await(self._begin(folder))
+        register = self._machine.server.register
+        self._server = serve_operator(LOOPBACK, OperatorApi(register, self._loop, 3))
+        host, port = self._server.socket.getsockname()
+        self.address: Address = (str(host), int(port))
+
+    async def _begin(self, folder: Path) -> _Machine:
+        machine = _Machine(folder)
+        await machine.server.load()
+        await machine.server.register.begin(genesis({MEMBER: "10.0.0.1:8144"}, {MEMBER: "control-1"}))
+        await machine.server.register.propose(begin_stores(_STORES, _STORE_NAMES, _LOCATIONS), PATIENCE_S)
+        return machine
+
+    def finish_retirement(self, name: str) -> None:
+        """Lets a machine hold nothing any more."""
+        self._await(self._machine.server.register.propose(finish_retirement(name), PATIENCE_S))
+
+    def take_orders(self, count: int) -> None:
+        """Takes so many orders of the operator, one after the other."""
+
+        async def take() -> None:
+            register = self._machine.server.register
+            base = register.newest["configuration"]["generation"]
+            for generation in range(base + 1, base + 1 + count):
+                change = put_configuration(_configuration(generation), generation, generation - 1)
+                await register.propose(change, PATIENCE_S)
+
+        self._await(take())
+
+    def lose_majority(self) -> None:
+        """Gives the register a second member that answers nothing."""
+        register = self._machine.server.register
+        members = {MEMBER: "10.0.0.1:8144", "m2": "10.0.0.2:8144"}
+        state = {**register.newest, "version": register.newest["version"] + 1, "members": members}
+        register_value = {"to": MEMBER, "ballot": [1000, "m2"], "value": state, "source": ""}
+        self._await(self._machine.ask("register.accept", **register_value))
+
+    def close(self) -> None:
+        """Ends the server and its loop."""
+        self._server.shutdown()
+        self._server.server_close()
+        self._await(self._machine.close())
+        self._loop.call_soon_threadsafe(self._loop.stop)
+        self._thread.join()
+        self._loop.close()
+
+    def _await(self, work: Any) -> Any:
+        return asyncio.run_coroutine_threadsafe(work, self._loop).result(PATIENCE_S)
+
+
+@contextmanager
+def ready_server(is_ready: bool) -> Iterator[Address]:
+    """The server that tells the platform whether clients may be sent here."""
+    server = ReadyServer(lambda: is_ready)
+    server.start(LOOPBACK)
+    try:
+        yield server.address
+    finally:
+        server.stop()
+
+
+STORE_FAULTS = {"budget": BudgetSpent, "turn": TurnUnknown, "store": StoreUnavailable}
+
+
+class _FailingStore:
+    """Answers everything by one error."""
+
+    def __init__(self, fault: str) -> None:
+        self._fault = fault
+
+    def __getattr__(self, name: str) -> Callable[..., Any]:
+        def fail(*given: Any) -> Any:
+            raise STORE_FAULTS[self._fault]("as scripted")
+
+        return fail
+
+
+@contextmanager
+def sender(configuration: Json | None, receivers: list[str], fault: str = "store") -> Iterator[Address]:
+    """A sender's server for clients over receivers at these addresses; its clock goes on by its pauses alone."""
+    parsed = None if configuration is None else parse_configuration(json.dumps(configuration).encode())
+    listed = tuple(
+        Receiver(f"i-{number}", "engines", address, "here", 4, False, 0.0, "v1")
+        for number, address in enumerate(receivers, 1)
+    )
+    state = ClusterState(parsed, {"engines": listed} if listed else {})
+    pauses: list[float] = []
+
+    def clock() -> float:
+        return 1000.0 + sum(pauses)
+
+    path = RequestPath(state, _FailingStore(fault), "here", clock, pauses.append, random.Random(5))
+    ingress = Ingress(state, path.handle, clock, accept_poll_s=0.01)
+    ingress.start(LOOPBACK)
+    try:
+        yield ingress.address
+    finally:
+        ingress.stop(0.0)
+        path.close()
+
+
+def own_answers() -> Json:
+    """The bytes of a sender's own answer to each kind of error: plain; with detail and wait, on a closing connection;
+    to a HEAD."""
+    return {
+        str(kind): [
+            _rendered(own_answer(kind), False, False),
+            _rendered(own_answer(kind, "what is wrong", 0.25), True, False),
+            _rendered(own_answer(kind), False, True),
+        ]
+        for kind in ErrorKind
+    }
+
+
+def _rendered(answer: Any, closing: bool, without_body: bool) -> str:
+    return render_whole(answer, answer.body, closing, without_body).decode("latin-1")
+
+
+def rendered_chunk(part: bytes) -> bytes:
+    """One chunk of a body to a client."""
+    return render_chunk(part)
+
+
+def read_platform(address: str) -> list[Json] | str:
+    """The records of the platform's whole list; `unavailable` if it could not be read whole."""
+    try:
+        return [dict(receiver.record()) for receiver in PlatformList(address).read()]
+    except PlatformUnavailable:
+        return "unavailable"
+
+
+def releases_of_stopping_sender() -> list[Json]:
+    """The messages by which a sender that stops gives its lease up."""
+    sent: list[Json] = []
+
+    class Client:
+        async def call(self, address: str, message: Json, timeout_s: float) -> Json:
+            sent.append({**message, "sender": "its id"} if message["sender"] else message)
+            return {"type": "lease.released"}
+
+    async def run() -> None:
+        settings = parse_settings(tomllib.loads(SETTINGS))
+        nothing = lambda *given: None  # noqa: E731
+        agent = ClusterAgent(settings, Client(), random.Random(1), nothing, nothing, on_senders=nothing)
+        await agent.stop()
+
+    asyncio.run(run())
+    return sent
+
+
+def released_answer() -> Json:
+    """What a control server answers to a lease that is given up."""
+
+    async def run(folder: Path) -> Json:
+        machine = _Machine(folder)
+        try:
+            return await machine.ask("lease.release", sender="sender-a")
+        finally:
+            await machine.close()
+
+    with tempfile.TemporaryDirectory() as folder:
+        return asyncio.run(run(Path(folder)))
+
+
+def placements() -> Json:
+    """Where keys are placed: the replicas of a key among members, and the share that a session's key draws."""
+    members = tuple(f"m{number}" for number in range(7))
+    locations = ("a/x", "a/x", "a/y", "b/x", "b/y", "b/y", "c/x")
+    keys = [f"p-{number}" for number in range(8)]
+    return {
+        "spread": {key: sorted(replicas(key, members, 3, locations)) for key in keys},
+        "no_locations": {key: sorted(replicas(key, members, 5)) for key in keys},
+        "shares": {key: share_of_key(key) for key in keys},
+    }
