--- a/benchmarks/capacity/context.py
+++ b/benchmarks/capacity/context.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.results import Results
 from benchmarks.capacity.sheet import Row
 from benchmarks.capacity.target import SECONDS_A_DAY, Assumptions, Target
-from dewpin.controlplane.leases import LeaseTable
+from dewpin.controlplane.membership.leases import LeaseTable
 
 
 class NotMeasured(LookupError):
--- a/benchmarks/capacity/coverage.py
+++ b/benchmarks/capacity/coverage.py
@@ -24,7 +24,7 @@
     return [
         Entry(
             f"{target.senders} senders",
-            "`dewpin/controlplane/leases.py`, `dewpin/dataplane/cluster_agent.py`",
+            "`dewpin/controlplane/membership/leases.py`, `dewpin/dataplane/membership/cluster_agent.py`",
             (
                 "processor time of renewals at each",
                 "time between a sender's visits to one control server",
@@ -33,7 +33,7 @@
         ),
         Entry(
             f"{target.receivers} receivers, {target.accelerators:,} accelerators",
-            "`dewpin/cluster/receivers.py`, `platform_list.py`, `dewpin/dataplane/balancing.py`",
+            "`dewpin/cluster/receivers.py`, `platform_list.py`, `dewpin/dataplane/load_balancing/balancer.py`",
             (
                 "bytes of whole lists while each reading differs (a release)",
                 "changed entries alone while each reading differs in 1 in 100",
@@ -43,7 +43,7 @@
         ),
         Entry(
             f"{target.requests_per_s:,} requests a second",
-            "`dewpin/dataplane/ingress.py`, `request_path.py`; stores behind",
+            "`dewpin/dataplane/ingress/server.py`, `request_path.py`; stores behind",
             (
                 "processor time of these calls",
                 f"share of a core of each of {stores} stores",
@@ -54,12 +54,12 @@
         ),
         Entry(
             f"{target.tokens_per_s:,} tokens out a second",
-            "`dewpin/dataplane/streams.py`",
+            "`dewpin/dataplane/routing/event_relay.py`",
             ("processor time of events",),
         ),
         Entry(
             f"first token in {target.first_token_s} s for {target.share_in_time:.0%}",
-            "`dewpin/dataplane/store_client.py` (reserve, chain) before the send, then the receiver",
+            "`dewpin/dataplane/programs/store_client.py` (reserve, chain) before the send, then the receiver",
             (
                 "time to take up a whole chain before the first token",
                 "time added to a first token by replicas in other regions",
@@ -68,7 +68,7 @@
         ),
         Entry(
             f"{target.token_gap_ms:g} ms between tokens for {target.share_in_time:.0%}",
-            "`dewpin/dataplane/streams.py`",
+            "`dewpin/dataplane/routing/event_relay.py`",
             (
                 "delay that passing on adds between tokens, 95 in 100",
                 "time to take up one change, beside the streams of the same process",
@@ -76,7 +76,7 @@
         ),
         Entry(
             f"{target.programs:,} programs of up to {target.turns_a_program} turns, {target.tokens_a_program:,} tokens",
-            "`dewpin/controlplane/turn_table.py`, `dewpin/dataplane/chain_cache.py`",
+            "`dewpin/controlplane/store/turn_table.py`, `dewpin/dataplane/programs/history_cache.py`",
             (
                 f"bytes of one of {stores} stores",
                 "memory that whole chains would take",
@@ -86,13 +86,13 @@
         ),
         Entry(
             f"{target.tenants} tenants, {target.models} models",
-            "`dewpin/cluster/configuration`, `dewpin/controlplane/system_state.py`",
+            "`dewpin/cluster/configuration`, `dewpin/controlplane/register/system_state.py`",
             ("bytes of whole states, taken and passed on", "the same with changed routes and entries alone"),
             "quotas between tenants: none yet",
         ),
         Entry(
             f"{target.regions} regions, {target.zones} zones",
-            "`dewpin/cluster/placement.py`, `dewpin/controlplane/reconfiguration.py`",
+            "`dewpin/cluster/placement.py`, `dewpin/controlplane/membership/reconfiguration.py`",
             (
                 "programs without a majority when a zone is lost",
                 "programs without a majority when a region is lost",
@@ -100,13 +100,13 @@
         ),
         Entry(
             f"{target.changes_a_day} changes a day in force in {target.change_in_force_s:g} s",
-            "`dewpin/consensus`, `dewpin/controlplane/register.py`, `dewpin/dataplane/cluster_agent.py`",
+            "`dewpin/consensus`, `dewpin/controlplane/register`, `dewpin/dataplane/membership/cluster_agent.py`",
             ("time of a change to the last sender, nothing failing", "the same when the tree fails"),
             "measured parts added up on paper",
         ),
         Entry(
             f"control: {target.control_processor_share:.1%} of a core a sender",
-            "`dewpin/dataplane/cluster_agent.py`, `dewpin/cluster/rpc.py`",
+            "`dewpin/dataplane/membership/cluster_agent.py`, `dewpin/cluster/rpc.py`",
             (
                 "processor time of renewals and watches, nothing new",
                 "processor time of control, all, mean of a day",
@@ -115,12 +115,12 @@
         ),
         Entry(
             f"control: {target.control_memory_bytes / 1e6:g} MB a sender",
-            "`dewpin/dataplane/cluster_state.py`",
+            "`dewpin/dataplane/membership/cluster_state.py`",
             ("memory of control",),
         ),
         Entry(
             f"control: {target.control_bytes_per_s / 1e3:g} kB/s a sender",
-            "`dewpin/dataplane/cluster_agent.py`",
+            "`dewpin/dataplane/membership/cluster_agent.py`",
             (
                 "bytes of renewals",
                 "bytes of watches when nothing is new",
@@ -143,19 +143,19 @@
         ),
         Entry(
             f"{target.failures_a_day} failures, {target.restarts_a_day} restarts a day",
-            "leases, drain at SIGTERM, `dewpin/controlplane/reconfiguration.py`, `sync.py`",
+            "leases, drain at SIGTERM, `dewpin/controlplane/membership/reconfiguration.py`, `sync.py`",
             (),
             "rows under failures; a day with that many: not measured",
         ),
         Entry(
             "a rack every month or two",
-            "`dewpin/controlplane/reconfiguration.py`, `dewpin/consensus`",
+            "`dewpin/controlplane/membership/reconfiguration.py`, `dewpin/consensus`",
             (),
             "as a zone, smaller; placement does not see racks: to be built",
         ),
         Entry(
             "a zone once or twice a year",
-            "`dewpin/controlplane/reconfiguration.py`, `dewpin/consensus`",
+            "`dewpin/controlplane/membership/reconfiguration.py`, `dewpin/consensus`",
             ("programs without a majority when a zone is lost",),
         ),
         Entry(
--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -4,14 +4,14 @@
 
 from dewpin.cluster.netstring import encode
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
-from dewpin.controlplane.heartbeat import HEARTBEAT_PERIOD_S
-from dewpin.controlplane.leases import LEASE_PERIODS, LEASE_ROUNDS, RELAY_FAN_OUT, LeaseTable
-from dewpin.controlplane.list_reader import READINGS_IN_DRAIN
-from dewpin.controlplane.reconfiguration import GONE_S, GONE_WITH_SUCCESSOR_S
+from dewpin.controlplane.membership.heartbeat import HEARTBEAT_PERIOD_S
+from dewpin.controlplane.membership.leases import LEASE_PERIODS, LEASE_ROUNDS, RELAY_FAN_OUT, LeaseTable
+from dewpin.controlplane.membership.reconfiguration import GONE_S, GONE_WITH_SUCCESSOR_S
+from dewpin.controlplane.platform_list_reader import READINGS_IN_DRAIN
+from dewpin.controlplane.register.system_state import MOST_REMEMBERED_CONFIGURATIONS
 from dewpin.controlplane.storage import MOST_IN_COMMIT
-from dewpin.controlplane.system_state import MOST_REMEMBERED_CONFIGURATIONS
-from dewpin.dataplane.chain_cache import DEFAULT_BYTES as CHAIN_CACHE_BYTES
-from dewpin.dataplane.cluster_agent import RENEWALS_IN_BOUND
+from dewpin.dataplane.membership.cluster_agent import RENEWALS_IN_BOUND
+from dewpin.dataplane.programs.history_cache import DEFAULT_BYTES as CHAIN_CACHE_BYTES
 
 __all__ = [
     "CHAIN_CACHE_BYTES",
--- a/benchmarks/capacity/measures/leases.py
+++ b/benchmarks/capacity/measures/leases.py
@@ -6,10 +6,10 @@
 from benchmarks.capacity.series import ONCE, Effort, Series, sample
 from benchmarks.capacity.timing import processor_us_per_call
 from dewpin.cluster.netstring import encode
-from dewpin.controlplane.leases import LeaseTable
-from dewpin.controlplane.peers import PeerRecord
+from dewpin.controlplane.membership.leases import LeaseTable
+from dewpin.controlplane.membership.peers import PeerRecord
 
-LEASES_MODULE = "dewpin/controlplane/leases.py"
+LEASES_MODULE = "dewpin/controlplane/membership/leases.py"
 SENDERS = (30, 100, 350, 1_000)
 CONTROL_SERVERS = (3, 5, 9, 15)
 RENEWAL_S = 2.8
--- a/benchmarks/capacity/measures/process.py
+++ b/benchmarks/capacity/measures/process.py
@@ -15,12 +15,12 @@
 
 from benchmarks.capacity.series import Effort, Series, memory_series
 from benchmarks.capacity.timing import MICROSECONDS, in_fresh_process, resident_bytes
-from dewpin.dataplane.answer_body import framing_of
-from dewpin.dataplane.receiver_connection import ReceiverConnection
-from dewpin.dataplane.receiver_stream import ReceiverStream
-from dewpin.dataplane.streams import EventRelay
+from dewpin.dataplane.routing.event_relay import EventRelay
+from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.receiver_stream import ReceiverStream
+from dewpin.dataplane.upstream.response_body import framing_of
 
-RELAY = "dewpin/dataplane/streams.py, receiver_stream.py, events.py"
+RELAY = "dewpin/dataplane/routing/event_relay.py, receiver_stream.py, events.py"
 THREADS = (50, 100, 200, 400)
 CONNECTIONS = (50, 100, 200, 400)
 STREAMS = (10, 40, 80, 120)
--- a/benchmarks/capacity/measures/register.py
+++ b/benchmarks/capacity/measures/register.py
@@ -14,11 +14,11 @@
 from benchmarks.capacity.series import Effort, Series, sample
 from benchmarks.capacity.timing import MICROSECONDS, free_port
 from dewpin.cluster.rpc import RpcClient, RpcServer
-from dewpin.controlplane.register import SystemRegister
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.system_state import genesis, put_configuration
 from dewpin.controlplane.storage import Storage
-from dewpin.controlplane.system_state import genesis, put_configuration
 
-REGISTER = "dewpin/controlplane/register.py, dewpin/consensus"
+REGISTER = "dewpin/controlplane/register/register.py, dewpin/consensus"
 REGISTER_MEMBERS = 5
 REGISTER_ROUTES = (50, 500, 1_000, 2_000)
 
--- a/benchmarks/capacity/measures/storage.py
+++ b/benchmarks/capacity/measures/storage.py
@@ -15,8 +15,8 @@
 from dewpin.cluster.store_messages import ChainLinks, TurnRecord
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
-from dewpin.controlplane import ledger_replica, turn_table
 from dewpin.controlplane.storage import DATABASE_NAME, Storage
+from dewpin.controlplane.store import ledger_replica, turn_table
 
 TURNS = "dewpin/controlplane/storage.py, turn_table.py"
 LEDGERS = "dewpin/controlplane/storage.py, ledger_replica.py"
@@ -229,7 +229,7 @@
     return Series(
         "chain-read",
         f"a store's processor time for a chain of turns of {RECORD_BYTES} bytes, read and made an answer",
-        "dewpin/controlplane/turn_table.py, dewpin/cluster/store_messages.py",
+        "dewpin/controlplane/store/turn_table.py, dewpin/cluster/store_messages.py",
         "turns in the chain",
         "processor time a chain",
         "µs",
@@ -307,7 +307,7 @@
     return Series(
         "index-scan",
         f"a page of the index read and filtered for a copy, {VIEW_MEMBERS} stores",
-        "dewpin/controlplane/turn_table.py, dewpin/cluster/store_view.py",
+        "dewpin/controlplane/store/turn_table.py, dewpin/cluster/store_view.py",
         "rows of the page",
         "processor time a page",
         "µs",
--- a/benchmarks/capacity/measures/system_state.py
+++ b/benchmarks/capacity/measures/system_state.py
@@ -7,9 +7,9 @@
 from benchmarks.capacity.timing import processor_us_per_call, resident_bytes
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.cluster.netstring import Decoder, encode
-from dewpin.controlplane.system_state import SystemState, digest_of, genesis, put_configuration
+from dewpin.controlplane.register.system_state import SystemState, digest_of, genesis, put_configuration
 
-STATE = "dewpin/controlplane/system_state.py"
+STATE = "dewpin/controlplane/register/system_state.py"
 ROUTES = (50, 200, 500, 1_000, 2_000)
 ACCEPTED = (0, 250, 500, 1_000, 2_000)
 MEMBERS = 5
--- a/benchmarks/capacity/roles/control.py
+++ b/benchmarks/capacity/roles/control.py
@@ -9,12 +9,12 @@
 
 MICROSECONDS = 1e6
 SMALL_MESSAGE_BYTES = 300
-LEASES = "`dewpin/controlplane/leases.py`"
-REGISTER = "`dewpin/controlplane/register.py`, `dewpin/consensus`"
-STATE = "`dewpin/controlplane/system_state.py`"
+LEASES = "`dewpin/controlplane/membership/leases.py`"
+REGISTER = "`dewpin/controlplane/register/register.py`, `dewpin/consensus`"
+STATE = "`dewpin/controlplane/register/system_state.py`"
 LIST = "`dewpin/cluster/platform_list.py`, `receivers.py`"
 CONTROL_SERVER = "`dewpin/controlplane/control_server.py`"
-TREE = "`dewpin/dataplane/cluster_agent.py`, `dewpin/controlplane/leases.py`"
+TREE = "`dewpin/dataplane/membership/cluster_agent.py`, `dewpin/controlplane/membership/leases.py`"
 
 
 def hop_s(context: Context) -> Estimate:
--- a/benchmarks/capacity/roles/failures.py
+++ b/benchmarks/capacity/roles/failures.py
@@ -13,11 +13,11 @@
 MICROSECONDS = 1e6
 SAMPLED_PROGRAMS = 2000
 INDEX_ROWS_OF_THE_SERIES = 256
-LEASES = "`dewpin/controlplane/leases.py`"
-VIEW = "`dewpin/controlplane/reconfiguration.py`"
-SYNC = "`dewpin/controlplane/sync.py`"
+LEASES = "`dewpin/controlplane/membership/leases.py`"
+VIEW = "`dewpin/controlplane/membership/reconfiguration.py`"
+SYNC = "`dewpin/controlplane/store/replica_sync.py`"
 PLACEMENT = "`dewpin/cluster/placement.py`"
-WATCH = "`dewpin/dataplane/cluster_agent.py`"
+WATCH = "`dewpin/dataplane/membership/cluster_agent.py`"
 
 
 def majority_within(stores: int, zones: int, regions: int, count: int, of_region: bool) -> float:
@@ -78,14 +78,14 @@
             "streams at once of one sender",
             lambda: context.streams_a_sender,
             "",
-            "`dewpin/dataplane/retry.py`: resumable ones go on elsewhere",
+            "`dewpin/dataplane/routing/retry.py`: resumable ones go on elsewhere",
         ),
         context.row(
             "streams under way at the restarts of a day, to be drained",
             f"{target.restarts_a_day} × streams at once",
             lambda: target.restarts_a_day * context.streams_a_sender,
             "",
-            "`dewpin/dataplane/ingress.py` (drain at SIGTERM)",
+            "`dewpin/dataplane/ingress/server.py` (drain at SIGTERM)",
         ),
         context.row(
             "time that a whole stream needs to drain",
@@ -225,7 +225,7 @@
                 * (1 - majority_within(stores, target.zones, target.regions, assumed.replicas, of_region=True))
             ),
             "",
-            "`dewpin/dataplane/store_client.py`",
+            "`dewpin/dataplane/programs/store_client.py`",
         ),
         context.row(
             "bytes to catch up after that hour",
@@ -249,7 +249,7 @@
             f"{assumed.ledger_rounds_to_reserve} rounds to reserve × {plain(assumed.region_round_trip_ms)} ms",
             lambda: assumed.ledger_rounds_to_reserve * assumed.region_round_trip_ms,
             "ms",
-            "`dewpin/dataplane/store_client.py`",
+            "`dewpin/dataplane/programs/store_client.py`",
             target.first_token_s * 1000,
         ),
     ]
--- a/benchmarks/capacity/roles/sender.py
+++ b/benchmarks/capacity/roles/sender.py
@@ -9,11 +9,11 @@
 
 MICROSECONDS = 1e6
 SMALL_MESSAGE_BYTES = 300
-AGENT = "`dewpin/dataplane/cluster_agent.py`"
+AGENT = "`dewpin/dataplane/membership/cluster_agent.py`"
 RPC = "`dewpin/cluster/rpc.py`"
-STREAMS = "`dewpin/dataplane/ingress.py`, `streams.py`"
-STORE_CLIENT = "`dewpin/dataplane/store_client.py`"
-CHAINS = "`dewpin/dataplane/chain_cache.py`"
+STREAMS = "`dewpin/dataplane/ingress/server.py`, `streams.py`"
+STORE_CLIENT = "`dewpin/dataplane/programs/store_client.py`"
+CHAINS = "`dewpin/dataplane/programs/history_cache.py`"
 
 
 def traffic_rows(context: Context) -> list[Row]:
@@ -256,7 +256,7 @@
             f"{target.receivers}",
             lambda: context.at("sender-memory", context.routes) + target.receivers * context.each("receiver-memory"),
             "B",
-            "`dewpin/dataplane/cluster_state.py`",
+            "`dewpin/dataplane/membership/cluster_state.py`",
             target.control_memory_bytes,
         ),
     ]
@@ -305,7 +305,7 @@
             f"{plain(turns)}/s × half of {target.tokens_a_program:,} tokens × {assumed.bytes_a_token} B",
             lambda: turns * chain / 2,
             "B/s",
-            "`dewpin/dataplane/turns.py`; the receivers' protocol asks for the whole chain each turn",
+            "`dewpin/dataplane/programs/turns.py`; the receivers' protocol asks for the whole chain each turn",
         ),
         context.row(
             "memory that whole chains would take",
--- a/benchmarks/capacity/roles/store.py
+++ b/benchmarks/capacity/roles/store.py
@@ -12,10 +12,10 @@
 MEASURED_RECORD_BYTES = 5_000
 OPEN_RESERVATIONS = 2
 STORAGE = "`dewpin/controlplane/storage.py`"
-TURNS = "`dewpin/controlplane/turn_table.py`"
-LEDGERS = "`dewpin/controlplane/ledger_replica.py`, `dewpin/consensus`"
-STORE = "`dewpin/controlplane/store.py`, `dewpin/cluster/rpc.py`"
-HEARTBEAT = "`dewpin/controlplane/heartbeat.py`"
+TURNS = "`dewpin/controlplane/store/turn_table.py`"
+LEDGERS = "`dewpin/controlplane/store/ledger_replica.py`, `dewpin/consensus`"
+STORE = "`dewpin/controlplane/store/store.py`, `dewpin/cluster/rpc.py`"
+HEARTBEAT = "`dewpin/controlplane/membership/heartbeat.py`"
 
 
 def disk_of(context: Context, replicas: int) -> Estimate:
--- a/benchmarks/majority_contact.py
+++ b/benchmarks/majority_contact.py
@@ -23,7 +23,7 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.cluster.settings import Settings, parse_settings
 from dewpin.controlplane.control_server import ControlServer
-from dewpin.dataplane.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 from dewpin.lab.loop import SimLoop
 
 LATENCY_S = 0.002
--- a/benchmarks/register_catch_up.py
+++ b/benchmarks/register_catch_up.py
@@ -25,8 +25,8 @@
 from scripted.clock import run  # noqa: E402
 from scripted.rated_links import LinkNetwork  # noqa: E402
 
-from dewpin.controlplane.register import RegisterUnavailable  # noqa: E402
-from dewpin.controlplane.system_state import put_configuration  # noqa: E402
+from dewpin.controlplane.register.register import RegisterUnavailable  # noqa: E402
+from dewpin.controlplane.register.system_state import put_configuration  # noqa: E402
 
 FILLING_BODY_BYTES = 4096
 GIVE_UP_S = 15.0
--- a/benchmarks/register_week.py
+++ b/benchmarks/register_week.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 
 from dewpin.cluster.rpc import RpcClient
-from dewpin.controlplane.register import SystemRegister
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.system_state import genesis, put_configuration
 from dewpin.controlplane.storage import DATABASE_NAME, Storage
-from dewpin.controlplane.system_state import genesis, put_configuration
 
 MEMBER = "a"
 WAIT_S = 30.0
--- a/benchmarks/relay_changes.py
+++ b/benchmarks/relay_changes.py
@@ -28,9 +28,9 @@
 
 from dewpin.cluster.receivers import Receiver  # noqa: E402
 from dewpin.cluster.settings import parse_settings  # noqa: E402
-from dewpin.controlplane.register import RegisterUnavailable  # noqa: E402
-from dewpin.controlplane.system_state import put_configuration  # noqa: E402
-from dewpin.dataplane.cluster_agent import ClusterAgent  # noqa: E402
+from dewpin.controlplane.register.register import RegisterUnavailable  # noqa: E402
+from dewpin.controlplane.register.system_state import put_configuration  # noqa: E402
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent  # noqa: E402
 
 CONTROL_MBIT = 86.0
 GIVE_UP_S = 60.0
--- a/benchmarks/store_copy.py
+++ b/benchmarks/store_copy.py
@@ -29,12 +29,12 @@
 from dewpin.cluster.store_messages import TurnRecord
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
-from dewpin.controlplane import ledger_replica, turn_table
 from dewpin.controlplane.storage import Storage
-from dewpin.controlplane.store import Store
-from dewpin.controlplane.sync import StoreSync
-from dewpin.dataplane.program_store import Turn
-from dewpin.dataplane.store_client import StoreClient
+from dewpin.controlplane.store import ledger_replica, turn_table
+from dewpin.controlplane.store.replica_sync import StoreSync
+from dewpin.controlplane.store.store import Store
+from dewpin.dataplane.programs.program_store import Turn
+from dewpin.dataplane.programs.store_client import StoreClient
 
 FIRST_PORT = 21700
 LINK_BYTES_PER_S = 600e6 / 8
--- a/dewpin/controlplane/__main__.py
+++ b/dewpin/controlplane/__main__.py
@@ -16,13 +16,12 @@
 from dewpin.cluster.settings import BOOT_VARIABLE, Settings, settings_or_exit
 from dewpin.cluster.settings_watch import POLL_PERIOD_S, SettingsWatch
 from dewpin.cluster.store_view import StoreView
-
-from .control_server import ControlServer
-from .operator_api import OperatorApi, serve_operator
-from .storage import Storage
-from .store import Store, time_of_day_ms
-from .sync import StoreSync
-from .system_state import SystemState
+from dewpin.controlplane.control_server import ControlServer
+from dewpin.controlplane.operator_api import OperatorApi, serve_operator
+from dewpin.controlplane.register.system_state import SystemState
+from dewpin.controlplane.storage import Storage
+from dewpin.controlplane.store.replica_sync import StoreSync
+from dewpin.controlplane.store.store import Store, time_of_day_ms
 
 LEAVE_NOTICE_S = 0.3
 
--- a/dewpin/controlplane/control_server.py
+++ b/dewpin/controlplane/control_server.py
@@ -19,18 +19,17 @@
 from dewpin.cluster.rpc import Handler, RpcClient
 from dewpin.cluster.settings import Bounds, Settings
 from dewpin.cluster.settings_watch import reloaded
-
-from .heartbeat import HEARTBEAT_PERIOD_S, HeartbeatExchange, LocalProcess
-from .heartbeat_messages import HEARTBEAT
-from .leases import LeaseTable
-from .list_reader import ListReader
-from .majority_contact import RegisterConfirmation
-from .peers import Peer, PeerRecord
-from .register import SystemRegister
-from .register_upkeep import RegisterUpkeep
-from .replica_storage import WritesRows
-from .sender_service import SenderService
-from .system_state import SystemState
+from dewpin.controlplane.membership.heartbeat import HEARTBEAT_PERIOD_S, HeartbeatExchange, LocalProcess
+from dewpin.controlplane.membership.heartbeat_messages import HEARTBEAT
+from dewpin.controlplane.membership.leases import LeaseTable
+from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.membership.peers import Peer, PeerRecord
+from dewpin.controlplane.membership.register_upkeep import RegisterUpkeep
+from dewpin.controlplane.platform_list_reader import ListReader
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.replica_storage import WritesRows
+from dewpin.controlplane.register.system_state import SystemState
+from dewpin.controlplane.sender_service import SenderService
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/controlplane/heartbeat.py
+++ b/dewpin/controlplane/membership/heartbeat.py
@@ -10,12 +10,11 @@
 from dewpin.cluster.receivers import DirectoryVersion
 from dewpin.cluster.rpc import Message, RpcClient, RpcError
 from dewpin.cluster.running_tasks import forget_current_task
-
-from .heartbeat_messages import ChosenState, Heartbeat, HeartbeatAnswer
-from .list_reader import ListReader
-from .majority_contact import RegisterConfirmation
-from .peers import Peer, PeerRecord, PeerTable
-from .register import SystemRegister
+from dewpin.controlplane.membership.heartbeat_messages import ChosenState, Heartbeat, HeartbeatAnswer
+from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.membership.peers import Peer, PeerRecord, PeerTable
+from dewpin.controlplane.platform_list_reader import ListReader
+from dewpin.controlplane.register.register import SystemRegister
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/controlplane/heartbeat_messages.py
+++ b/dewpin/controlplane/membership/heartbeat_messages.py
@@ -10,9 +10,8 @@
 from dewpin.cluster.rpc import Message
 from dewpin.consensus import Ballot
 from dewpin.consensus.messages import ballot_from_json
-
-from .peers import PeerRecord
-from .register_messages import WireState, digests
+from dewpin.controlplane.membership.peers import PeerRecord
+from dewpin.controlplane.register.messages import WireState, digests
 
 HEARTBEAT = "keeper.hello"
 """The type on the wire, as earlier releases have it."""
--- a/dewpin/controlplane/majority_contact.py
+++ b/dewpin/controlplane/membership/majority_contact.py
@@ -16,9 +16,8 @@
 from dataclasses import dataclass
 
 from dewpin.consensus import majority_of
-
-from .register import SystemRegister
-from .system_state import SystemState, quorum_sets
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.system_state import SystemState, quorum_sets
 
 NEVER_S = float("-inf")
 CONTACT_LIVE_S = 1.0
--- a/dewpin/controlplane/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -10,9 +10,8 @@
 from dataclasses import dataclass
 
 from dewpin.cluster.placement import LocationCount
-
-from .peers import LIVE_S, Peer, PeerTable
-from .system_state import (
+from dewpin.controlplane.membership.peers import LIVE_S, Peer, PeerTable
+from dewpin.controlplane.register.system_state import (
     Change,
     SystemState,
     begin_stores,
--- a/dewpin/controlplane/register_upkeep.py
+++ b/dewpin/controlplane/membership/register_upkeep.py
@@ -5,11 +5,11 @@
 import logging
 from collections.abc import Callable
 
-from .majority_contact import RegisterConfirmation
-from .peers import Peer, PeerTable
-from .reconfiguration import Knowledge, drives, due_change
-from .register import RegisterUnavailable, SystemRegister
-from .system_state import ChangeRefused, SystemState, genesis
+from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.membership.peers import Peer, PeerTable
+from dewpin.controlplane.membership.reconfiguration import Knowledge, drives, due_change
+from dewpin.controlplane.register.register import RegisterUnavailable, SystemRegister
+from dewpin.controlplane.register.system_state import ChangeRefused, SystemState, genesis
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/controlplane/operator_api.py
+++ b/dewpin/controlplane/operator_api.py
@@ -16,9 +16,8 @@
 
 from dewpin.cluster.body_messages import patch_digest_of
 from dewpin.cluster.configuration import ConfigurationInvalid, parse_configuration, parse_patch
-
-from .register import RegisterUnavailable, SystemRegister
-from .system_state import (
+from dewpin.controlplane.register.register import RegisterUnavailable, SystemRegister
+from dewpin.controlplane.register.system_state import (
     AnotherVersionIsCurrent,
     Change,
     ChangeRefused,
--- a/dewpin/controlplane/order_history.py
+++ b/dewpin/controlplane/register/change_history.py
@@ -12,8 +12,7 @@
 from typing import Any, Protocol
 
 from dewpin.cluster.rpc import Message
-
-from .system_state import SystemState, orders_taken
+from dewpin.controlplane.register.system_state import SystemState, orders_taken
 
 MOST_ORDERS = 32_768
 """Orders that are remembered: 38 days of 850 changes."""
--- a/dewpin/controlplane/configuration_bodies.py
+++ b/dewpin/controlplane/register/configuration_bodies.py
@@ -14,9 +14,8 @@
 
 from dewpin.cluster.body_messages import BodyPage, BodyRequest, digest_of
 from dewpin.cluster.rpc import Message, RpcClient, RpcError
-
-from .register_messages import BODY, WireState
-from .system_state import SystemState, base_of
+from dewpin.controlplane.register.messages import BODY, WireState
+from dewpin.controlplane.register.system_state import SystemState, base_of
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/controlplane/register.py
+++ b/dewpin/controlplane/register/register.py
@@ -14,13 +14,12 @@
 from dewpin.consensus.messages import decode_reply, encode_reply
 from dewpin.consensus.proposal import Request
 from dewpin.consensus.replica import ZERO_BALLOT
-
-from .configuration_bodies import ConfigurationBodies
-from .order_history import ORDERS, OrderHistory, OrderPage, OrdersRequest
-from .register_messages import ACCEPT, BODY, PREPARE, AcceptCall, PrepareCall, WireState
-from .replica_storage import ReplicaStorage, WritesRows
-from .storage import StorageFailed
-from .system_state import Change, ChangeRefused, SystemState, quorum_sets
+from dewpin.controlplane.register.change_history import ORDERS, OrderHistory, OrderPage, OrdersRequest
+from dewpin.controlplane.register.configuration_bodies import ConfigurationBodies
+from dewpin.controlplane.register.messages import ACCEPT, BODY, PREPARE, AcceptCall, PrepareCall, WireState
+from dewpin.controlplane.register.replica_storage import ReplicaStorage, WritesRows
+from dewpin.controlplane.register.system_state import Change, ChangeRefused, SystemState, quorum_sets
+from dewpin.controlplane.storage import StorageFailed
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/controlplane/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -8,10 +8,9 @@
 from dewpin.consensus import Replica
 from dewpin.consensus.messages import ballot_from_json
 from dewpin.consensus.replica import ZERO_BALLOT
-
-from .register_messages import WireState
-from .storage import StorageDamaged
-from .system_state import SystemState
+from dewpin.controlplane.register.messages import WireState
+from dewpin.controlplane.register.system_state import SystemState
+from dewpin.controlplane.storage import StorageDamaged
 
 REGISTER_KEY = "system"
 PROMISE_KEY = "system/promise"
--- a/dewpin/controlplane/sender_service.py
+++ b/dewpin/controlplane/sender_service.py
@@ -18,13 +18,12 @@
 )
 from dewpin.cluster.relay_service import RelayedKnowledge, RelayService
 from dewpin.cluster.rpc import Handler, Message, RpcError
-
-from .leases import LeaseTable
-from .list_reader import ListReader
-from .majority_contact import RegisterConfirmation
-from .peers import PeerTable
-from .register import SystemRegister
-from .system_state import SystemState, base_of
+from dewpin.controlplane.membership.leases import LeaseTable
+from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.membership.peers import PeerTable
+from dewpin.controlplane.platform_list_reader import ListReader
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.system_state import SystemState, base_of
 
 CONTROL_KNOWN_S = 5.0
 
--- a/dewpin/controlplane/sync.py
+++ b/dewpin/controlplane/store/replica_sync.py
@@ -16,11 +16,11 @@
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.rpc import Message, RpcError
 from dewpin.cluster.store_view import Member, StoreView
-from dewpin.controlplane import ledger_replica, turn_table
-from dewpin.controlplane.ledger_replica import LedgerRecord
 from dewpin.controlplane.storage import StorageFailed
-from dewpin.controlplane.store import Store
-from dewpin.controlplane.transfer_messages import (
+from dewpin.controlplane.store import ledger_replica, turn_table
+from dewpin.controlplane.store.ledger_replica import LedgerRecord
+from dewpin.controlplane.store.store import Store
+from dewpin.controlplane.store.transfer_messages import (
     IndexPage,
     IndexRequest,
     Key,
@@ -28,14 +28,8 @@
     LedgersRequest,
     TurnsAnswer,
 )
-from dewpin.controlplane.turn_table import IndexEntry
-from dewpin.controlplane.turn_transfer import (
-    TURNS_IN_REQUEST,
-    Calls,
-    FetchedTurns,
-    body_request,
-    key_of,
-)
+from dewpin.controlplane.store.turn_table import IndexEntry
+from dewpin.controlplane.store.turn_transfer import TURNS_IN_REQUEST, Calls, FetchedTurns, body_request, key_of
 
 INDEX_PAGE = 2000
 REQUESTS_AT_ONCE = 3
--- a/dewpin/controlplane/store.py
+++ b/dewpin/controlplane/store/store.py
@@ -17,9 +17,9 @@
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Ballot, Reply
 from dewpin.consensus.messages import encode_reply
-from dewpin.controlplane import ledger_replica, ledger_retention, turn_table
 from dewpin.controlplane.storage import StorageFailed
-from dewpin.controlplane.transfer_messages import (
+from dewpin.controlplane.store import ledger_replica, ledger_retention, turn_table
+from dewpin.controlplane.store.transfer_messages import (
     IndexPage,
     IndexRequest,
     LedgersPage,
--- a/dewpin/controlplane/transfer_messages.py
+++ b/dewpin/controlplane/store/transfer_messages.py
@@ -16,8 +16,8 @@
 from dewpin.cluster.netstring import RAW
 from dewpin.cluster.rpc import Message
 from dewpin.cluster.store_messages import TurnRecord
-from dewpin.controlplane.ledger_replica import LedgerRecord
-from dewpin.controlplane.turn_table import IndexEntry
+from dewpin.controlplane.store.ledger_replica import LedgerRecord
+from dewpin.controlplane.store.turn_table import IndexEntry
 
 Key = tuple[str, str]
 """Turn and program."""
--- a/dewpin/controlplane/turn_transfer.py
+++ b/dewpin/controlplane/store/turn_transfer.py
@@ -10,9 +10,9 @@
 
 from dewpin.cluster.rpc import Message
 from dewpin.cluster.store_messages import TurnRecord
-from dewpin.controlplane import turn_table
-from dewpin.controlplane.transfer_messages import Key, TurnsAnswer, TurnsRequest
-from dewpin.controlplane.turn_table import IndexEntry
+from dewpin.controlplane.store import turn_table
+from dewpin.controlplane.store.transfer_messages import Key, TurnsAnswer, TurnsRequest
+from dewpin.controlplane.store.turn_table import IndexEntry
 
 TURNS_IN_REQUEST = 250
 BODY_BYTES_IN_REQUEST = 512 * 1024
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -20,14 +20,13 @@
 from dewpin.cluster.settings import BOOT_VARIABLE, Settings, settings_or_exit
 from dewpin.cluster.settings_watch import POLL_PERIOD_S, SettingsWatch
 from dewpin.cluster.store_view import StoreView
-
-from .cluster_agent import ClusterAgent
-from .cluster_state import ClusterState
-from .ingress import Ingress
-from .readiness import ReadyServer
-from .request_path import RequestPath
-from .stop_signal import StopSignal
-from .store_client import BlockingStoreClient, StoreClient
+from dewpin.dataplane.ingress.readiness import ReadyServer
+from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.programs.store_client import BlockingStoreClient, StoreClient
+from dewpin.dataplane.routing.request_handler import RequestPath
+from dewpin.dataplane.stop_signal import StopSignal
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/dataplane/http_parsing.py
+++ b/dewpin/dataplane/http11/request_parsing.py
@@ -3,7 +3,7 @@
 import re
 from dataclasses import dataclass
 
-from .messages import HeaderField, Headers
+from dewpin.dataplane.http11.messages import HeaderField, Headers
 
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _TARGET = re.compile(r"/[\x21-\x7e]*|\*")
--- a/dewpin/dataplane/answer_format.py
+++ b/dewpin/dataplane/http11/response_format.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from .messages import Answer, HeaderField, reason_phrase
+from dewpin.dataplane.http11.messages import Answer, HeaderField, reason_phrase
 
 NO_BODY_STATUSES = frozenset({204, 304})
 
--- a/dewpin/dataplane/request_reader.py
+++ b/dewpin/dataplane/ingress/request_reader.py
@@ -11,11 +11,10 @@
     Limits,
 )
 from dewpin.cluster.errors import ErrorKind, TierError
-
-from .connection import ClientConnection, TooLarge
-from .http_parsing import MalformedRequest, RequestHead, parse_chunk_size, parse_head
-from .messages import Request
-from .time_allowed import time_allowed_s
+from dewpin.dataplane.http11.messages import Request
+from dewpin.dataplane.http11.request_parsing import MalformedRequest, RequestHead, parse_chunk_size, parse_head
+from dewpin.dataplane.ingress.client_connection import ClientConnection, TooLarge
+from dewpin.dataplane.routing.request_time_limit import time_allowed_s
 
 BODY_TIMEOUT_S = 10.0
 """How long a body may take to arrive where no route tells."""
--- a/dewpin/dataplane/ingress.py
+++ b/dewpin/dataplane/ingress/server.py
@@ -15,14 +15,13 @@
 
 from dewpin.cluster.configuration import Configuration, Limits
 from dewpin.cluster.errors import ErrorKind
-
-from .answer_format import render_chunk, render_head, render_whole
-from .cluster_state import ClusterState
-from .connection import ClientConnection
-from .http_parsing import RequestHead
-from .messages import Answer, BodyBroken, BodyStream, Request, own_answer
-from .request_reader import RequestReader, limits_of
-from .workers import Workers
+from dewpin.dataplane.http11.messages import Answer, BodyBroken, BodyStream, Request, own_answer
+from dewpin.dataplane.http11.request_parsing import RequestHead
+from dewpin.dataplane.http11.response_format import render_chunk, render_head, render_whole
+from dewpin.dataplane.ingress.client_connection import ClientConnection
+from dewpin.dataplane.ingress.request_reader import RequestReader, limits_of
+from dewpin.dataplane.ingress.worker_threads import Workers
+from dewpin.dataplane.membership.cluster_state import ClusterState
 
 log = logging.getLogger(__name__)
 
--- /dev/null
+++ b/dewpin/dataplane/load_balancing/__init__.py
@@ -0,0 +1,1 @@
+"""The choice of a receiver for each attempt, and the queue of requests that wait for one."""
--- a/dewpin/dataplane/balancing.py
+++ b/dewpin/dataplane/load_balancing/balancer.py
@@ -6,10 +6,9 @@
 from dataclasses import dataclass
 
 from dewpin.cluster.receivers import Receiver
-
-from .cluster_state import ClusterState
-from .places import PlaceBook, PlaceRequest, Ticket
-from .receiver_load import ServerLoad
+from dewpin.dataplane.load_balancing.receiver_load import ServerLoad
+from dewpin.dataplane.load_balancing.slot_allocation import PlaceBook, PlaceRequest, Ticket
+from dewpin.dataplane.membership.cluster_state import ClusterState
 
 
 @dataclass(frozen=True, slots=True)
--- a/dewpin/dataplane/places.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -13,8 +13,7 @@
 
 from dewpin.cluster.configuration import Service
 from dewpin.cluster.receivers import Receiver
-
-from .receiver_load import HEARD_LOAD_HALF_LIFE_S, ReceiverLoad
+from dewpin.dataplane.load_balancing.receiver_load import HEARD_LOAD_HALF_LIFE_S, ReceiverLoad
 
 QUEUE_SHARE_OF_AIM = 0.5
 """A request may be expected to queue at a receiver for this share of its latency objective."""
--- /dev/null
+++ b/dewpin/dataplane/membership/__init__.py
@@ -0,0 +1,1 @@
+"""The sender's membership of the cluster: lease, relay tree, configuration and receiver list."""
--- a/dewpin/dataplane/cluster_agent.py
+++ b/dewpin/dataplane/membership/cluster_agent.py
@@ -31,13 +31,12 @@
 from dewpin.cluster.rpc import Handler, Message, RpcClient, RpcError
 from dewpin.cluster.settings import Settings
 from dewpin.cluster.settings_watch import reloaded
-
-from .body_fetch import BodyFetch
-from .control_server_list import ControlServerList
-from .held_state import HeldState
-from .receiver_list import ReceiverList
-from .sender_count import SenderCount
-from .state_confirmation import StateConfirmation
+from dewpin.dataplane.membership.body_fetch import BodyFetch
+from dewpin.dataplane.membership.control_server_list import ControlServerList
+from dewpin.dataplane.membership.local_system_state import HeldState
+from dewpin.dataplane.membership.receiver_list import ReceiverList
+from dewpin.dataplane.membership.sender_count import SenderCount
+from dewpin.dataplane.membership.state_confirmation import StateConfirmation
 
 log = logging.getLogger(__name__)
 
--- a/dewpin/dataplane/cluster_state.py
+++ b/dewpin/dataplane/membership/cluster_state.py
@@ -9,8 +9,7 @@
 
 from dewpin.cluster.configuration import Configuration
 from dewpin.cluster.receivers import Receiver
-
-from .program_store import StoreView
+from dewpin.dataplane.programs.program_store import StoreView
 
 _NO_RECEIVERS: Mapping[str, tuple[Receiver, ...]] = MappingProxyType({})
 
--- a/dewpin/dataplane/held_state.py
+++ b/dewpin/dataplane/membership/local_system_state.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from dewpin.cluster.relay_messages import StateJson, generation_of, has_body
-
-from .body_fetch import BodyName
+from dewpin.dataplane.membership.body_fetch import BodyName
 
 
 class HeldState:
--- a/dewpin/dataplane/background.py
+++ b/dewpin/dataplane/programs/background.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-from dewpin.dataplane.program_store import StoreUnavailable
+from dewpin.dataplane.programs.program_store import StoreUnavailable
 
 Result = TypeVar("Result")
 
--- a/dewpin/dataplane/ledger.py
+++ b/dewpin/dataplane/programs/ledger.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import TypedDict
 
-from dewpin.dataplane.program_store import BudgetSpent
+from dewpin.dataplane.programs.program_store import BudgetSpent
 
 
 class Ledger(TypedDict):
--- a/dewpin/dataplane/ledger_ballot.py
+++ b/dewpin/dataplane/programs/ledger_ballot.py
@@ -16,8 +16,8 @@
 from dewpin.consensus import Accept, Ballot, Outcome, Proposal, Reply, Request, Result
 from dewpin.consensus.messages import decode_reply
 from dewpin.consensus.replica import ZERO_BALLOT
-from dewpin.dataplane import ledger
-from dewpin.dataplane.ledger import Ledger
+from dewpin.dataplane.programs import ledger
+from dewpin.dataplane.programs.ledger import Ledger
 
 MOST_PREPARED = 4000
 """Programs whose promise is remembered."""
--- a/dewpin/dataplane/ledger_client.py
+++ b/dewpin/dataplane/programs/ledger_client.py
@@ -11,13 +11,13 @@
 
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Outcome, Result
-from dewpin.dataplane import ledger
-from dewpin.dataplane.background import BackgroundTasks, in_time
-from dewpin.dataplane.ledger import Ledger
-from dewpin.dataplane.ledger_ballot import CarriedBallot, LedgerBallot, LedgerBallots, ledger_reply
-from dewpin.dataplane.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable
-from dewpin.dataplane.quorum_round import QuorumRound
-from dewpin.dataplane.replica_calls import ReplicaCalls, Round, ViewHolder, ViewMoved
+from dewpin.dataplane.programs import ledger
+from dewpin.dataplane.programs.background import BackgroundTasks, in_time
+from dewpin.dataplane.programs.ledger import Ledger
+from dewpin.dataplane.programs.ledger_ballot import CarriedBallot, LedgerBallot, LedgerBallots, ledger_reply
+from dewpin.dataplane.programs.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable
+from dewpin.dataplane.programs.quorum_round import QuorumRound
+from dewpin.dataplane.programs.replica_calls import ReplicaCalls, Round, ViewHolder, ViewMoved
 
 SETTLE_FOR_S = 60.0
 """For how long a settlement is tried; after that the reservation counts at its most for good."""
--- a/dewpin/dataplane/quorum_round.py
+++ b/dewpin/dataplane/programs/quorum_round.py
@@ -14,7 +14,7 @@
 
 from dewpin.cluster.placement import majority
 from dewpin.cluster.sender_requests import SenderRequest
-from dewpin.dataplane.replica_calls import Answer, ReplicaCalls, Round
+from dewpin.dataplane.programs.replica_calls import Answer, ReplicaCalls, Round
 
 HEDGE_TIMES = 3.0
 """The others are asked after so many usual times of the slowest replica that was asked."""
--- a/dewpin/dataplane/replica_calls.py
+++ b/dewpin/dataplane/programs/replica_calls.py
@@ -20,7 +20,7 @@
 from dewpin.cluster.running_tasks import forget_current_task
 from dewpin.cluster.sender_requests import RequestHeader, SenderRequest
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.replica_health import ReplicaHealth
+from dewpin.dataplane.programs.replica_health import ReplicaHealth
 
 ATTEMPT_TIMEOUT_S = 0.6
 FIRST_PAUSE_S = 0.03
--- a/dewpin/dataplane/store_client.py
+++ b/dewpin/dataplane/programs/store_client.py
@@ -15,13 +15,13 @@
 
 from dewpin.cluster.store_messages import TurnRecord
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.background import BackgroundTasks, in_time
-from dewpin.dataplane.chain_cache import ChainCache, Link
-from dewpin.dataplane.ledger import Ledger
-from dewpin.dataplane.ledger_client import LedgerClient
-from dewpin.dataplane.program_store import BegunTurn, Reservation, Settlement, StoreUnavailable, Turn
-from dewpin.dataplane.replica_calls import Calls, ReplicaCalls, ViewHolder
-from dewpin.dataplane.turn_client import TurnClient
+from dewpin.dataplane.programs.background import BackgroundTasks, in_time
+from dewpin.dataplane.programs.history_cache import ChainCache, Link
+from dewpin.dataplane.programs.ledger import Ledger
+from dewpin.dataplane.programs.ledger_client import LedgerClient
+from dewpin.dataplane.programs.program_store import BegunTurn, Reservation, Settlement, StoreUnavailable, Turn
+from dewpin.dataplane.programs.replica_calls import Calls, ReplicaCalls, ViewHolder
+from dewpin.dataplane.programs.turn_client import TurnClient
 
 FACADE_SLACK_S = 0.25
 _PROPOSER_BYTES = 6
@@ -30,7 +30,7 @@
 
 
 class StoreClient:
-    """The calls of one sender; see `dewpin.dataplane.program_store.ProgramStore` for what each does."""
+    """The calls of one sender; see `dewpin.dataplane.programs.program_store.ProgramStore` for what each does."""
 
     def __init__(
         self,
--- a/dewpin/dataplane/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -13,12 +13,12 @@
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Reply
 from dewpin.consensus.proposal import has_majorities
-from dewpin.dataplane.background import BackgroundTasks
-from dewpin.dataplane.chain_cache import ChainCache, Link
-from dewpin.dataplane.ledger_ballot import CarriedBallot, ledger_reply
-from dewpin.dataplane.program_store import StoreUnavailable, TurnUnknown
-from dewpin.dataplane.quorum_round import QuorumRound
-from dewpin.dataplane.replica_calls import ReplicaCalls, Round, ViewHolder, ViewMoved
+from dewpin.dataplane.programs.background import BackgroundTasks
+from dewpin.dataplane.programs.history_cache import ChainCache, Link
+from dewpin.dataplane.programs.ledger_ballot import CarriedBallot, ledger_reply
+from dewpin.dataplane.programs.program_store import StoreUnavailable, TurnUnknown
+from dewpin.dataplane.programs.quorum_round import QuorumRound
+from dewpin.dataplane.programs.replica_calls import ReplicaCalls, Round, ViewHolder, ViewMoved
 
 HEDGE_S = 0.06
 """A read that has no answer for this long is asked of further stores."""
--- a/dewpin/dataplane/turns.py
+++ b/dewpin/dataplane/programs/turns.py
@@ -11,10 +11,9 @@
 
 from dewpin.cluster.configuration import Route, Service
 from dewpin.cluster.errors import ErrorKind, TierError
-
-from .events import Event
-from .messages import REQUEST_ID, TOKEN_USAGE, Request
-from .program_store import ProgramStore, Reservation, Settlement, Turn
+from dewpin.dataplane.http11.event_splitter import Event
+from dewpin.dataplane.http11.messages import REQUEST_ID, TOKEN_USAGE, Request
+from dewpin.dataplane.programs.program_store import ProgramStore, Reservation, Settlement, Turn
 
 PROGRAM = "program"
 PREVIOUS = "previous"
--- a/dewpin/dataplane/streams.py
+++ b/dewpin/dataplane/routing/event_relay.py
@@ -9,12 +9,11 @@
 from typing import Protocol
 
 from dewpin.cluster.errors import TierError
-
-from .events import Event, EventSplitter
-from .messages import BodyBroken
-from .outcome import Outcome
-from .receiver_stream import StreamCut
-from .turns import OpenTurn
+from dewpin.dataplane.http11.event_splitter import Event, EventSplitter
+from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.programs.turns import OpenTurn
+from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.receiver_stream import StreamCut
 
 
 class EventSource(Protocol):
--- a/dewpin/dataplane/request_attempts.py
+++ b/dewpin/dataplane/routing/request_attempts.py
@@ -6,16 +6,24 @@
 
 from dewpin.cluster.configuration import Route, Service
 from dewpin.cluster.errors import ErrorKind
-
-from .balancing import Balancer, NoPlace, Place
-from .figures import RequestFigures
-from .messages import PRIORITY, Answer, HeaderField, Headers, Request, own_answer
-from .outcome import Outcome, StreamCut
-from .places import PlaceRequest
-from .retry import GATEWAY_TIMED_OUT, EndUnknown, PassOn, Pause, Refuse, RetryPolicy, RetryStage, Send
-from .streams import EventRelay, EventSource
-from .turns import OpenTurn
-from .upstream import Call, CallResult, ReceiverAnswer, Upstream
+from dewpin.dataplane.http11.messages import PRIORITY, Answer, HeaderField, Headers, Request, own_answer
+from dewpin.dataplane.load_balancing.balancer import Balancer, NoPlace, Place
+from dewpin.dataplane.load_balancing.slot_allocation import PlaceRequest
+from dewpin.dataplane.metrics import RequestFigures
+from dewpin.dataplane.programs.turns import OpenTurn
+from dewpin.dataplane.routing.event_relay import EventRelay, EventSource
+from dewpin.dataplane.routing.retry import (
+    GATEWAY_TIMED_OUT,
+    EndUnknown,
+    PassOn,
+    Pause,
+    Refuse,
+    RetryPolicy,
+    RetryStage,
+    Send,
+)
+from dewpin.dataplane.upstream.calls import Call, CallResult, ReceiverAnswer, Upstream
+from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
 
 HOLD_SHARE_OF_AIM = 0.2
 """A request waits for a place for this share of its latency objective at most."""
--- a/dewpin/dataplane/request_path.py
+++ b/dewpin/dataplane/routing/request_handler.py
@@ -7,16 +7,15 @@
 
 from dewpin.cluster.configuration import Configuration, Route, Service, Share
 from dewpin.cluster.errors import ErrorKind, TierError
-
-from .balancing import Balancer
-from .cluster_state import ClusterState
-from .figures import RequestFigures
-from .messages import AFFINITY, PROMPT_PREFIX, REQUEST_ID, Answer, Headers, Request, own_answer
-from .program_store import ProgramStore
-from .request_attempts import RequestAttempts, RoutedRequest, Tools
-from .time_allowed import time_allowed_s
-from .turns import OpenTurn, plan_turn
-from .upstream import Upstream
+from dewpin.dataplane.http11.messages import AFFINITY, PROMPT_PREFIX, REQUEST_ID, Answer, Headers, Request, own_answer
+from dewpin.dataplane.load_balancing.balancer import Balancer
+from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.metrics import RequestFigures
+from dewpin.dataplane.programs.program_store import ProgramStore
+from dewpin.dataplane.programs.turns import OpenTurn, plan_turn
+from dewpin.dataplane.routing.request_attempts import RequestAttempts, RoutedRequest, Tools
+from dewpin.dataplane.routing.request_time_limit import time_allowed_s
+from dewpin.dataplane.upstream.calls import Upstream
 
 NOT_READY_RETRY_AFTER_S = 0.5
 STORE_RETRY_AFTER_S = 0.2
--- a/dewpin/dataplane/time_allowed.py
+++ b/dewpin/dataplane/routing/request_time_limit.py
@@ -4,8 +4,7 @@
 
 from dewpin.cluster.configuration import Route
 from dewpin.cluster.errors import ErrorKind, TierError
-
-from .messages import REQUEST_DEADLINE, Headers
+from dewpin.dataplane.http11.messages import REQUEST_DEADLINE, Headers
 
 
 def time_allowed_s(headers: Headers, route: Route) -> float:
--- a/dewpin/dataplane/retry.py
+++ b/dewpin/dataplane/routing/retry.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .outcome import Outcome
+from dewpin.dataplane.upstream.outcome import Outcome
 
 REPEAT_PAUSE_S = 0.25
 """First pause before the same receiver is tried again; doubles with each failure."""
--- a/dewpin/dataplane/upstream.py
+++ b/dewpin/dataplane/upstream/calls.py
@@ -14,11 +14,7 @@
 
 from dewpin.cluster.errors import PROMISING_STATUSES
 from dewpin.cluster.receivers import Receiver
-
-from .answer_body import framing_of
-from .figures import RequestFigures
-from .idle_limit import IdleLimit
-from .messages import (
+from dewpin.dataplane.http11.messages import (
     NOT_EXECUTED,
     REQUEST_DEADLINE,
     REQUEST_ID,
@@ -29,12 +25,15 @@
     HeaderField,
     Request,
 )
-from .outcome import Outcome, StreamCut
-from .receiver_connection import ReceiverConnection
-from .receiver_connections import ReceiverConnections, read_seconds
-from .receiver_load import ServerLoad, parse_server_load
-from .receiver_socket import NothingSent
-from .receiver_stream import TRANSPORT_ERRORS, ReceiverStream, outcome_of_error
+from dewpin.dataplane.load_balancing.receiver_load import ServerLoad, parse_server_load
+from dewpin.dataplane.metrics import RequestFigures
+from dewpin.dataplane.upstream.connection_pool import ReceiverConnections, read_seconds
+from dewpin.dataplane.upstream.idle_limit import IdleLimit
+from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
+from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.receiver_socket import NothingSent
+from dewpin.dataplane.upstream.receiver_stream import TRANSPORT_ERRORS, ReceiverStream, outcome_of_error
+from dewpin.dataplane.upstream.response_body import framing_of
 
 CONNECT_SHARE_OF_TIME_LEFT = 0.25
 """A connect may take this share of the request's time, so that another receiver can be tried."""
--- a/dewpin/dataplane/receiver_connections.py
+++ b/dewpin/dataplane/upstream/connection_pool.py
@@ -16,11 +16,10 @@
 from urllib3 import HTTPResponse
 
 from dewpin.cluster.receivers import Receiver
-
-from .answer_body import Framing
-from .idle_limit import FORGOTTEN_WITHIN_S, IdleLimit
-from .outcome import Outcome
-from .receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.idle_limit import FORGOTTEN_WITHIN_S, IdleLimit
+from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.response_body import Framing
 
 FIRST_CONNECT_TIMEOUT_S = 1.0
 LEAST_CONNECT_TIMEOUT_S = 0.25
--- a/dewpin/dataplane/receiver_connection.py
+++ b/dewpin/dataplane/upstream/receiver_connection.py
@@ -15,10 +15,10 @@
 from urllib3 import HTTPResponse
 from urllib3.connection import HTTPConnection
 
-from .answer_body import BodyEnd, Framing, framing_of, read_body
-from .messages import REQUEST_ID, Client
-from .outcome import Outcome, StreamCut
-from .receiver_socket import ReceiverSocket
+from dewpin.dataplane.http11.messages import REQUEST_ID, Client
+from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
+from dewpin.dataplane.upstream.receiver_socket import ReceiverSocket
+from dewpin.dataplane.upstream.response_body import BodyEnd, Framing, framing_of, read_body
 
 READ_BUFFER_BYTES = 16384
 MOST_SKIPPED_ANSWERS = 16
--- a/dewpin/dataplane/receiver_socket.py
+++ b/dewpin/dataplane/upstream/receiver_socket.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from .messages import Client
-from .outcome import Outcome, StreamCut
+from dewpin.dataplane.http11.messages import Client
+from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
 
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer, WriteableBuffer
--- a/dewpin/dataplane/receiver_stream.py
+++ b/dewpin/dataplane/upstream/receiver_stream.py
@@ -6,10 +6,10 @@
 from urllib3 import HTTPResponse
 from urllib3.exceptions import HTTPError
 
-from .answer_body import BodyEnd, Framing, read_body
-from .outcome import Outcome
-from .outcome import StreamCut as StreamCut
-from .receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.outcome import StreamCut as StreamCut
+from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.response_body import BodyEnd, Framing, read_body
 
 TRANSPORT_ERRORS = (OSError, http.client.HTTPException, HTTPError, ValueError)
 """What urllib3 and the library below it raise where a connection or an answer breaks."""
--- a/dewpin/dataplane/answer_body.py
+++ b/dewpin/dataplane/upstream/response_body.py
@@ -10,8 +10,8 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from .http_parsing import MalformedRequest, parse_chunk_size
-from .outcome import Outcome, StreamCut
+from dewpin.dataplane.http11.request_parsing import MalformedRequest, parse_chunk_size
+from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
 
 READ_SIZE = 65536
 LONGEST_LINE = 65536
--- a/tests/cluster/test_sender_requests.py
+++ b/tests/cluster/test_sender_requests.py
@@ -17,7 +17,7 @@
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Accepted, Ballot, Conflict
 from dewpin.consensus.messages import ACCEPTED, encode_reply
-from dewpin.dataplane.ledger_ballot import ledger_reply
+from dewpin.dataplane.programs.ledger_ballot import ledger_reply
 
 TURN = TurnRecord("t1", "p", None, 60_000, b"\xe4", b"out")
 TURN_TEXT = r'{"turn": "t1", "program": "p", "previous": null, "retain_ms": 60000, "input": "\u00e4", "output": "out"}'
--- a/tests/controlplane/control_server_world.py
+++ b/tests/controlplane/control_server_world.py
@@ -11,7 +11,7 @@
 from dewpin.cluster.receivers import Receiver
 from dewpin.cluster.settings import parse_settings
 from dewpin.controlplane.control_server import ControlServer
-from dewpin.controlplane.system_state import put_configuration
+from dewpin.controlplane.register.system_state import put_configuration
 
 DRAIN_S = 3.0
 APPLY_S = 2.0
--- a/tests/controlplane/order_scenes.py
+++ b/tests/controlplane/order_scenes.py
@@ -3,8 +3,8 @@
 from scripted.clock import run
 from scripted.registers import Registers
 
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import (
     AnotherVersionIsCurrent,
     GenerationNotAbove,
     OrderForgotten,
--- a/tests/controlplane/reconfiguration_scene.py
+++ b/tests/controlplane/reconfiguration_scene.py
@@ -1,11 +1,8 @@
 """Scripted knowledge of peers, at times of a clock made up here, for the tests of which change is due."""
 
-from dewpin.controlplane.peers import Peer, PeerTable
-from dewpin.controlplane.reconfiguration import (
-    Knowledge,
-    due_change,
-)
-from dewpin.controlplane.system_state import begin_stores, genesis, successor
+from dewpin.controlplane.membership.peers import Peer, PeerTable
+from dewpin.controlplane.membership.reconfiguration import Knowledge, due_change
+from dewpin.controlplane.register.system_state import begin_stores, genesis, successor
 
 STARTED_S = 1000.0
 SETTLED_S = 1040.0
--- a/tests/controlplane/test_bodies_for_senders.py
+++ b/tests/controlplane/test_bodies_for_senders.py
@@ -15,9 +15,9 @@
 from dewpin.cluster.relay_messages import RELAY_WATCH
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
-from dewpin.controlplane.leases import RELAY_FAN_OUT
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import put_configuration, start_retirement
+from dewpin.controlplane.membership.leases import RELAY_FAN_OUT
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import put_configuration, start_retirement
 
 LONG = 600_000
 LONGEST = 2_000_000
--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -11,19 +11,19 @@
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.consensus.replica import ZERO_BALLOT
-from dewpin.controlplane import configuration_bodies
-from dewpin.controlplane.configuration_bodies import PAGE_CHARACTERS, ConfigurationBodies
-from dewpin.controlplane.peers import LIVE_S
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.register_messages import BODY
-from dewpin.controlplane.storage import Storage, StorageDamaged
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.membership.peers import LIVE_S
+from dewpin.controlplane.register import configuration_bodies
+from dewpin.controlplane.register.configuration_bodies import PAGE_CHARACTERS, ConfigurationBodies
+from dewpin.controlplane.register.messages import BODY
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import (
     MOST_REMEMBERED_CONFIGURATIONS,
     genesis,
     orders_taken,
     put_configuration,
     successor,
 )
+from dewpin.controlplane.storage import Storage, StorageDamaged
 
 WAIT_S = 5.0
 ANSWER_S = 0.85
--- a/tests/controlplane/test_configuration_bodies.py
+++ b/tests/controlplane/test_configuration_bodies.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dewpin.cluster.body_messages import BodyPage
-from dewpin.controlplane.configuration_bodies import BodyUnavailable, ConfigurationBodies
-from dewpin.controlplane.system_state import digest_of, genesis
+from dewpin.controlplane.register.configuration_bodies import BodyUnavailable, ConfigurationBodies
+from dewpin.controlplane.register.system_state import digest_of, genesis
 
 BODY = '{"services":{}}'
 BASE = 0
--- a/tests/controlplane/test_control_server.py
+++ b/tests/controlplane/test_control_server.py
@@ -19,9 +19,9 @@
 from dewpin.cluster.errors import ErrorKind
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
-from dewpin.controlplane.heartbeat import HEARTBEAT_PERIOD_S
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import start_retirement
+from dewpin.controlplane.membership.heartbeat import HEARTBEAT_PERIOD_S
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import start_retirement
 
 
 def test_the_seeds_begin_together_and_take_the_first_stores():
--- a/tests/controlplane/test_control_server_random.py
+++ b/tests/controlplane/test_control_server_random.py
@@ -8,9 +8,9 @@
 from controlplane.control_server_world import World
 from scripted.clock import run
 
-from dewpin.controlplane.order_history import remembered_orders
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import ChangeRefused, digest_of, orders_taken, put_configuration
+from dewpin.controlplane.register.change_history import remembered_orders
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import ChangeRefused, digest_of, orders_taken, put_configuration
 
 SEEDS = range(8)
 SCENE_S = 30.0
--- a/tests/controlplane/test_currency_random.py
+++ b/tests/controlplane/test_currency_random.py
@@ -9,8 +9,8 @@
 from scripted.clock import run
 
 from dewpin.controlplane.control_server import knowledge_bound_s
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import ChangeRefused
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import ChangeRefused
 
 SEEDS = range(10)
 SCENE_S = 40.0
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -11,7 +11,7 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.control_server import knowledge_bound_s
 from dewpin.controlplane.operator_api import OperatorApi
-from dewpin.controlplane.register import RegisterUnavailable
+from dewpin.controlplane.register.register import RegisterUnavailable
 
 CUT_S = 20.0
 WATCH = {"state_version": -1, "receivers_version": [0, ""], "wait": False}
--- a/tests/controlplane/test_leases.py
+++ b/tests/controlplane/test_leases.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from dewpin.controlplane.leases import LEASE_PERIODS, LEASE_ROUNDS, RELAY_FAN_OUT, RELEASES_COUNT_S, LeaseTable
+from dewpin.controlplane.membership.leases import (
+    LEASE_PERIODS,
+    LEASE_ROUNDS,
+    RELAY_FAN_OUT,
+    RELEASES_COUNT_S,
+    LeaseTable,
+)
 
 PERIOD_S = 0.4
 
--- a/tests/controlplane/test_ledger_copies.py
+++ b/tests/controlplane/test_ledger_copies.py
@@ -10,7 +10,7 @@
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Ballot
-from dewpin.controlplane import ledger_replica
+from dewpin.controlplane.store import ledger_replica
 
 BEFORE = {"spent": 1, "open": {}}
 RESERVED = {"spent": 1, "open": {"t": 60}}
--- a/tests/controlplane/test_ledger_losses.py
+++ b/tests/controlplane/test_ledger_losses.py
@@ -9,7 +9,7 @@
 from scripted.stores import World
 
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.program_store import BudgetSpent, StoreUnavailable
+from dewpin.dataplane.programs.program_store import BudgetSpent, StoreUnavailable
 
 PROGRAM = "p"
 BUDGET = 100
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -10,11 +10,11 @@
 from scripted.stores import World
 
 from dewpin.cluster.configuration import longest_retain_s
-from dewpin.controlplane import ledger_replica, ledger_retention
 from dewpin.controlplane.__main__ import start_store
-from dewpin.controlplane.ledger_retention import LEAST_MS, MOST_MS, LedgerRetention
-from dewpin.controlplane.store import PURGE_EVERY_S, RETAIN_MARGIN_MS
-from dewpin.dataplane.program_store import BudgetSpent
+from dewpin.controlplane.store import ledger_replica, ledger_retention
+from dewpin.controlplane.store.ledger_retention import LEAST_MS, MOST_MS, LedgerRetention
+from dewpin.controlplane.store.store import PURGE_EVERY_S, RETAIN_MARGIN_MS
+from dewpin.dataplane.programs.program_store import BudgetSpent
 
 HOUR_MS = 3_600_000
 BUDGET = 100
--- a/tests/controlplane/test_list_reader.py
+++ b/tests/controlplane/test_list_reader.py
@@ -1,7 +1,7 @@
 """When the platform's list is read, and how old the directory is."""
 
 from dewpin.cluster.receivers import DirectoryVersion, Receiver
-from dewpin.controlplane.list_reader import (
+from dewpin.controlplane.platform_list_reader import (
     LOOKS_IN_PERIOD,
     READINGS_IN_DRAIN,
     STALE_READINGS,
--- a/tests/controlplane/test_majority_contact.py
+++ b/tests/controlplane/test_majority_contact.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from dewpin.controlplane.majority_contact import CONTACT_LIVE_S, NEVER_S, MajorityContact, MemberWord
-from dewpin.controlplane.system_state import genesis
+from dewpin.controlplane.membership.majority_contact import CONTACT_LIVE_S, NEVER_S, MajorityContact, MemberWord
+from dewpin.controlplane.register.system_state import genesis
 
 VERSION = 7
 
--- a/tests/controlplane/test_malformed_requests.py
+++ b/tests/controlplane/test_malformed_requests.py
@@ -11,7 +11,7 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.cluster.sender_requests import LedgerAccept, LedgerPrepare, RequestHeader, TurnChain, TurnPut
 from dewpin.cluster.store_messages import TurnRecord
-from dewpin.dataplane.program_store import StoreUnavailable
+from dewpin.dataplane.programs.program_store import StoreUnavailable
 
 VALUE = {"spent": 1, "open": {}}
 REQUESTS = [
--- a/tests/controlplane/test_names_of_earlier_releases.py
+++ b/tests/controlplane/test_names_of_earlier_releases.py
@@ -2,7 +2,8 @@
 
 from dewpin.cluster.receivers import DirectoryVersion
 from dewpin.cluster.relay_messages import LeaseGrant
-from dewpin.controlplane import heartbeat_messages, storage
+from dewpin.controlplane import storage
+from dewpin.controlplane.membership import heartbeat_messages
 
 
 def test_a_new_release_finds_the_files_of_an_earlier_one():
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -14,8 +14,8 @@
 from dewpin.cluster.body_messages import patch_digest_of
 from dewpin.controlplane import operator_api
 from dewpin.controlplane.operator_api import OperatorApi, serve_operator
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import (
     MOST_REMEMBERED_CONFIGURATIONS,
     begin_stores,
     digest_of,
--- a/tests/controlplane/test_order_history.py
+++ b/tests/controlplane/test_order_history.py
@@ -5,9 +5,9 @@
 import pytest
 from controlplane.order_scenes import ANSWER_S, WAIT_S, answer, body_of, play, put, read, take
 
-from dewpin.controlplane import order_history
-from dewpin.controlplane.order_history import OrderHistory, OrdersRequest, TakenOrder
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register import change_history as order_history
+from dewpin.controlplane.register.change_history import OrderHistory, OrdersRequest, TakenOrder
+from dewpin.controlplane.register.system_state import (
     MOST_REMEMBERED_CONFIGURATIONS,
     AnotherVersionIsCurrent,
     OrderForgotten,
--- a/tests/controlplane/test_orders.py
+++ b/tests/controlplane/test_orders.py
@@ -6,7 +6,7 @@
 from controlplane.order_scenes import ANSWER_S, WAIT_S, answer, play, read, take
 
 from dewpin.cluster.rpc import RpcError
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.system_state import (
     MOST_REMEMBERED_CONFIGURATIONS,
     TooFewWouldRemain,
     UnknownMachine,
--- a/tests/controlplane/test_peers.py
+++ b/tests/controlplane/test_peers.py
@@ -1,6 +1,6 @@
 """What a process knows of the others."""
 
-from dewpin.controlplane.peers import FORGET_AFTER_S, LIVE_S, PeerTable
+from dewpin.controlplane.membership.peers import FORGET_AFTER_S, LIVE_S, PeerTable
 
 
 def record(one, name="machine", address="10.0.0.1:1"):
--- a/tests/controlplane/test_reconfiguration.py
+++ b/tests/controlplane/test_reconfiguration.py
@@ -3,15 +3,15 @@
 import pytest
 from controlplane.reconfiguration_scene import STARTED_S, Scene
 
-from dewpin.controlplane.peers import PeerTable
-from dewpin.controlplane.reconfiguration import (
+from dewpin.controlplane.membership.peers import PeerTable
+from dewpin.controlplane.membership.reconfiguration import (
     GONE_S,
     GONE_WITH_SUCCESSOR_S,
     SUCCESSOR_JOINED_WITHIN_S,
     drives,
     due_change,
 )
-from dewpin.controlplane.system_state import start_retirement, successor
+from dewpin.controlplane.register.system_state import start_retirement, successor
 
 
 def test_nothing_is_due_while_everyone_is_heard():
--- a/tests/controlplane/test_register_driver.py
+++ b/tests/controlplane/test_register_driver.py
@@ -9,8 +9,8 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.consensus.messages import CONFLICT, PROMISE
 from dewpin.consensus.replica import ZERO_BALLOT
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.system_state import (
     AnotherVersionIsCurrent,
     put_configuration,
     set_members,
--- a/tests/controlplane/test_repeated_requests.py
+++ b/tests/controlplane/test_repeated_requests.py
@@ -14,8 +14,8 @@
 from scripted.stores import World
 
 from dewpin.cluster.rpc import RpcError
-from dewpin.controlplane.register import RegisterUnavailable
-from dewpin.dataplane.program_store import BudgetSpent, Turn
+from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.dataplane.programs.program_store import BudgetSpent, Turn
 
 LATE_S = (0.02, 1.5)
 """A repeat comes so much later, drawn anew for each request."""
--- a/tests/controlplane/test_senders_and_control_servers.py
+++ b/tests/controlplane/test_senders_and_control_servers.py
@@ -9,7 +9,7 @@
 from scripted.clock import run
 
 from dewpin.cluster.settings import parse_settings
-from dewpin.dataplane.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 
 SENDERS = 7
 SEEDS = range(6)
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -7,9 +7,9 @@
 import pytest
 
 from dewpin.consensus import Ballot, Conflict
-from dewpin.controlplane import ledger_replica
 from dewpin.controlplane import storage as storage_module
 from dewpin.controlplane.storage import DATABASE_NAME, SchemaTooNew, Storage, StorageDamaged, StorageFailed, incarnation
+from dewpin.controlplane.store import ledger_replica
 
 INSERT = "INSERT INTO meta (name, value) VALUES (?, ?)"
 SELECT = "SELECT value FROM meta WHERE name = ?"
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -12,10 +12,10 @@
 from dewpin.cluster.store_messages import TurnRecord
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
-from dewpin.controlplane import ledger_replica, turn_table
-from dewpin.controlplane.store import RETAIN_MARGIN_MS
-from dewpin.controlplane.transfer_messages import TurnsAnswer
-from dewpin.dataplane.program_store import BudgetSpent, TurnUnknown
+from dewpin.controlplane.store import ledger_replica, turn_table
+from dewpin.controlplane.store.store import RETAIN_MARGIN_MS
+from dewpin.controlplane.store.transfer_messages import TurnsAnswer
+from dewpin.dataplane.programs.program_store import BudgetSpent, TurnUnknown
 
 
 def record(name, previous=None, program="p", retain_ms=60_000):
@@ -107,7 +107,7 @@
 
 
 def test_a_long_chain_comes_in_several_answers(monkeypatch):
-    monkeypatch.setattr("dewpin.controlplane.store.MOST_CHAIN_BYTES", 10)
+    monkeypatch.setattr("dewpin.controlplane.store.store.MOST_CHAIN_BYTES", 10)
 
     async def scene():
         world = World()
--- a/tests/controlplane/test_store_copy.py
+++ b/tests/controlplane/test_store_copy.py
@@ -8,9 +8,10 @@
 
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
-from dewpin.controlplane import sync, turn_table, turn_transfer
-from dewpin.controlplane.turn_table import IndexEntry
-from dewpin.controlplane.turn_transfer import TURNS_IN_REQUEST
+from dewpin.controlplane.store import replica_sync as sync
+from dewpin.controlplane.store import turn_table, turn_transfer
+from dewpin.controlplane.store.turn_table import IndexEntry
+from dewpin.controlplane.store.turn_transfer import TURNS_IN_REQUEST
 
 EVERY_BYTE = bytes(range(256))
 
--- a/tests/controlplane/test_store_faults.py
+++ b/tests/controlplane/test_store_faults.py
@@ -8,8 +8,8 @@
 from scripted.stores import World
 
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane import ledger
-from dewpin.dataplane.program_store import BudgetSpent, StoreUnavailable, Turn
+from dewpin.dataplane.programs import ledger
+from dewpin.dataplane.programs.program_store import BudgetSpent, StoreUnavailable, Turn
 
 BUDGET = 900
 MOST = 9
--- a/tests/controlplane/test_store_leaving.py
+++ b/tests/controlplane/test_store_leaving.py
@@ -8,8 +8,8 @@
 
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane import ledger
-from dewpin.dataplane.program_store import StoreUnavailable, Turn, TurnUnknown
+from dewpin.dataplane.programs import ledger
+from dewpin.dataplane.programs.program_store import StoreUnavailable, Turn, TurnUnknown
 
 PROGRAMS = [f"p{number}" for number in range(12)]
 
--- a/tests/controlplane/test_system_state.py
+++ b/tests/controlplane/test_system_state.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.system_state import (
     AnotherVersionIsCurrent,
     GenerationNotAbove,
     StateMoved,
--- a/tests/controlplane/test_transfer_messages.py
+++ b/tests/controlplane/test_transfer_messages.py
@@ -7,8 +7,8 @@
 from dewpin.cluster.netstring import Decoder, encode
 from dewpin.cluster.store_messages import TurnRecord
 from dewpin.consensus import Ballot
-from dewpin.controlplane.ledger_replica import LedgerRecord
-from dewpin.controlplane.transfer_messages import (
+from dewpin.controlplane.store.ledger_replica import LedgerRecord
+from dewpin.controlplane.store.transfer_messages import (
     IndexPage,
     IndexRequest,
     LedgersPage,
@@ -16,7 +16,7 @@
     TurnsAnswer,
     TurnsRequest,
 )
-from dewpin.controlplane.turn_table import IndexEntry
+from dewpin.controlplane.store.turn_table import IndexEntry
 
 ENTRIES = [IndexEntry("t1", "p", 60_000), IndexEntry("t2", "q", 1)]
 ENTRIES_TEXT = '[["t1", "p", 60000], ["t2", "q", 1]]'
--- a/tests/controlplane/test_unsteady_machines.py
+++ b/tests/controlplane/test_unsteady_machines.py
@@ -3,11 +3,8 @@
 import pytest
 from controlplane.reconfiguration_scene import Scene
 
-from dewpin.controlplane.reconfiguration import (
-    GONE_S,
-    GONE_WITH_SUCCESSOR_S,
-)
-from dewpin.controlplane.system_state import start_retirement
+from dewpin.controlplane.membership.reconfiguration import GONE_S, GONE_WITH_SUCCESSOR_S
+from dewpin.controlplane.register.system_state import start_retirement
 
 # Machines that freeze again and again
 
--- a/tests/dataplane/agent_world.py
+++ b/tests/dataplane/agent_world.py
@@ -10,7 +10,7 @@
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
 from dewpin.cluster.settings import parse_settings
-from dewpin.dataplane.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 
 APPLY_S = 2.0
 DRAIN_S = 3.0
--- a/tests/dataplane/call_endings.py
+++ b/tests/dataplane/call_endings.py
@@ -20,9 +20,9 @@
 )
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.cluster_state import ClusterState
-from dewpin.dataplane.messages import BodyBroken
-from dewpin.dataplane.request_path import RequestPath
+from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.routing.request_handler import RequestPath
 
 KINDS = ("idempotent", "resumable", "stream", "non_idempotent")
 STREAM_KINDS = ("resumable", "stream")
--- a/tests/dataplane/ingress_world.py
+++ b/tests/dataplane/ingress_world.py
@@ -7,9 +7,9 @@
 from dataplane.peers import PATIENCE_S
 
 from dewpin.cluster.configuration import parse_configuration
-from dewpin.dataplane.cluster_state import ClusterState
-from dewpin.dataplane.ingress import Ingress
-from dewpin.dataplane.messages import Answer
+from dewpin.dataplane.http11.messages import Answer
+from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.membership.cluster_state import ClusterState
 
 LIMITS = {"max_header_bytes": 1000, "max_body_bytes": 5000, "header_timeout_ms": 10_000, "idle_timeout_ms": 10_000}
 
--- a/tests/dataplane/path_world.py
+++ b/tests/dataplane/path_world.py
@@ -10,9 +10,9 @@
     request,
 )
 
-from dewpin.dataplane.cluster_state import ClusterState
-from dewpin.dataplane.messages import BodyBroken
-from dewpin.dataplane.request_path import RequestPath
+from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.routing.request_handler import RequestPath
 
 
 class Path:
--- a/tests/dataplane/peers.py
+++ b/tests/dataplane/peers.py
@@ -12,8 +12,8 @@
 
 from dewpin.cluster.configuration import Configuration, parse_configuration
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.messages import Client, Headers, Request
-from dewpin.dataplane.program_store import (
+from dewpin.dataplane.http11.messages import Client, Headers, Request
+from dewpin.dataplane.programs.program_store import (
     BegunTurn,
     BudgetSpent,
     Reservation,
--- a/tests/dataplane/test_balancing.py
+++ b/tests/dataplane/test_balancing.py
@@ -6,9 +6,9 @@
 from dataplane.peers import PATIENCE_S, SERVICE, configuration
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.balancing import Balancer, NoPlace, Place
-from dewpin.dataplane.cluster_state import ClusterState
-from dewpin.dataplane.places import PlaceRequest
+from dewpin.dataplane.load_balancing.balancer import Balancer, NoPlace, Place
+from dewpin.dataplane.load_balancing.slot_allocation import PlaceRequest
+from dewpin.dataplane.membership.cluster_state import ClusterState
 
 SERVICES = configuration().services
 
--- a/tests/dataplane/test_body_fetch.py
+++ b/tests/dataplane/test_body_fetch.py
@@ -5,7 +5,7 @@
 from scripted.clock import run
 
 from dewpin.cluster.body_messages import BodyPage, digest_of
-from dewpin.dataplane.body_fetch import BodyFetch, BodyName
+from dewpin.dataplane.membership.body_fetch import BodyFetch, BodyName
 
 BODY = "the body"
 
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -19,8 +19,8 @@
     whole,
 )
 
-from dewpin.dataplane.connection import ClientConnection
-from dewpin.dataplane.upstream import Call
+from dewpin.dataplane.ingress.client_connection import ClientConnection
+from dewpin.dataplane.upstream.calls import Call
 
 LONG_MS = 10 * PATIENCE_S * 1000
 """A time that no test waits for: what ends sooner has ended by the client's leaving."""
--- a/tests/dataplane/test_control_server_list.py
+++ b/tests/dataplane/test_control_server_list.py
@@ -2,7 +2,7 @@
 
 import random
 
-from dewpin.dataplane.control_server_list import FORGET_AFTER_S, RETRY_AFTER_S, ControlServerList
+from dewpin.dataplane.membership.control_server_list import FORGET_AFTER_S, RETRY_AFTER_S, ControlServerList
 
 
 def made(*seeds):
--- a/tests/dataplane/test_events.py
+++ b/tests/dataplane/test_events.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewpin.dataplane.events import EventSplitter, parse_event
+from dewpin.dataplane.http11.event_splitter import EventSplitter, parse_event
 
 
 @pytest.mark.parametrize(
--- a/tests/dataplane/test_http_parsing.py
+++ b/tests/dataplane/test_http_parsing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dewpin.dataplane.http_parsing import MalformedRequest, parse_chunk_size, parse_head
+from dewpin.dataplane.http11.request_parsing import MalformedRequest, parse_chunk_size, parse_head
 
 
 def parse(*lines):
--- a/tests/dataplane/test_idle_limit.py
+++ b/tests/dataplane/test_idle_limit.py
@@ -10,10 +10,10 @@
 from dataplane.upstream_caller import Caller
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.answer_body import BodyEnd, Framing
-from dewpin.dataplane.idle_limit import EARLY_END_MEMORY_S, LONGEST_UNREPEATABLE_IDLE_S, IdleLimit
-from dewpin.dataplane.outcome import Outcome
-from dewpin.dataplane.receiver_connections import ReceiverConnections
+from dewpin.dataplane.upstream.connection_pool import ReceiverConnections
+from dewpin.dataplane.upstream.idle_limit import EARLY_END_MEMORY_S, LONGEST_UNREPEATABLE_IDLE_S, IdleLimit
+from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.response_body import BodyEnd, Framing
 
 KEPT_S = 4.85
 TOLD = "Keep-Alive: timeout=5"
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("repeatable", [True, False])
 @pytest.mark.parametrize("ending", [reset, close])
 def test_a_used_connection_that_ends_at_once_teaches_the_limit_of_its_service(ending, repeatable, monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.receiver_connections.FORGOTTEN_WITHIN_S", PATIENCE_S)
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", PATIENCE_S)
     call = Caller()
     told = whole(b"", "200 OK", TOLD)
     forgetful, other = ScriptedReceiver(told, ending, told, id="i-1"), ScriptedReceiver(told, id="i-2")
@@ -61,7 +61,7 @@
 
 
 def test_a_used_connection_that_ends_later_teaches_nothing_and_the_call_ends(monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.receiver_connections.FORGOTTEN_WITHIN_S", -1.0)
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", -1.0)
     call = Caller()
     peer = ScriptedReceiver(whole(b"", "200 OK", TOLD), reset)
     with receivers(peer) as (receiver,):
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("then", ["refuses", "is gone"])
 def test_a_call_that_goes_on_anew_and_surely_does_not_run_there_may_have_run_before(then, monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.receiver_connections.FORGOTTEN_WITHIN_S", PATIENCE_S)
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", PATIENCE_S)
 
     def reset_and_go(connection, got):
         if then == "is gone":
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -7,9 +7,9 @@
 from dataplane.ingress_world import Client, Parts, Server, cluster
 from dataplane.peers import PATIENCE_S
 
-from dewpin.dataplane.ingress import Ingress
-from dewpin.dataplane.messages import Answer, BodyBroken
-from dewpin.dataplane.readiness import ReadyServer
+from dewpin.dataplane.http11.messages import Answer, BodyBroken
+from dewpin.dataplane.ingress.readiness import ReadyServer
+from dewpin.dataplane.ingress.server import Ingress
 
 
 def test_requests_of_one_connection_are_answered_in_turn(serve):
--- a/tests/dataplane/test_lease_readiness.py
+++ b/tests/dataplane/test_lease_readiness.py
@@ -9,8 +9,8 @@
 from dewpin.cluster.receivers import NO_VERSION
 from dewpin.cluster.relay_messages import LeaseGrant
 from dewpin.dataplane.__main__ import Sender
-from dewpin.dataplane.cluster_agent import FRESH_RENEWALS, RENEWALS_IN_BOUND, ClusterAgent
-from dewpin.dataplane.cluster_state import ClusterState
+from dewpin.dataplane.membership.cluster_agent import FRESH_RENEWALS, RENEWALS_IN_BOUND, ClusterAgent
+from dewpin.dataplane.membership.cluster_state import ClusterState
 
 
 class Clock:
--- a/tests/dataplane/test_places.py
+++ b/tests/dataplane/test_places.py
@@ -7,17 +7,7 @@
 from dataplane.peers import SERVICE, configuration
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.places import (
-    COLD_CAPACITY_SHARE,
-    LEAST_RETRY_AFTER_S,
-    MOST_RETRY_AFTER_S,
-    PRIORITY_STEP_S,
-    WAIT_JITTER,
-    PlaceBook,
-    PlaceRequest,
-    rendezvous_rank,
-)
-from dewpin.dataplane.receiver_load import (
+from dewpin.dataplane.load_balancing.receiver_load import (
     ERROR_HALF_LIFE_S,
     FIRST_FAILURE_WAIT_S,
     HEARD_LOAD_HALF_LIFE_S,
@@ -29,6 +19,16 @@
     ServerLoad,
     parse_server_load,
 )
+from dewpin.dataplane.load_balancing.slot_allocation import (
+    COLD_CAPACITY_SHARE,
+    LEAST_RETRY_AFTER_S,
+    MOST_RETRY_AFTER_S,
+    PRIORITY_STEP_S,
+    WAIT_JITTER,
+    PlaceBook,
+    PlaceRequest,
+    rendezvous_rank,
+)
 
 SERVICES = configuration().services
 NOW = 50.0
--- a/tests/dataplane/test_programs_that_come_back.py
+++ b/tests/dataplane/test_programs_that_come_back.py
@@ -6,7 +6,7 @@
 from scripted.clock import run
 from scripted.stores import World
 
-from dewpin.dataplane.program_store import BudgetSpent, Turn
+from dewpin.dataplane.programs.program_store import BudgetSpent, Turn
 
 BUDGET, MOST, TOKENS_PER_EVENT = 100, 40, 10
 
--- a/tests/dataplane/test_quorum_round.py
+++ b/tests/dataplane/test_quorum_round.py
@@ -9,7 +9,7 @@
 
 from dewpin.cluster.placement import majority
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.quorum_round import LEAST_HEDGE_S, MOST_HEDGE_S, nearest_majorities
+from dewpin.dataplane.programs.quorum_round import LEAST_HEDGE_S, MOST_HEDGE_S, nearest_majorities
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5])
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -22,9 +22,9 @@
 
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.program_store import Turn
-from dewpin.dataplane.request_path import share_of_key, sticky_key
-from dewpin.dataplane.time_allowed import time_allowed_s
+from dewpin.dataplane.programs.program_store import Turn
+from dewpin.dataplane.routing.request_handler import share_of_key, sticky_key
+from dewpin.dataplane.routing.request_time_limit import time_allowed_s
 
 FAILURES = [reset, close, whole(b"no", "500 Internal Server Error", signed=False)]
 
--- a/tests/dataplane/test_retry.py
+++ b/tests/dataplane/test_retry.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from dewpin.dataplane.outcome import Outcome
-from dewpin.dataplane.retry import (
+from dewpin.dataplane.routing.retry import (
     CONNECTS_PER_ATTEMPT,
     OTHER_RECEIVER_PAUSE_S,
     PAUSE_JITTER,
@@ -18,6 +17,7 @@
     RetryStage,
     Send,
 )
+from dewpin.dataplane.upstream.outcome import Outcome
 
 NOW = 100.0
 DEADLINE = 104.0
--- a/tests/dataplane/test_rough_receivers.py
+++ b/tests/dataplane/test_rough_receivers.py
@@ -20,9 +20,9 @@
     receivers,
 )
 
-from dewpin.dataplane.cluster_state import ClusterState
-from dewpin.dataplane.ingress import Ingress
-from dewpin.dataplane.request_path import RequestPath
+from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.routing.request_handler import RequestPath
 
 CLIENTS = 6
 REQUESTS = 40
@@ -118,9 +118,9 @@
     ("kind", "resumable"), [("idempotent", False), ("non_idempotent", False), ("stream", False), ("stream", True)]
 )
 def test_promises_hold_whatever_receivers_do(kind, resumable, seed, monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.retry.OTHER_RECEIVER_PAUSE_S", 0.0)
-    monkeypatch.setattr("dewpin.dataplane.retry.REPEAT_PAUSE_S", 0.001)
-    monkeypatch.setattr("dewpin.dataplane.receiver_load.FIRST_FAILURE_WAIT_S", 0.001)
+    monkeypatch.setattr("dewpin.dataplane.routing.retry.OTHER_RECEIVER_PAUSE_S", 0.0)
+    monkeypatch.setattr("dewpin.dataplane.routing.retry.REPEAT_PAUSE_S", 0.001)
+    monkeypatch.setattr("dewpin.dataplane.load_balancing.receiver_load.FIRST_FAILURE_WAIT_S", 0.001)
     rough = [RoughReceiver(f"i-{number}", seed, kind) for number in range(3)]
     with receivers(*(each.scripted for each in rough)) as listed:
         given = configuration(kind=kind, retries=3, resumable=resumable, target_ms=500)
--- a/tests/dataplane/test_sender_count.py
+++ b/tests/dataplane/test_sender_count.py
@@ -1,6 +1,6 @@
 """How many senders live, from counts that differ."""
 
-from dewpin.dataplane.sender_count import SETTLING_SHARE, SenderCount
+from dewpin.dataplane.membership.sender_count import SETTLING_SHARE, SenderCount
 
 DURATION_S = 3.0
 
--- a/tests/dataplane/test_stopping.py
+++ b/tests/dataplane/test_stopping.py
@@ -10,7 +10,7 @@
 import http.client, os, signal, threading
 from types import SimpleNamespace
 from dewpin.dataplane.__main__ import Sender
-from dewpin.dataplane.readiness import ReadyServer
+from dewpin.dataplane.ingress.readiness import ReadyServer
 
 sender = Sender(None)
 sender.agent = SimpleNamespace(hears_control=True, confirmation=SimpleNamespace(is_confirmed=True))
--- a/tests/dataplane/test_store_client.py
+++ b/tests/dataplane/test_store_client.py
@@ -8,11 +8,11 @@
 from scripted.stores import World, turn
 
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane import store_client
-from dewpin.dataplane.chain_cache import ChainCache
-from dewpin.dataplane.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable, TurnUnknown
-from dewpin.dataplane.quorum_round import LEAST_HEDGE_S
-from dewpin.dataplane.store_client import BlockingStoreClient, StoreClient
+from dewpin.dataplane.programs import store_client
+from dewpin.dataplane.programs.history_cache import ChainCache
+from dewpin.dataplane.programs.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable, TurnUnknown
+from dewpin.dataplane.programs.quorum_round import LEAST_HEDGE_S
+from dewpin.dataplane.programs.store_client import BlockingStoreClient, StoreClient
 
 
 def now_s():
@@ -360,7 +360,7 @@
 def test_the_cache_is_bounded_in_bytes_and_time():
     clock = [0.0]
     cache = ChainCache(most_bytes=3000, clock_s=lambda: clock[0])
-    from dewpin.dataplane.chain_cache import Link
+    from dewpin.dataplane.programs.history_cache import Link
 
     for number in range(10):
         cache.put("p", f"t{number}", Link(None, b"x" * 500), 10.0)
--- a/tests/dataplane/test_store_client_budgets.py
+++ b/tests/dataplane/test_store_client_budgets.py
@@ -8,7 +8,7 @@
 from scripted.stores import World, turn
 
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable
+from dewpin.dataplane.programs.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable
 
 
 def test_a_budget_is_exact_at_its_edge():
--- a/tests/dataplane/test_streams.py
+++ b/tests/dataplane/test_streams.py
@@ -3,11 +3,11 @@
 import pytest
 from dataplane.peers import MemoryStore, configuration, event, request
 
-from dewpin.dataplane.messages import BodyBroken
-from dewpin.dataplane.outcome import Outcome
-from dewpin.dataplane.receiver_stream import StreamCut
-from dewpin.dataplane.streams import EventRelay
-from dewpin.dataplane.turns import OpenTurn, plan_turn
+from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.programs.turns import OpenTurn, plan_turn
+from dewpin.dataplane.routing.event_relay import EventRelay
+from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.receiver_stream import StreamCut
 
 
 class ScriptedSource:
--- a/tests/dataplane/test_time_allowed.py
+++ b/tests/dataplane/test_time_allowed.py
@@ -23,12 +23,12 @@
 )
 
 from dewpin.cluster.errors import ErrorKind
-from dewpin.dataplane.connection import ClientConnection
-from dewpin.dataplane.messages import BodyBroken
-from dewpin.dataplane.program_store import Turn
-from dewpin.dataplane.request_attempts import RequestAttempts, RoutedRequest
-from dewpin.dataplane.request_reader import RequestReader
-from dewpin.dataplane.retry import Send
+from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.ingress.client_connection import ClientConnection
+from dewpin.dataplane.ingress.request_reader import RequestReader
+from dewpin.dataplane.programs.program_store import Turn
+from dewpin.dataplane.routing.request_attempts import RequestAttempts, RoutedRequest
+from dewpin.dataplane.routing.retry import Send
 
 TIMEOUT_MS = 10 * PATIENCE_S * 1000
 
--- a/tests/dataplane/test_turns.py
+++ b/tests/dataplane/test_turns.py
@@ -4,9 +4,9 @@
 from dataplane.peers import MemoryStore, configuration, request
 
 from dewpin.cluster.errors import ErrorKind, TierError
-from dewpin.dataplane.events import parse_event
-from dewpin.dataplane.program_store import BudgetSpent, StoreUnavailable, Turn, TurnUnknown
-from dewpin.dataplane.turns import CUT_OFF_OPEN_TIMEOUT_S, OPEN_TIMEOUT_S, OpenTurn, plan_turn
+from dewpin.dataplane.http11.event_splitter import parse_event
+from dewpin.dataplane.programs.program_store import BudgetSpent, StoreUnavailable, Turn, TurnUnknown
+from dewpin.dataplane.programs.turns import CUT_OFF_OPEN_TIMEOUT_S, OPEN_TIMEOUT_S, OpenTurn, plan_turn
 
 USAGE = ("X-Dewpin-Token-Usage", "1840,290")
 BUDGET = ("Budget", "2320")
--- a/tests/dataplane/test_unsent_requests.py
+++ b/tests/dataplane/test_unsent_requests.py
@@ -28,7 +28,7 @@
 )
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.receiver_connections import ReceiverConnections
+from dewpin.dataplane.upstream.connection_pool import ReceiverConnections
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_used_connection_on_which_nothing_could_be_sent_gives_way_to_a_new_one(kind, monkeypatch):
     """The end of the connection comes between the last look at it and the sending: the call goes on at its receiver."""
-    monkeypatch.setattr("dewpin.dataplane.receiver_connection.ReceiverConnection.is_connected", True)
+    monkeypatch.setattr("dewpin.dataplane.upstream.receiver_connection.ReceiverConnection.is_connected", True)
     gone = threading.Event()
 
     def answer_and_reset_at_rest(connection, got):
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -21,10 +21,10 @@
 )
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.outcome import Outcome
-from dewpin.dataplane.receiver_connections import ReceiverConnections
-from dewpin.dataplane.receiver_load import ServerLoad
-from dewpin.dataplane.upstream import CONNECT_SHARE_OF_TIME_LEFT, Call
+from dewpin.dataplane.load_balancing.receiver_load import ServerLoad
+from dewpin.dataplane.upstream.calls import CONNECT_SHARE_OF_TIME_LEFT, Call
+from dewpin.dataplane.upstream.connection_pool import ReceiverConnections
+from dewpin.dataplane.upstream.outcome import Outcome
 
 
 def test_a_request_arrives_unchanged_with_the_time_left_and_the_receiver_meant(call):
--- a/tests/dataplane/test_upstream_streams.py
+++ b/tests/dataplane/test_upstream_streams.py
@@ -19,8 +19,8 @@
     whole,
 )
 
-from dewpin.dataplane.outcome import Outcome
-from dewpin.dataplane.receiver_stream import StreamCut
+from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.receiver_stream import StreamCut
 
 
 def test_a_stream_comes_part_by_part_and_its_connection_is_used_again(call):
--- a/tests/dataplane/test_urgency.py
+++ b/tests/dataplane/test_urgency.py
@@ -7,7 +7,7 @@
 from dataplane.peers import SERVICE, ScriptedReceiver, configuration, event, receivers, stream, whole
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.places import PRIORITY_STEP_S, PlaceBook, PlaceRequest
+from dewpin.dataplane.load_balancing.slot_allocation import PRIORITY_STEP_S, PlaceBook, PlaceRequest
 
 
 @pytest.mark.parametrize(("priority", "told"), [(0, "0"), (1, "1"), (9, "9"), (40, "9")])
--- a/tests/dataplane/test_workers.py
+++ b/tests/dataplane/test_workers.py
@@ -6,7 +6,7 @@
 
 from dataplane.peers import PATIENCE_S
 
-from dewpin.dataplane.workers import Workers
+from dewpin.dataplane.ingress.worker_threads import Workers
 
 
 def sockets(number):
--- a/tests/dataplane/upstream_caller.py
+++ b/tests/dataplane/upstream_caller.py
@@ -7,8 +7,8 @@
     request,
 )
 
-from dewpin.dataplane.figures import RequestFigures
-from dewpin.dataplane.upstream import Call, Upstream
+from dewpin.dataplane.metrics import RequestFigures
+from dewpin.dataplane.upstream.calls import Call, Upstream
 
 
 class Clock:
--- a/tests/model/contact_model.py
+++ b/tests/model/contact_model.py
@@ -24,8 +24,8 @@
 from typing import Any, NamedTuple
 
 from dewpin.consensus.proposal import has_majorities
-from dewpin.controlplane.majority_contact import MajorityContact, MemberWord
-from dewpin.controlplane.system_state import SystemState, genesis, quorum_sets
+from dewpin.controlplane.membership.majority_contact import MajorityContact, MemberWord
+from dewpin.controlplane.register.system_state import SystemState, genesis, quorum_sets
 from tests.model.component import Component, Event, freeze
 from tests.model.explorer import Label
 
--- a/tests/model/ledger_model.py
+++ b/tests/model/ledger_model.py
@@ -22,9 +22,9 @@
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Ballot
-from dewpin.controlplane.peers import Peer, PeerTable
-from dewpin.controlplane.reconfiguration import Knowledge, _all_synced
-from dewpin.controlplane.sync import _Copy
+from dewpin.controlplane.membership.peers import Peer, PeerTable
+from dewpin.controlplane.membership.reconfiguration import Knowledge, _all_synced
+from dewpin.controlplane.store.replica_sync import _Copy
 from tests.model.component import Component
 from tests.model.explorer import Label
 from tests.model.ledger_parts import (
--- a/tests/model/ledger_parts.py
+++ b/tests/model/ledger_parts.py
@@ -18,16 +18,16 @@
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
 from dewpin.consensus.messages import decode_reply
-from dewpin.controlplane import ledger_replica
-from dewpin.controlplane import store as store_module
-from dewpin.controlplane.ledger_replica import LedgerRecord
-from dewpin.controlplane.store import Store
-from dewpin.dataplane import ledger
-from dewpin.dataplane.background import BackgroundTasks
-from dewpin.dataplane.ledger_ballot import LedgerBallot
-from dewpin.dataplane.ledger_client import LedgerClient
-from dewpin.dataplane.program_store import BudgetSpent
-from dewpin.dataplane.replica_calls import ViewHolder, ViewMoved
+from dewpin.controlplane.store import ledger_replica
+from dewpin.controlplane.store import store as store_module
+from dewpin.controlplane.store.ledger_replica import LedgerRecord
+from dewpin.controlplane.store.store import Store
+from dewpin.dataplane.programs import ledger
+from dewpin.dataplane.programs.background import BackgroundTasks
+from dewpin.dataplane.programs.ledger_ballot import LedgerBallot
+from dewpin.dataplane.programs.ledger_client import LedgerClient
+from dewpin.dataplane.programs.program_store import BudgetSpent
+from dewpin.dataplane.programs.replica_calls import ViewHolder, ViewMoved
 from tests.model.component import Event, freeze, freeze_proposal, position
 
 PROGRAM = "program"
--- a/tests/model/register_parts.py
+++ b/tests/model/register_parts.py
@@ -16,9 +16,9 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.consensus import Ballot, Prepare, Proposal, Request
 from dewpin.consensus.messages import decode_reply
-from dewpin.controlplane.register import SystemRegister
-from dewpin.controlplane.register_messages import AcceptCall, PrepareCall
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.messages import AcceptCall, PrepareCall
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.system_state import (
     Change,
     ChangeRefused,
     SystemState,
--- a/tests/model/retirement_model.py
+++ b/tests/model/retirement_model.py
@@ -16,10 +16,10 @@
 
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import majority_of
-from dewpin.controlplane.peers import Peer, PeerTable
-from dewpin.controlplane.reconfiguration import GONE_S, LIVE_S, Knowledge, due_change
-from dewpin.controlplane.sync import _Copy
-from dewpin.controlplane.system_state import begin_stores, genesis, start_retirement, successor
+from dewpin.controlplane.membership.peers import Peer, PeerTable
+from dewpin.controlplane.membership.reconfiguration import GONE_S, LIVE_S, Knowledge, due_change
+from dewpin.controlplane.register.system_state import begin_stores, genesis, start_retirement, successor
+from dewpin.controlplane.store.replica_sync import _Copy
 from tests.model.explorer import Label
 
 STORES = "abcd"
--- a/tests/model/test_copied_votes.py
+++ b/tests/model/test_copied_votes.py
@@ -5,8 +5,8 @@
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Accept, Ballot, Outcome, Prepare, Proposal
 from dewpin.consensus.replica import ZERO_BALLOT
-from dewpin.controlplane import ledger_replica
-from dewpin.dataplane import ledger
+from dewpin.controlplane.store import ledger_replica
+from dewpin.dataplane.programs import ledger
 
 PROGRAM = "program"
 NOW_MS = 0
--- a/tests/mutations/test_mutations.py
+++ b/tests/mutations/test_mutations.py
@@ -15,7 +15,7 @@
 from dataplane.upstream_caller import Caller
 
 from dewpin.cluster import store_messages as wire
-from dewpin.dataplane.outcome import Outcome
+from dewpin.dataplane.upstream.outcome import Outcome
 from tests.model.catalogue import QUICK
 from tests.model.explorer import explore
 from tests.mutations import variants
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -12,27 +12,23 @@
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Promise, Proposal, Replica, proposal
 from dewpin.consensus.replica import ZERO_BALLOT, Accepted
-from dewpin.controlplane import (
-    ledger_replica,
-    majority_contact,
-    reconfiguration,
-    register,
-    replica_storage,
-    system_state,
-)
-from dewpin.controlplane.configuration_bodies import ConfigurationBodies
-from dewpin.controlplane.majority_contact import MajorityContact, MemberWord, RegisterConfirmation
-from dewpin.controlplane.register import SystemRegister
-from dewpin.controlplane.replica_storage import ReplicaStorage
-from dewpin.controlplane.store import Store
-from dewpin.controlplane.sync import _Copy
-from dewpin.dataplane import ledger, ledger_ballot, ledger_client, upstream
-from dewpin.dataplane.ledger_client import LedgerClient
-from dewpin.dataplane.outcome import Outcome
-from dewpin.dataplane.replica_calls import ViewMoved
-from dewpin.dataplane.request_path import RequestPath
-from dewpin.dataplane.retry import RetryStage
-from dewpin.dataplane.state_confirmation import StateConfirmation
+from dewpin.controlplane.membership import majority_contact, reconfiguration
+from dewpin.controlplane.membership.majority_contact import MajorityContact, MemberWord, RegisterConfirmation
+from dewpin.controlplane.register import register, replica_storage, system_state
+from dewpin.controlplane.register.configuration_bodies import ConfigurationBodies
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.replica_storage import ReplicaStorage
+from dewpin.controlplane.store import ledger_replica
+from dewpin.controlplane.store.replica_sync import _Copy
+from dewpin.controlplane.store.store import Store
+from dewpin.dataplane.membership.state_confirmation import StateConfirmation
+from dewpin.dataplane.programs import ledger, ledger_ballot, ledger_client
+from dewpin.dataplane.programs.ledger_client import LedgerClient
+from dewpin.dataplane.programs.replica_calls import ViewMoved
+from dewpin.dataplane.routing.request_handler import RequestPath
+from dewpin.dataplane.routing.retry import RetryStage
+from dewpin.dataplane.upstream import calls as upstream
+from dewpin.dataplane.upstream.outcome import Outcome
 from tests.model import ledger_model, register_parts
 
 Patch = pytest.MonkeyPatch
--- a/tests/scripted/registers.py
+++ b/tests/scripted/registers.py
@@ -2,8 +2,8 @@
 
 import random
 
-from dewpin.controlplane.register import SystemRegister
-from dewpin.controlplane.system_state import genesis
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.register.system_state import genesis
 from scripted.disk import Disk
 from scripted.network import Network
 
--- a/tests/scripted/stores.py
+++ b/tests/scripted/stores.py
@@ -5,11 +5,11 @@
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.cluster.store_view import Member, StoreView
-from dewpin.controlplane import turn_table
-from dewpin.controlplane.store import Store
-from dewpin.controlplane.sync import StoreSync
-from dewpin.dataplane.program_store import Turn
-from dewpin.dataplane.store_client import StoreClient
+from dewpin.controlplane.store import turn_table
+from dewpin.controlplane.store.replica_sync import StoreSync
+from dewpin.controlplane.store.store import Store
+from dewpin.dataplane.programs.program_store import Turn
+from dewpin.dataplane.programs.store_client import StoreClient
 from scripted.disk import MemoryDisk
 from scripted.network import FOREVER_S, Client, Network
 
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -1,14 +1,14 @@
 """Clients of a simulated run: requests that look which configuration they meet, and agent programs with their turns.
 
-What a front does for a turn (budget, chain, receiver, keeping, settlement) follows `dewpin/dataplane/turns.py`; its
+What a front does for a turn (budget, chain, receiver, keeping, settlement) follows `dataplane/programs/turns.py`; its
 calls go to the front's own StoreClient.
 """
 
 import asyncio
 
 from dewpin.cluster.errors import TierError
-from dewpin.dataplane.chain_cache import ChainCache
-from dewpin.dataplane.program_store import Settlement, Turn
+from dewpin.dataplane.programs.history_cache import ChainCache
+from dewpin.dataplane.programs.program_store import Settlement, Turn
 
 from .oracle import Served
 
@@ -126,7 +126,7 @@
         return status
 
     async def _serve(self, front, program, turn, previous):
-        """A turn at a front, in the order of `dewpin.dataplane.turns.OpenTurn`."""
+        """A turn at a front, in the order of `dewpin.dataplane.programs.turns.OpenTurn`."""
         store = front.store_client
         open_s = OPEN_TIMEOUT_S if front.sender.agent.hears_control else CUT_OFF_OPEN_TIMEOUT_S
         try:
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -9,9 +9,9 @@
 from dewpin.controlplane.control_server import ControlServer
 from dewpin.controlplane.operator_api import OperatorApi
 from dewpin.dataplane.__main__ import Sender
-from dewpin.dataplane.chain_cache import ChainCache
-from dewpin.dataplane.cluster_agent import ClusterAgent
-from dewpin.dataplane.store_client import StoreClient
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
+from dewpin.dataplane.programs.history_cache import ChainCache
+from dewpin.dataplane.programs.store_client import StoreClient
 from dewpin.lab.loop import Machine
 
 from .disk import Disk
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -14,13 +14,15 @@
 from dewpin.cluster import relay_service, rpc
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import proposal
-from dewpin.controlplane import ledger_replica, operator_api, reconfiguration
-from dewpin.controlplane.majority_contact import RegisterConfirmation
-from dewpin.controlplane.register import SystemRegister
-from dewpin.controlplane.store import Store
-from dewpin.controlplane.sync import StoreSync
-from dewpin.dataplane import ledger, turn_client
-from dewpin.dataplane.cluster_agent import ClusterAgent
+from dewpin.controlplane import operator_api
+from dewpin.controlplane.membership import reconfiguration
+from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.register.register import SystemRegister
+from dewpin.controlplane.store import ledger_replica
+from dewpin.controlplane.store.replica_sync import StoreSync
+from dewpin.controlplane.store.store import Store
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
+from dewpin.dataplane.programs import ledger, turn_client
 
 from .__main__ import with_fixed_hashes
 from .disk import Disk
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -5,6 +5,8 @@
 import sys
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).resolve().parents[1]
 MAY = {  # a package: the packages of ours that it may import
     "core": set(),
@@ -28,6 +30,32 @@
     "tier_cli": {"cluster"},
 }
 TIER = ("cluster", "consensus", "controlplane", "dataplane", "standin", "tier_cli")
+# A package: its sub-packages and modules from the bottom up; each may import only what stands before it.
+SUBPACKAGES = {
+    "controlplane": (
+        "storage",
+        "register",
+        "platform_list_reader",
+        "membership",
+        "store",
+        "sender_service",
+        "control_server",
+        "operator_api",
+        "__main__",
+    ),
+    "dataplane": (
+        "metrics",
+        "stop_signal",
+        "http11",
+        "programs",
+        "membership",
+        "load_balancing",
+        "upstream",
+        "routing",
+        "ingress",
+        "__main__",
+    ),
+}
 NEVER = {
     "core": {"asyncio", "socket", "time", "os", "structlog", "msgspec"},
     "config": {"asyncio", "socket"},
@@ -62,6 +90,19 @@
             assert name[0] not in NEVER.get(package, ()), f"{path}: {name[0]}"
 
 
+@pytest.mark.parametrize("package", SUBPACKAGES)
+def test_subpackages_import_only_what_stands_below_them(package):
+    layers = SUBPACKAGES[package]
+    folder = ROOT / "dewpin" / package
+    present = {path.stem for path in folder.iterdir() if path.suffix == ".py" or (path / "__init__.py").exists()}
+    assert present - {"__init__"} == set(layers)
+    for path in folder.rglob("*.py"):
+        own = path.relative_to(folder).parts[0].removesuffix(".py")
+        for name in imports(path):
+            if name[:2] == ["dewpin", package] and len(name) > 2 and name[2] != own:
+                assert layers.index(name[2]) < layers.index(own), f"{path}: {'.'.join(name)}"
+
+
 def test_every_package_has_its_row():
     packages = {path.parent.name for path in (ROOT / "dewpin").glob("*/__init__.py")}
     assert packages <= set(MAY)
