--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -16,7 +16,7 @@
 import tomllib
 from collections.abc import Callable, Iterator
 from contextlib import closing, contextmanager
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from pathlib import Path
 from typing import Any
 from unittest import mock
@@ -72,9 +72,10 @@
 from dewpin.dataplane.cluster_state import ClusterState
 from dewpin.dataplane.ingress import Ingress
 from dewpin.dataplane.messages import own_answer
-from dewpin.dataplane.program_store import BudgetSpent, StoreUnavailable, TurnUnknown
+from dewpin.dataplane.program_store import BudgetSpent, Settlement, StoreUnavailable, Turn, TurnUnknown
 from dewpin.dataplane.readiness import ReadyServer
 from dewpin.dataplane.request_path import RequestPath, share_of_key
+from dewpin.dataplane.store_client import StoreClient
 
 Json = dict[str, Any]
 
@@ -955,3 +956,100 @@
         "no_locations": {key: sorted(replicas(key, members, 5)) for key in keys},
         "shares": {key: share_of_key(key) for key in keys},
     }
+
+
+# A sender's turns and budgets at a store
+
+ONE_STORE = {"epoch": 1, "stable": {MEMBER: "10.0.0.1:8144"}, "next": None, "locations": {}}
+
+
+class _InstantStorage:
+    """Runs its work at once, so that nothing that is said hangs on the speed of a disk."""
+
+    def __init__(self, connection: sqlite3.Connection) -> None:
+        self._connection = connection
+
+    async def transact(self, work: Callable[[sqlite3.Connection], Any]) -> Any:
+        return work(self._connection)
+
+
+class _RecordedStore:
+    """A store that senders call; notes each call as JSON, with its answer."""
+
+    def __init__(self, folder: Path) -> None:
+        Storage(folder).close()
+        self.connection = sqlite3.connect(folder / DATABASE, isolation_level=None)
+        self._store = Store(_InstantStorage(self.connection), MEMBER, 1, lambda: START_MS)
+        self._server = RpcServer(self._store.handlers)
+        self.calls: list[list[Json]] = []
+
+    async def call(self, address: str, message: Json, timeout_s: float) -> Json:
+        """Answers as over a connection."""
+        sent = json.loads(json.dumps(message))
+        answer = json.loads(json.dumps(await self._server.dispatch(sent)))
+        self.calls.append([sent, answer])
+        if answer["type"] == "error":
+            raise RpcError(answer["kind"], answer["detail"], answer)
+        return answer
+
+
+def program_transcript() -> dict[str, Any]:
+    """By step: what senders call at a store for the turns of a program, and what comes of it."""
+
+    async def run(folder: Path) -> dict[str, Any]:
+        store = _RecordedStore(folder)
+        try:
+            return await _play_program(store)
+        finally:
+            store.connection.close()
+
+    with tempfile.TemporaryDirectory() as folder:
+        return asyncio.run(run(Path(folder)))
+
+
+async def _play_program(store: _RecordedStore) -> dict[str, Any]:
+    first, second = _store_client(store, "sender-a"), _store_client(store, "sender-b")
+    found: dict[str, Any] = {}
+
+    async def step(name: str, work: Any) -> Any:
+        store.calls.clear()
+        result: Any = None
+        try:
+            result = await work
+        except (BudgetSpent, TurnUnknown) as refusal:
+            found[name] = {"calls": list(store.calls), "refused": str(refusal)}
+        else:
+            await first.settled()
+            await second.settled()
+            found[name] = {"calls": list(store.calls)}
+        return result
+
+    def turn(name: str, previous: str | None) -> Turn:
+        return Turn(name, "p-1", previous, f"{name} \u00ff".encode("latin-1"), b"out\n", 60.5)
+
+    reserved = await step("reserve", first.reserve("p-1", "t-1", 20, 100, PATIENCE_S))
+    await step("append and settle", first.append(turn("t-1", None), PATIENCE_S, Settlement(reserved, 15)))
+    begun = await step("begin at another sender", second.begin("p-1", "t-2", 30, 100, "t-1", PATIENCE_S))
+    reservation, chain = (getattr(begun, field.name) for field in fields(begun))
+    found["begin at another sender"]["chain"] = chain.decode("latin-1")
+    await step("append", second.append(turn("t-2", "t-1"), PATIENCE_S))
+    await step("reserve too much", first.reserve("p-1", "t-3", 90, 100, PATIENCE_S))
+    await step("chain of unknown turn", first.chain("p-1", "t-9", PATIENCE_S))
+    chain = await step("chain", _store_client(store, "sender-c").chain("p-1", "t-2", PATIENCE_S))
+    found["chain"]["chain"] = chain.decode("latin-1")
+    await step("settle behind", _settle(second, reservation))
+    ledger = await step("read of the ledger", first.read_ledger("p-1"))
+    found["read of the ledger"]["ledger"] = ledger
+    first.close()
+    second.close()
+    return found
+
+
+def _store_client(store: _RecordedStore, proposer: str) -> StoreClient:
+    client = StoreClient(store, 1, random.Random(1), proposer=proposer, wall_clock_ms=lambda: START_MS)
+    client.adopt(StoreView.from_json(ONE_STORE))
+    return client
+
+
+async def _settle(client: StoreClient, reservation: Any) -> None:
+    client.settle(reservation, 25)
