--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -40,15 +40,11 @@
 from dewpin.consensus import Accepted, Ballot, Conflict, Promise
 from dewpin.consensus.messages import decode_reply, encode_reply
 from dewpin.controlplane.control_server import ControlServer
-from dewpin.controlplane.heartbeat_messages import ChosenState, Heartbeat, HeartbeatAnswer
-from dewpin.controlplane.ledger_replica import LedgerRecord
+from dewpin.controlplane.membership.heartbeat_messages import ChosenState, Heartbeat, HeartbeatAnswer
 from dewpin.controlplane.operator_api import OperatorApi, serve_operator
-from dewpin.controlplane.order_history import OrderPage, OrdersRequest, TakenOrder
-from dewpin.controlplane.register_messages import BODY, AcceptCall, PrepareCall
-from dewpin.controlplane.storage import Storage
-from dewpin.controlplane.store import Store
-from dewpin.controlplane.sync import StoreSync
-from dewpin.controlplane.system_state import (
+from dewpin.controlplane.register.change_history import OrderPage, OrdersRequest, TakenOrder
+from dewpin.controlplane.register.messages import BODY, AcceptCall, PrepareCall
+from dewpin.controlplane.register.system_state import (
     begin_stores,
     finish_retirement,
     finish_stores,
@@ -58,7 +54,11 @@
     put_configuration,
     start_retirement,
 )
-from dewpin.controlplane.transfer_messages import (
+from dewpin.controlplane.storage import Storage
+from dewpin.controlplane.store.ledger_replica import LedgerRecord
+from dewpin.controlplane.store.replica_sync import StoreSync
+from dewpin.controlplane.store.store import Store
+from dewpin.controlplane.store.transfer_messages import (
     IndexPage,
     IndexRequest,
     LedgersPage,
@@ -66,16 +66,16 @@
     TurnsAnswer,
     TurnsRequest,
 )
-from dewpin.controlplane.turn_table import IndexEntry
-from dewpin.dataplane.answer_format import render_chunk, render_whole
-from dewpin.dataplane.cluster_agent import ClusterAgent
-from dewpin.dataplane.cluster_state import ClusterState
-from dewpin.dataplane.ingress import Ingress
-from dewpin.dataplane.messages import own_answer
-from dewpin.dataplane.program_store import BudgetSpent, Settlement, StoreUnavailable, Turn, TurnUnknown
-from dewpin.dataplane.readiness import ReadyServer
-from dewpin.dataplane.request_path import RequestPath, share_of_key
-from dewpin.dataplane.store_client import StoreClient
+from dewpin.controlplane.store.turn_table import IndexEntry
+from dewpin.dataplane.http11.messages import own_answer
+from dewpin.dataplane.http11.response_format import render_chunk, render_whole
+from dewpin.dataplane.ingress.readiness import ReadyServer
+from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.programs.program_store import BudgetSpent, Settlement, StoreUnavailable, Turn, TurnUnknown
+from dewpin.dataplane.programs.store_client import StoreClient
+from dewpin.dataplane.routing.request_handler import RequestPath, share_of_key
 
 Json = dict[str, Any]
 
