--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+import driver
 from dewpin.console.door import Console
 from dewpin.core import model
 from dewpin.daemon import upgrade
@@ -591,3 +592,37 @@
         yield await console.open("127.0.0.1", 0)
     finally:
         console.close()
+
+
+# -- the whole program --------------------------------------------------------------------------------------------
+
+
+def play_program(folder, scene, control_path):
+    """Runs `scene(program)` with a sender that an operator started, two receivers of one destination and the agent."""
+
+    async def whole(outside, sender):
+        sender.arguments = ["--set", f"control.socket={control_path}"]
+        await sender.start()
+        await scene(Program(outside, sender))
+
+    driver.play(folder, whole, receivers=2, start=False)
+
+
+class Program:
+    def __init__(self, outside, sender):
+        self.outside, self.sender = outside, sender
+        self.console_address = sender.console
+        self.client_address = sender.address
+
+    def answer_calls(self, answer):
+        """`answer(id)`: bytes, "reset", or None for silence."""
+        self.outside.script = lambda call: answer(text(call[0]))
+
+    def called(self):
+        return [text(ident) for ident in self.outside.idents()]
+
+    def notices(self):
+        return self.outside.notices
+
+    async def until(self, fact):
+        await driver.until(fact)
