--- a/dewpin/core/decide.py
+++ b/dewpin/core/decide.py
@@ -15,8 +15,23 @@
 from heapq import heappop, heappush
 from math import log, log2, sqrt
 
-from .model import (BOUNCED, CALLED_OFF, DEFERRED, DELIVERED, DROPPED, ERROR, FULL, NOT_YET, READY, RELAYED,
-                    RESET, TIMED_OUT, UNREACHED, UNSENT)
+from .model import Decision, Outcome, ReceiverState
+
+# Bound once: a look-up of a member on its class costs some 200 ns in Python 3.11.
+DELIVERED = Outcome.DELIVERED
+ERROR = Outcome.ERROR
+REJECTED = Outcome.REJECTED
+TIMED_OUT = Outcome.TIMED_OUT
+CONNECT_FAILED = Outcome.CONNECT_FAILED
+DROPPED = Outcome.DROPPED
+RESET = Outcome.RESET
+CANCELLED = Outcome.CANCELLED
+NOT_SENT = Outcome.NOT_SENT
+NOT_YET = Decision.NOT_YET
+RELAYED = Decision.RELAYED
+DEFERRED = Decision.DEFERRED
+BOUNCED = Decision.BOUNCED
+READY = ReceiverState.READY
 
 FIRST_TIMEOUT = 10000.0     # of a destination that has answered nothing yet (the design's figure)
 SILENT_TIMES, SILENT_LEAST = 4.0, 700.0     # a call out so many usual times, and so long, counts as silent;
@@ -43,9 +58,9 @@
 GOLDEN, SILVER = 0.5 * (5.0 ** 0.5 - 1.0), 2.0 ** 0.5 - 1.0     # multiples lie evenly, every second one too
 KEEPS = 4.0                 # times that a connection may rest until its receiver's turn is over
 FADE = 5000.0               # slot time of a line loses its weight over this span
-PROOF = (FULL, UNREACHED, UNSENT, DROPPED)      # these outcomes prove that nothing ran
-LOST = (TIMED_OUT, RESET, DROPPED, UNREACHED)   # no answer of any kind came
-RESTING = (TIMED_OUT, RESET, CALLED_OFF)        # after these the work may still go on
+PROOF = (REJECTED, CONNECT_FAILED, NOT_SENT, DROPPED)      # these outcomes prove that nothing ran
+LOST = (TIMED_OUT, RESET, DROPPED, CONNECT_FAILED)   # no answer of any kind came
+RESTING = (TIMED_OUT, RESET, CANCELLED)        # after these the work may still go on
 
 
 class Dice:
@@ -258,22 +273,22 @@
 
     def route(self, mail, now):
         """The ordinary path of a mail, from its arrival to its next connect."""
-        if mail.notes is None:
+        if mail.dispatch_state is None:
             return self._enter(mail, now)
-        course = mail.notes
+        course = mail.dispatch_state
         if course.state in ("out", "over"):
             return NOT_YET, 0.0
-        if mail.withdrawn or course.spared or now >= self._end(mail):
+        if mail.is_withdrawn or course.spared or now >= self._end(mail):
             return self._finish(mail, now)
         if course.state == "pause" and now >= course.due:
             self._line_up(mail)
-        line = mail.destination.notes
+        line = mail.destination.queue
         if course.state != "line" or self._next_mail(line, now) is not mail:
             return NOT_YET, 0.0
         receiver = self._receiver(line, mail, now)
         if receiver is None:
             return NOT_YET, 0.0
-        limit = min(self._timeout(self.gate(receiver), mail), mail.expires - now - self.settings["Tick"])
+        limit = min(self._timeout(self.gate(receiver), mail), mail.expires_at - now - self.settings["Tick"])
         self._take_out(line, mail)
         self._send(line, mail, receiver, now)
         return receiver, limit
@@ -289,7 +304,7 @@
 
     def settle(self, mail, outcome, now):
         """What to do after an outcome: classify first, repeat after."""
-        course, call = mail.notes, mail.notes.call
+        course, call = mail.dispatch_state, mail.dispatch_state.call
         self._measure(mail, call, outcome, now)
         self._release(mail, call, now)
         course.state, course.settled = "settled", now
@@ -298,7 +313,7 @@
             heappush(self.ends, (self._end(mail), course.arrival, mail))    # its window may end first
         if outcome in RESTING:
             self._rest(mail, now)
-        verdict, pause = (None, 0.0) if mail.withdrawn else self.classify(mail, outcome, now)
+        verdict, pause = (None, 0.0) if mail.is_withdrawn else self.classify(mail, outcome, now)
         if verdict == NOT_YET:
             self._pause_until(mail, now + pause)
             return NOT_YET, 0.0, self._leaves(call.receiver, now)
@@ -308,25 +323,25 @@
         """How long to wait, and the mail to ask `route` about then."""
         while self.pauses and self.pauses[0][0] <= now:
             mail = heappop(self.pauses)[2]
-            if mail.notes.state == "pause" and mail.notes.due <= now:
-                if mail.withdrawn:
+            if mail.dispatch_state.state == "pause" and mail.dispatch_state.due <= now:
+                if mail.is_withdrawn:
                     return 0.0, mail
                 self._line_up(mail)
-        while self.ends and (self.ends[0][0] <= now or self.ends[0][2].notes.state == "over"):
+        while self.ends and (self.ends[0][0] <= now or self.ends[0][2].dispatch_state.state == "over"):
             due, arrival, mail = heappop(self.ends)
-            if mail.notes.state in ("out", "over"):
+            if mail.dispatch_state.state in ("out", "over"):
                 continue
             if now >= self._end(mail):
                 return 0.0, mail
             heappush(self.ends, (self._end(mail), arrival, mail))
         if self.waiting and self.held > ROOM * self.allowed["MaxOpen"] and (mail := self._least(now)):
-            mail.notes.spared = True
+            mail.dispatch_state.spared = True
             return 0.0, mail
         best, heaps = None, (self.ends, self.pauses)
         soonest = min((heap[0] for heap in heaps if heap), key=lambda entry: entry[0], default=None)
         for line in self.waiting:
             mail = self._next_mail(line, now)
-            if mail.withdrawn:
+            if mail.is_withdrawn:
                 return 0.0, mail
             at = min((self._receiver_at(line, r, mail, now) for r in line.destination.receivers),
                      default=float("inf"))
@@ -349,21 +364,21 @@
 
     def adopt(self, mail, receiver, sent, now):
         """Takes a connect over that the process before this one made, and that is out."""
-        if mail.notes.state == "line":
-            self._take_out(mail.destination.notes, mail)
-        self._send(mail.destination.notes, mail, receiver, now)
-        mail.notes.call.sent = sent
+        if mail.dispatch_state.state == "line":
+            self._take_out(mail.destination.queue, mail)
+        self._send(mail.destination.queue, mail, receiver, now)
+        mail.dispatch_state.call.sent = sent
 
     # -- classification -------------------------------------------------------------------------------------
 
     def classify(self, mail, outcome, now):
         """What an outcome proves, and so what may follow: (RELAYED | NOT_YET | DEFERRED | BOUNCED, pause)."""
-        course, effect = mail.notes, self.classes[mail.queue_class]["Effect"]
+        course, effect = mail.dispatch_state, self.classes[mail.queue_class]["Effect"]
         if outcome == DELIVERED:
             return RELAYED, 0.0
         if effect == "unsafe" and course.ran_at is not None:
             return BOUNCED, 0.0                             # an unknown effect ends it
-        pause = mail.told if outcome == FULL and mail.told > 0 else self._pause(course)
+        pause = mail.retry_after_ms if outcome == REJECTED and mail.retry_after_ms > 0 else self._pause(course)
         if now + pause >= self._end(mail):
             return self._ending(mail), 0.0                  # a repeat that cannot fit
         return NOT_YET, pause
@@ -371,7 +386,7 @@
     def _ending(self, mail):
         """How a mail ends that is given up: deferred if a repeat by the client is harmless, else bounced."""
         one = self.classes[mail.queue_class]
-        return DEFERRED if mail.notes.ran_at is None or one["Effect"] == "safe" else BOUNCED
+        return DEFERRED if mail.dispatch_state.ran_at is None or one["Effect"] == "safe" else BOUNCED
 
     def _pause(self, course):
         """Exponential backoff with jitter, ms."""
@@ -381,19 +396,19 @@
         """When a mail that is not out must be given up: its lifetime, its repeat's window, or at once.
 
         Guards against a restart: a once-only mail that was out, or one with no connect left, goes no more."""
-        return self._until(mail) if mail.notes.tries < self.allowed["MaxAttempts"] else 0.0
+        return self._until(mail) if mail.dispatch_state.tries < self.allowed["MaxAttempts"] else 0.0
 
     def _until(self, mail):
         """When the last byte of a call with it must have left: at the end of its lifetime or its window."""
-        course, end, one = mail.notes, mail.expires - self.margin, self.classes[mail.queue_class]
+        course, end, one = mail.dispatch_state, mail.expires_at - self.margin, self.classes[mail.queue_class]
         if course.ran_at is None or one["Effect"] == "safe":
             return end
         return min(end, course.ran_at + (one["Window"] if one["Effect"] == "keyed" else 0.0) - self.margin)
 
     def _finish(self, mail, now, verdict=None):
-        course = mail.notes
+        course = mail.dispatch_state
         if course.state == "line":
-            self._take_out(mail.destination.notes, mail)
+            self._take_out(mail.destination.queue, mail)
         course.state = "over"
         self.held -= 1
         verdict = verdict or self._ending(mail)
@@ -414,16 +429,16 @@
         self.arrivals += 1
         self.began = now if self.began is None else self.began
         self.held += 1
-        wanted = min(mail.arrived + self.classes[mail.queue_class]["GoalTime"], mail.expires)
-        course = mail.notes = Course(self.arrivals, wanted, mail.before)
+        wanted = min(mail.arrived_at + self.classes[mail.queue_class]["GoalTime"], mail.expires_at)
+        course = mail.dispatch_state = Course(self.arrivals, wanted, mail.prior_attempts)
         self.line(mail.destination).arrivals.add(now)
         heappush(self.ends, (self._end(mail), course.arrival, mail))
-        if self.classes[mail.queue_class].get("ByArrival") and mail.key:
-            turn = self.keys.setdefault(mail.key, deque())
+        if self.classes[mail.queue_class].get("ByArrival") and mail.ordering_key:
+            turn = self.keys.setdefault(mail.ordering_key, deque())
             turn.append(mail)
             course.state = "turn"
             if len(turn) == 1:
-                self._pause_until(mail, self.rests.get(mail.key, now))
+                self._pause_until(mail, self.rests.get(mail.ordering_key, now))
             if course.ran_at is not None:       # its call may have been out until the process before ended
                 self._rest(mail, now)
         else:
@@ -433,43 +448,43 @@
     def _rest(self, mail, now):
         """Order: work of this mail may still go on, and the next of its key waits for it from now, whatever
         becomes of the mail meanwhile (repeated well, given up) and even when nobody waits yet."""
-        if mail.key and self.classes[mail.queue_class].get("ByArrival"):
-            self.rests[mail.key] = now + self.rules["TurnGap"]
+        if mail.ordering_key and self.classes[mail.queue_class].get("ByArrival"):
+            self.rests[mail.ordering_key] = now + self.rules["TurnGap"]
             if len(self.rests) > 200:
                 self.rests = {key: until for key, until in self.rests.items() if until > now}
 
     def _pass_turn(self, mail, now):
         """Order: the next mail of the key goes on, after the rest that work still going on asks for."""
-        ordered = mail.key and self.classes[mail.queue_class].get("ByArrival")
-        turn = self.keys.get(mail.key) if ordered else None
+        ordered = mail.ordering_key and self.classes[mail.queue_class].get("ByArrival")
+        turn = self.keys.get(mail.ordering_key) if ordered else None
         if not turn or mail not in turn:
             return
         head = turn[0] is mail
         turn.remove(mail)
         if not turn:
-            del self.keys[mail.key]
+            del self.keys[mail.ordering_key]
         elif head:
-            self._pause_until(turn[0], self.rests.get(mail.key, now))
+            self._pause_until(turn[0], self.rests.get(mail.ordering_key, now))
 
     def _pause_until(self, mail, due):
-        mail.notes.state, mail.notes.due = "pause", due
-        heappush(self.pauses, (due, mail.notes.arrival, mail))
+        mail.dispatch_state.state, mail.dispatch_state.due = "pause", due
+        heappush(self.pauses, (due, mail.dispatch_state.arrival, mail))
 
     def line(self, destination):
-        if destination.notes is None:
+        if destination.queue is None:
             self.opened += 1
-            destination.notes = Line(destination, self.opened, len(self.classes), self.began)
-            self.lines.append(destination.notes)
-        return destination.notes
+            destination.queue = Line(destination, self.opened, len(self.classes), self.began)
+            self.lines.append(destination.queue)
+        return destination.queue
 
     def _line_up(self, mail):
-        mail.notes.state, line = "line", mail.destination.notes
+        mail.dispatch_state.state, line = "line", mail.destination.queue
         line.waiting += 1
         if line.waiting == 1:
             insort(self.waiting, line, key=lambda one: one.order)
         queue = line.fresh[mail.queue_class]
-        if queue and queue[-1].notes.wanted > mail.notes.wanted:
-            insort(queue, mail, key=lambda m: m.notes.wanted)
+        if queue and queue[-1].dispatch_state.wanted > mail.dispatch_state.wanted:
+            insort(queue, mail, key=lambda m: m.dispatch_state.wanted)
         else:
             queue.append(mail)
 
@@ -486,19 +501,19 @@
         """The mail of a line that goes next: the one that loses most by waiting, then by its target delay."""
         best, most = None, None
         trial = self.safe and all(self._on_trial(r) for r in line.destination.receivers if r.state == READY)
-        gate = line.destination.gate or next((r.gate for r in line.destination.receivers if r.gate), 0)
+        gate = line.destination.limits or next((r.limits for r in line.destination.receivers if r.limits), 0)
         usual = gate and gate.usual or self.usual or 0.0
         for at, one in enumerate(self.classes):
             fresh, late = line.fresh[at], line.late[at]
-            while fresh and now + min(usual, one["GoalTime"] / 4.0) > fresh[0].notes.wanted:
+            while fresh and now + min(usual, one["GoalTime"] / 4.0) > fresh[0].dispatch_state.wanted:
                 late.append(fresh.popleft())    # a usual call would bring it too late
             if line.waiting == 1 and (fresh or late):
                 return (fresh or late)[0]
             for mail in fresh and fresh[0], late and late[0], late and late[-1]:
                 if mail:
-                    age = now - mail.arrived + URGENT / 2.0
+                    age = now - mail.arrived_at + URGENT / 2.0
                     loss = self._worth(one, mail, age) - self._worth(one, mail, age + URGENT)
-                    rank = (trial and one["Effect"] == "safe", loss, -mail.notes.wanted)
+                    rank = (trial and one["Effect"] == "safe", loss, -mail.dispatch_state.wanted)
                     if most is None or rank > most:
                         best, most = mail, rank
         return best
@@ -513,14 +528,14 @@
         mails = [(one, q[end]) for at, one in enumerate(self.classes) for q in (line.fresh[at], line.late[at])
                  for end in (0, -1) if q and self._ending(q[end]) == DEFERRED]
         return min(mails, default=(None, None), key=lambda held: (
-            self._worth(*held, now - held[1].arrived + 2.0 * URGENT), -held[1].notes.arrival))[1]
+            self._worth(*held, now - held[1].arrived_at + 2.0 * URGENT), -held[1].dispatch_state.arrival))[1]
 
     def _worth(self, one, mail, age):
         """The importance that a mail still wins if it is relayed at this age."""
         over = age - one["GoalTime"]
         if over <= 0:
             return one["Value"]
-        if mail.arrived + age >= mail.expires:
+        if mail.arrived_at + age >= mail.expires_at:
             return 0.0
         if self.family.get("Decay") == "halves":
             return one["Value"] * max(one["LateWorth"], 0.5 ** (over / one["GoalTime"]))
@@ -530,16 +545,16 @@
     # -- receivers, gates and slots -------------------------------------------------------------------------
 
     def health(self, receiver):
-        receiver.notes = receiver.notes or Health()
-        return receiver.notes
+        receiver.health = receiver.health or Health()
+        return receiver.health
 
     def _on_trial(self, receiver):
         return bool(self.health(receiver).trickle) and self.health(receiver).trickle.since is None
 
     def gate(self, receiver):
         owner = receiver if receiver.kind in self.apart else receiver.destination
-        owner.gate = owner.gate or Gate()
-        return owner.gate
+        owner.limits = owner.limits or Gate()
+        return owner.limits
 
     def _receiver(self, line, mail, now):
         """The receiver with a place free that has fewest calls out, of those the mail may go to.
@@ -560,14 +575,14 @@
         many = {zone: self.zones * sum(r.zone == zone for r in ready) for zone in {r.zone for r in free}}
         home = not sparse or (self.away + turn) % 1.0 * len(ready) < many.get(self.zone, 0)
         ranks = [(
-            not self._shared(r, now), self._refuses(r, now), r.notes.failed_at > max(r.notes.good_at, lately),
-            mail.queue_class in r.notes.bad_for, r.notes.out,
+            not self._shared(r, now), self._refuses(r, now), r.health.failed_at > max(r.health.good_at, lately),
+            mail.queue_class in r.health.bad_for, r.health.out,
             r.zone != self.zone if home else many[r.zone] <= len(ready)) for r in free]
         best = min(ranks)
         equals = sorted((r for r, rank in zip(free, ranks, strict=True) if rank == best),
-                        key=lambda r: r.ident)
+                        key=lambda r: r.receiver_id)
         if not sparse:          # calls that overlap spread by themselves, and who answered last is alive
-            return max(equals, key=lambda r: r.notes.good_at)
+            return max(equals, key=lambda r: r.health.good_at)
         return equals[int(self.place * len(equals) + turn) % len(equals)]
 
     def _refuses(self, receiver, now):
@@ -582,13 +597,13 @@
         """When this receiver may get the mail, as far as is known; infinity: some news must come first."""
         if receiver.state != READY:
             return float("inf")
-        course = mail.notes
+        course = mail.dispatch_state
         one = self.classes[mail.queue_class]
         scope = one.get("KeyScope") if one["Effect"] == "keyed" else "all"
         if course.ran_at is not None and scope != "all" and receiver is not course.ran_to \
                 and not (scope == "zone" and receiver.zone == course.ran_to.zone >= 0):     # -1: not known
             return float("inf")
-        if receiver.notes is None:
+        if receiver.health is None:
             self._meet(receiver, now)
         gate, health = self.gate(receiver), self.health(receiver)
         if self._shared(receiver, now):
@@ -612,7 +627,7 @@
 
         Guards against receivers that take few connections, idle ones counted: with many senders these stand
         idle at those that sent last, or hold mail for a pace, and the calls of the others are turned away."""
-        line = receiver.destination.notes
+        line = receiver.destination.queue
         if self.health(receiver).out or receiver.kind not in self.crowded:
             return False
         return not line.waiting or self.turned.get(receiver.kind, 0.0) > JAMMED and (
@@ -633,7 +648,7 @@
         return min(FIRST_TIMEOUT, learned * times * 2.0 ** gate.timeouts)
 
     def _send(self, line, mail, receiver, now):
-        course, gate, health = mail.notes, self.gate(receiver), self.health(receiver)
+        course, gate, health = mail.dispatch_state, self.gate(receiver), self.health(receiver)
         line.slot_time(now)
         course.state, course.waited = "out", now - course.settled if course.tries else 0.0
         course.tries += 1
@@ -659,7 +674,7 @@
             health.trickle.next_at = health.trickle.after(now, self.dice.roll(0.8, 1.4))
 
     def _release(self, mail, call, now):
-        line = mail.destination.notes
+        line = mail.destination.queue
         line.slot_time(now)
         call.open -= 1
         if call.open == 0:
@@ -672,10 +687,10 @@
 
     def _measure(self, mail, call, outcome, now):
         gate, health = self.gate(call.receiver), self.health(call.receiver)
-        sparse = mail.destination.notes.rate(now) * self.rules["OverloadFor"] < 1000.0
+        sparse = mail.destination.queue.rate(now) * self.rules["OverloadFor"] < 1000.0
         if call.again and not call.counted and outcome in (DELIVERED, *LOST):
             self.recovers += 0.2 * ((outcome == DELIVERED) - self.recovers)
-        no_room = outcome == UNREACHED and mail.took < LONG     # a connection refused at once is an answer
+        no_room = outcome == CONNECT_FAILED and mail.duration_ms < LONG     # a connection refused at once is an answer
         health.unanswered = health.unanswered and outcome not in (DELIVERED, ERROR)
         if outcome == ERROR or outcome in LOST:
             health.failed_at = now
@@ -687,9 +702,9 @@
             gate.timeouts, gate.refusals, gate.good_at = 0, 0, now
             if not health.trickle and now - health.unreached_at < LONG:     # it had refused a connection:
                 self.crowded.add(call.receiver.kind)                        # a full table, no crash
-            self.usual = mail.took if self.usual is None else self.usual + 0.05 * (mail.took - self.usual)
+            self.usual = mail.duration_ms if self.usual is None else self.usual + 0.05 * (mail.duration_ms - self.usual)
             before = gate.usual or self.usual
-            gate.usual = before + (0.1 if gate.usual else 0.5) * (mail.took - before)
+            gate.usual = before + (0.1 if gate.usual else 0.5) * (mail.duration_ms - before)
             # a good answer makes up for one failure: a receiver that fails most calls is out, if not all
             health.fails, health.good_at = 0 if self._lossy() else max(0, health.fails - 1), now
             health.bad_for.discard(mail.queue_class)
@@ -704,13 +719,13 @@
                                    or now - health.trickle.since > self.rules["WarmAfter"]):
                 health.trickle = None
                 self.avoided.discard(call.receiver)
-        elif outcome == FULL or no_room:
+        elif outcome == REJECTED or no_room:
             alone = health.good_at <= health.refused_at     # nothing good since its last refusal: for itself
             health.refused_at = now
             in_a_row = no_room and gate.failed_at > gate.good_at    # the second failure, nothing good between
-            if outcome == FULL:
-                if mail.told > 0:
-                    gate.told_until = max(gate.told_until, now + mail.told + self.dice.roll(1.0, 50.0))
+            if outcome == REJECTED:
+                if mail.retry_after_ms > 0:
+                    gate.told_until = max(gate.told_until, now + mail.retry_after_ms + self.dice.roll(1.0, 50.0))
                 if (gate.pace is None or call.sent >= gate.pace.made) and (not alone or all(
                         self._refuses(r, now) for r in mail.destination.receivers
                         if r.state == READY and self.gate(r) is gate)):
@@ -722,12 +737,12 @@
             if gate.refusals == 0:
                 gate.refused_at = now
             gate.refusals += 1          # of the destination, not of the receiver that spoke for it
-            shut = gate.refusals >= 3 and now - gate.refused_at > SHUT or mail.told > LONG_TOLD
+            shut = gate.refusals >= 3 and now - gate.refused_at > SHUT or mail.retry_after_ms > LONG_TOLD
             down = in_a_row and sparse and self.turned[call.receiver.kind] < JAMMED     # no full table
             if shut or down:
                 self._set_aside(call.receiver, health, now, sparse)
             for receiver in mail.destination.receivers if down else ():
-                other = receiver.notes      # not yet met: its first look sets it aside
+                other = receiver.health      # not yet met: its first look sets it aside
                 if other and not other.trickle and other.unreached_at > other.good_at \
                         and self.gate(receiver) is gate:
                     self._set_aside(receiver, other, now, sparse)
@@ -738,7 +753,7 @@
             if (outcome == TIMED_OUT and call.sent >= max(gate.timed_out_at, gate.good_at)
                     and not self._lossy()):     # one that answered others since is not slow
                 gate.timeouts, gate.timed_out_at = min(gate.timeouts + 1, 2), now
-            long = mail.took >= LONG and outcome != ERROR     # says more than a quick failure
+            long = mail.duration_ms >= LONG and outcome != ERROR     # says more than a quick failure
             enough = LOSS if self._lossy() else 1 if long and sparse else 2
             for receiver in mail.destination.receivers:     # the others there share the doubt, less by one
                 other = self.health(receiver)
@@ -751,8 +766,8 @@
         """This sender's part of a destination's traffic: its own, drawn to its part of a limit reported or
         listed, late, rough and for all senders together; for one of so many cold routes the less."""
         listed = receiver.weight if self.settings.get("Weights") in ("nominal", "rough") else 0.0
-        limit = receiver.report.get("limit") or listed
-        came = receiver.destination.notes.rate(now, extra) / max(1, cold)
+        limit = receiver.load_report.get("limit") or listed
+        came = receiver.destination.queue.rate(now, extra) / max(1, cold)
         if limit <= 0.0:
             return came
         return min(came, limit / self.fleet) if cold else (came + limit / self.fleet) / 2.0
@@ -781,8 +796,8 @@
         Guards against an outage in which the list replaces receivers: what all senders hold would go at once
         to one that no sender has seen fail, of a destination that is cold."""
         health, gate = self.health(receiver), self.gate(receiver)
-        if gate is receiver.destination.gate and (gate.failed_at > gate.good_at or any(
-                r.notes and self._on_trial(r) for r in receiver.destination.receivers)):
+        if gate is receiver.destination.limits and (gate.failed_at > gate.good_at or any(
+                r.health and self._on_trial(r) for r in receiver.destination.receivers)):
             self._set_aside(receiver, health, now)
 
     def _lossy(self):
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -30,7 +30,7 @@
     receivers = list(facade.receivers.values())
     healths = {"set aside": 0, "failing": 0, "well": 0, "unknown": 0}
     for at, receiver in enumerate(receivers):
-        health = receiver.notes
+        health = receiver.health
         healths["unknown" if not health else "set aside" if health.trickle else "failing" if health.fails
                 else "well"] += 1
         if at % SLICE == SLICE - 1:
--- a/dewpin/net/agent.py
+++ b/dewpin/net/agent.py
@@ -26,7 +26,7 @@
 NOTICE, NOTICE_MOST = 0.12, 1.0     # for a notice's connection, and for its answer, which comes at once: the platform
                         # waits 0.3 s beyond a mail's lifetime for it. Each further try allows twice as much, up to
 MOST_LIST = 8_000_000   # bytes
-STATES = {"active": model.READY, "leaving": model.DRAINING}
+STATES = {"active": model.ReceiverState.READY, "leaving": model.ReceiverState.DRAINING}
 MOST_NOTICES = 100      # in one request
 
 
@@ -77,7 +77,8 @@
     for one in members:
         try:
             host, _, port = one.get("host_port", ":0").rpartition(":")
-            found.append((one["id"].encode(), int(one.get("cell", 0)), STATES.get(one.get("phase"), model.GONE),
+            found.append((one["id"].encode(), int(one.get("cell", 0)),
+                          STATES.get(one.get("phase"), model.ReceiverState.GONE),
                           (host.strip("[]"), int(port)), one.get("locality"), one.get("flavor"),
                           float(one.get("size") or 0.0)))
         except (KeyError, ValueError, TypeError, AttributeError) as error:
--- a/dewpin/net/outbound.py
+++ b/dewpin/net/outbound.py
@@ -22,7 +22,8 @@
 SOON = 0.001            # a timer of the loop's next turn, in which it reads before it looks at timers
 ANSWERED, UNWRITTEN, BROKEN, SPOILT = "answered", "unwritten", "broken", "spoilt"
 FIGURE = re.compile(rb"[0-9.eE+-]{1,32}")
-OUTCOMES = {200: model.DELIVERED, 429: model.FULL, 503: model.FULL, 504: model.UNSENT, 410: model.UNSENT}
+OUTCOMES = {200: model.Outcome.DELIVERED, 429: model.Outcome.REJECTED, 503: model.Outcome.REJECTED,
+            504: model.Outcome.NOT_SENT, 410: model.Outcome.NOT_SENT}
 
 
 class Link(Stream):
@@ -177,9 +178,9 @@
                 _, link = await self.pool.loop.create_connection(
                     lambda: Link(self.pool.most_body, WHOLE), *self.address[:2])
         except ConnectionResetError:    # somebody is there: no crash, and no full table
-            return self.finish(model.DROPPED)
+            return self.finish(model.Outcome.DROPPED)
         except (OSError, TimeoutError) as error:
-            return self.finish(model.UNSENT if error.errno in OURS else model.UNREACHED)
+            return self.finish(model.Outcome.NOT_SENT if error.errno in OURS else model.Outcome.CONNECT_FAILED)
         if self.done is None:       # given up in the meantime
             return link.close()
         self.pool.opening.discard(self)
@@ -191,24 +192,24 @@
             self.pool.rest(self.address, link)      # nothing was written on it
             # not at once: the outcome is never told before `Pool.call` returns
             self.limit.cancel()
-            self.limit = self.pool.loop.call_soon(self.finish, model.UNSENT)
+            self.limit = self.pool.loop.call_soon(self.finish, model.Outcome.NOT_SENT)
             return
         self.link, link.whole = link, self.pool.count
         link.ask(self.request, self._answered, HELD, self.pool.loop.time() + ms / 1000.0)
 
     def _answered(self, how, message):
-        if self.link.unwritten and not (how == ANSWERED and OUTCOMES.get(message.status) == model.FULL):
+        if self.link.unwritten and not (how == ANSWERED and OUTCOMES.get(message.status) == model.Outcome.REJECTED):
             # guards against what an earlier answer on this connection left behind (a second copy, half a line): no
             # receiver has the call, so nothing but a refusal can be an answer to it
-            self.finish(model.DROPPED)
+            self.finish(model.Outcome.DROPPED)
         elif how == ANSWERED:
-            self.finish(OUTCOMES.get(message.status, model.ERROR), message)
+            self.finish(OUTCOMES.get(message.status, model.Outcome.ERROR), message)
         elif self.link.reader.begun() == 200:
-            self.finish(model.DELIVERED)    # its first line is true, whatever became of the rest
+            self.finish(model.Outcome.DELIVERED)    # its first line is true, whatever became of the rest
         elif how == SPOILT:
-            self.finish(model.ERROR)
+            self.finish(model.Outcome.ERROR)
         else:
-            self.finish(model.RESET if how == BROKEN else model.DROPPED)
+            self.finish(model.Outcome.RESET if how == BROKEN else model.Outcome.DROPPED)
 
     def _too_late(self):
         link = self.link
@@ -216,9 +217,9 @@
             self.looked = True      # one turn of the loop for an answer that has come already
             self.limit = self.pool.loop.call_later(SOON, self._too_late)
         elif link is None or link.unwritten:
-            self.finish(model.UNREACHED)
+            self.finish(model.Outcome.CONNECT_FAILED)
         else:
-            self.finish(model.DELIVERED if link.reader.begun() == 200 else model.TIMED_OUT)
+            self.finish(model.Outcome.DELIVERED if link.reader.begun() == 200 else model.Outcome.TIMED_OUT)
 
     def finish(self, outcome, message=None):
         if self.done is None:
@@ -245,9 +246,9 @@
     if message is None:
         return outcome, 0.0, {}
     told, load = 0.0, {}
-    if outcome == model.FULL:
+    if outcome == model.Outcome.REJECTED:
         if message.fields.get(b"x-line-busy") == b"1":
-            outcome = model.UNSENT
+            outcome = model.Outcome.NOT_SENT
         else:
             told = 1000.0 * number(message.fields.get(b"retry-after", b"0"))
     for part in message.fields.get(b"srv-load", b"").split(b","):
@@ -319,7 +320,7 @@
 
         Guards against a connection that comes up long after the pick, when a wait was told or a drain listed."""
         for call in [call for call in self.opening if call.address == address]:
-            call.finish(model.UNSENT)
+            call.finish(model.Outcome.NOT_SENT)
 
     def close(self):
         for address in list(self.idle):
--- a/dewpin/relay/course.py
+++ b/dewpin/relay/course.py
@@ -41,7 +41,8 @@
         self.turns = 0.0
         self.follower = self.tail = None            # while the process before, or the next one, runs beside this one
         self.abroad: dict[int, tuple] = {}          # serial: (sheet, receiver) of a call that one before has out
-        self.ends = {one: dict.fromkeys((model.RELAYED, model.DEFERRED, model.BOUNCED), 0) for one in facade.classes}
+        self.ends = {one: dict.fromkeys((model.Decision.RELAYED, model.Decision.DEFERRED, model.Decision.BOUNCED), 0)
+                     for one in facade.classes}
 
     def resume(self, follower=None, out=None):
         """Takes up what an earlier life of the process left. `follower`: of a process whose tail tells of the calls
@@ -61,7 +62,7 @@
                 self._tell(sheet)
             elif not self.facade.knows(sheet.queue_class, sheet.account):
                 tell(events.UNKNOWN_CLASS, mail=sheet.ident, queue_class=sheet.queue_class)
-                self._give_up(sheet, model.BOUNCED, 0.0)
+                self._give_up(sheet, model.Decision.BOUNCED, 0.0)
             else:
                 tell(events.RESUMED, mail=sheet.ident, serial=sheet.serial, queue_class=sheet.queue_class,
                      destination=sheet.destination, key=sheet.key, connect=sheet.tries,
@@ -79,7 +80,7 @@
             return None, 400
         taken, ms = self._hand_in(ident, queue_class, account, key, destination, tag, body, left, again)
         if not taken:
-            self.ends[queue_class][model.BOUNCED if taken is None else model.DEFERRED] += 1
+            self.ends[queue_class][model.Decision.BOUNCED if taken is None else model.Decision.DEFERRED] += 1
         return taken, ms
 
     def _hand_in(self, ident, queue_class, account, key, destination, tag, body, left, again):
@@ -154,7 +155,7 @@
         elif sheet.key in self.unsaid:
             late = self.loop.call_later(min(ms, PATIENCE) / 1000.0, self._unsent, sheet, what)
             self.behind.setdefault(sheet.key, {})[sheet] = what, now + ms, late
-            tell(events.BEHIND, mail=sheet.ident, receiver=what.ident, key=sheet.key)
+            tell(events.BEHIND, mail=sheet.ident, receiver=what.receiver_id, key=sheet.key)
             self.out += 1
         else:
             self.out += 1
@@ -173,16 +174,16 @@
         have run."""
         now = self.clock.now()
         ms = self.facade.leaves(sheet, receiver, now) if self.sending else 0.0
-        if ms <= 0.0 or not self.spool.connect(sheet, receiver.ident, now):
+        if ms <= 0.0 or not self.spool.connect(sheet, receiver.receiver_id, now):
             return 0.0
-        tell(events.CONNECT, mail=sheet.ident, connect=sheet.tries, receiver=receiver.ident,
+        tell(events.CONNECT, mail=sheet.ident, connect=sheet.tries, receiver=receiver.receiver_id,
              destination=sheet.destination, limit_ms=limit)
         return ms
 
     def _unsent(self, sheet, receiver):
         """A notice for an earlier mail of the key is not answered: the connect never left."""
         del self.behind[sheet.key][sheet]
-        self._heard(sheet, receiver, model.UNSENT, 0.0, 0.0, {}, False)
+        self._heard(sheet, receiver, model.Outcome.NOT_SENT, 0.0, 0.0, {}, False)
 
     def _heard(self, sheet, receiver, outcome, told, took, load, over):
         self.out -= 1
@@ -193,13 +194,14 @@
             return
         try:
             ran = self.facade.ran(outcome)
-            tell(events.HEARD, mail=sheet.ident, connect=sheet.tries + (sheet.out is None), receiver=receiver.ident,
-                 destination=sheet.destination, outcome=outcome, ran=ran, took_ms=took, told_ms=told)
+            tell(events.HEARD, mail=sheet.ident, connect=sheet.tries + (sheet.out is None),
+                 receiver=receiver.receiver_id, destination=sheet.destination, outcome=outcome, ran=ran,
+                 took_ms=took, told_ms=told)
             self.spool.settle(sheet, ran)
             ending, ms, leaves = self.facade.report(sheet, outcome, told, took, load, over, self.clock.now())
-            if ending == model.RELAYED:
+            if ending == model.Decision.RELAYED:
                 tell(events.ENDED, mail=sheet.ident, ending=ending, connect=sheet.tries)
-                self.ends[sheet.queue_class][ending] += outcome == model.DELIVERED     # else it was withdrawn
+                self.ends[sheet.queue_class][ending] += outcome == model.Outcome.DELIVERED     # else it was withdrawn
                 self.spool.end(sheet)
                 self.facade.release(sheet)
             elif ending:
@@ -223,7 +225,7 @@
         tell(events.ENDED, mail=sheet.ident, ending=ending, connect=sheet.tries, after_ms=ms)
         if sheet.queue_class in self.ends:
             self.ends[sheet.queue_class][ending] += 1
-        self.spool.give_up(sheet, ending == model.DEFERRED, ms)
+        self.spool.give_up(sheet, ending == model.Decision.DEFERRED, ms)
         self.facade.release(sheet)
         self._tell(sheet)
 
@@ -266,7 +268,7 @@
             self.follower.close()
             self.follower = None
             for serial in list(self.abroad):
-                self._heard_there(serial, model.RESET, 0.0, 0.0, {}, False)
+                self._heard_there(serial, model.Outcome.RESET, 0.0, 0.0, {}, False)
 
     def _taken_there(self, sheet):
         if sheet.ident in self.idents or sheet.ident in self.older:
--- a/dewpin/relay/facade.py
+++ b/dewpin/relay/facade.py
@@ -36,24 +36,24 @@
         """What the mail that is due now does: (sheet, receiver, time-out), (sheet, ending, ms), or None."""
         mail = self.due
         what, ms = self.module.route(mail, now)
-        return None if what == model.NOT_YET else (mail.ident, what, ms)
+        return None if what == model.Decision.NOT_YET else (mail.message_id, what, ms)
 
     def report(self, sheet, outcome, told, took, load, over, now):
         """After a connect: its ending or None, the ms to come back after, and whether idle connections go."""
         mail = sheet.mail
-        mail.told, mail.took = told, took
-        mail.withdrawn = mail.withdrawn or over
+        mail.retry_after_ms, mail.duration_ms = told, took
+        mail.is_withdrawn = mail.is_withdrawn or over
         if load:
-            words = {model.REPORTED.get(name, name): value for name, value in load.items()}
-            mail.notes.call.receiver.report = words
+            words = {model.LOAD_REPORT_FIELDS.get(name, name): value for name, value in load.items()}
+            mail.dispatch_state.call.receiver.load_report = words
         what, ms, leaves = self.module.settle(mail, outcome, now)
         if over:
-            what = model.RELAYED        # nothing is owed
-        return None if what == model.NOT_YET else what, ms, leaves
+            what = model.Decision.RELAYED        # nothing is owed
+        return None if what == model.Decision.NOT_YET else what, ms, leaves
 
     def pause(self, sheet, now):
         """Ms of the pause that a mail is in."""
-        return max(0.0, sheet.mail.notes.due - now) if sheet.mail and sheet.mail.notes else 0.0
+        return max(0.0, sheet.mail.dispatch_state.due - now) if sheet.mail and sheet.mail.dispatch_state else 0.0
 
     # -- mails and receivers --------------------------------------------------------------------------------
 
@@ -77,7 +77,7 @@
 
         Guards against memory that only a collector's full round gives back."""
         if sheet.mail:
-            sheet.mail.ident = sheet.mail = None
+            sheet.mail.message_id = sheet.mail = None
 
     def lifetime(self, queue_class):
         return self.lifetimes[self.classes[queue_class]]
@@ -105,9 +105,10 @@
     def take(self, sheet, now):
         destination = self.destination(int(sheet.destination))
         ran_to = None if sheet.ran_to is None else self._receiver(sheet.ran_to, destination)
-        sheet.mail = model.Mail(
+        sheet.mail = model.Message(
             sheet, destination, sheet.arrived, sheet.expires, self.classes[sheet.queue_class],
-            self.accounts.get(sheet.account, 0), sheet.key or 0, (sheet.tries, sheet.ran_at, ran_to))
+            self.accounts.get(sheet.account, 0), sheet.key or 0,
+            model.PriorAttempts(sheet.tries, sheet.ran_at, ran_to))
         self.module.route(sheet.mail, now)
 
     def learn(self, entries, complete):
@@ -115,11 +116,11 @@
         named, left = set(), []
         for ident, destination, state, address, zone, kind, weight in entries:
             named.add(ident)
-            if state == model.GONE and ident not in self.receivers:
+            if state == model.ReceiverState.GONE and ident not in self.receivers:
                 continue
             receiver = self._receiver(ident, self.destination(destination))
             self._set(receiver, state)
-            if state != model.GONE:
+            if state != model.ReceiverState.GONE:
                 address = *address, ident       # guards against one that took over another's address
                 if receiver.address not in (None, address):
                     left.append(receiver.address)
@@ -128,12 +129,13 @@
         if complete:
             for ident, receiver in self.receivers.items():
                 if ident not in named:
-                    self._set(receiver, model.GONE)
-        gone = [receiver for receiver in self.receivers.values() if receiver.state == model.GONE]
+                    self._set(receiver, model.ReceiverState.GONE)
+        gone = [receiver for receiver in self.receivers.values() if receiver.state == model.ReceiverState.GONE]
         self.listed = len(self.receivers) - len(gone)
         for receiver in gone[:-PAST]:
-            self._forget(self.receivers.pop(receiver.ident))
-        ready = {receiver.address for receiver in self.receivers.values() if receiver.state == model.READY}
+            self._forget(self.receivers.pop(receiver.receiver_id))
+        ready = {receiver.address for receiver in self.receivers.values()
+                 if receiver.state == model.ReceiverState.READY}
         left += [receiver.address for receiver in self.receivers.values()]
         return [address for address in left if address and address not in ready]
 
@@ -141,7 +143,7 @@
         """Operators take a receiver out: from now on it is one that drains, whatever the list says of it. Gives its
         address if it has one."""
         receiver = self.receivers.get(ident)
-        self.detached.setdefault(ident, receiver.state if receiver else model.GONE)
+        self.detached.setdefault(ident, receiver.state if receiver else model.ReceiverState.GONE)
         if receiver:
             self._set(receiver, self.detached[ident])
         return receiver and receiver.address
@@ -155,17 +157,17 @@
     def avoided(self):
         """How many listed receivers get nothing or a trickle, by hand or by choice."""
         out = {self.receivers[ident] for ident in self.detached if ident in self.receivers}
-        return sum(1 for receiver in out | self.module.avoided if self._listed(receiver) != model.GONE)
+        return sum(1 for receiver in out | self.module.avoided if self._listed(receiver) != model.ReceiverState.GONE)
 
     def _set(self, receiver, listed):
         receiver.state = listed
-        if receiver.ident in self.detached:
-            self.detached[receiver.ident] = listed
-            if listed == model.READY:
-                receiver.state = model.DRAINING
+        if receiver.receiver_id in self.detached:
+            self.detached[receiver.receiver_id] = listed
+            if listed == model.ReceiverState.READY:
+                receiver.state = model.ReceiverState.DRAINING
 
     def _listed(self, receiver):
-        return self.detached.get(receiver.ident, receiver.state)
+        return self.detached.get(receiver.receiver_id, receiver.state)
 
     # -- what is believed, for people ---------------------------------------------------------------------------
 
@@ -179,13 +181,13 @@
 
     def line(self, line, now):
         """One line in plain values: what waits, what is out, and what binds each of its receivers."""
-        return {"destination": line.destination.ident, "waiting": line.waiting, "out": line.out,
+        return {"destination": line.destination.destination_id, "waiting": line.waiting, "out": line.out,
                 "rate": round(line.rate(now), 3),
                 "receivers": [self._receiver_facts(receiver, now) for receiver in line.destination.receivers]}
 
     def _receiver_facts(self, receiver, now):
-        health, gate = receiver.notes, receiver.gate or receiver.destination.gate
-        facts = {"receiver": receiver.ident.decode("latin-1"), "state": receiver.state, "health": "unknown",
+        health, gate = receiver.health, receiver.limits or receiver.destination.limits
+        facts = {"receiver": receiver.receiver_id.decode("latin-1"), "state": receiver.state, "health": "unknown",
                  "out": 0, "failures": 0, "usual_ms": None, "wait_ms": 0.0, "pace": None, "trickle": None}
         if health:
             facts |= {"out": health.out, "failures": health.fails,
@@ -202,9 +204,9 @@
         destination = receiver.destination
         destination.receivers.remove(receiver)
         self.module.avoided.discard(receiver)
-        line = destination.notes
+        line = destination.queue
         if not destination.receivers and not (line and (line.waiting or line.out)):
-            del self.destinations[destination.ident]
+            del self.destinations[destination.destination_id]
             if line:
                 self.module.lines.remove(line)
 
@@ -215,5 +217,5 @@
 
     def _receiver(self, ident, destination):
         if ident not in self.receivers:
-            self.receivers[ident] = model.Receiver(ident, destination, zone=-1, state=model.GONE)
+            self.receivers[ident] = model.Receiver(ident, destination, zone=-1, state=model.ReceiverState.GONE)
         return self.receivers[ident]
--- a/dewpin/relay/learnt.py
+++ b/dewpin/relay/learnt.py
@@ -14,15 +14,16 @@
     """A map for JSON: the list as known, and the notes on the sender, its destinations and their receivers."""
     module = facade.module
     return {
-        "list": [row((receiver.ident, receiver.destination.ident,
-                      facade.detached.get(receiver.ident, receiver.state), (receiver.address or ("", 0))[:2],
+        "list": [row((receiver.receiver_id, receiver.destination.destination_id,
+                      facade.detached.get(receiver.receiver_id, receiver.state), (receiver.address or ("", 0))[:2],
                       _name(facade.zones, receiver.zone), _name(facade.kinds, receiver.kind), receiver.weight))
                  for receiver in facade.receivers.values()],
         "sender": {"usual": module.usual, "recovers": module.recovers, "began": module.began},
         "crowded": list(module.crowded), "turned": list(module.turned.items()),
         "rests": [[key.decode("latin-1") if key else "", until] for key, until in module.rests.items()],
-        "destinations": [[one.ident, _plain(one.notes), _plain(one.gate)] for one in facade.destinations.values()],
-        "receivers": [[one.ident.decode("latin-1"), _plain(one.notes), _plain(one.gate)]
+        "destinations": [[one.destination_id, _plain(one.queue), _plain(one.limits)]
+                         for one in facade.destinations.values()],
+        "receivers": [[one.receiver_id.decode("latin-1"), _plain(one.health), _plain(one.limits)]
                       for one in facade.receivers.values()]}
 
 
@@ -44,17 +45,17 @@
         if line is not None:
             _put(module.line(one), line)
         if gate is not None:
-            one.gate = one.gate or Gate()
-            _put(one.gate, gate)
+            one.limits = one.limits or Gate()
+            _put(one.limits, gate)
     for ident, health, gate in held["receivers"]:
         if one := facade.receivers.get(ident.encode("latin-1")):
             if health is not None:
                 _put(module.health(one), health)
-                if one.notes.trickle:
+                if one.health.trickle:
                     module.avoided.add(one)
             if gate is not None:
-                one.gate = one.gate or Gate()
-                _put(one.gate, gate)
+                one.limits = one.limits or Gate()
+                _put(one.limits, gate)
 
 
 def _name(names, at):
--- a/dewpin/spool/kept.py
+++ b/dewpin/spool/kept.py
@@ -75,7 +75,7 @@
     def ended(self) -> list[Entry]:
         """The receivers that another agent told to drain or to be gone: whatever a list says whose age can't be
         compared, they stay so."""
-        return [entry(one) for one in self.rows.values() if self.other and one[2] != model.READY]
+        return [entry(one) for one in self.rows.values() if self.other and one[2] != model.ReceiverState.READY]
 
     def learn(self, entries: Sequence[Entry], whole: bool, revision: int, now: float) -> None:
         """Writes news down: a whole list or what changed, `now` in Unix ms."""
@@ -114,7 +114,7 @@
         for one in rows:
             self.rows.pop(one[0], None)         # the latest change stands last
             self.rows[one[0]] = one
-        gone = [ident for ident, one in self.rows.items() if one[2] == model.GONE]
+        gone = [ident for ident, one in self.rows.items() if one[2] == model.ReceiverState.GONE]
         for ident in gone[:-PAST]:
             del self.rows[ident]
 
