--- a/benchmarks/capacity/measures/storage.py
+++ b/benchmarks/capacity/measures/storage.py
@@ -12,7 +12,7 @@
 from benchmarks.capacity.series import Effort, Series, sample
 from benchmarks.capacity.timing import MICROSECONDS
 from dewpin.cluster.netstring import Decoder, encode
-from dewpin.cluster.store_messages import ChainLinks, TurnRecord
+from dewpin.cluster.store_messages import HistoryPage, TurnRecord
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
 from dewpin.controlplane.storage import DATABASE_NAME, Storage
@@ -243,12 +243,12 @@
 
     def at(size: int) -> float:
         links = tuple(turn("a" * 6, number, size // turns) for number in range(turns))
-        frame = encode(ChainLinks(links, None, False, frozenset()).to_json())
+        frame = encode(HistoryPage(links, None, False, frozenset()).to_json())
         end = time.perf_counter() + effort.seconds
         reads = 0
         used = time.process_time()
         while time.perf_counter() < end:
-            found = ChainLinks.from_json(Decoder().feed(frame)[0])
+            found = HistoryPage.from_json(Decoder().feed(frame)[0])
             b"".join(link.input + link.output for link in reversed(found.links))
             reads += 1
         return (time.process_time() - used) * MICROSECONDS / reads
--- a/dewpin/cluster/body_messages.py
+++ b/dewpin/cluster/body_messages.py
@@ -10,12 +10,12 @@
 RELAY_BODY = "relay.body"
 
 
-def digest_of(body: bytes, base: int) -> str:
+def configuration_digest(body: bytes, base: int) -> str:
     """What tells one order from another under the same number: the body and the version that it builds on."""
     return hashlib.sha256(b"%d\n%b" % (base, body)).hexdigest()[:24]
 
 
-def patch_digest_of(body: bytes, base: int) -> str:
+def patch_digest(body: bytes, base: int) -> str:
     """The same for a patch; never that of a whole configuration with the same bytes."""
     return hashlib.sha256(b"patch of %d\n%b" % (base, body)).hexdigest()[:24]
 
--- a/dewpin/cluster/configuration/__init__.py
+++ b/dewpin/cluster/configuration/__init__.py
@@ -29,7 +29,7 @@
     normal_host,
 )
 from .patch import ConfigurationPatch, parse_patch
-from .reading import ConfigurationInvalid, longest_retain_s, parse_configuration
+from .reading import InvalidConfigurationError, longest_retain_s, parse_configuration
 
 __all__ = [
     "DEFAULT_HEADER_TIMEOUT_MS",
@@ -40,7 +40,7 @@
     "NON_IDEMPOTENT",
     "STREAM",
     "Configuration",
-    "ConfigurationInvalid",
+    "InvalidConfigurationError",
     "ConfigurationPatch",
     "Engine",
     "Limits",
--- a/dewpin/cluster/configuration/building.py
+++ b/dewpin/cluster/configuration/building.py
@@ -2,7 +2,7 @@
 
 from types import MappingProxyType
 
-from ..checking import JsonObject, value_or
+from ..validation import JsonObject, value_or
 from .model import NON_IDEMPOTENT, Configuration, Engine, Limits, Route, Service, Share
 from .schema import RawConfiguration, RawEngine, RawLimits, RawRoute, RawService
 
--- a/dewpin/cluster/configuration/model.py
+++ b/dewpin/cluster/configuration/model.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from ..checking import JsonObject
+from ..validation import JsonObject
 
 IDEMPOTENT: Literal["idempotent"] = "idempotent"
 NON_IDEMPOTENT: Literal["non_idempotent"] = "non_idempotent"
--- a/dewpin/cluster/configuration/patch.py
+++ b/dewpin/cluster/configuration/patch.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import Any, NotRequired, TypedDict, cast
 
-from ..checking import Fault, JsonObject, check_shape, value_or
-from .reading import ConfigurationInvalid, parse_configuration, read_object
+from ..validation import Fault, JsonObject, check_shape, value_or
+from .reading import InvalidConfigurationError, parse_configuration, read_object
 
 
 class NamedItem(TypedDict):
@@ -41,8 +41,8 @@
     def apply(self, body: str) -> bytes:
         """Return the body of the configuration that this patch makes of the one in `body`.
 
-        Raises ConfigurationInvalid with every fault of the result. Items that are replaced keep their place, new ones
-        follow the others; a name that is deleted and not there changes nothing.
+        Raises InvalidConfigurationError with every fault of the result. Items that are replaced keep their position,
+        new ones follow the others; deleting a name that is not there changes nothing.
         """
         configuration = cast(JsonObject, json.loads(body))
         for list_name in {**self.delete, **self.upsert}:
@@ -55,13 +55,13 @@
 
 
 def parse_patch(body: bytes) -> ConfigurationPatch:
-    """Read a patch and check its shape. Raises ConfigurationInvalid with every fault."""
+    """Read a patch and check its shape. Raises InvalidConfigurationError with every fault."""
     raw = read_object(body)
     faults = check_shape(raw, RawPatch)
     if not faults:
         faults = _check_names(cast(RawPatch, raw))
     if faults:
-        raise ConfigurationInvalid(faults)
+        raise InvalidConfigurationError(faults)
     checked = cast(RawPatch, raw)
     upsert = cast(dict[str, list[JsonObject]], value_or(checked.get("upsert"), {}))
     return ConfigurationPatch(checked["generation"], upsert, value_or(checked.get("delete"), {}))
@@ -80,11 +80,11 @@
 
 
 def _list_of(configuration: JsonObject, list_name: str) -> Items:
-    """Return a list of the configuration; empty if it has none. Raises ConfigurationInvalid if it is no list."""
+    """Return a list of the configuration; empty if it has none. Raises InvalidConfigurationError if it is no list."""
     items = value_or(configuration.get(list_name), [])
     faults = check_shape(items, list[dict[str, object]], list_name)
     if faults:
-        raise ConfigurationInvalid(faults)
+        raise InvalidConfigurationError(faults)
     return cast(Items, items)
 
 
--- a/dewpin/cluster/configuration/reading.py
+++ b/dewpin/cluster/configuration/reading.py
@@ -3,26 +3,26 @@
 import json
 from typing import Any, cast
 
-from ..checking import Fault, InvalidInput, JsonObject, check_shape, expected, value_or
+from ..validation import Fault, InvalidInputError, JsonObject, check_shape, expected, value_or
 from .building import DEFAULT_RETAIN_S, build_configuration
 from .model import Configuration
 from .rules import check_rules
 from .schema import RawConfiguration
 
 
-class ConfigurationInvalid(InvalidInput):
+class InvalidConfigurationError(InvalidInputError):
     """Every fault of a rejected configuration."""
 
     summary = "invalid configuration"
 
 
 def parse_configuration(body: bytes) -> Configuration:
-    """Read and check a configuration; raises ConfigurationInvalid with every fault."""
+    """Read and check a configuration; raises InvalidConfigurationError with every fault."""
     raw = read_object(body)
     faults = check_shape(raw, RawConfiguration)
     faults += check_rules(raw, faults)
     if faults:
-        raise ConfigurationInvalid(faults)
+        raise InvalidConfigurationError(faults)
     return build_configuration(cast(RawConfiguration, raw), raw)
 
 
@@ -33,15 +33,15 @@
 
 
 def read_object(body: bytes) -> JsonObject:
-    """Return the one JSON object of a body. Raises ConfigurationInvalid if there is none."""
+    """Return the one JSON object of a body. Raises InvalidConfigurationError if there is none."""
     try:
         value = json.loads(body, parse_constant=_reject_constant, object_pairs_hook=_unique_fields)
     except RecursionError:
-        raise ConfigurationInvalid([Fault("", "is not readable: nested too deeply")]) from None
+        raise InvalidConfigurationError([Fault("", "is not readable: nested too deeply")]) from None
     except ValueError as error:
-        raise ConfigurationInvalid([Fault("", f"is not readable: {error}")]) from None
+        raise InvalidConfigurationError([Fault("", f"is not readable: {error}")]) from None
     if not isinstance(value, dict):
-        raise ConfigurationInvalid([expected("an object", value, "")])
+        raise InvalidConfigurationError([expected("an object", value, "")])
     return value
 
 
--- a/dewpin/cluster/configuration/rules.py
+++ b/dewpin/cluster/configuration/rules.py
@@ -2,7 +2,7 @@
 
 from typing import cast
 
-from ..checking import Fault, JsonObject, check_shape, expected
+from ..validation import Fault, JsonObject, check_shape, expected
 from .model import normal_host
 from .schema import NamedService, RawRoute, RawSplit
 
--- a/dewpin/cluster/errors.py
+++ b/dewpin/cluster/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds of the tier, and how each is answered to a client or an operator.
+"""Errors of the serving tier: the base class of all exceptions, and the closed list of error kinds.
 
-Every error that crosses a package or a process is one of `ErrorKind`; its value is the `kind` of an error message
-between processes. `ANSWERS` tells for each kind the HTTP status, whether that answer promises that the request has not
-run and never will, and the level at which the error is logged.
+Every error that crosses a package or a process has a kind from `ErrorKind`; its value is the field `kind` of an error
+message between processes. `ERROR_RESPONSES` maps each kind to the response that a client or an operator gets and to the
+level at which the error is logged.
 """
 
 import logging
@@ -12,9 +12,13 @@
 from types import MappingProxyType
 
 
+class DewpinError(Exception):
+    """Base class of the exceptions that the serving tier raises."""
+
+
 @unique
 class ErrorKind(StrEnum):
-    """What went wrong."""
+    """What went wrong; the values are sent between processes and to clients, and never change."""
 
     BAD_REQUEST = "bad_request"
     NO_ROUTE = "no_route"
@@ -44,50 +48,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ErrorAnswer:
-    """How an error is answered: `promises_not_run` is set for exactly the statuses that carry that promise."""
+class ErrorResponse:
+    """The response to a request that failed with an error of one kind.
+
+    `status`: HTTP status code.
+    `guarantees_not_run`: whether the status says that the request was not executed and never will be.
+    `log_level`: level of `logging` at which the error is logged.
+    """
 
     status: int
-    promises_not_run: bool
+    guarantees_not_run: bool
     log_level: int
 
 
-PROMISING_STATUSES = frozenset({402, 408, 421, 429, 503})
-"""The statuses that promise a caller that the request has not run and never will."""
+NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
+"""Statuses that guarantee the caller that the request was not executed and never will be."""
 
-ANSWERS: Mapping[ErrorKind, ErrorAnswer] = MappingProxyType(
+ERROR_RESPONSES: Mapping[ErrorKind, ErrorResponse] = MappingProxyType(
     {
-        ErrorKind.BAD_REQUEST: ErrorAnswer(400, False, logging.INFO),
-        ErrorKind.NO_ROUTE: ErrorAnswer(404, False, logging.DEBUG),
-        ErrorKind.BODY_TOO_LARGE: ErrorAnswer(413, False, logging.INFO),
-        ErrorKind.HEADERS_TOO_LARGE: ErrorAnswer(431, False, logging.INFO),
-        ErrorKind.REQUEST_TIMEOUT: ErrorAnswer(408, True, logging.INFO),
-        ErrorKind.BUDGET_SPENT: ErrorAnswer(402, True, logging.DEBUG),
-        ErrorKind.TURN_UNKNOWN: ErrorAnswer(404, False, logging.DEBUG),
-        ErrorKind.STORE_UNAVAILABLE: ErrorAnswer(503, True, logging.WARNING),
-        ErrorKind.NO_CONFIGURATION: ErrorAnswer(503, True, logging.INFO),
-        ErrorKind.OVERLOADED: ErrorAnswer(503, True, logging.INFO),
-        ErrorKind.NO_RECEIVER: ErrorAnswer(503, True, logging.INFO),
-        ErrorKind.STOPPING: ErrorAnswer(503, True, logging.DEBUG),
-        ErrorKind.RECEIVER_FAILED: ErrorAnswer(502, False, logging.INFO),
-        ErrorKind.DEADLINE_PASSED: ErrorAnswer(504, False, logging.INFO),
-        ErrorKind.CONFIGURATION_INVALID: ErrorAnswer(400, False, logging.WARNING),
-        ErrorKind.VERSION_MISMATCH: ErrorAnswer(412, False, logging.INFO),
-        ErrorKind.MACHINE_UNKNOWN: ErrorAnswer(404, False, logging.INFO),
-        ErrorKind.TOO_FEW_REMAIN: ErrorAnswer(409, False, logging.WARNING),
-        ErrorKind.ORDER_UNDER_WAY: ErrorAnswer(409, False, logging.INFO),
-        ErrorKind.NO_QUORUM: ErrorAnswer(504, False, logging.WARNING),
-        ErrorKind.STALE_EPOCH: ErrorAnswer(500, False, logging.INFO),
-        ErrorKind.BALLOT_REJECTED: ErrorAnswer(500, False, logging.DEBUG),
-        ErrorKind.UNKNOWN_MESSAGE: ErrorAnswer(400, False, logging.WARNING),
-        ErrorKind.UNREACHABLE: ErrorAnswer(502, False, logging.INFO),
-        ErrorKind.INTERNAL: ErrorAnswer(500, False, logging.ERROR),
+        ErrorKind.BAD_REQUEST: ErrorResponse(400, False, logging.INFO),
+        ErrorKind.NO_ROUTE: ErrorResponse(404, False, logging.DEBUG),
+        ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, False, logging.INFO),
+        ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431, False, logging.INFO),
+        ErrorKind.REQUEST_TIMEOUT: ErrorResponse(408, True, logging.INFO),
+        ErrorKind.BUDGET_SPENT: ErrorResponse(402, True, logging.DEBUG),
+        ErrorKind.TURN_UNKNOWN: ErrorResponse(404, False, logging.DEBUG),
+        ErrorKind.STORE_UNAVAILABLE: ErrorResponse(503, True, logging.WARNING),
+        ErrorKind.NO_CONFIGURATION: ErrorResponse(503, True, logging.INFO),
+        ErrorKind.OVERLOADED: ErrorResponse(503, True, logging.INFO),
+        ErrorKind.NO_RECEIVER: ErrorResponse(503, True, logging.INFO),
+        ErrorKind.STOPPING: ErrorResponse(503, True, logging.DEBUG),
+        ErrorKind.RECEIVER_FAILED: ErrorResponse(502, False, logging.INFO),
+        ErrorKind.DEADLINE_PASSED: ErrorResponse(504, False, logging.INFO),
+        ErrorKind.CONFIGURATION_INVALID: ErrorResponse(400, False, logging.WARNING),
+        ErrorKind.VERSION_MISMATCH: ErrorResponse(412, False, logging.INFO),
+        ErrorKind.MACHINE_UNKNOWN: ErrorResponse(404, False, logging.INFO),
+        ErrorKind.TOO_FEW_REMAIN: ErrorResponse(409, False, logging.WARNING),
+        ErrorKind.ORDER_UNDER_WAY: ErrorResponse(409, False, logging.INFO),
+        ErrorKind.NO_QUORUM: ErrorResponse(504, False, logging.WARNING),
+        ErrorKind.STALE_EPOCH: ErrorResponse(500, False, logging.INFO),
+        ErrorKind.BALLOT_REJECTED: ErrorResponse(500, False, logging.DEBUG),
+        ErrorKind.UNKNOWN_MESSAGE: ErrorResponse(400, False, logging.WARNING),
+        ErrorKind.UNREACHABLE: ErrorResponse(502, False, logging.INFO),
+        ErrorKind.INTERNAL: ErrorResponse(500, False, logging.ERROR),
     }
 )
 
 
-class TierError(Exception):
-    """An error of a known kind; `detail` is for logs and for the body of the answer."""
+class TierError(DewpinError):
+    """An error of a known kind.
+
+    `kind`: what went wrong.
+    `detail`: text for logs and for the body of the response; may be empty.
+    """
 
     def __init__(self, kind: ErrorKind, detail: str = "") -> None:
         super().__init__(f"{kind}: {detail}" if detail else str(kind))
@@ -95,6 +108,6 @@
         self.detail = detail
 
     @property
-    def answer(self) -> ErrorAnswer:
-        """Return how this error is answered."""
-        return ANSWERS[self.kind]
+    def response(self) -> ErrorResponse:
+        """Return the response to a request that failed with this error."""
+        return ERROR_RESPONSES[self.kind]
--- a/dewpin/cluster/logs.py
+++ b/dewpin/cluster/logs.py
@@ -178,7 +178,7 @@
 
 def log_error(error: TierError, **fields: object) -> None:
     """Log an error of the closed list at the level that the list gives its kind."""
-    level = error.answer.log_level
+    level = error.response.log_level
     if _logger.isEnabledFor(level):
         details = {"kind": error.kind.value, "detail": error.detail, **fields}
         _logger.log(level, Event.ERROR.value, extra={"fields": details})
--- a/dewpin/cluster/message_fields.py
+++ b/dewpin/cluster/message_fields.py
@@ -5,10 +5,12 @@
 
 from typing import Any
 
+from .errors import DewpinError
+
 Message = dict[str, Any]
 
 
-class MalformedMessage(ValueError):
+class MalformedMessageError(DewpinError, ValueError):
     """A message whose field is missing or of another kind. `field`: its name; `wanted`: what it has to be."""
 
     def __init__(self, field: str, wanted: str) -> None:
@@ -21,7 +23,7 @@
     """Return a field that holds text."""
     value = message.get(field)
     if not isinstance(value, str):
-        raise MalformedMessage(field, "text")
+        raise MalformedMessageError(field, "text")
     return value
 
 
@@ -34,7 +36,7 @@
     """Return a field that holds a whole number."""
     value = message.get(field)
     if type(value) is not int:
-        raise MalformedMessage(field, "a whole number")
+        raise MalformedMessageError(field, "a whole number")
     return value
 
 
@@ -42,7 +44,7 @@
     """Return a field that holds true or false."""
     value = message.get(field)
     if not isinstance(value, bool):
-        raise MalformedMessage(field, "true or false")
+        raise MalformedMessageError(field, "true or false")
     return value
 
 
@@ -51,14 +53,14 @@
     try:
         return text(message, field).encode("latin-1")
     except UnicodeEncodeError:
-        raise MalformedMessage(field, "bytes as latin-1 text") from None
+        raise MalformedMessageError(field, "bytes as latin-1 text") from None
 
 
 def object_or_none(message: Message, field: str) -> Message | None:
     """Return a field that holds an object or null; it has to be there."""
     value = _present(message, field)
     if value is not None and not isinstance(value, dict):
-        raise MalformedMessage(field, "an object or null")
+        raise MalformedMessageError(field, "an object or null")
     return value
 
 
@@ -66,7 +68,7 @@
     """Return a field that holds an object."""
     value = message.get(field)
     if not isinstance(value, dict):
-        raise MalformedMessage(field, "an object")
+        raise MalformedMessageError(field, "an object")
     return value
 
 
@@ -74,7 +76,7 @@
     """Return a field that holds a list of objects."""
     values = message.get(field)
     if not isinstance(values, list) or not all(isinstance(value, dict) for value in values):
-        raise MalformedMessage(field, "a list of objects")
+        raise MalformedMessageError(field, "a list of objects")
     return values
 
 
@@ -82,7 +84,7 @@
     """Return a field that holds a list of texts."""
     values = message.get(field)
     if not isinstance(values, list) or not all(isinstance(value, str) for value in values):
-        raise MalformedMessage(field, "a list of texts")
+        raise MalformedMessageError(field, "a list of texts")
     return values
 
 
@@ -92,7 +94,7 @@
         case [int(counter), str(proposer)] if not isinstance(counter, bool):
             return counter, proposer
         case _:
-            raise MalformedMessage(field, "a ballot")
+            raise MalformedMessageError(field, "a ballot")
 
 
 def ballot_or_none(message: Message, field: str) -> tuple[int, str] | None:
@@ -101,12 +103,12 @@
 
 
 def check_type(message: Message, wanted: str) -> None:
-    """Raise MalformedMessage unless the message is of this type."""
+    """Raise MalformedMessageError unless the message is of this type."""
     if message.get("type") != wanted:
-        raise MalformedMessage("type", wanted)
+        raise MalformedMessageError("type", wanted)
 
 
 def _present(message: Message, field: str) -> Any:
     if field not in message:
-        raise MalformedMessage(field, "a value or null")
+        raise MalformedMessageError(field, "a value or null")
     return message[field]
--- a/dewpin/cluster/netstring.py
+++ b/dewpin/cluster/netstring.py
@@ -11,6 +11,8 @@
 import json
 from typing import Any
 
+from .errors import DewpinError
+
 MOST_BYTES = 32 * 1024 * 1024
 RAW = "raw"
 """The key of an object's raw bytes."""
@@ -19,7 +21,7 @@
 JsonObject = dict[str, Any]
 
 
-class FrameError(ValueError):
+class FrameError(DewpinError, ValueError):
     """Bytes that are no frame, or a frame over the bound; the connection they came on is of no more use."""
 
 
--- a/dewpin/cluster/placement.py
+++ b/dewpin/cluster/placement.py
@@ -83,7 +83,7 @@
     return size // 2 + 1
 
 
-def most_silent(members: int, count: int) -> int:
+def max_unreachable(members: int, count: int) -> int:
     """Return how many of all `members` may stay silent while every key's replicas still give a majority of answers."""
     size = min(members, count)
     return size - majority(size)
--- a/dewpin/cluster/platform_list.py
+++ b/dewpin/cluster/platform_list.py
@@ -10,13 +10,14 @@
 
 import urllib3
 
+from dewpin.cluster.errors import DewpinError
 from dewpin.cluster.receivers import Receiver, receiver_from_platform
 
 PAGE_LIMIT = 2000
 READ_TIMEOUT_S = 0.8
 
 
-class PlatformUnavailable(Exception):
+class PlatformUnavailableError(DewpinError):
     """The platform gave no whole list: silent, refusing, over its rate or not making sense."""
 
 
@@ -30,7 +31,7 @@
         )
 
     def read(self) -> list[Receiver]:
-        """All receivers, page by page. PlatformUnavailable unless every page came."""
+        """All receivers, page by page. PlatformUnavailableError unless every page came."""
         return list(self._pages())
 
     def _pages(self) -> Iterator[Receiver]:
@@ -41,10 +42,10 @@
                 yield from (receiver_from_platform(entry) for entry in page["instances"])
                 token = page.get("next_token")
             except (KeyError, TypeError, ValueError, AttributeError) as fault:
-                raise PlatformUnavailable(repr(fault)) from None
+                raise PlatformUnavailableError(repr(fault)) from None
             if not token:
                 return
-        raise PlatformUnavailable("pages without end")
+        raise PlatformUnavailableError("pages without end")
 
     def _page(self, token: str | None) -> dict[str, Any]:
         url = f"http://{self._address}/instances"
@@ -53,23 +54,23 @@
         try:
             answer = self._pool.request("GET", url, redirect=False)
         except urllib3.exceptions.HTTPError as fault:
-            raise PlatformUnavailable(repr(fault)) from None
+            raise PlatformUnavailableError(repr(fault)) from None
         if answer.status != 200:
-            raise PlatformUnavailable(f"status {answer.status}")
+            raise PlatformUnavailableError(f"status {answer.status}")
         try:
             page = json.loads(answer.data)
         except ValueError as fault:
-            raise PlatformUnavailable(repr(fault)) from None
+            raise PlatformUnavailableError(repr(fault)) from None
         if not isinstance(page, dict):
-            raise PlatformUnavailable("not an object")
+            raise PlatformUnavailableError("not an object")
         return page
 
 
-class ReadsPlatform(Protocol):
+class PlatformReader(Protocol):
     """Reads the platform's list without holding the caller's loop up."""
 
     async def read(self, address: str) -> list[Receiver]:
-        """All receivers. PlatformUnavailable unless the whole list came."""
+        """All receivers. PlatformUnavailableError unless the whole list came."""
 
 
 class ThreadedPlatformReader:
@@ -80,11 +81,11 @@
         self._address: str | None = None
 
     async def read(self, address: str) -> list[Receiver]:
-        """All receivers. PlatformUnavailable unless the whole list came; the next reading connects anew then."""
+        """All receivers. PlatformUnavailableError unless the whole list came; the next reading connects anew then."""
         if self._list is None or self._address != address:
             self._list, self._address = PlatformList(address), address
         try:
             return await asyncio.get_running_loop().run_in_executor(None, self._list.read)
-        except PlatformUnavailable:
+        except PlatformUnavailableError:
             self._list = None
             raise
--- a/dewpin/cluster/relay_messages.py
+++ b/dewpin/cluster/relay_messages.py
@@ -129,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayNews:
+class RelayUpdate:
     """The answer to a watch. `state` and `receivers` are there if newer than asked for, the state without its
     configuration's body where the caller has that or is to fetch it by pages; `receivers_version`,
     `list_age_s` and `knowledge_age_s` (as in a grant) are those of whoever answers; earlier releases don't tell the
@@ -156,7 +156,7 @@
         return message
 
     @classmethod
-    def decode(cls, message: Message) -> RelayNews:
+    def decode(cls, message: Message) -> RelayUpdate:
         """The news of a message. KeyError, TypeError or ValueError if it is none."""
         receivers = message.get("receivers")
         return cls(
--- a/dewpin/cluster/relay_service.py
+++ b/dewpin/cluster/relay_service.py
@@ -12,7 +12,7 @@
 from .body_pages import fits_page
 from .errors import ErrorKind
 from .receivers import ReceiverDirectory
-from .relay_messages import RelayNews, StateJson, WatchRequest, generation_of, has_body, rounded_up_s, without_body
+from .relay_messages import RelayUpdate, StateJson, WatchRequest, generation_of, has_body, rounded_up_s, without_body
 from .rpc import Message, RpcError
 
 WATCH_HEARTBEAT_S = 1.0
@@ -82,10 +82,10 @@
     return without_body(state) if is_held or not fits_page(configuration["body"]) else state
 
 
-def _news(knowledge: RelayedKnowledge, request: WatchRequest) -> RelayNews:
+def _news(knowledge: RelayedKnowledge, request: WatchRequest) -> RelayUpdate:
     directory = knowledge.directory
     has_receivers = directory.version > request.receivers_version
-    return RelayNews(
+    return RelayUpdate(
         receivers_version=directory.version,
         list_age_s=knowledge.list_age_s,
         knowledge_age_s=rounded_up_s(knowledge.age_s),
--- a/dewpin/cluster/rpc.py
+++ b/dewpin/cluster/rpc.py
@@ -18,8 +18,9 @@
 from typing import Any
 
 from .compression import CompressedOutput, IncomingBytes
+from .errors import DewpinError
 from .netstring import Decoder, FrameError
-from .rpc_frames import AnswerFrame, BadFrame, RequestFrame
+from .rpc_frames import AnswerFrame, InvalidFrameError, RequestFrame
 from .rpc_frames import Message as Message
 from .running_tasks import forget_current_task
 
@@ -37,7 +38,7 @@
 log = logging.getLogger(__name__)
 
 
-class RpcError(Exception):
+class RpcError(DewpinError):
     """A call that got no answer, or an error as its answer. `kind` is a word from the answer, or one of `timeout`,
     `connect`, `closed`, `too_large`. `message` is the whole error answer where there was one."""
 
@@ -113,7 +114,7 @@
         for frame in frames:
             try:
                 request = RequestFrame.decode(frame)
-            except BadFrame:
+            except InvalidFrameError:
                 raise FrameError("not a request") from None
             if len(self._tasks) >= MOST_UNANSWERED:
                 raise FrameError("too many requests unanswered")
@@ -222,7 +223,7 @@
         try:
             for piece in self._incoming.decode(data):
                 self._take(self._decoder.feed(piece))
-        except (FrameError, BadFrame):
+        except (FrameError, InvalidFrameError):
             self.abort()
 
     def _take(self, frames: list[dict[str, Any]]) -> None:
--- a/dewpin/cluster/rpc_frames.py
+++ b/dewpin/cluster/rpc_frames.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, ClassVar, Self
 
+from .errors import DewpinError
 from .netstring import RAW, encode
 
 Message = dict[str, Any]
@@ -18,7 +19,7 @@
 PROTOCOL_VERSION = 1
 
 
-class BadFrame(ValueError):
+class InvalidFrameError(DewpinError, ValueError):
     """A frame of another version or without its parts."""
 
 
@@ -39,12 +40,12 @@
 
     @classmethod
     def decode(cls, frame: dict[str, Any]) -> Self:
-        """The frame of a netstring's object. BadFrame if it is none."""
+        """The frame of a netstring's object. InvalidFrameError if it is none."""
         number, message = frame.get(cls.number_key), frame.get("m")
         if frame.get("v") != PROTOCOL_VERSION or type(number) is not int or not isinstance(message, dict):
-            raise BadFrame
+            raise InvalidFrameError
         if RAW in message:  # raw bytes stand beside the message, never in its JSON
-            raise BadFrame
+            raise InvalidFrameError
         if RAW in frame:
             message[RAW] = frame[RAW]
         return cls(number, message)
--- a/dewpin/cluster/settings/building.py
+++ b/dewpin/cluster/settings/building.py
@@ -6,7 +6,7 @@
 from types import MappingProxyType
 from typing import cast
 
-from ..checking import value_or
+from ..validation import value_or
 from .model import Bounds, Cloud, FaultTolerance, MachineLimits, PortRange, Settings
 from .schema import RawBounds, RawCloud, RawFaultTolerance, RawLimits, RawSettings
 
--- a/dewpin/cluster/settings/reading.py
+++ b/dewpin/cluster/settings/reading.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NoReturn, cast
 
-from ..checking import Fault, InvalidInput, JsonObject, check_shape
+from ..validation import Fault, InvalidInputError, JsonObject, check_shape
 from .building import build_settings
 from .model import Settings
 from .rules import check_rules
@@ -17,29 +17,29 @@
 FAULTY_SETTINGS_EXIT_CODE = 2
 
 
-class SettingsInvalid(InvalidInput):
+class InvalidSettingsError(InvalidInputError):
     """Every fault of a settings file."""
 
     summary = "invalid settings"
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read and check a settings file; raises SettingsInvalid with every fault, also when it cannot be read."""
+    """Read and check a settings file; raises InvalidSettingsError with every fault, also when it cannot be read."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsInvalid([Fault("", f"cannot read {path}: {error.strerror}")]) from None
+        raise InvalidSettingsError([Fault("", f"cannot read {path}: {error.strerror}")]) from None
     except ValueError as error:
-        raise SettingsInvalid([Fault("", f"cannot read {path}: {error}")]) from None
+        raise InvalidSettingsError([Fault("", f"cannot read {path}: {error}")]) from None
     return parse_settings(raw)
 
 
 def parse_settings(raw: JsonObject) -> Settings:
-    """Check the content of a settings file; raises SettingsInvalid with every fault."""
+    """Check the content of a settings file; raises InvalidSettingsError with every fault."""
     faults = check_shape(raw, RawSettings)
     faults += check_rules(raw, faults)
     if faults:
-        raise SettingsInvalid(faults)
+        raise InvalidSettingsError(faults)
     return build_settings(cast(RawSettings, raw))
 
 
@@ -50,7 +50,7 @@
         _exit_with([f"{BOOT_VARIABLE}: expected the path of a settings file, got nothing"])
     try:
         return load_settings(path)
-    except SettingsInvalid as invalid:
+    except InvalidSettingsError as invalid:
         _exit_with([f"{path}: {line}" for line in invalid.lines()])
 
 
--- a/dewpin/cluster/settings/rules.py
+++ b/dewpin/cluster/settings/rules.py
@@ -4,7 +4,7 @@
 
 from .. import logs
 from ..addresses import HIGHEST_PORT, is_address, is_ipv4
-from ..checking import Fault, JsonObject, expected
+from ..validation import Fault, JsonObject, expected
 from .model import LISTEN_ADDRESSES_OF_SERVICE, STORE, Bounds, FaultTolerance, MachineLimits
 
 
--- a/dewpin/cluster/settings_watch.py
+++ b/dewpin/cluster/settings_watch.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from .logs import Event, log_event
-from .settings import Settings, SettingsInvalid, load_settings
+from .settings import InvalidSettingsError, Settings, load_settings
 
 POLL_PERIOD_S = 2.0
 
@@ -39,7 +39,7 @@
         self._seen = content
         try:
             settings = load_settings(self._path)
-        except SettingsInvalid as invalid:
+        except InvalidSettingsError as invalid:
             log_event(Event.SETTINGS_REJECTED, faults=invalid.lines())
             return None
         if settings == self._running:
--- a/dewpin/cluster/store_messages.py
+++ b/dewpin/cluster/store_messages.py
@@ -16,8 +16,8 @@
 
 TURN_PUT = "turn.put"
 TURN_STORED = "turn.stored"
-TURN_CHAIN = "turn.chain"
-TURN_LINKS = "turn.links"
+TURN_HISTORY = "turn.chain"
+TURN_HISTORY_PAGE = "turn.links"
 LEDGER_PREPARE = "ledger.prepare"
 LEDGER_ACCEPT = "ledger.accept"
 PULL_INDEX = "store.pull_index"
@@ -61,7 +61,7 @@
 
     @staticmethod
     def from_json(value: Message) -> TurnRecord:
-        """Return the record of a JSON object made by `to_json`. MalformedMessage if it is none."""
+        """Return the record of a JSON object made by `to_json`. MalformedMessageError if it is none."""
         return TurnRecord(
             read.text(value, "turn"),
             read.text(value, "program"),
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChainLinks:
+class HistoryPage:
     """A run of a chain, newest first. `following` is the link after the last one; `absent` says that the store has
     no such turn, otherwise it is only left for the next request. `foreign` are links kept for other programs only."""
 
@@ -85,7 +85,7 @@
     def to_json(self) -> Message:
         """Return the run as an answer."""
         return {
-            "type": TURN_LINKS,
+            "type": TURN_HISTORY_PAGE,
             "links": [link.to_json() for link in self.links],
             "following": self.following,
             "absent": self.absent,
@@ -93,12 +93,12 @@
         }
 
     @staticmethod
-    def from_json(value: Message) -> ChainLinks:
-        """Return the run of an answer made by `to_json`. MalformedMessage if it is none."""
-        read.check_type(value, TURN_LINKS)
+    def from_json(value: Message) -> HistoryPage:
+        """Return the run of an answer made by `to_json`. MalformedMessageError if it is none."""
+        read.check_type(value, TURN_HISTORY_PAGE)
         links = tuple(TurnRecord.from_json(link) for link in read.objects(value, "links"))
         following = read.text_or_none(value, "following")
-        return ChainLinks(links, following, read.truth(value, "absent"), frozenset(read.texts(value, "foreign")))
+        return HistoryPage(links, following, read.truth(value, "absent"), frozenset(read.texts(value, "foreign")))
 
 
 def request(kind: str, view: StoreView, member: str, /, **fields: Any) -> Message:
--- a/dewpin/cluster/sender_requests.py
+++ b/dewpin/cluster/store_requests.py
@@ -1,7 +1,8 @@
-"""What senders ask of stores: turns to keep, chains to read, and the two rounds of a ledger's ballot.
+"""Requests that senders send to stores: turns to store, conversation histories to read, and the two phases of a ballot
+for a program's budget ledger.
 
-A ballot's replies are those of `dewpin.consensus.messages`; `ChainLinks` answers a read of a chain. A ballot travels as
-the pair of its counter and its proposer.
+The replies to a ballot are those of `dewpin.consensus.messages`; the reply to a `HistoryRequest` is a `HistoryPage`. On
+the wire a ballot is the pair of its counter and its proposer.
 """
 
 from __future__ import annotations
@@ -47,16 +48,16 @@
 
     @classmethod
     def decode(cls, message: Message) -> RequestHeader:
-        """The header of a message. MalformedMessage if there is none."""
+        """The header of a message. MalformedMessageError if there is none."""
         epoch, member = read.whole_number(message, "epoch"), read.text(message, "to")
         return cls(epoch, member, _view(message) if message.get("view") is not None else None)
 
 
 @dataclass(frozen=True, slots=True)
-class TurnChain:
+class HistoryRequest:
     """Asks for the chain that ends with the turn `previous`, as far as it is there and fits an answer."""
 
-    kind: ClassVar[str] = wire.TURN_CHAIN
+    kind: ClassVar[str] = wire.TURN_HISTORY
     program: str
     previous: str
 
@@ -65,13 +66,13 @@
         return {"program": self.program, "previous": self.previous}
 
     @classmethod
-    def decode(cls, message: Message) -> TurnChain:
-        """The request of a message. MalformedMessage if it is none."""
+    def decode(cls, message: Message) -> HistoryRequest:
+        """The request of a message. MalformedMessageError if it is none."""
         return cls(read.text(message, "program"), read.text(message, "previous"))
 
 
 @dataclass(frozen=True, slots=True)
-class LedgerPrepare:
+class LedgerPrepareRequest:
     """First round of a ballot for a program's ledger."""
 
     kind: ClassVar[str] = wire.LEDGER_PREPARE
@@ -83,13 +84,13 @@
         return {"program": self.program, "ballot": list(self.ballot)}
 
     @classmethod
-    def decode(cls, message: Message) -> LedgerPrepare:
-        """The request of a message. MalformedMessage if it is none."""
+    def decode(cls, message: Message) -> LedgerPrepareRequest:
+        """The request of a message. MalformedMessageError if it is none."""
         return cls(read.text(message, "program"), read.ballot(message, "ballot"))
 
 
 @dataclass(frozen=True, slots=True)
-class LedgerAccept:
+class LedgerAcceptRequest:
     """Second round of a ballot. `next_ballot` is to be promised beside, for the sender's next change."""
 
     kind: ClassVar[str] = wire.LEDGER_ACCEPT
@@ -109,8 +110,8 @@
         }
 
     @classmethod
-    def decode(cls, message: Message) -> LedgerAccept:
-        """The request of a message. MalformedMessage if it is none."""
+    def decode(cls, message: Message) -> LedgerAcceptRequest:
+        """The request of a message. MalformedMessageError if it is none."""
         return cls(
             read.text(message, "program"),
             read.ballot(message, "ballot"),
@@ -120,13 +121,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnPut:
+class PutTurnsRequest:
     """Asks to keep turns, and to take part in the second round of a ballot beside. Earlier releases know turns only:
     they keep them and leave the ballot alone."""
 
     kind: ClassVar[str] = wire.TURN_PUT
     turns: tuple[TurnRecord, ...]
-    accept: LedgerAccept | None = None
+    accept: LedgerAcceptRequest | None = None
 
     def fields(self) -> Message:
         """The request's own part of its form on the wire."""
@@ -136,16 +137,16 @@
         return fields
 
     @classmethod
-    def decode(cls, message: Message) -> TurnPut:
-        """The request of a message. MalformedMessage if it is none."""
+    def decode(cls, message: Message) -> PutTurnsRequest:
+        """The request of a message. MalformedMessageError if it is none."""
         turns = tuple(TurnRecord.from_json(turn) for turn in read.objects(message, "turns"))
         if message.get("accept") is None:
             return cls(turns)
-        return cls(turns, LedgerAccept.decode(read.mapping(message, "accept")))
+        return cls(turns, LedgerAcceptRequest.decode(read.mapping(message, "accept")))
 
 
 @dataclass(frozen=True, slots=True)
-class TurnStored:
+class PutTurnsReply:
     """Tells that the turns are on disk; `reply` is that to the ballot beside them, if there was one, in the form of
     `dewpin.consensus.messages`."""
 
@@ -158,8 +159,8 @@
         return {"type": wire.TURN_STORED, "reply": self.reply}
 
     @classmethod
-    def decode(cls, message: Message) -> TurnStored:
-        """The answer of a message. MalformedMessage if it is none."""
+    def decode(cls, message: Message) -> PutTurnsReply:
+        """The answer of a message. MalformedMessageError if it is none."""
         read.check_type(message, wire.TURN_STORED)
         if message.get("reply") is None:
             return cls()
@@ -170,4 +171,4 @@
     try:
         return StoreView.from_json(message["view"])
     except ValueError:
-        raise read.MalformedMessage("view", "a view of stores") from None
+        raise read.MalformedMessageError("view", "a view of stores") from None
--- a/dewpin/cluster/store_view.py
+++ b/dewpin/cluster/store_view.py
@@ -11,7 +11,7 @@
 from functools import cached_property
 from typing import Any
 
-from dewpin.cluster.placement import most_silent, replicas
+from dewpin.cluster.placement import max_unreachable, replicas
 
 JsonObject = Mapping[str, Any]
 
@@ -75,9 +75,9 @@
         """Tell whether `member` is a replica of `key` before or after the change."""
         return any(member in replica_set for replica_set in self.write_sets(key, count))
 
-    def most_silent(self, count: int) -> int:
+    def max_unreachable(self, count: int) -> int:
         """Return how many stable members may stay silent while every key still has a majority of its replicas."""
-        return most_silent(len(self.stable), count)
+        return max_unreachable(len(self.stable), count)
 
     def to_json(self) -> dict[str, Any]:
         """Return the view as the JSON object that the system state holds: addresses by member id."""
--- a/dewpin/cluster/checking.py
+++ b/dewpin/cluster/validation.py
@@ -4,7 +4,7 @@
 such as `routes[3].split[0].weight`. It knows the annotations that messages are made of: `str`, `bool`, `int`, `float`,
 `None`, unions, `list[X]`, `dict[str, X]`, `object` and `TypedDict` classes. Fields that a typed dictionary does not
 name are ignored. An optional field that is `null` counts as absent when its annotation includes `None`. Whoever rejects
-an input raises an `InvalidInput` with all its faults.
+an input raises an `InvalidInputError` with all its faults.
 """
 
 import math
@@ -14,6 +14,8 @@
 from functools import cache
 from typing import Any, NotRequired, Required, Self, TypeVar, Union, get_args, get_origin, get_type_hints, is_typeddict
 
+from .errors import DewpinError
+
 JsonObject = dict[str, Any]
 """An object as `json.loads` or `tomllib.loads` returns it."""
 
@@ -44,7 +46,7 @@
         return self.place == place or self.place.startswith((place + ".", place + "["))
 
 
-class InputFault(ValueError):
+class InputFaultError(DewpinError, ValueError):
     """One fault of an input as an error; `place` names the field, `message` says what is wrong with it."""
 
     def __init__(self, fault: Fault) -> None:
@@ -53,14 +55,14 @@
         self.message = fault.message
 
 
-class InvalidInput(ExceptionGroup[InputFault]):
+class InvalidInputError(DewpinError, ExceptionGroup[InputFaultError]):
     """Every fault of an input that was rejected; a subclass for each kind of input says what it is."""
 
     summary = "invalid input"
 
     def __new__(cls, faults: Iterable[Fault]) -> Self:
         """Group the faults; there has to be at least one."""
-        return super().__new__(cls, cls.summary, [InputFault(fault) for fault in faults])
+        return super().__new__(cls, cls.summary, [InputFaultError(fault) for fault in faults])
 
     def lines(self) -> list[str]:
         """Return one line per fault, each with its place."""
--- a/dewpin/controlplane/control_server.py
+++ b/dewpin/controlplane/control_server.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from dewpin.cluster.placement import location_of
-from dewpin.cluster.platform_list import ReadsPlatform
+from dewpin.cluster.platform_list import PlatformReader
 from dewpin.cluster.ports import control_plane_address
 from dewpin.cluster.rpc import Handler, RpcClient
 from dewpin.cluster.settings import Bounds, Settings
@@ -67,7 +67,7 @@
         client: RpcClient,
         rng: random.Random,
         clock: Callable[[], float] = time.monotonic,
-        platform: ReadsPlatform | None = None,
+        platform: PlatformReader | None = None,
     ) -> None:
         self.settings = settings
         self.clock = clock
--- a/dewpin/controlplane/operator_api.py
+++ b/dewpin/controlplane/operator_api.py
@@ -14,8 +14,8 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any, TypeVar
 
-from dewpin.cluster.body_messages import patch_digest_of
-from dewpin.cluster.configuration import ConfigurationInvalid, parse_configuration, parse_patch
+from dewpin.cluster.body_messages import patch_digest
+from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration, parse_patch
 from dewpin.controlplane.register.register import RegisterUnavailable, SystemRegister
 from dewpin.controlplane.register.system_state import (
     AnotherVersionIsCurrent,
@@ -27,7 +27,7 @@
     SystemState,
     TooFewWouldRemain,
     UnknownMachine,
-    digest_of,
+    configuration_digest,
     patch_configuration,
     put_configuration,
     retirement_is_done,
@@ -86,7 +86,7 @@
     try:
         body.decode("utf-8")
         return parse(body)
-    except ConfigurationInvalid as invalid:
+    except InvalidConfigurationError as invalid:
         raise _fault(400, *invalid.lines()) from None
     except UnicodeDecodeError:
         raise _fault(400, "the body is not UTF-8") from None
@@ -104,14 +104,14 @@
         """Config.Put."""
         base = _base_version(base_header)
         configuration = _checked(parse_configuration, body)
-        order = _Order(configuration.generation, digest_of(body, base))
+        order = _Order(configuration.generation, configuration_digest(body, base))
         return self._take(order, put_configuration(body, configuration.generation, base))
 
     def patch(self, body: bytes, base_header: str | None) -> Answer:
         """Config.Patch."""
         base = _base_version(base_header)
         patch = _checked(parse_patch, body)
-        order = _Order(patch.generation, patch_digest_of(body, base))
+        order = _Order(patch.generation, patch_digest(body, base))
         return self._take(order, patch_configuration(patch, order.digest, base))
 
     def _take(self, order: _Order, change: Change) -> Answer:
--- a/dewpin/controlplane/platform_list_reader.py
+++ b/dewpin/controlplane/platform_list_reader.py
@@ -9,7 +9,7 @@
 import logging
 from collections.abc import Callable, Iterable
 
-from dewpin.cluster.platform_list import PlatformUnavailable, ReadsPlatform, ThreadedPlatformReader
+from dewpin.cluster.platform_list import PlatformReader, PlatformUnavailableError, ThreadedPlatformReader
 from dewpin.cluster.receivers import DirectoryVersion, Receiver, ReceiverDirectory
 from dewpin.cluster.settings import Cloud
 
@@ -26,7 +26,7 @@
     """Fills a directory from the platform's list. `drain_s`: for how long a receiver that is leaving goes on."""
 
     def __init__(
-        self, member: str, drain_s: float, clock: Callable[[], float], platform: ReadsPlatform | None = None
+        self, member: str, drain_s: float, clock: Callable[[], float], platform: PlatformReader | None = None
     ) -> None:
         self.directory = ReceiverDirectory()
         self.period_s = drain_s / READINGS_IN_DRAIN
@@ -77,7 +77,7 @@
         began_s = self._clock()
         try:
             receivers = await self._platform.read(cloud.address)
-        except PlatformUnavailable as fault:
+        except PlatformUnavailableError as fault:
             self.has_failed = True
             log.info("list_reader.unavailable", extra={"why": str(fault)})
             return False
--- a/dewpin/controlplane/register/configuration_bodies.py
+++ b/dewpin/controlplane/register/configuration_bodies.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection
 from typing import cast
 
-from dewpin.cluster.body_messages import BodyPage, BodyRequest, digest_of
+from dewpin.cluster.body_messages import BodyPage, BodyRequest, configuration_digest
 from dewpin.cluster.rpc import Message, RpcClient, RpcError
 from dewpin.controlplane.register.messages import BODY, WireState
 from dewpin.controlplane.register.system_state import SystemState, base_of
@@ -101,7 +101,7 @@
             if digest in self._bodies:
                 return self._bodies[digest]
             body = await self._fetch(digest, source)
-            if digest_of(body.encode(), base) != digest:
+            if configuration_digest(body.encode(), base) != digest:
                 raise BodyUnavailable(f"{digest}: other bytes")
             self._bodies[digest] = body
             return body
--- a/dewpin/controlplane/register/register.py
+++ b/dewpin/controlplane/register/register.py
@@ -19,7 +19,7 @@
 from dewpin.controlplane.register.messages import ACCEPT, BODY, PREPARE, AcceptCall, PrepareCall, WireState
 from dewpin.controlplane.register.replica_storage import ReplicaStorage, WritesRows
 from dewpin.controlplane.register.system_state import Change, ChangeRefused, SystemState, quorum_sets
-from dewpin.controlplane.storage import StorageFailed
+from dewpin.controlplane.storage import StorageError
 
 log = logging.getLogger(__name__)
 
@@ -140,13 +140,13 @@
             async with asyncio.timeout(timeout_s):
                 await self._history.note(self.chosen)
                 return await self._history.was_taken(generation, digest)
-        except (TimeoutError, StorageFailed):
+        except (TimeoutError, StorageError):
             return None
 
     async def _note_orders(self, state: SystemState) -> None:
         try:
             await self._history.note(state)
-        except StorageFailed as fault:  # the next state tells of these orders too
+        except StorageError as fault:  # the next state tells of these orders too
             log.warning("register.orders_not_noted", extra={"why": repr(fault)})
 
     async def _handle_orders(self, message: Message) -> Message:
@@ -200,7 +200,7 @@
     async def _synced(self, write: Coroutine[Any, Any, None]) -> None:
         try:
             await write
-        except StorageFailed as fault:
+        except StorageError as fault:
             raise RpcError("storage_failed", str(fault)) from fault
 
     async def propose(self, change: Change, timeout_s: float) -> SystemState:
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -10,7 +10,7 @@
 from dewpin.consensus.replica import ZERO_BALLOT
 from dewpin.controlplane.register.messages import WireState
 from dewpin.controlplane.register.system_state import SystemState
-from dewpin.controlplane.storage import StorageDamaged
+from dewpin.controlplane.storage import StorageDamagedError
 
 REGISTER_KEY = "system"
 PROMISE_KEY = "system/promise"
@@ -52,7 +52,7 @@
         self._durable_ballot = self._replica.accepted
 
     async def persist(self) -> None:
-        """Writes the whole replica as it stands now; returns once it is synced. StorageFailed if it may not be."""
+        """Writes the whole replica as it stands now; returns once it is synced. StorageError if it may not be."""
         replica, accepted = self._replica, self._replica.accepted
         value, bodies = _without_body(replica.value)
         row = (REGISTER_KEY, json.dumps(replica.promised), json.dumps(accepted), json.dumps(value))
@@ -75,7 +75,7 @@
             digest = configuration["digest"]
             rows = await self._storage.query("SELECT body FROM register_bodies WHERE digest = ?", (digest,))
             if not rows:
-                raise StorageDamaged(f"no body {digest}")
+                raise StorageDamagedError(f"no body {digest}")
             configuration["body"] = rows[0][0]
         state: SystemState = value  # type: ignore[assignment]
         return state
--- a/dewpin/controlplane/register/system_state.py
+++ b/dewpin/controlplane/register/system_state.py
@@ -10,8 +10,8 @@
 from types import MappingProxyType
 from typing import NotRequired, TypedDict
 
-from dewpin.cluster.body_messages import digest_of as digest_of
-from dewpin.cluster.configuration import ConfigurationInvalid, ConfigurationPatch
+from dewpin.cluster.body_messages import configuration_digest as configuration_digest
+from dewpin.cluster.configuration import ConfigurationPatch, InvalidConfigurationError
 
 MOST_REMEMBERED_CONFIGURATIONS = 128
 """Orders of the operator that the state itself remembers; older ones are in each process's `OrderHistory`."""
@@ -151,7 +151,7 @@
 
 def put_configuration(body: bytes, generation: int, base: int) -> Change:
     """The change that takes a checked configuration in. The same order sent again changes nothing."""
-    digest = digest_of(body, base)
+    digest = configuration_digest(body, base)
     return _take_configuration(generation, base, digest, lambda current: body)
 
 
@@ -164,7 +164,7 @@
             raise PatchInvalid(["there is no configuration to patch yet"])
         try:
             return patch.apply(current["body"])
-        except ConfigurationInvalid as invalid:
+        except InvalidConfigurationError as invalid:
             raise PatchInvalid(invalid.lines()) from None
 
     return _take_configuration(patch.generation, base, order_digest, patched)
@@ -189,7 +189,7 @@
         body = body_after(configuration)
         following = successor(state)
         following["configuration"] = StoredConfiguration(
-            generation=generation, digest=digest_of(body, base), body=body.decode("utf-8")
+            generation=generation, digest=configuration_digest(body, base), body=body.decode("utf-8")
         )
         entry: list[int | str] = [generation, order_digest]
         following["orders_taken"] = orders_taken(state) + 1
--- a/dewpin/controlplane/storage.py
+++ b/dewpin/controlplane/storage.py
@@ -16,6 +16,8 @@
 from pathlib import Path
 from typing import Any, Generic, TypeVar
 
+from dewpin.cluster.errors import DewpinError
+
 DATABASE_NAME = "keeper.sqlite3"
 """Name of the database file inside the data folder; a new release must find the data of an earlier one."""
 DAMAGED_MARK = "keeper.damaged"
@@ -68,15 +70,15 @@
 """Statements that lead from a schema version to the next one."""
 
 
-class StorageFailed(Exception):
+class StorageError(DewpinError):
     """A read or write that did not take place, or a write of which nobody knows whether it did."""
 
 
-class StorageDamaged(StorageFailed):
+class StorageDamagedError(StorageError):
     """The database file is damaged; the next start sets it aside and begins as another incarnation."""
 
 
-class SchemaTooNew(Exception):
+class SchemaTooNewError(DewpinError):
     """The database was written by a newer release; it is left untouched."""
 
 
@@ -126,7 +128,7 @@
     """Bring the schema to SCHEMA_VERSION, each step in a transaction of its own."""
     version = connection.execute("PRAGMA user_version").fetchone()[0]
     if version > SCHEMA_VERSION:
-        raise SchemaTooNew(f"the database has schema {version}, this release knows up to {SCHEMA_VERSION}")
+        raise SchemaTooNewError(f"the database has schema {version}, this release knows up to {SCHEMA_VERSION}")
     while version < SCHEMA_VERSION:
         connection.execute("BEGIN IMMEDIATE")
         for statement in _MIGRATIONS[version]:
@@ -167,12 +169,12 @@
         return _connect(folder)
     except sqlite3.DatabaseError as error:
         if not _is_damage(error):
-            raise StorageFailed(f"the database in {folder} cannot be opened: {error}") from error
+            raise StorageError(f"the database in {folder} cannot be opened: {error}") from error
     _set_aside(folder, log)
     try:
         return _connect(folder)
     except sqlite3.Error as error:
-        raise StorageFailed(f"the database in {folder} cannot be opened: {error}") from error
+        raise StorageError(f"the database in {folder} cannot be opened: {error}") from error
 
 
 def _incarnation(connection: sqlite3.Connection) -> str:
@@ -205,7 +207,7 @@
         log: Callable[[str], None] = _log_error,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Open (or make) the database; blocks until it is durable. Raises StorageFailed or SchemaTooNew."""
+        """Open (or make) the database; blocks until it is durable. Raises StorageError or SchemaTooNewError."""
         self._folder = Path(data_dir)
         self._log = log
         self._clock = clock
@@ -221,7 +223,7 @@
         self._thread.start()
 
     async def write(self, statements: Sequence[Statement]) -> None:
-        """Run `statements` as one atomic change; return once it is synced. Raises StorageFailed."""
+        """Run `statements` as one atomic change; return once it is synced. Raises StorageError."""
 
         def work(connection: sqlite3.Connection) -> None:
             for sql, values in statements:
@@ -230,24 +232,24 @@
         await self.transact(work)
 
     async def query(self, sql: str, args: tuple[Any, ...] = ()) -> list[Row]:
-        """Return the rows of a query, which sees every write awaited before. Raises StorageFailed."""
+        """Return the rows of a query, which sees every write awaited before. Raises StorageError."""
         return await self.transact(lambda connection: connection.execute(sql, args).fetchall())
 
     async def transact(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
         """Run `work` on the storage thread inside a transaction; return its result once that is synced.
 
         `work` may be run twice (its first effects being undone) and must not begin or end transactions.
-        A write that raised StorageFailed may still turn out to have been kept. Raises StorageFailed.
+        A write that raised StorageError may still turn out to have been kept. Raises StorageError.
         """
         if self._disk_is_silent():
-            raise StorageFailed("the disk does not answer")
+            raise StorageError("the disk does not answer")
         loop = asyncio.get_running_loop()
         job: _Job[Result] = _Job(work, loop, loop.create_future())
         with self._ready:
             if self._closing:
-                raise StorageFailed("the storage is closed")
+                raise StorageError("the storage is closed")
             if len(self._jobs) >= MOST_WAITING:
-                raise StorageFailed("too many reads and writes wait for the disk")
+                raise StorageError("too many reads and writes wait for the disk")
             self._jobs.append(job)
             self._ready.notify()
         return await job.future
@@ -284,7 +286,7 @@
         self._commit_since_s = self._clock()
         try:
             if self.damaged:
-                raise StorageDamaged("the database is damaged")
+                raise StorageDamagedError("the database is damaged")
             self._connection.execute("BEGIN")
             for job in group:
                 job.error = None
@@ -306,8 +308,8 @@
             return error
         if isinstance(error, sqlite3.Error) and _is_damage(error):
             self._mark_damaged(error)
-            return StorageDamaged(str(error))
-        return StorageFailed(str(error))
+            return StorageDamagedError(str(error))
+        return StorageError(str(error))
 
     def _mark_damaged(self, error: sqlite3.Error) -> None:
         self.damaged = True
--- a/dewpin/controlplane/store/replica_sync.py
+++ b/dewpin/controlplane/store/replica_sync.py
@@ -16,7 +16,7 @@
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.rpc import Message, RpcError
 from dewpin.cluster.store_view import Member, StoreView
-from dewpin.controlplane.storage import StorageFailed
+from dewpin.controlplane.storage import StorageError
 from dewpin.controlplane.store import ledger_replica, turn_table
 from dewpin.controlplane.store.ledger_replica import LedgerRecord
 from dewpin.controlplane.store.store import Store
@@ -103,7 +103,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def _check_whole(self) -> None:
-        if self._unread <= self._view.most_silent(self._store.replica_count):
+        if self._unread <= self._view.max_unreachable(self._store.replica_count):
             self._whole.set()
 
     async def _read_source(self, source: Member) -> None:
@@ -117,7 +117,7 @@
             try:
                 await attempt()
                 return
-            except (RpcError, StorageFailed) as failure:
+            except (RpcError, StorageError) as failure:
                 log.info("sync.retry", extra={"why": str(failure)})
                 await asyncio.sleep(RETRY_S)
 
--- a/dewpin/controlplane/store/store.py
+++ b/dewpin/controlplane/store/store.py
@@ -11,13 +11,20 @@
 from typing import Protocol, TypeVar
 
 from dewpin.cluster import store_messages as wire
-from dewpin.cluster.message_fields import MalformedMessage
+from dewpin.cluster.message_fields import MalformedMessageError
 from dewpin.cluster.rpc import Message, RpcError
-from dewpin.cluster.sender_requests import LedgerAccept, LedgerPrepare, RequestHeader, TurnChain, TurnPut, TurnStored
+from dewpin.cluster.store_requests import (
+    HistoryRequest,
+    LedgerAcceptRequest,
+    LedgerPrepareRequest,
+    PutTurnsReply,
+    PutTurnsRequest,
+    RequestHeader,
+)
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Ballot, Reply
 from dewpin.consensus.messages import encode_reply
-from dewpin.controlplane.storage import StorageFailed
+from dewpin.controlplane.storage import StorageError
 from dewpin.controlplane.store import ledger_replica, ledger_retention, turn_table
 from dewpin.controlplane.store.transfer_messages import (
     IndexPage,
@@ -44,7 +51,7 @@
     """The part of the storage that a store needs."""
 
     async def transact(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """Run `work` in a transaction; return its result once it is synced. Raises StorageFailed."""
+        """Run `work` in a transaction; return its result once it is synced. Raises StorageError."""
 
 
 def time_of_day_ms() -> int:
@@ -78,7 +85,7 @@
         self._on_view = on_view
         self.handlers: dict[str, Callable[[Message], Awaitable[Message]]] = {
             wire.TURN_PUT: self._on_turn_put,
-            wire.TURN_CHAIN: self._on_turn_chain,
+            wire.TURN_HISTORY: self._on_turn_chain,
             wire.LEDGER_PREPARE: self._on_prepare,
             wire.LEDGER_ACCEPT: self._on_accept,
             wire.PULL_INDEX: self._on_pull_index,
@@ -91,7 +98,7 @@
         return self._wall_clock_ms()
 
     async def load(self) -> None:
-        """Take up the view that was adopted before the process ended. Raises StorageFailed."""
+        """Take up the view that was adopted before the process ended. Raises StorageError."""
         view = await self.storage.transact(_read_view)
         if view is not None:
             self._durable_epoch = view.epoch
@@ -110,7 +117,7 @@
         self._longest_retain_s = longest_retain_s
 
     async def make_view_durable(self) -> StoreView:
-        """Return the present view once no restart can bring an older one back. Raises StorageFailed."""
+        """Return the present view once no restart can bring an older one back. Raises StorageError."""
         view = self.view
         if view is None:
             raise RpcError(wire.STALE_EPOCH, "no view yet", {"view": None})
@@ -125,11 +132,11 @@
             await asyncio.sleep(PURGE_EVERY_S)
             try:
                 await self.purge_step()
-            except StorageFailed as failure:
+            except StorageError as failure:
                 log.warning("store.purge_failed", extra={"why": str(failure)})
 
     async def purge_step(self) -> int:
-        """Delete up to PURGE_STEP turns and as many ledgers; return how many went. Raises StorageFailed.
+        """Delete up to PURGE_STEP turns and as many ledgers; return how many went. Raises StorageError.
 
         No ledger goes before a configuration has told for how long they are to be kept."""
         now_ms, longest_retain_s = self.now_ms(), self._longest_retain_s
@@ -166,7 +173,7 @@
         """Run `work` on the storage; a view that was taken meanwhile makes the answer worthless."""
         try:
             result = await self.storage.transact(work)
-        except StorageFailed as failure:
+        except StorageError as failure:
             raise RpcError(wire.STORAGE_FAILED, str(failure)) from failure
         view = self.view
         if view is None or view.epoch != view_epoch:
@@ -174,7 +181,7 @@
         return result
 
     async def _on_turn_put(self, message: Message) -> Message:
-        asked = _decoded(TurnPut.decode, message)
+        asked = _decoded(PutTurnsRequest.decode, message)
         programs = {turn.program for turn in asked.turns}
         if asked.accept is not None:
             programs.add(asked.accept.program)
@@ -186,10 +193,10 @@
             turn_table.put(connection, asked.turns, now_ms, RETAIN_MARGIN_MS)
             return None if asked.accept is None else encode_reply(_accept(connection, asked.accept, now_ms))
 
-        return TurnStored(await self._transact(message["epoch"], work)).encode()
+        return PutTurnsReply(await self._transact(message["epoch"], work)).encode()
 
     async def _on_turn_chain(self, message: Message) -> Message:
-        asked = _decoded(TurnChain.decode, message)
+        asked = _decoded(HistoryRequest.decode, message)
         self._check(message)
         links = await self._transact(
             message["epoch"],
@@ -198,7 +205,7 @@
         return links.to_json()
 
     async def _on_prepare(self, message: Message) -> Message:
-        asked = _decoded(LedgerPrepare.decode, message)
+        asked = _decoded(LedgerPrepareRequest.decode, message)
         ballot = Ballot(*asked.ballot)
         self._check_key(message, asked.program)
         now_ms = self.now_ms()
@@ -208,7 +215,7 @@
         return encode_reply(reply)
 
     async def _on_accept(self, message: Message) -> Message:
-        asked = _decoded(LedgerAccept.decode, message)
+        asked = _decoded(LedgerAcceptRequest.decode, message)
         self._check_key(message, asked.program)
         now_ms = self.now_ms()
         reply = await self._transact(message["epoch"], lambda connection: _accept(connection, asked, now_ms))
@@ -219,7 +226,7 @@
         self._check(message)
         try:
             view = await self.make_view_durable()
-        except StorageFailed as failure:
+        except StorageError as failure:
             raise RpcError(wire.STORAGE_FAILED, str(failure)) from failure
         self._check(message)
         return view
@@ -259,11 +266,11 @@
     """Return what a message says. Raises RpcError if it is malformed."""
     try:
         return decode(message)
-    except MalformedMessage as fault:
+    except MalformedMessageError as fault:
         raise RpcError(wire.MALFORMED, str(fault)) from fault
 
 
-def _accept(connection: sqlite3.Connection, asked: LedgerAccept, now_ms: int) -> Reply:
+def _accept(connection: sqlite3.Connection, asked: LedgerAcceptRequest, now_ms: int) -> Reply:
     """Take part in the second round of a ledger's ballot."""
     ballot = Ballot(*asked.ballot)
     following = None if asked.next_ballot is None else Ballot(*asked.next_ballot)
--- a/dewpin/controlplane/store/turn_table.py
+++ b/dewpin/controlplane/store/turn_table.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from dewpin.cluster.store_messages import ChainLinks, TurnRecord
+from dewpin.cluster.store_messages import HistoryPage, TurnRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     )
 
 
-def chain(connection: sqlite3.Connection, program: str, last: str, most_bytes: int) -> ChainLinks:
+def chain(connection: sqlite3.Connection, program: str, last: str, most_bytes: int) -> HistoryPage:
     """Return the chain that ends with turn `last`, newest first, as far as it is here and up to about `most_bytes`."""
     links: list[TurnRecord] = []
     foreign: set[str] = set()
@@ -59,13 +59,13 @@
     while following is not None and size < most_bytes:
         record = _read(connection, program, following)
         if record is None:
-            return ChainLinks(tuple(links), following, True, frozenset(foreign))
+            return HistoryPage(tuple(links), following, True, frozenset(foreign))
         links.append(record)
         size += len(record.input) + len(record.output)
         if record.program != program:
             foreign.add(record.turn)
         following = record.previous
-    return ChainLinks(tuple(links), following, False, frozenset(foreign))
+    return HistoryPage(tuple(links), following, False, frozenset(foreign))
 
 
 def _read(connection: sqlite3.Connection, program: str, turn: str) -> TurnRecord | None:
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from dewpin.cluster import logs
-from dewpin.cluster.configuration import ConfigurationInvalid, parse_configuration
+from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration
 from dewpin.cluster.placement import location_of
 from dewpin.cluster.receivers import ReceiverDirectory
 from dewpin.cluster.rpc import RpcClient, RpcServer, split_address
@@ -139,7 +139,7 @@
             return
         try:
             self.state.configuration = parse_configuration(stored["body"].encode())
-        except ConfigurationInvalid as invalid:  # it was checked before it was agreed on: a fault of ours
+        except InvalidConfigurationError as invalid:  # it was checked before it was agreed on: a fault of ours
             log.error("sender.configuration_invalid", extra={"faults": invalid.lines()})
 
     def _on_receivers(self, directory: ReceiverDirectory) -> None:
--- a/dewpin/dataplane/http11/messages.py
+++ b/dewpin/dataplane/http11/messages.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 from typing import Protocol
 
-from dewpin.cluster.errors import ANSWERS, ErrorKind
+from dewpin.cluster.errors import ERROR_RESPONSES, ErrorKind
 
 REQUEST_ID = "x-dewpin-request-id"
 REQUEST_DEADLINE = "x-dewpin-request-deadline"
@@ -130,7 +130,7 @@
 
 def own_answer(kind: ErrorKind, detail: str = "", retry_after_s: float | None = None) -> Answer:
     """Return the sender's own answer to an error; `retry_after_s` tells when to come back."""
-    status = ANSWERS[kind].status
+    status = ERROR_RESPONSES[kind].status
     headers: list[HeaderField] = [("Content-Type", "text/plain; charset=utf-8")]
     if retry_after_s is not None:
         headers.append(("Retry-After", f"{retry_after_s:.3f}"))
--- a/dewpin/dataplane/membership/body_fetch.py
+++ b/dewpin/dataplane/membership/body_fetch.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from dewpin.cluster.body_messages import RELAY_BODY, BodyPage, BodyRequest, digest_of
+from dewpin.cluster.body_messages import RELAY_BODY, BodyPage, BodyRequest, configuration_digest
 from dewpin.cluster.body_pages import KnownBody
 from dewpin.cluster.rpc import RpcClient, RpcError
 
@@ -93,7 +93,7 @@
     async def _run(self, name: BodyName) -> None:
         while not self._is_whole():
             await self._fetch_page(name)
-            if self._is_whole() and digest_of(self._text.encode(), name.base) != name.digest:
+            if self._is_whole() and configuration_digest(self._text.encode(), name.base) != name.digest:
                 self._begin_anew(name)
         body = self._text
         self._task = None  # the owner asks for another body, or for none, as it takes this one
--- a/dewpin/dataplane/membership/cluster_agent.py
+++ b/dewpin/dataplane/membership/cluster_agent.py
@@ -15,14 +15,14 @@
 from dewpin.cluster.body_messages import RELAY_BODY
 from dewpin.cluster.body_pages import BodyPageService, KnownBody
 from dewpin.cluster.errors import ErrorKind
-from dewpin.cluster.platform_list import ReadsPlatform, ThreadedPlatformReader
+from dewpin.cluster.platform_list import PlatformReader, ThreadedPlatformReader
 from dewpin.cluster.ports import control_plane_address, data_plane_address
 from dewpin.cluster.receivers import ReceiverDirectory
 from dewpin.cluster.relay_messages import (
     LEASE_RELEASE,
     RELAY_WATCH,
     LeaseGrant,
-    RelayNews,
+    RelayUpdate,
     RenewRequest,
     StateJson,
     WatchRequest,
@@ -65,7 +65,7 @@
         on_state: Callable[[StateJson], None],
         on_receivers: Callable[[ReceiverDirectory], None],
         clock: Callable[[], float] = time.monotonic,
-        platform: ReadsPlatform | None = None,
+        platform: PlatformReader | None = None,
         on_senders: Callable[[int], None] = lambda senders: None,
     ) -> None:
         self.settings = settings
@@ -214,7 +214,7 @@
     async def _fetch_news(self, control_server: str) -> None:
         asked_s = self._clock()
         answer = await self._client.call(control_server, self._watch_request(waits=False).encode(), WATCH_TIMEOUT_S)
-        self._take_news(RelayNews.decode(answer), asked_s)
+        self._take_news(RelayUpdate.decode(answer), asked_s)
 
     def _seed_addresses(self) -> list[str]:
         ports = self.settings.port_range
@@ -226,7 +226,7 @@
         source, asked_s = self._watch_source(), self._clock()
         try:
             answer = await self._client.call(source, self._watch_request(waits=True).encode(), WATCH_TIMEOUT_S)
-            self._take_news(RelayNews.decode(answer), asked_s)
+            self._take_news(RelayUpdate.decode(answer), asked_s)
         except (RpcError, KeyError, TypeError, ValueError) as fault:
             self._shunned_until_s[source] = self._clock() + PARENT_SHUN_S
             log.debug("relay.parent_failed", extra={"parent": source, "why": repr(fault)})
@@ -242,7 +242,7 @@
     def _watch_request(self, waits: bool) -> WatchRequest:
         return WatchRequest(self.states.told_version, self.directory.version, waits, self.states.generation)
 
-    def _take_news(self, news: RelayNews, asked_s: float) -> None:
+    def _take_news(self, news: RelayUpdate, asked_s: float) -> None:
         """Takes an answer to a watch. Ages count from when it was asked: it may have been held up on its way."""
         changed = False
         if news.state is not None and self.states.take(news.state):
--- a/dewpin/dataplane/membership/receiver_list.py
+++ b/dewpin/dataplane/membership/receiver_list.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from dewpin.cluster.platform_list import PlatformUnavailable, ReadsPlatform
+from dewpin.cluster.platform_list import PlatformReader, PlatformUnavailableError
 from dewpin.cluster.receivers import DirectoryVersion, Receiver, ReceiverDirectory
 from dewpin.cluster.settings import Settings
 
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        platform: ReadsPlatform,
+        platform: PlatformReader,
         rng: random.Random,
         on_receivers: Callable[[ReceiverDirectory], None],
         clock: Callable[[], float],
@@ -81,7 +81,7 @@
         began_s = self._clock()
         try:
             receivers = await self._platform.read(cloud.address)
-        except PlatformUnavailable as fault:
+        except PlatformUnavailableError as fault:
             log.info("receivers.list_unavailable", extra={"why": str(fault)})
             return
         self._own_read_s = max(self._own_read_s, began_s)
--- a/dewpin/dataplane/programs/ledger_ballot.py
+++ b/dewpin/dataplane/programs/ledger_ballot.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from dewpin.cluster.message_fields import MalformedMessage, Message
-from dewpin.cluster.sender_requests import LedgerAccept, LedgerPrepare
+from dewpin.cluster.message_fields import MalformedMessageError, Message
+from dewpin.cluster.store_requests import LedgerAcceptRequest, LedgerPrepareRequest
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Accept, Ballot, Outcome, Proposal, Reply, Request, Result
 from dewpin.consensus.messages import decode_reply
@@ -36,11 +36,11 @@
 
 
 def ledger_reply(message: Message) -> Reply:
-    """Return the reply to a round of a ballot. MalformedMessage if the message tells none."""
+    """Return the reply to a round of a ballot. MalformedMessageError if the message tells none."""
     try:
         return decode_reply(message)
     except (KeyError, TypeError, ValueError) as fault:
-        raise MalformedMessage("reply", f"a replica's reply ({fault!r})") from fault
+        raise MalformedMessageError("reply", f"a replica's reply ({fault!r})") from fault
 
 
 class LedgerBallot:
@@ -56,11 +56,11 @@
         self.proposal = proposal
         self.following = following
 
-    def start(self) -> dict[str, LedgerPrepare | LedgerAccept]:
+    def start(self) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
         """Return the first requests, by member; none where a promise makes a read needless: it has ended then."""
         return self._by_member(self.proposal.start())
 
-    def receive(self, member: str, reply: Reply) -> dict[str, LedgerPrepare | LedgerAccept]:
+    def receive(self, member: str, reply: Reply) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
         """Take a replica's reply; return what to ask next, by member."""
         return self._by_member(self.proposal.receive(member, reply))
 
@@ -69,7 +69,7 @@
         """Tell whether its outcome is known."""
         return self.proposal.result is not None
 
-    def _by_member(self, requests: Iterable[Request]) -> dict[str, LedgerPrepare | LedgerAccept]:
+    def _by_member(self, requests: Iterable[Request]) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
         return {request.member: _to_store(request, self.program) for request in requests}
 
 
@@ -79,10 +79,10 @@
     def __init__(self, ballot: LedgerBallot) -> None:
         self._ballot = ballot
         self._accepts = {
-            member: request for member, request in ballot.start().items() if isinstance(request, LedgerAccept)
+            member: request for member, request in ballot.start().items() if isinstance(request, LedgerAcceptRequest)
         }
 
-    def accept_for(self, member: str, view: StoreView) -> LedgerAccept | None:
+    def accept_for(self, member: str, view: StoreView) -> LedgerAcceptRequest | None:
         """Return what a write under `view` carries to a member; nothing once the view has moved."""
         return self._accepts.get(member) if view.epoch == self._ballot.view.epoch else None
 
@@ -153,9 +153,9 @@
             self._prepared.popitem(last=False)
 
 
-def _to_store(request: Request, program: str) -> LedgerPrepare | LedgerAccept:
+def _to_store(request: Request, program: str) -> LedgerPrepareRequest | LedgerAcceptRequest:
     """Return what carries a proposal's request to a store."""
     body = request.body
     if isinstance(body, Accept):
-        return LedgerAccept(program, body.ballot, body.value, body.next_ballot)
-    return LedgerPrepare(program, body.ballot)
+        return LedgerAcceptRequest(program, body.ballot, body.value, body.next_ballot)
+    return LedgerPrepareRequest(program, body.ballot)
--- a/dewpin/dataplane/programs/quorum_round.py
+++ b/dewpin/dataplane/programs/quorum_round.py
@@ -13,7 +13,7 @@
 from typing import Generic, TypeVar
 
 from dewpin.cluster.placement import majority
-from dewpin.cluster.sender_requests import SenderRequest
+from dewpin.cluster.store_requests import SenderRequest
 from dewpin.dataplane.programs.replica_calls import Answer, ReplicaCalls, Round
 
 HEDGE_TIMES = 3.0
--- a/dewpin/dataplane/programs/replica_calls.py
+++ b/dewpin/dataplane/programs/replica_calls.py
@@ -15,10 +15,10 @@
 from typing import Generic, Protocol, TypeVar
 
 from dewpin.cluster import store_messages as wire
-from dewpin.cluster.message_fields import MalformedMessage
+from dewpin.cluster.message_fields import MalformedMessageError
 from dewpin.cluster.rpc import Message, RpcError
 from dewpin.cluster.running_tasks import forget_current_task
-from dewpin.cluster.sender_requests import RequestHeader, SenderRequest
+from dewpin.cluster.store_requests import RequestHeader, SenderRequest
 from dewpin.cluster.store_view import StoreView
 from dewpin.dataplane.programs.replica_health import ReplicaHealth
 
@@ -170,8 +170,8 @@
 
 
 class Round(Generic[Content]):
-    """The answers of several members to one question under one view; `decode` reads an answer, MalformedMessage if it
-    is none.
+    """The answers of several members to one question under one view; `decode` reads an answer and raises
+    MalformedMessageError if it is none.
 
     With `hand_off`, members that have not answered are asked on after the owner has enough.
     """
@@ -215,6 +215,6 @@
     """Return what an answer says; RpcError for one that is malformed, which counts as none."""
     try:
         return decode(answer)
-    except MalformedMessage as fault:
+    except MalformedMessageError as fault:
         log.error("replica_calls.malformed_answer", extra={"member": member, "why": str(fault)})
         raise RpcError(MALFORMED_ANSWER, str(fault)) from fault
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -8,8 +8,8 @@
 
 from dewpin.cluster.message_fields import Message
 from dewpin.cluster.placement import majority
-from dewpin.cluster.sender_requests import TurnChain, TurnPut, TurnStored
-from dewpin.cluster.store_messages import ChainLinks, TurnRecord
+from dewpin.cluster.store_messages import HistoryPage, TurnRecord
+from dewpin.cluster.store_requests import HistoryRequest, PutTurnsReply, PutTurnsRequest
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Reply
 from dewpin.consensus.proposal import has_majorities
@@ -38,8 +38,8 @@
 
 
 def _stored(message: Message) -> _Stored:
-    """Return what a store's answer to turns tells. MalformedMessage if it tells nothing of them."""
-    told = TurnStored.decode(message)
+    """Return what a store's answer to turns tells. MalformedMessageError if it tells nothing of them."""
+    told = PutTurnsReply.decode(message)
     return _Stored(None if told.reply is None else ledger_reply(told.reply))
 
 
@@ -78,7 +78,7 @@
         sets = view.write_sets(program, self._count)
         turns = tuple(records)
         requests = {
-            member: TurnPut(turns, None if carried is None else carried.accept_for(member, view))
+            member: PutTurnsRequest(turns, None if carried is None else carried.accept_for(member, view))
             for member in sorted(frozenset().union(*sets))
         }
         size = sum(len(record.input) + len(record.output) for record in records)
@@ -139,7 +139,7 @@
             self.cache.put(program, link.turn, Link(link.previous, link.input + link.output), READ_CACHE_S)
         return b"".join(reversed(bodies))
 
-    async def _read_links(self, program: str, last: str) -> ChainLinks:
+    async def _read_links(self, program: str, last: str) -> HistoryPage:
         """Return the links that end with turn `last`, from whichever store has them."""
         while True:
             view = await self._views.current()
@@ -148,19 +148,19 @@
             except ViewMoved:
                 continue
 
-    async def _read_links_under(self, view: StoreView, program: str, last: str) -> ChainLinks:
+    async def _read_links_under(self, view: StoreView, program: str, last: str) -> HistoryPage:
         until_s = asyncio.get_running_loop().time() + READ_FOR_S
-        request = TurnChain(program, last)
+        request = HistoryRequest(program, last)
         stages = self._reading_stages(view, program)
         absent: set[str] = set()
-        with Round(self._calls, view, ChainLinks.from_json) as task_round:
+        with Round(self._calls, view, HistoryPage.from_json) as task_round:
 
             def ask_next_stage() -> None:
                 if stages and not task_round.finished:
                     task_round.ask(stages.pop(0), request, until_s)
 
             task_round.on_failure = ask_next_stage
-            while len(view.stable) - len(absent) > view.most_silent(self._count):
+            while len(view.stable) - len(absent) > view.max_unreachable(self._count):
                 if not task_round.unanswered:
                     if not stages:
                         raise StoreUnavailable("too few stores could tell of the turn")
--- a/dewpin/dataplane/routing/request_handler.py
+++ b/dewpin/dataplane/routing/request_handler.py
@@ -107,7 +107,7 @@
     def _answer_to_error(self, error: TierError) -> Answer:
         if error.kind is ErrorKind.NO_ROUTE:
             self.figures.not_routed += 1
-        elif error.answer.promises_not_run:
+        elif error.response.guarantees_not_run:
             self.figures.refused += 1
         else:
             self.figures.rejected += 1
--- a/dewpin/dataplane/upstream/calls.py
+++ b/dewpin/dataplane/upstream/calls.py
@@ -12,7 +12,7 @@
 from urllib3 import HTTPResponse
 from urllib3.util import SKIP_HEADER
 
-from dewpin.cluster.errors import PROMISING_STATUSES
+from dewpin.cluster.errors import NOT_RUN_STATUSES
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.http11.messages import (
     NOT_EXECUTED,
@@ -55,7 +55,7 @@
     @property
     def may_pass_on(self) -> bool:
         """Tell whether this is a receiver's own answer that makes no promise which it does not prove."""
-        return self.signed and self.status not in PROMISING_STATUSES
+        return self.signed and self.status not in NOT_RUN_STATUSES
 
 
 @dataclass(frozen=True, slots=True)
--- a/dewpin/tier_cli/commands.py
+++ b/dewpin/tier_cli/commands.py
@@ -9,8 +9,8 @@
 import typer
 
 from dewpin import __version__
-from dewpin.cluster.configuration import Configuration, ConfigurationInvalid, parse_configuration
-from dewpin.cluster.settings import SettingsInvalid, load_settings
+from dewpin.cluster.configuration import Configuration, InvalidConfigurationError, parse_configuration
+from dewpin.cluster.settings import InvalidSettingsError, load_settings
 
 from .exit_codes import ExitCode
 
@@ -103,7 +103,7 @@
         _fail(ExitCode.UNREADABLE, [f"{file}: there is no such file"], as_json)
     try:
         checked = load_settings(file)
-    except SettingsInvalid as invalid:
+    except InvalidSettingsError as invalid:
         _fail(ExitCode.FAULTY, invalid.lines(), as_json)
     serves = sorted(checked.serves)
     text = f"{file}: valid, {checked.node_name} serves {', '.join(serves) or 'nothing'}"
@@ -124,7 +124,7 @@
         _fail(ExitCode.UNREADABLE, [f"{file}: {error.strerror}"], as_json)
     try:
         return parse_configuration(body)
-    except ConfigurationInvalid as invalid:
+    except InvalidConfigurationError as invalid:
         _fail(ExitCode.FAULTY, invalid.lines(), as_json)
 
 
--- a/dewpin/tier_cli/operator_client.py
+++ b/dewpin/tier_cli/operator_client.py
@@ -5,7 +5,7 @@
 
 import urllib3
 
-from dewpin.cluster.configuration import ConfigurationInvalid, parse_configuration
+from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration
 
 BASE_VERSION_HEADER = "X-Dewpin-Base-Version"
 PUT_PATH = "/dewpin/Config.Put"
@@ -68,5 +68,5 @@
         raise NoAnswer(f"the version in force is not told: {'; '.join(answer.errors())}")
     try:
         return parse_configuration(answer.body).generation
-    except ConfigurationInvalid as invalid:
+    except InvalidConfigurationError as invalid:
         raise NoAnswer(f"the version in force is not readable: {'; '.join(invalid.lines())}") from None
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from behave.runner import Context
 
-from dewpin.cluster.configuration import ConfigurationInvalid, parse_configuration
+from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration
 
 VALID: dict[str, Any] = {
     "generation": 3,
@@ -58,7 +58,7 @@
     context.configuration, context.faults = None, []
     try:
         context.configuration = parse_configuration(body)
-    except ConfigurationInvalid as invalid:
+    except InvalidConfigurationError as invalid:
         context.faults = list(invalid.exceptions)
 
 
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewpin.cluster.configuration import ConfigurationInvalid, Share, parse_configuration
+from dewpin.cluster.configuration import InvalidConfigurationError, Share, parse_configuration
 
 
 def encoded(value: Any) -> bytes:
@@ -16,7 +16,7 @@
 
 
 def faults_of(body: bytes) -> list[str]:
-    with pytest.raises(ConfigurationInvalid) as caught:
+    with pytest.raises(InvalidConfigurationError) as caught:
         parse_configuration(body)
     return caught.value.lines()
 
@@ -170,7 +170,7 @@
             container[key] = data.draw(JSON_VALUES)
     try:
         configuration = parse_configuration(encoded(raw))
-    except ConfigurationInvalid as invalid:
+    except InvalidConfigurationError as invalid:
         assert all(invalid.lines())
     else:
         assert json.dumps(configuration.raw) == json.dumps(raw)
--- a/tests/cluster/test_configuration_patch.py
+++ b/tests/cluster/test_configuration_patch.py
@@ -5,7 +5,7 @@
 import pytest
 from cluster import samples
 
-from dewpin.cluster.configuration import ConfigurationInvalid, parse_configuration, parse_patch
+from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration, parse_patch
 
 
 def patched(patch, configuration=None):
@@ -14,7 +14,7 @@
 
 
 def faults_of(patch, configuration=None):
-    with pytest.raises(ConfigurationInvalid) as raised:
+    with pytest.raises(InvalidConfigurationError) as raised:
         patched(patch, configuration)
     return raised.value.lines()
 
@@ -105,7 +105,7 @@
 def test_a_cut_body_is_refused():
     whole = json.dumps({"generation": 9, "delete": {"routes": ["a"]}}).encode()
     for length in range(len(whole)):
-        with pytest.raises(ConfigurationInvalid):
+        with pytest.raises(InvalidConfigurationError):
             parse_patch(whole[:length])
 
 
--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewpin.cluster.placement import location_of, majority, most_silent, replica_count, replicas
+from dewpin.cluster.placement import location_of, majority, max_unreachable, replica_count, replicas
 from dewpin.cluster.store_view import Member, StoreView
 
 MEMBERS = tuple(f"m{number}" for number in range(7))
@@ -31,7 +31,7 @@
 @given(st.integers(1, 12), st.sampled_from([1, 3, 5, 7]))
 def test_with_the_most_silent_ones_left_out_every_key_has_a_majority(members, count):
     size = min(members, count)
-    assert size - most_silent(members, count) >= majority(size)
+    assert size - max_unreachable(members, count) >= majority(size)
 
 
 def test_a_view_survives_json_and_names_the_sets_of_a_write():
--- a/tests/cluster/test_rpc_frames.py
+++ b/tests/cluster/test_rpc_frames.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dewpin.cluster.netstring import Decoder
-from dewpin.cluster.rpc_frames import AnswerFrame, BadFrame, RequestFrame
+from dewpin.cluster.rpc_frames import AnswerFrame, InvalidFrameError, RequestFrame
 
 MESSAGE = {"type": "turn.stored", "text": "ä"}
 REQUEST = b'56:{"v":1,"n":7,"m":{"type":"turn.stored","text":"\\u00e4"}},'
@@ -36,7 +36,7 @@
     ],
 )
 def test_what_is_no_request_is_refused(wrong):
-    with pytest.raises(BadFrame):
+    with pytest.raises(InvalidFrameError):
         RequestFrame.decode(wrong)
 
 
@@ -50,5 +50,5 @@
 
 
 def test_raw_bytes_in_the_json_part_are_refused():
-    with pytest.raises(BadFrame):
+    with pytest.raises(InvalidFrameError):
         RequestFrame.decode({"v": 1, "n": 7, "m": {"type": "a", "raw": 3}})
--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -13,9 +13,9 @@
     Bounds,
     Cloud,
     FaultTolerance,
+    InvalidSettingsError,
     MachineLimits,
     PortRange,
-    SettingsInvalid,
     load_settings,
     parse_settings,
     settings_or_exit,
@@ -33,7 +33,7 @@
 
 
 def faults_of(raw: dict[str, Any]) -> list[str]:
-    with pytest.raises(SettingsInvalid) as caught:
+    with pytest.raises(InvalidSettingsError) as caught:
         parse_settings(raw)
     return caught.value.lines()
 
@@ -156,5 +156,5 @@
         raw[data.draw(st.sampled_from(sorted(raw)))] = data.draw(TOML_VALUES)
     try:
         parse_settings(raw)
-    except SettingsInvalid as invalid:
+    except InvalidSettingsError as invalid:
         assert all(": " in line for line in invalid.lines())
--- a/tests/cluster/test_sender_requests.py
+++ b/tests/cluster/test_store_requests.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from dewpin.cluster.message_fields import MalformedMessage
-from dewpin.cluster.sender_requests import (
-    LedgerAccept,
-    LedgerPrepare,
+from dewpin.cluster.message_fields import MalformedMessageError
+from dewpin.cluster.store_messages import HistoryPage, TurnRecord
+from dewpin.cluster.store_requests import (
+    HistoryRequest,
+    LedgerAcceptRequest,
+    LedgerPrepareRequest,
+    PutTurnsReply,
+    PutTurnsRequest,
     RequestHeader,
-    TurnChain,
-    TurnPut,
-    TurnStored,
 )
-from dewpin.cluster.store_messages import ChainLinks, TurnRecord
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Accepted, Ballot, Conflict
 from dewpin.consensus.messages import ACCEPTED, encode_reply
@@ -21,25 +21,25 @@
 
 TURN = TurnRecord("t1", "p", None, 60_000, b"\xe4", b"out")
 TURN_TEXT = r'{"turn": "t1", "program": "p", "previous": null, "retain_ms": 60000, "input": "\u00e4", "output": "out"}'
-LINKS = ChainLinks((TURN,), "t0", False, frozenset({"t1"}))
+LINKS = HistoryPage((TURN,), "t0", False, frozenset({"t1"}))
 VIEW = StoreView(7, (Member("a-1", "a:1"),))
 VIEW_TEXT = '{"epoch": 7, "stable": {"a-1": "a:1"}, "next": null, "locations": {"a-1": ""}}'
 
 REQUESTS = [
-    (TurnPut((TURN,)), f'{{"turns": [{TURN_TEXT}]}}'),
+    (PutTurnsRequest((TURN,)), f'{{"turns": [{TURN_TEXT}]}}'),
     (
-        TurnPut((TURN,), LedgerAccept("p", (5, "s"), {"spent": 1, "open": {}}, None)),
+        PutTurnsRequest((TURN,), LedgerAcceptRequest("p", (5, "s"), {"spent": 1, "open": {}}, None)),
         f'{{"turns": [{TURN_TEXT}], "accept": '
         '{"program": "p", "ballot": [5, "s"], "value": {"spent": 1, "open": {}}, "next_ballot": null}}',
     ),
-    (TurnChain("p", "t1"), '{"program": "p", "previous": "t1"}'),
-    (LedgerPrepare("p", (5, "s")), '{"program": "p", "ballot": [5, "s"]}'),
+    (HistoryRequest("p", "t1"), '{"program": "p", "previous": "t1"}'),
+    (LedgerPrepareRequest("p", (5, "s")), '{"program": "p", "ballot": [5, "s"]}'),
     (
-        LedgerAccept("p", (5, "s"), {"spent": 1, "open": {}}, (6, "s")),
+        LedgerAcceptRequest("p", (5, "s"), {"spent": 1, "open": {}}, (6, "s")),
         '{"program": "p", "ballot": [5, "s"], "value": {"spent": 1, "open": {}}, "next_ballot": [6, "s"]}',
     ),
     (
-        LedgerAccept("p", (5, "s"), None, None),
+        LedgerAcceptRequest("p", (5, "s"), None, None),
         '{"program": "p", "ballot": [5, "s"], "value": null, "next_ballot": null}',
     ),
 ]
@@ -49,43 +49,43 @@
 NO_BYTES = [*NO_TEXT, "\u2028"]
 
 WRONG_FIELDS = [
-    *[(TurnPut, ("turns",), value) for value in (None, "t", {}, ["t"], [None], 5)],
-    *[(TurnPut, ("turns", 0, field), value) for field in ("turn", "program") for value in NO_TEXT],
-    *[(TurnPut, ("turns", 0, "previous"), value) for value in NO_TEXT if value is not None],
-    *[(TurnPut, ("turns", 0, "retain_ms"), value) for value in NO_WHOLE_NUMBER],
-    *[(TurnPut, ("turns", 0, field), value) for field in ("input", "output") for value in NO_BYTES],
-    *[(TurnPut, ("accept",), value) for value in (5, "x", [], True)],
-    *[(TurnChain, (field,), value) for field in ("program", "previous") for value in NO_TEXT],
-    *[(LedgerPrepare, ("program",), value) for value in NO_TEXT],
-    *[(LedgerPrepare, ("ballot",), value) for value in NO_BALLOT],
-    *[(LedgerAccept, ("program",), value) for value in NO_TEXT],
-    *[(LedgerAccept, ("ballot",), value) for value in NO_BALLOT],
-    *[(LedgerAccept, ("next_ballot",), value) for value in NO_BALLOT if value is not None],
-    *[(LedgerAccept, ("value",), value) for value in (5, "x", [], True)],
+    *[(PutTurnsRequest, ("turns",), value) for value in (None, "t", {}, ["t"], [None], 5)],
+    *[(PutTurnsRequest, ("turns", 0, field), value) for field in ("turn", "program") for value in NO_TEXT],
+    *[(PutTurnsRequest, ("turns", 0, "previous"), value) for value in NO_TEXT if value is not None],
+    *[(PutTurnsRequest, ("turns", 0, "retain_ms"), value) for value in NO_WHOLE_NUMBER],
+    *[(PutTurnsRequest, ("turns", 0, field), value) for field in ("input", "output") for value in NO_BYTES],
+    *[(PutTurnsRequest, ("accept",), value) for value in (5, "x", [], True)],
+    *[(HistoryRequest, (field,), value) for field in ("program", "previous") for value in NO_TEXT],
+    *[(LedgerPrepareRequest, ("program",), value) for value in NO_TEXT],
+    *[(LedgerPrepareRequest, ("ballot",), value) for value in NO_BALLOT],
+    *[(LedgerAcceptRequest, ("program",), value) for value in NO_TEXT],
+    *[(LedgerAcceptRequest, ("ballot",), value) for value in NO_BALLOT],
+    *[(LedgerAcceptRequest, ("next_ballot",), value) for value in NO_BALLOT if value is not None],
+    *[(LedgerAcceptRequest, ("value",), value) for value in (5, "x", [], True)],
     *[(RequestHeader, ("epoch",), value) for value in NO_WHOLE_NUMBER],
     *[(RequestHeader, ("to",), value) for value in NO_TEXT],
     *[(RequestHeader, ("view",), value) for value in (5, "x", [], {}, {"epoch": "x", "stable": {}, "next": None})],
-    *[(ChainLinks, ("type",), value) for value in (None, "turn.stored")],
-    *[(ChainLinks, ("links",), value) for value in (None, "t", ["t"], [{}])],
-    *[(ChainLinks, ("following",), value) for value in NO_TEXT if value is not None],
-    *[(ChainLinks, ("absent",), value) for value in (None, 0, "no")],
-    *[(ChainLinks, ("foreign",), value) for value in (None, "t1", [1], {})],
-    *[(TurnStored, ("type",), value) for value in (None, "turn.links", 5)],
-    *[(TurnStored, ("reply",), value) for value in (5, "x", [], True)],
+    *[(HistoryPage, ("type",), value) for value in (None, "turn.stored")],
+    *[(HistoryPage, ("links",), value) for value in (None, "t", ["t"], [{}])],
+    *[(HistoryPage, ("following",), value) for value in NO_TEXT if value is not None],
+    *[(HistoryPage, ("absent",), value) for value in (None, 0, "no")],
+    *[(HistoryPage, ("foreign",), value) for value in (None, "t1", [1], {})],
+    *[(PutTurnsReply, ("type",), value) for value in (None, "turn.links", 5)],
+    *[(PutTurnsReply, ("reply",), value) for value in (5, "x", [], True)],
 ]
 SOUND = {
-    TurnPut: TurnPut((TURN,)).fields,
-    TurnChain: TurnChain("p", "t1").fields,
-    LedgerPrepare: LedgerPrepare("p", (5, "s")).fields,
-    LedgerAccept: LedgerAccept("p", (5, "s"), {"spent": 1, "open": {}}, (6, "s")).fields,
+    PutTurnsRequest: PutTurnsRequest((TURN,)).fields,
+    HistoryRequest: HistoryRequest("p", "t1").fields,
+    LedgerPrepareRequest: LedgerPrepareRequest("p", (5, "s")).fields,
+    LedgerAcceptRequest: LedgerAcceptRequest("p", (5, "s"), {"spent": 1, "open": {}}, (6, "s")).fields,
     RequestHeader: lambda: RequestHeader(7, "a-1", VIEW).encode("turn.chain", {}),
-    ChainLinks: LINKS.to_json,
-    TurnStored: TurnStored().encode,
+    HistoryPage: LINKS.to_json,
+    PutTurnsReply: PutTurnsReply().encode,
 }
 
 
 def decode(kind, message):
-    return kind.from_json(message) if kind is ChainLinks else kind.decode(message)
+    return kind.from_json(message) if kind is HistoryPage else kind.decode(message)
 
 
 def holder_of(message, path):
@@ -110,31 +110,31 @@
 
 
 def test_the_answers_have_this_form():
-    assert TurnStored().encode() == {"type": "turn.stored"}
-    assert TurnStored.decode({"type": "turn.stored"}) == TurnStored()
-    assert ChainLinks.from_json(json.loads(json.dumps(LINKS.to_json()))) == LINKS
+    assert PutTurnsReply().encode() == {"type": "turn.stored"}
+    assert PutTurnsReply.decode({"type": "turn.stored"}) == PutTurnsReply()
+    assert HistoryPage.from_json(json.loads(json.dumps(LINKS.to_json()))) == LINKS
 
 
 @pytest.mark.parametrize("reply", [Accepted(Ballot(5, "s")), Conflict(Ballot(6, "t"))])
 def test_the_answer_to_a_turn_tells_the_reply_to_the_ballot_that_it_carried(reply):
-    message = TurnStored(encode_reply(reply)).encode()
-    told = TurnStored.decode(json.loads(json.dumps(message))).reply
+    message = PutTurnsReply(encode_reply(reply)).encode()
+    told = PutTurnsReply.decode(json.loads(json.dumps(message))).reply
     assert told is not None
     assert ledger_reply(told) == reply
 
 
 @pytest.mark.parametrize("reply", [{}, {"type": "turn.stored"}, {"type": ACCEPTED}, {"type": ACCEPTED, "ballot": 5}])
 def test_what_is_no_reply_to_a_ballot_is_refused_as_malformed(reply):
-    with pytest.raises(MalformedMessage, match="^reply: "):
+    with pytest.raises(MalformedMessageError, match="^reply: "):
         ledger_reply(reply)
 
 
 @pytest.mark.parametrize("field", ["program", "ballot", "value", "next_ballot"])
 def test_a_turn_that_carries_a_ballot_without_its_parts_is_refused(field):
-    message = TurnPut((TURN,), LedgerAccept("p", (5, "s"), None, None)).fields()
+    message = PutTurnsRequest((TURN,), LedgerAcceptRequest("p", (5, "s"), None, None)).fields()
     del message["accept"][field]
-    with pytest.raises(MalformedMessage):
-        TurnPut.decode(message)
+    with pytest.raises(MalformedMessageError):
+        PutTurnsRequest.decode(message)
 
 
 def test_fields_of_a_newer_release_are_left_alone():
@@ -149,10 +149,10 @@
     message = json.loads(json.dumps(SOUND[kind]()))
     holder_of(message, path)[path[-1]] = value
     if path == ("view",) or path[0] == "links" or path[-1] == "links":
-        with pytest.raises(MalformedMessage):
+        with pytest.raises(MalformedMessageError):
             decode(kind, message)
         return
-    with pytest.raises(MalformedMessage, match=f"^{path[-1]}: ") as refusal:
+    with pytest.raises(MalformedMessageError, match=f"^{path[-1]}: ") as refusal:
         decode(kind, message)
     assert refusal.value.field == path[-1]
 
@@ -164,5 +164,5 @@
             continue
         message = json.loads(json.dumps(SOUND[kind]()))
         del message[field]
-        with pytest.raises(MalformedMessage):
+        with pytest.raises(MalformedMessageError):
             decode(kind, message)
--- a/tests/controlplane/control_server_world.py
+++ b/tests/controlplane/control_server_world.py
@@ -7,7 +7,7 @@
 from scripted.disk import Disk
 from scripted.network import Network
 
-from dewpin.cluster.platform_list import PlatformUnavailable
+from dewpin.cluster.platform_list import PlatformUnavailableError
 from dewpin.cluster.receivers import Receiver
 from dewpin.cluster.settings import parse_settings
 from dewpin.controlplane.control_server import ControlServer
@@ -29,7 +29,7 @@
         await asyncio.sleep(0.005)
         self.world.readings.append((asyncio.get_running_loop().time(), self.host))
         if self.world.platform_down or self.host in self.world.cut_from_platform:
-            raise PlatformUnavailable("down")
+            raise PlatformUnavailableError("down")
         return list(self.world.receivers)
 
 
--- a/tests/controlplane/order_scenes.py
+++ b/tests/controlplane/order_scenes.py
@@ -8,7 +8,7 @@
     AnotherVersionIsCurrent,
     GenerationNotAbove,
     OrderForgotten,
-    digest_of,
+    configuration_digest,
     put_configuration,
 )
 
@@ -43,7 +43,7 @@
     try:
         await register.propose(put(generation, base, body), timeout_s)
     except OrderForgotten:
-        was_taken = await register.was_taken(generation, digest_of(body, base), timeout_s)
+        was_taken = await register.was_taken(generation, configuration_digest(body, base), timeout_s)
         return 503 if was_taken is None else 200 if was_taken else 412
     except AnotherVersionIsCurrent:
         return 412
--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -23,7 +23,7 @@
     put_configuration,
     successor,
 )
-from dewpin.controlplane.storage import Storage, StorageDamaged
+from dewpin.controlplane.storage import Storage, StorageDamagedError
 
 WAIT_S = 5.0
 ANSWER_S = 0.85
@@ -341,7 +341,7 @@
         await registers.begin()
         await registers.members["a"].propose(put(7, 0, 1000), WAIT_S)
         await registers.disks["a"].write([("DELETE FROM register_bodies", ())])
-        with pytest.raises(StorageDamaged):
+        with pytest.raises(StorageDamagedError):
             await registers.restart("a")
 
     run(scene())
--- a/tests/controlplane/test_configuration_bodies.py
+++ b/tests/controlplane/test_configuration_bodies.py
@@ -6,7 +6,7 @@
 
 from dewpin.cluster.body_messages import BodyPage
 from dewpin.controlplane.register.configuration_bodies import BodyUnavailable, ConfigurationBodies
-from dewpin.controlplane.register.system_state import digest_of, genesis
+from dewpin.controlplane.register.system_state import configuration_digest, genesis
 
 BODY = '{"services":{}}'
 BASE = 0
@@ -25,7 +25,7 @@
 
 
 def state_without_body():
-    digest = digest_of(BODY.encode(), BASE)
+    digest = configuration_digest(BODY.encode(), BASE)
     state = genesis({"a": SOURCE}, {})
     return {**state, "accepted": [[1, digest]], "configuration": {"generation": 1, "digest": digest}}
 
--- a/tests/controlplane/test_control_server_random.py
+++ b/tests/controlplane/test_control_server_random.py
@@ -10,7 +10,12 @@
 
 from dewpin.controlplane.register.change_history import remembered_orders
 from dewpin.controlplane.register.register import RegisterUnavailable
-from dewpin.controlplane.register.system_state import ChangeRefused, digest_of, orders_taken, put_configuration
+from dewpin.controlplane.register.system_state import (
+    ChangeRefused,
+    configuration_digest,
+    orders_taken,
+    put_configuration,
+)
 
 SEEDS = range(8)
 SCENE_S = 30.0
@@ -51,10 +56,10 @@
                 await asyncio.sleep(self.rng.uniform(0.0, 0.2))
                 continue
             except ChangeRefused:
-                self.refused.append([generation, digest_of(body, base)])
+                self.refused.append([generation, configuration_digest(body, base)])
                 return
-            self.acknowledged.append((generation, base, digest_of(body, base)))
-            assert [generation, digest_of(body, base)] in state["accepted"]
+            self.acknowledged.append((generation, base, configuration_digest(body, base)))
+            assert [generation, configuration_digest(body, base)] in state["accepted"]
             return
 
 
--- a/tests/controlplane/test_malformed_requests.py
+++ b/tests/controlplane/test_malformed_requests.py
@@ -9,16 +9,22 @@
 
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.rpc import RpcError
-from dewpin.cluster.sender_requests import LedgerAccept, LedgerPrepare, RequestHeader, TurnChain, TurnPut
 from dewpin.cluster.store_messages import TurnRecord
+from dewpin.cluster.store_requests import (
+    HistoryRequest,
+    LedgerAcceptRequest,
+    LedgerPrepareRequest,
+    PutTurnsRequest,
+    RequestHeader,
+)
 from dewpin.dataplane.programs.program_store import StoreUnavailable
 
 VALUE = {"spent": 1, "open": {}}
 REQUESTS = [
-    TurnPut((TurnRecord("t", "p", None, 60_000, b"<", b">"),)),
-    TurnChain("p", "t"),
-    LedgerPrepare("p", (5, "s")),
-    LedgerAccept("p", (5, "s"), VALUE, (6, "s")),
+    PutTurnsRequest((TurnRecord("t", "p", None, 60_000, b"<", b">"),)),
+    HistoryRequest("p", "t"),
+    LedgerPrepareRequest("p", (5, "s")),
+    LedgerAcceptRequest("p", (5, "s"), VALUE, (6, "s")),
 ]
 
 
@@ -100,13 +106,13 @@
         world = World()
         await world.client("first").append(turn("t"), 1.0)
         held = await world.client("second").reserve("p", "t", 5, 10, 1.0)
-        for kind in (wire.TURN_PUT, wire.TURN_CHAIN, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
+        for kind in (wire.TURN_PUT, wire.TURN_HISTORY, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
             answering(world.machines["c"], kind, answer)
         client = world.client("third")
         assert await client.chain("p", "t", 1.0) == b"<t>"
         await client.append(turn("u", "t"), 1.0)
         assert await asyncio.wait_for(client.read_ledger("p"), 5.0) == {"spent": 0, "open": {"t": held.most}}
-        for kind in (wire.TURN_PUT, wire.TURN_CHAIN, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
+        for kind in (wire.TURN_PUT, wire.TURN_HISTORY, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
             answering(world.machines["b"], kind, answer)
         with pytest.raises(StoreUnavailable):
             await client.append(turn("v", "u"), 1.0)
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -11,14 +11,14 @@
 import pytest
 from cluster import samples
 
-from dewpin.cluster.body_messages import patch_digest_of
+from dewpin.cluster.body_messages import patch_digest
 from dewpin.controlplane import operator_api
 from dewpin.controlplane.operator_api import OperatorApi, serve_operator
 from dewpin.controlplane.register.register import RegisterUnavailable
 from dewpin.controlplane.register.system_state import (
     MOST_REMEMBERED_CONFIGURATIONS,
     begin_stores,
-    digest_of,
+    configuration_digest,
     finish_retirement,
     genesis,
     put_configuration,
@@ -179,7 +179,7 @@
 def test_a_forgotten_patch_is_looked_up_under_its_own_digest(operator):
     take_more_than_the_state_remembers(operator)
     body = json.dumps(added_route(8)).encode()
-    operator.register.history = [[8, patch_digest_of(body, 7)]]
+    operator.register.history = [[8, patch_digest(body, 7)]]
     assert operator.patch(added_route(8), 7) == 200
     assert operator.patch(added_route(8, "r-other"), 7) == 412
 
@@ -212,7 +212,9 @@
 def test_an_order_that_the_state_has_forgotten_is_answered_from_the_history(operator, was_taken):
     take_more_than_the_state_remembers(operator)
     body = json.dumps(sample(8)).encode()
-    operator.register.history = [[8, digest_of(body, 7)]] if was_taken else [[8, digest_of(b"other", 7)]]
+    operator.register.history = (
+        [[8, configuration_digest(body, 7)]] if was_taken else [[8, configuration_digest(b"other", 7)]]
+    )
     assert operator.put(body, 7) == (200 if was_taken else 412)
 
 
--- a/tests/controlplane/test_order_history.py
+++ b/tests/controlplane/test_order_history.py
@@ -11,7 +11,7 @@
     MOST_REMEMBERED_CONFIGURATIONS,
     AnotherVersionIsCurrent,
     OrderForgotten,
-    digest_of,
+    configuration_digest,
     genesis,
     orders_taken,
 )
@@ -99,7 +99,7 @@
         await late.load()
         await late.note(state)
         return [
-            await late.was_taken(generation, digest_of(body_of(generation), generation - 1))
+            await late.was_taken(generation, configuration_digest(body_of(generation), generation - 1))
             for generation in (1, 12_345, changes - MOST_REMEMBERED_CONFIGURATIONS, changes)
         ], len(pages)
 
@@ -121,7 +121,7 @@
         await asyncio.sleep(1.0)
         registers.network.cut("c")
         rows = await registers.disks["c"].query("SELECT count(*) FROM orders")
-        return rows, await member.was_taken(5, digest_of(body_of(5), 4), ANSWER_S)
+        return rows, await member.was_taken(5, configuration_digest(body_of(5), 4), ANSWER_S)
 
     assert play(scene) == ([(last,)], True)
 
@@ -171,7 +171,9 @@
 
 def test_a_state_of_the_release_before_that_may_have_forgotten_orders_denies_none():
     """It holds no count; with the 2,000 orders that it remembered at most, older ones may have been taken."""
-    entries = [[generation, digest_of(body_of(generation), generation - 1)] for generation in range(501, 2501)]
+    entries = [
+        [generation, configuration_digest(body_of(generation), generation - 1)] for generation in range(501, 2501)
+    ]
     old = {**genesis({}, {}), "accepted": entries, "configuration": {"generation": 2500, "digest": "", "body": "{}"}}
     del old["orders_taken"]
     with pytest.raises(OrderForgotten):
@@ -194,6 +196,6 @@
 
     page = play(scene)
     assert page.orders == (
-        TakenOrder(4, 4, digest_of(body_of(4), 3)),
-        TakenOrder(5, 5, digest_of(body_of(5), 4)),
+        TakenOrder(4, 4, configuration_digest(body_of(4), 3)),
+        TakenOrder(5, 5, configuration_digest(body_of(5), 4)),
     )
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -8,7 +8,14 @@
 
 from dewpin.consensus import Ballot, Conflict
 from dewpin.controlplane import storage as storage_module
-from dewpin.controlplane.storage import DATABASE_NAME, SchemaTooNew, Storage, StorageDamaged, StorageFailed, incarnation
+from dewpin.controlplane.storage import (
+    DATABASE_NAME,
+    SchemaTooNewError,
+    Storage,
+    StorageDamagedError,
+    StorageError,
+    incarnation,
+)
 from dewpin.controlplane.store import ledger_replica
 
 INSERT = "INSERT INTO meta (name, value) VALUES (?, ?)"
@@ -57,7 +64,7 @@
         return results, await storage.query("SELECT name FROM meta WHERE name IN ('a', 'b', 'c') ORDER BY name")
 
     results, rows = asyncio.run(scene())
-    assert [type(result) for result in results] == [type(None), StorageFailed, type(None)]
+    assert [type(result) for result in results] == [type(None), StorageError, type(None)]
     assert rows == [("a",), ("c",)]
 
 
@@ -66,7 +73,7 @@
         await storage.write(put("a", "kept"))
         pages = (await storage.query("PRAGMA page_count"))[0][0]
         storage._connection.execute(f"PRAGMA max_page_count = {pages + 1}")
-        with pytest.raises(StorageFailed, match="full"):
+        with pytest.raises(StorageError, match="full"):
             await storage.write(put("big", "x" * 100_000))
         small = await storage.query(SELECT, ("a",))
         storage._connection.execute("PRAGMA max_page_count = 1000000")
@@ -140,7 +147,7 @@
         patient = asyncio.ensure_future(storage.write(put("patient")))
         await asyncio.sleep(0)
         now_s[0] += 0.1
-        with pytest.raises(StorageFailed, match="does not answer"):
+        with pytest.raises(StorageError, match="does not answer"):
             await storage.write(put("late"))
         go_on.set()
         await asyncio.gather(slow, patient)
@@ -161,7 +168,7 @@
         with storage._ready:
             pass
         results = await asyncio.gather(*(storage.write(put(f"n{i}")) for i in range(2000)), return_exceptions=True)
-        return [result for result in results if isinstance(result, StorageFailed)]
+        return [result for result in results if isinstance(result, StorageError)]
 
     assert asyncio.run(scene())
 
@@ -196,9 +203,9 @@
         raise sqlite3.DatabaseError("database disk image is malformed")
 
     async def scene():
-        with pytest.raises(StorageDamaged):
+        with pytest.raises(StorageDamagedError):
             await opened.transact(broken)
-        with pytest.raises(StorageDamaged):
+        with pytest.raises(StorageDamagedError):
             await opened.write(put("a"))
 
     asyncio.run(scene())
@@ -212,7 +219,7 @@
     connection = sqlite3.connect(tmp_path / DATABASE_NAME)
     connection.execute("PRAGMA user_version = 999")
     connection.close()
-    with pytest.raises(SchemaTooNew, match="999"):
+    with pytest.raises(SchemaTooNewError, match="999"):
         Storage(tmp_path)
     connection = sqlite3.connect(tmp_path / DATABASE_NAME)
     assert connection.execute("SELECT value FROM meta WHERE name = 'incarnation'").fetchone()[0] == first
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -39,7 +39,7 @@
         world = World(syncs=False)
         for epoch in (0, 2):
             with pytest.raises(RpcError) as refusal:
-                await ask(world.machines["a"], wire.TURN_CHAIN, StoreView(epoch, ()), program="p", previous="t")
+                await ask(world.machines["a"], wire.TURN_HISTORY, StoreView(epoch, ()), program="p", previous="t")
             assert refusal.value.kind == wire.STALE_EPOCH
             assert StoreView.from_json(refusal.value.message["view"]) == world.view
 
@@ -73,9 +73,9 @@
         old = world.machines["a"].store.member_id
         world.machines["a"].start_empty()
         world.machines["a"].store.adopt(world.view)
-        message = wire.request(wire.TURN_CHAIN, world.view, old, program="p", previous="t")
+        message = wire.request(wire.TURN_HISTORY, world.view, old, program="p", previous="t")
         with pytest.raises(RpcError) as refusal:
-            await world.machines["a"].store.handlers[wire.TURN_CHAIN](message)
+            await world.machines["a"].store.handlers[wire.TURN_HISTORY](message)
         assert refusal.value.kind == wire.WRONG_MEMBER
 
     run(scene())
--- a/tests/controlplane/test_system_state.py
+++ b/tests/controlplane/test_system_state.py
@@ -9,7 +9,7 @@
     TooFewWouldRemain,
     UnknownMachine,
     begin_stores,
-    digest_of,
+    configuration_digest,
     finish_retirement,
     finish_stores,
     genesis,
@@ -91,9 +91,9 @@
 
 
 def test_the_digest_tells_bodies_apart_that_mean_the_same():
-    assert digest_of(b"{}", 1) == digest_of(b"{}", 1)
-    assert digest_of(b"{}", 1) != digest_of(b"{ }", 1)
-    assert digest_of(b"{}", 1) != digest_of(b"{}", 2)
+    assert configuration_digest(b"{}", 1) == configuration_digest(b"{}", 1)
+    assert configuration_digest(b"{}", 1) != configuration_digest(b"{ }", 1)
+    assert configuration_digest(b"{}", 1) != configuration_digest(b"{}", 2)
 
 
 def test_the_present_configuration_sent_as_a_change_of_itself_is_not_the_order_that_was_taken():
--- a/tests/dataplane/agent_world.py
+++ b/tests/dataplane/agent_world.py
@@ -5,7 +5,7 @@
 
 from scripted.clock import run
 
-from dewpin.cluster.platform_list import PlatformUnavailable
+from dewpin.cluster.platform_list import PlatformUnavailableError
 from dewpin.cluster.receivers import DirectoryVersion, Receiver, ReceiverDirectory
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
@@ -186,7 +186,7 @@
         """The platform's part."""
         self.own_readings.append((self.now_s, address))
         if self.platform_down:
-            raise PlatformUnavailable("down")
+            raise PlatformUnavailableError("down")
         return list(self.platform)
 
     async def until(self, condition, most_s=10.0):
--- a/tests/dataplane/test_body_fetch.py
+++ b/tests/dataplane/test_body_fetch.py
@@ -4,7 +4,7 @@
 
 from scripted.clock import run
 
-from dewpin.cluster.body_messages import BodyPage, digest_of
+from dewpin.cluster.body_messages import BodyPage, configuration_digest
 from dewpin.dataplane.membership.body_fetch import BodyFetch, BodyName
 
 BODY = "the body"
@@ -33,7 +33,7 @@
 
 def test_a_fault_that_nobody_foresaw_does_not_end_the_fetch():
     async def scene():
-        name, taken = BodyName(digest_of(BODY.encode(), 3), 3), []
+        name, taken = BodyName(configuration_digest(BODY.encode(), 3), 3), []
         client = Client([OSError("no descriptor is left"), RuntimeError("a fault of the program")])
         clock = asyncio.get_running_loop().time
         fetch = BodyFetch(client, "me", Sources(), lambda: None, lambda digest, body: taken.append(body), clock)
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -21,21 +21,28 @@
 from typing import Any
 from unittest import mock
 
-from dewpin.cluster.body_messages import RELAY_BODY, BodyPage, BodyRequest, digest_of, patch_digest_of
+from dewpin.cluster.body_messages import RELAY_BODY, BodyPage, BodyRequest, configuration_digest, patch_digest
 from dewpin.cluster.compression import CompressedOutput, IncomingBytes
 from dewpin.cluster.configuration import parse_configuration, parse_patch
-from dewpin.cluster.errors import ANSWERS, ErrorKind
+from dewpin.cluster.errors import ERROR_RESPONSES, ErrorKind
 from dewpin.cluster.netstring import Decoder
 from dewpin.cluster.placement import replicas
-from dewpin.cluster.platform_list import PlatformList, PlatformUnavailable
+from dewpin.cluster.platform_list import PlatformList, PlatformUnavailableError
 from dewpin.cluster.receivers import DirectoryVersion, Receiver, receiver_from_platform
-from dewpin.cluster.relay_messages import LeaseGrant, RelayNews, RenewRequest, WatchRequest
+from dewpin.cluster.relay_messages import LeaseGrant, RelayUpdate, RenewRequest, WatchRequest
 from dewpin.cluster.rpc import RpcError, RpcServer, error_message
 from dewpin.cluster.rpc_frames import AnswerFrame, RequestFrame
-from dewpin.cluster.sender_requests import LedgerAccept, LedgerPrepare, RequestHeader, TurnChain, TurnPut, TurnStored
 from dewpin.cluster.settings import parse_settings
-from dewpin.cluster.store_messages import ChainLinks, TurnRecord
+from dewpin.cluster.store_messages import HistoryPage, TurnRecord
 from dewpin.cluster.store_messages import request as store_request
+from dewpin.cluster.store_requests import (
+    HistoryRequest,
+    LedgerAcceptRequest,
+    LedgerPrepareRequest,
+    PutTurnsReply,
+    PutTurnsRequest,
+    RequestHeader,
+)
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Accepted, Ballot, Conflict, Promise
 from dewpin.consensus.messages import decode_reply, encode_reply
@@ -216,9 +223,9 @@
         _whole("lease.granted/least", LeaseGrant(1.0, -1, NO_VERSION, 0.0, (), (), 0), True),
         _whole("relay.watch/full", WatchRequest(9, VERSION, True, 7), False),
         _whole("relay.watch/least", WatchRequest(-1, NO_VERSION, False), False),
-        _whole("relay.news/full", RelayNews(VERSION, 0.25, 0.125, STATE, (COLD, PLAIN)), True),
-        _whole("relay.news/least", RelayNews(NO_VERSION, 0.0, 0.0), True),
-        _whole("relay.news/unconfirmed", RelayNews(NO_VERSION, math.inf), True),
+        _whole("relay.news/full", RelayUpdate(VERSION, 0.25, 0.125, STATE, (COLD, PLAIN)), True),
+        _whole("relay.news/least", RelayUpdate(NO_VERSION, 0.0, 0.0), True),
+        _whole("relay.news/unconfirmed", RelayUpdate(NO_VERSION, math.inf), True),
         _whole("relay.body/full", BodyRequest(RELAY_BODY, "0123456789abcdef01234567", 65536, "10.1.0.30:7390"), False),
         _whole("relay.body/least", BodyRequest(RELAY_BODY, "0123456789abcdef01234567", 0), False),
         _whole("register.body", BodyRequest(BODY, "0123456789abcdef01234567", 131072), False),
@@ -228,20 +235,20 @@
 
 
 def _store_cases() -> list[MessageCase]:
-    accept = LedgerAccept("p-1", tuple(BALLOT), LEDGER, tuple(NEXT_BALLOT))
-    bare_accept = LedgerAccept("p-1", tuple(BALLOT), None, None)
+    accept = LedgerAcceptRequest("p-1", tuple(BALLOT), LEDGER, tuple(NEXT_BALLOT))
+    bare_accept = LedgerAcceptRequest("p-1", tuple(BALLOT), None, None)
     return [
-        _to_store("turn.put/full", TurnPut((TURN, FIRST_TURN), accept), VIEW),
-        _to_store("turn.put/least", TurnPut(()), None),
-        _to_store("turn.put/least-ballot", TurnPut((FIRST_TURN,), bare_accept), STABLE_VIEW),
-        _whole("turn.stored/full", TurnStored(encode_reply(Accepted(BALLOT))), True),
-        _whole("turn.stored/least", TurnStored(), True),
-        _to_store("turn.chain/full", TurnChain("p-1", "t-2"), VIEW),
-        _to_store("turn.chain/least", TurnChain("p-1", "t-2"), None),
-        _links("turn.links/full", ChainLinks((TURN, FIRST_TURN), "t-0", True, frozenset({"t-2", "t-1"}))),
-        _links("turn.links/least", ChainLinks((), None, False, frozenset())),
-        _to_store("ledger.prepare/full", LedgerPrepare("p-1", tuple(BALLOT)), VIEW),
-        _to_store("ledger.prepare/least", LedgerPrepare("p-1", tuple(ZERO)), None),
+        _to_store("turn.put/full", PutTurnsRequest((TURN, FIRST_TURN), accept), VIEW),
+        _to_store("turn.put/least", PutTurnsRequest(()), None),
+        _to_store("turn.put/least-ballot", PutTurnsRequest((FIRST_TURN,), bare_accept), STABLE_VIEW),
+        _whole("turn.stored/full", PutTurnsReply(encode_reply(Accepted(BALLOT))), True),
+        _whole("turn.stored/least", PutTurnsReply(), True),
+        _to_store("turn.chain/full", HistoryRequest("p-1", "t-2"), VIEW),
+        _to_store("turn.chain/least", HistoryRequest("p-1", "t-2"), None),
+        _links("turn.links/full", HistoryPage((TURN, FIRST_TURN), "t-0", True, frozenset({"t-2", "t-1"}))),
+        _links("turn.links/least", HistoryPage((), None, False, frozenset())),
+        _to_store("ledger.prepare/full", LedgerPrepareRequest("p-1", tuple(BALLOT)), VIEW),
+        _to_store("ledger.prepare/least", LedgerPrepareRequest("p-1", tuple(ZERO)), None),
         _to_store("ledger.accept/full", accept, VIEW),
         _to_store("ledger.accept/least", bare_accept, None),
         _reply("ballot.promise/full", Promise(BALLOT, LEDGER, True)),
@@ -251,8 +258,8 @@
     ]
 
 
-def _links(name: str, value: ChainLinks) -> MessageCase:
-    return MessageCase(name, value, value.to_json(), ChainLinks.from_json, True)
+def _links(name: str, value: HistoryPage) -> MessageCase:
+    return MessageCase(name, value, value.to_json(), HistoryPage.from_json, True)
 
 
 def _control_cases() -> list[MessageCase]:
@@ -347,8 +354,8 @@
         ),
         "relay.news": (
             {"type": "relay.news", "receivers_version": [12, "keeper-a"], "list_age_s": 0.25},
-            RelayNews(VERSION, 0.25, math.inf),
-            RelayNews.decode,
+            RelayUpdate(VERSION, 0.25, math.inf),
+            RelayUpdate.decode,
         ),
         "relay.body": (
             {"type": "relay.body", "digest": "0123", "offset": 0},
@@ -391,7 +398,7 @@
 def digests() -> Json:
     """The digests by which orders and bodies are known on the wire and on disk."""
     body = b'{"generation":7}'
-    return {"configuration": digest_of(body, 6), "patch": patch_digest_of(body, 6)}
+    return {"configuration": configuration_digest(body, 6), "patch": patch_digest(body, 6)}
 
 
 def compress(frames: list[bytes]) -> bytes:
@@ -408,7 +415,12 @@
 def error_table() -> Json:
     """How each kind of error is answered, by its word on the wire."""
     return {
-        str(kind): [ANSWERS[kind].status, ANSWERS[kind].promises_not_run, ANSWERS[kind].log_level] for kind in ErrorKind
+        str(kind): [
+            ERROR_RESPONSES[kind].status,
+            ERROR_RESPONSES[kind].guarantees_not_run,
+            ERROR_RESPONSES[kind].log_level,
+        ]
+        for kind in ErrorKind
     }
 
 
@@ -583,7 +595,7 @@
         begin_stores(_STORES, _STORE_NAMES, _LOCATIONS),
         put_configuration(_configuration(3), 3, 0),
         put_configuration(_configuration(5), 5, 3),
-        patch_configuration(parse_patch(_PATCH), patch_digest_of(_PATCH, 5), 5),
+        patch_configuration(parse_patch(_PATCH), patch_digest(_PATCH, 5), 5),
         start_retirement("store-4", 3),
         move_stores({name: _STORES[name] for name in ("s1", "s2", "s3")}, {}),
         finish_stores,
@@ -593,7 +605,7 @@
         start_retirement("store-3", 2),
     ]
     states = [copy.deepcopy(await register.propose(change, PATIENCE_S)) for change in changes]
-    assert await register.was_taken(9, digest_of(accented, 8), PATIENCE_S)
+    assert await register.was_taken(9, configuration_digest(accented, 8), PATIENCE_S)
     newest = states[-1]
     unfinished = {
         **newest,
@@ -909,7 +921,7 @@
     """The records of the platform's whole list; `unavailable` if it could not be read whole."""
     try:
         return [dict(receiver.record()) for receiver in PlatformList(address).read()]
-    except PlatformUnavailable:
+    except PlatformUnavailableError:
         return "unavailable"
 
 
--- a/tests/model/ledger_parts.py
+++ b/tests/model/ledger_parts.py
@@ -14,7 +14,7 @@
 from scripted.disk import MemoryDisk
 
 from dewpin.cluster.rpc import RpcError
-from dewpin.cluster.sender_requests import LedgerAccept, LedgerPrepare, RequestHeader
+from dewpin.cluster.store_requests import LedgerAcceptRequest, LedgerPrepareRequest, RequestHeader
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
 from dewpin.consensus.messages import decode_reply
@@ -232,7 +232,7 @@
         self._done += 1
         return (), (ended, json.dumps(value))
 
-    def _texts(self, requests: dict[str, LedgerPrepare | LedgerAccept]) -> tuple[str, ...]:
+    def _texts(self, requests: dict[str, LedgerPrepareRequest | LedgerAcceptRequest]) -> tuple[str, ...]:
         assert self._client.ballot is not None
         view = self._client.ballot.view
         texts = []
--- a/tests/scripted/disk.py
+++ b/tests/scripted/disk.py
@@ -4,7 +4,7 @@
 import sqlite3
 
 from dewpin.controlplane import storage as storage_module
-from dewpin.controlplane.storage import StorageFailed
+from dewpin.controlplane.storage import StorageError
 
 FOREVER_S = 1e6
 NO_ROOM = "database or disk is full"
@@ -24,7 +24,7 @@
         try:
             result = work(self.connection)
             if self.full and self.connection.total_changes != self._changes:
-                raise StorageFailed(NO_ROOM)
+                raise StorageError(NO_ROOM)
             self.connection.execute("COMMIT")
             return result
         except BaseException:
@@ -48,7 +48,7 @@
     async def write(self, statements):
         await self._wait()
         if self.fails:
-            raise StorageFailed(NO_ROOM)
+            raise StorageError(NO_ROOM)
         self.writes += 1
         self.connection.execute("BEGIN")
         for sql, values in statements:
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -9,7 +9,7 @@
 from contextvars import Context
 
 from dewpin.controlplane import storage as storage_module
-from dewpin.controlplane.storage import MOST_COMMIT_S, MOST_IN_COMMIT, StorageFailed
+from dewpin.controlplane.storage import MOST_COMMIT_S, MOST_IN_COMMIT, StorageError
 
 SYNC_S = 0.0005
 
@@ -46,7 +46,7 @@
     async def transact(self, work):
         since_s = self._commit_since_s
         if since_s is not None and self._loop.now - since_s > MOST_COMMIT_S:
-            raise StorageFailed("the disk does not answer")
+            raise StorageError("the disk does not answer")
         future = self._loop.create_future()
         self._pending.append((work, future))
         if self._commit_since_s is None:
@@ -111,12 +111,12 @@
         try:
             result = work(self._connection)
             if self.full and self._connection.total_changes != before:
-                raise StorageFailed("database or disk is full")
+                raise StorageError("database or disk is full")
             self._connection.execute("COMMIT")
             return result, None
         except Exception as error:
             self._connection.execute("ROLLBACK")
-            return None, StorageFailed(str(error)) if isinstance(error, sqlite3.Error) else error
+            return None, StorageError(str(error)) if isinstance(error, sqlite3.Error) else error
 
     @staticmethod
     def _tell(future, result, error):
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -7,7 +7,7 @@
 import copy
 import random
 
-from dewpin.cluster.platform_list import PlatformUnavailable
+from dewpin.cluster.platform_list import PlatformUnavailableError
 from dewpin.cluster.receivers import Receiver
 from dewpin.lab.network import Way
 
@@ -70,7 +70,7 @@
         await asyncio.sleep(0.005)
         if not self.world.reaches(self.host.ip, PLATFORM_IP):
             await asyncio.sleep(0.8)
-            raise PlatformUnavailable("cut off")
+            raise PlatformUnavailableError("cut off")
         return list(self.world.receivers)
 
 
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -189,13 +189,13 @@
 
 
 def _believe_one_store_that_denies_a_turn():
-    most_silent = StoreView.most_silent
+    max_unreachable = StoreView.max_unreachable
 
     def all_but_one(self, count):
-        _deviates(most_silent(self, count) < len(self.stable) - 1)
+        _deviates(max_unreachable(self, count) < len(self.stable) - 1)
         return len(self.stable) - 1
 
-    StoreView.most_silent = all_but_one
+    StoreView.max_unreachable = all_but_one
 
 
 def _two_majorities_that_do_not_meet():
