--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -14,7 +14,7 @@
 
 from dewpin.config.keys import Deployment
 from dewpin.core import model
-from dewpin.daemon.status import facts
+from dewpin.daemon.status import collect_status
 from dewpin.relay.facade import Facade
 from dewpin.spool.records import Sheet
 
@@ -42,20 +42,20 @@
     )
     for at in range(destinations):
         facade.take(Sheet(b"m%d" % at, b"status", b"", b"", b"%d" % at, b"", b"", 0.0, 16000.0), 0.0)
-    parts = {
-        "told": SimpleNamespace(deployment=Deployment(), module=SETTINGS),
-        "since": 0.0,
-        "relay": SimpleNamespace(
+    application = SimpleNamespace(
+        configuration=SimpleNamespace(deployment=Deployment(), module=SETTINGS),
+        started_ms=0.0,
+        relay=SimpleNamespace(
             facade=facade,
             clock=SimpleNamespace(now=lambda: 0.0),
             refusing=False,
             notices=SimpleNamespace(owed={}),
             behind={},
         ),
-        "spool": SimpleNamespace(sheets={}, size=0, live=0, room=1.0),
-        "door": SimpleNamespace(clients={}, most=1, held=0, memory=1.0),
-        "pool": SimpleNamespace(opening=set(), resting=0, most_idle=1),
-    }
+        spool=SimpleNamespace(sheets={}, size=0, live=0, room=1.0),
+        server=SimpleNamespace(clients={}, most=1, held=0, memory=1.0),
+        pool=SimpleNamespace(opening=set(), resting=0, most_idle=1),
+    )
     stretches, began = [], time.perf_counter()
 
     async def pause():
@@ -65,7 +65,7 @@
         began = time.perf_counter()
 
     start = began
-    await facts(parts, told, pause)
+    await collect_status(application, told, pause)
     stretches.append(time.perf_counter() - began)
     return (time.perf_counter() - start) * 1000.0, max(stretches) * 1000.0
 
--- a/dewpin/__main__.py
+++ b/dewpin/__main__.py
@@ -1,16 +1,19 @@
-"""`python -m dewpin`: a sender by the shortest way, everything else by the command line.
+"""`python -m dewpin`: the command line, with a shorter way to a plain sender.
 
-It owns that one choice: a plain `run` imports nothing that a sender does not need, since a restarted one is out of
-service meanwhile.
+A plain `run` imports only what a sender needs: while a sender restarts it is out of service.
 """
+
 import sys
 
 
-def main():
+def main() -> int:
+    """Run the command line's arguments; return the exit code."""
     if sys.argv[1:] == ["run"]:
         from .daemon.process import main as run
+
         return run()
     from .cli.main import main as command
+
     return command()
 
 
--- a/dewpin/cli/config.py
+++ b/dewpin/cli/config.py
@@ -11,7 +11,7 @@
 from .show import facts, table
 
 if TYPE_CHECKING:
-    from ..daemon.process import Sources
+    from ..daemon.configuration_source import ConfigurationSource
 
 
 @click.group()
@@ -23,7 +23,7 @@
 @click.argument("file", required=False)
 @options
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def check(file: str | None, sources: "Sources", as_json: bool) -> int | None:
+def check(file: str | None, sources: "ConfigurationSource", as_json: bool) -> int | None:
     """Names every fault of all layers at once; FILE stands for --config FILE."""
     from ..config.faults import Faulty
     if file:
@@ -51,7 +51,7 @@
 @options
 @click.option("--origin", is_flag=True, help="Where each value came from.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def show(sources: "Sources", origin: bool, as_json: bool) -> None:
+def show(sources: "ConfigurationSource", origin: bool, as_json: bool) -> None:
     """Every key in force. Secrets are never shown."""
     from ..config import page
     rows = page.show(read(sources))
@@ -67,7 +67,7 @@
 @click.argument("key")
 @options
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def explain(key: str, sources: "Sources", as_json: bool) -> None:
+def explain(key: str, sources: "ConfigurationSource", as_json: bool) -> None:
     """What KEY is for, its kind, range, default and names, and its value where a configuration is at hand."""
     from ..config import keys, page
     from ..config.faults import Faulty, nearest
--- a/dewpin/cli/layered.py
+++ b/dewpin/cli/layered.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from ..config.layers import Reading
-    from ..daemon.process import Sources
+    from ..daemon.configuration_source import ConfigurationSource
 
 
 def options(command: Callable[..., Any]) -> Callable[..., Any]:
@@ -22,13 +22,13 @@
                   help="A key of the configuration, outranking every file; may be given again.")
     @wraps(command)
     def whole(*given: Any, operator: str | None, platform: str | None, flags: Sequence[str], **more: Any) -> Any:
-        from ..daemon.process import Sources
+        from ..daemon.configuration_source import ConfigurationSource
         flags = (*flags, f"platform.file={platform}") if platform else flags
-        return command(*given, sources=Sources(os.environ, flags, operator), **more)
+        return command(*given, sources=ConfigurationSource(os.environ, flags, operator), **more)
     return whole
 
 
-def read(sources: "Sources") -> "Reading":
+def read(sources: "ConfigurationSource") -> "Reading":
     """The reading, or one sentence for each fault and exit code 2."""
     from ..config.faults import Faulty
     from .main import FAULTY, Plain
--- a/dewpin/cli/run.py
+++ b/dewpin/cli/run.py
@@ -6,12 +6,12 @@
 from .layered import options
 
 if TYPE_CHECKING:
-    from ..daemon.process import Sources
+    from ..daemon.configuration_source import ConfigurationSource
 
 
 @click.command()
 @options
-def run(sources: "Sources") -> int:
+def run(sources: "ConfigurationSource") -> int:
     """Runs a sender in the foreground until SIGTERM or SIGINT; SIGHUP reads the configuration anew.
 
     Without options the platform's variables say all there is to say: LB_CONFIG, LB_NAME, LB_LISTEN, LB_DISCOVERY,
--- a/dewpin/cli/spool.py
+++ b/dewpin/cli/spool.py
@@ -13,7 +13,7 @@
 from .show import facts, size, table
 
 if TYPE_CHECKING:
-    from ..daemon.process import Sources
+    from ..daemon.configuration_source import ConfigurationSource
     from ..spool.look import Look
     from ..spool.records import Sheet
 
@@ -31,7 +31,7 @@
     @click.option("--state", metavar="FOLDER", help="The folder; else the configuration names it.")
     @click.option("--json", "as_json", is_flag=True, help="As JSON.")
     @wraps(command)
-    def whole(*given: Any, sources: "Sources", state: str | None, **more: Any) -> Any:
+    def whole(*given: Any, sources: "ConfigurationSource", state: str | None, **more: Any) -> Any:
         from ..config.faults import Faulty
         from ..spool.look import Look
         if not state:
--- a/dewpin/cli/status.py
+++ b/dewpin/cli/status.py
@@ -12,7 +12,7 @@
 from .show import facts, size, table
 
 if TYPE_CHECKING:
-    from ..daemon.process import Sources
+    from ..daemon.configuration_source import ConfigurationSource
 
 PATIENCE = 5.0          # seconds for an answer
 MOST_ANSWER = 64_000_000
@@ -25,7 +25,9 @@
 @click.option("--watch", is_flag=True, help="Asks again and again until it is interrupted.")
 @click.option("--every", default=1.0, metavar="SECONDS", show_default=True, help="Between two questions of --watch.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON, one answer after the other.")
-def status(sources: "Sources", path: str | None, lines: int, watch: bool, every: float, as_json: bool) -> None:
+def status(
+    sources: "ConfigurationSource", path: str | None, lines: int, watch: bool, every: float, as_json: bool
+) -> None:
     """What a running sender has in hand, and what binds its destinations."""
     path, token = _found(sources, path)
     while True:
@@ -62,7 +64,7 @@
     return held
 
 
-def _found(sources: "Sources", path: str | None) -> tuple[str, str]:
+def _found(sources: "ConfigurationSource", path: str | None) -> tuple[str, str]:
     """The socket's path and the token: from the options, else from the configuration."""
     from ..config.faults import Faulty
     token = os.environ.get("DEWPIN_TOKEN", "")
--- a/dewpin/daemon/__init__.py
+++ b/dewpin/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""One sender as a process: start, ready, signals, stop, and what it tells of itself on the control socket.
+"""One sender as a process: start, readiness, signals, shutdown, and its status on the control socket.
 
-It is the only package that puts the others together. It decides nothing about a mail.
+This is the only package that puts the other packages together. It makes no decision about a message.
 """
--- /dev/null
+++ b/dewpin/daemon/application.py
@@ -0,0 +1,279 @@
+"""One running sender: its parts, and the order of its start, service and shutdown.
+
+The sender is ready only once the journal is replayed. Signals are handled in `SenderApplication.run`: SIGTERM and
+SIGINT stop the process gracefully, SIGHUP reloads the configuration, and another process that claims the state folder
+takes over from this one (`handover`).
+"""
+
+import asyncio
+import gc
+import signal
+from typing import TYPE_CHECKING, Any
+
+from .. import __version__, log
+from ..config import layers
+from ..console.door import Console
+from ..log import events, tell
+from ..net import agent
+from ..net.agent import Notices, Watch
+from ..net.inbound import Door
+from ..net.outbound import Pool
+from ..ports import Front, Intake, Outlet, Teller
+from ..relay import learnt
+from ..relay.course import Relay
+from ..relay.facade import Facade
+from ..spool.journal import Spool
+from ..spool.kept import Kept
+from ..spool.lock import Hold
+from ..spool.tail import Follower
+from .configuration_source import ConfigurationSource, dispatcher_seed
+from .control_socket import ControlSocket
+from .graceful_stop import stop_gracefully
+from .handover import hand_over, wait_for_next_process
+from .operator_actions import OperatorActions
+from .reload import reload_at_signals
+from .resource_limits import apply_limits
+from .status import collect_status
+from .upgrade import HandedOverState, TakeoverClaim
+
+if TYPE_CHECKING:  # the parts put together here fit the protocols at which they meet
+    _FITS: tuple[type[Front], type[Intake], type[Outlet], type[Teller]] = (Door, Relay, Pool, Notices)
+
+DEFAULT_CONNECT_TIMEOUT_MS = 1500.0
+
+
+class SenderApplication:
+    """All parts of one sender's process.
+
+    `run` makes the parts in the order below, each once, and closes them. Parts may use each other from the end of the
+    start on.
+
+    Attributes:
+        configuration: what is in force; a reload replaces it whole.
+        source: where the configuration is read from.
+        folder: the state folder.
+        console: the server for operators' calls, and `operator_actions` that answers them.
+        pool: connections to receivers.
+        facade: the decision module.
+        claim: this process's claim on a folder that a previous process still holds.
+        folder_lock: the lock of the state folder; None while the previous process has it.
+        spool: the journal.
+        follower: reads what the previous process reports during an upgrade.
+        notices: notices to the platform's agent of messages that were given up.
+        relay: the life of messages.
+        server: the HTTP server for clients.
+        started_ms: Unix time of the start.
+        endpoint_cache: the list of receivers on disk.
+        watch: the watch on the agent's list of receivers.
+        control_socket: answers `dewpin status`.
+    """
+
+    operator_actions: OperatorActions
+    console: Console
+    pool: Pool
+    facade: Facade
+    claim: TakeoverClaim
+    folder_lock: Hold | None
+    spool: Spool
+    follower: Follower
+    notices: Notices
+    relay: Relay
+    server: Door
+    started_ms: float
+    endpoint_cache: Kept
+    watch: Watch
+    control_socket: ControlSocket
+
+    def __init__(self, configuration: layers.Reading, source: ConfigurationSource) -> None:
+        self.configuration = configuration
+        self.source = source
+        self.folder = configuration.deployment.sender.state
+        self.loop = asyncio.get_running_loop()
+        self.stop_requested = asyncio.Event()
+        self.reload_requested = asyncio.Event()
+
+    async def run(self) -> None:
+        """Run the sender until it is stopped or has handed over to the next process.
+
+        Raises OSError where the state folder or an address can't be used. The process ends then, and the system takes
+        back what was opened.
+        """
+        self._handle_signals()
+        await self._start()
+        await self._serve()
+        self._close()
+
+    # -- start --------------------------------------------------------------------------------------------------------
+
+    def _handle_signals(self) -> None:
+        self.loop.set_exception_handler(_tell_unhandled)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self.stop_requested.set)
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)  # an early one waits for the start
+
+    async def _start(self) -> None:
+        """Make and open all parts, from the console, which reports "not ready" meanwhile, to the control socket."""
+        deployment = self.configuration.deployment
+        self.operator_actions = OperatorActions()
+        self.console = Console(self.operator_actions)
+        if deployment.console.address:
+            await self.console.open(*layers.address(deployment.console.address))
+        self._make_dispatching()
+        self.claim = TakeoverClaim(self.folder)
+        self.folder_lock, handed_over = await self.claim.enter()
+        self._make_message_parts()
+        if handed_over:
+            self.follower.descriptors = handed_over["descriptors"]
+        apply_limits(self)
+        self._apply_log_settings()
+        self._load_endpoints(handed_over)
+        self._resume_messages(handed_over)
+        host, port = await self.server.open(*layers.address(deployment.sender.listen))
+        self.operator_actions.serve(self.relay, self.pool)
+        if handed_over:
+            self.server.steer()
+            self.claim.mark_ready()
+        self.control_socket = ControlSocket(lambda lines: collect_status(self, lines, lambda: asyncio.sleep(0)))
+        await self._move_control_socket()
+        # Frozen objects are not scanned by full collections, which are then cheap and soon due: closed transports are
+        # reference cycles that only these free.
+        gc.collect()
+        gc.freeze()
+        tell(
+            events.START,
+            name=deployment.sender.name,
+            at=f"{host}:{port}",
+            mails=len(self.spool.sheets),
+            version=__version__,
+        )
+
+    def _make_dispatching(self) -> None:
+        allowed = self.configuration.module["Allowed"]
+        connect_timeout_ms = allowed.get("ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MS)
+        self.pool = Pool(self.loop, connect_timeout_ms, allowed.get("IdleClose", 0.0))
+        self.facade = Facade(self.configuration.module, dispatcher_seed(self.configuration.deployment.sender))
+
+    def _make_message_parts(self) -> None:
+        deployment = self.configuration.deployment
+        self.spool = Spool(self.folder, deployment.limits.disk)
+        self.follower = Follower(self.folder, self.spool)
+        self.notices = Notices(layers.address(deployment.agent.address))
+        self.relay = Relay(self.loop, self.facade, self.spool, self.pool, self.notices)
+        self.server = Door(self.loop, self.relay)
+        self.started_ms = self.relay.clock.now()
+
+    def _load_endpoints(self, handed_over: HandedOverState | None) -> None:
+        """Load the list of receivers from the best source there is, and watch the agent for updates.
+
+        The previous process's list is the latest. Else the cached list counts if the agent counted it later than the
+        platform's file, which may be a day old. Receivers that another agent reported as draining or gone stay so.
+        """
+        configuration = self.configuration
+        deployment = configuration.deployment
+        for ident in self.spool.detached:
+            self.facade.detach(ident)
+        turns = agent.Turns(
+            configuration.module["FleetSize"],
+            configuration.module["Rules"]["DrainGrace"],
+            dispatcher_seed(deployment.sender),
+            configuration.module.get("RegistryMode") != "on_request",
+        )
+        cache = self.endpoint_cache = Kept(self.folder, deployment.agent.address, deployment.limits.disk)
+        is_first_process = cache.revision is None and not handed_over
+        known_revision = configuration.known.get("revision", 0)
+        if handed_over:
+            revision = None
+            self._learn_endpoints(learnt.entries(handed_over), True)
+        elif cache.newer(known_revision):
+            revision = cache.revision
+            self._learn_endpoints(cache.entries(), True)
+        else:
+            revision, ended = known_revision, cache.ended()
+            self._learn_endpoints(agent.entries(configuration.known.get("members", ())), True, revision)
+            self._learn_endpoints(ended, False)
+        agent_address = layers.address(deployment.agent.address)
+        self.watch = Watch(agent_address, revision, self._learn_endpoints, turns, is_first_process)
+
+    def _learn_endpoints(self, entries: Any, complete: bool, revision: int | None = None) -> None:
+        """Put an update of the list of receivers in force; with a `revision` it is cached on disk as well."""
+        for address in self.facade.learn(entries, complete):
+            self.pool.recall(address)
+            self.pool.close_idle(address)
+        if revision is not None:
+            self.endpoint_cache.learn(entries, complete, revision, self.relay.clock.now())
+        self.relay.wake()
+
+    def _resume_messages(self, handed_over: HandedOverState | None) -> None:
+        """Take up the journal's messages, before the server opens: earlier messages come first in their key's order."""
+        if handed_over:
+            self.relay.resume(self.follower, set(handed_over["out"]))
+            learnt.recall(self.facade, handed_over)
+            name = self.configuration.deployment.sender.name
+            tell(events.TAKEN_OVER, name=name, mails=len(self.spool.sheets))
+        else:
+            self.relay.resume(self.follower if self.follower.there() else None, None)
+            self.relay.follow(gone=True)  # of an upgrade during which both processes were killed
+            self.claim.drop()
+
+    # -- service ------------------------------------------------------------------------------------------------------
+
+    async def _serve(self) -> None:
+        """Serve until a stop is requested or the next process has taken over, then drain."""
+        reloading = self.loop.create_task(reload_at_signals(self, self.reload_requested))
+        claimed = self.loop.create_task(wait_for_next_process(self))
+        stopping = self.loop.create_task(self.stop_requested.wait())
+        is_handed_over = False
+        while not (is_handed_over or stopping.done()):
+            await asyncio.wait((stopping, claimed), return_when=asyncio.FIRST_COMPLETED)
+            if not stopping.done():
+                is_handed_over = await hand_over(self)
+                claimed = self.loop.create_task(wait_for_next_process(self))
+        claimed.cancel()
+        reloading.cancel()
+        if not is_handed_over:
+            await stop_gracefully(self.relay, self.server, self.notices, self.configuration.deployment)
+        stopping.cancel()
+
+    async def apply(self, configuration: layers.Reading) -> None:
+        """Put a reloaded configuration in force; keys that wait for the next start must be as before."""
+        deployment = configuration.deployment
+        self.configuration = configuration
+        apply_limits(self)
+        self._apply_log_settings()
+        agent_address = layers.address(deployment.agent.address)
+        self.endpoint_cache.move(deployment.agent.address, deployment.limits.disk)
+        self.watch.move(agent_address)
+        self.notices.move(agent_address)
+        await self._move_control_socket()
+
+    def _apply_log_settings(self) -> None:
+        """Put `[log]` in force, and log what the configuration allows but most likely does not mean."""
+        settings = self.configuration.deployment.log
+        log.set_up(settings.format, settings.level, settings.rate, settings.debug_rate, settings.held)
+        for note in self.configuration.notes:
+            tell(events.NOTE, why=note)
+
+    async def _move_control_socket(self) -> None:
+        settings = self.configuration.deployment.control
+        await self.control_socket.move(settings.socket, settings.token, settings.lines)
+
+    # -- shutdown -----------------------------------------------------------------------------------------------------
+
+    def _close(self) -> None:
+        """Close all parts: first what brings in work, then what does it, last what records it."""
+        self.watch.channel.stop()
+        self.notices.channel.stop()
+        self.control_socket.close()
+        self.console.close()
+        self.server.close()
+        self.pool.close()
+        journal = self.relay.spool  # after a hand-over the hand-over log in its place
+        tell(events.END, name=self.configuration.deployment.sender.name, mails=len(journal.sheets))
+        journal.close()
+        if self.folder_lock:
+            self.folder_lock.release()
+        log.end()
+
+
+def _tell_unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    tell(events.FAULT, part="loop", why=f"{context['message']}: {context.get('exception')!r}")
--- /dev/null
+++ b/dewpin/daemon/handover.py
@@ -0,0 +1,118 @@
+"""Both sides of an upgrade within a running process: following the previous process, handing over to the next one."""
+
+import asyncio
+import os
+from typing import TYPE_CHECKING
+
+from .. import log
+from ..log import events, tell
+from ..relay import learnt
+from ..spool.tail import Tail
+from . import upgrade
+from .resource_limits import apply_limits
+
+if TYPE_CHECKING:
+    from .application import SenderApplication
+
+RETRY_SECONDS = 1.0  # after a fault of the state folder
+ACCEPT_QUEUE_SECONDS = 0.1  # for which the listener stays open once new connections go to the next process
+DRAIN_CHECK_SECONDS = 0.05
+
+
+async def wait_for_next_process(application: "SenderApplication") -> None:
+    """Wait until the previous process has ended, if there is one; then until the next one claims the folder.
+
+    A fault of the folder must neither pass for a claim nor end the process: the wait begins anew.
+    """
+    while True:
+        try:
+            await _follow_previous_process(application)
+            return await upgrade.wait_until_claimed(application.folder)
+        except Exception:
+            log.fault("upgrade")
+            await asyncio.sleep(RETRY_SECONDS)
+
+
+async def _follow_previous_process(application: "SenderApplication") -> None:
+    """Take in what the previous process still reports until it has ended and the folder's lock is ours."""
+    relay, follower, claim = application.relay, application.follower, application.claim
+    descriptors = follower.descriptors
+    while application.folder_lock is None:
+        relay.follow()
+        if follower.descriptors != descriptors:
+            descriptors = follower.descriptors
+            apply_limits(application)
+        application.folder_lock = claim.try_lock_folder()
+        if application.folder_lock:
+            tell(events.ALONE, mails=len(relay.abroad))
+            relay.follow(gone=True)
+            claim.drop()
+            follower.descriptors = 0
+            apply_limits(application)
+        await asyncio.sleep(upgrade.TAKEOVER_POLL_SECONDS)
+
+
+async def hand_over(application: "SenderApplication") -> bool:
+    """Hand journal and decisions over to the next process, then drain.
+
+    The hand-over itself happens in one turn of the loop. After it calls in flight are finished here, and messages on
+    connections that are open here are accepted for the next process. Returns False where the folder refuses; nothing
+    has changed then.
+    """
+    loop = asyncio.get_running_loop()
+    deadline = loop.time() + application.configuration.deployment.stop.ends / 1000.0
+    tail = _write_handed_over_state(application)
+    if tail is None:
+        await asyncio.sleep(RETRY_SECONDS)
+        return False
+    _stop_deciding(application, tail)
+    server = application.server
+    server.part()
+    try:
+        async with asyncio.timeout_at(deadline):
+            await upgrade.wait_until_taken_over(application.folder)
+            await asyncio.sleep(ACCEPT_QUEUE_SECONDS)
+    except TimeoutError:
+        pass
+    server.shut()
+    while loop.time() < deadline and (application.relay.out or server.clients):
+        tail.count(count_descriptors())
+        await asyncio.sleep(DRAIN_CHECK_SECONDS)
+    return True
+
+
+def _write_handed_over_state(application: "SenderApplication") -> Tail | None:
+    """Write the state for the next process; return the hand-over log, or None where the folder refuses."""
+    tail = None
+    try:
+        application.spool.follow(0)
+        tail = Tail(application.folder, application.spool)
+        state = learnt.told(application.relay.facade) | {
+            "out": list(tail.sheets),
+            "descriptors": count_descriptors() - application.pool.resting,
+        }
+        upgrade.hand_over_folder(application.folder, state)
+    except OSError:
+        log.fault("upgrade")
+        if tail:
+            tail.close()
+            application.follower.close()  # removes the file too: no other process is to read it
+        return None
+    return tail
+
+
+def _stop_deciding(application: "SenderApplication", tail: Tail) -> None:
+    """Leave journal, endpoint list, notices and idle connections to the next process."""
+    application.relay.part(tail)
+    application.endpoint_cache.stop()
+    application.spool.close()
+    name = application.configuration.deployment.sender.name
+    tell(events.HANDED_ON, name=name, mails=len(application.spool.sheets))
+    application.notices.channel.stop()
+    application.pool.most_idle = 0
+    application.pool.close()
+
+
+def count_descriptors() -> int:
+    """Return how many descriptors this process holds."""
+    return len(os.listdir("/proc/self/fd"))
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -1,57 +1,139 @@
-"""What a running sender tells of itself: facts in plain values, read off the parts that own them.
+"""The status of a running sender, in plain values, read off the parts that own them.
 
-It owns the shape of the answer and changes nothing. It may be asked while thousands of destinations are known, so it
-works in slices and tells only of the lines with most mails.
+Nothing is changed. As thousands of destinations may be known, the status is collected in slices with a pause after
+each, and lists only the destinations with most messages. The keys of the result are those of `dewpin status --json`.
 """
+
 import os
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from heapq import nlargest
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from .. import __version__
 
-SLICE = 200             # lines looked at before others have their turn
+if TYPE_CHECKING:
+    from .application import SenderApplication
+
+SLICE_SIZE = 200  # queues or receivers that are read before others have their turn
+
+Pause = Callable[[], Awaitable[None]]
+
 
+async def collect_status(application: "SenderApplication", max_queues: int, pause: Pause) -> dict[str, Any]:
+    """Return the whole status.
+
+    `max_queues`: destinations listed at most; `pause`: gives other tasks their turn.
+    """
+    relay, facade = application.relay, application.relay.facade
+    now_ms = relay.clock.now()
+    queues = facade.lines()
+    listed_queues = await _largest_queues(facade, queues, max_queues, now_ms, pause)
+    receivers = list(facade.receivers.values())
+    healths = await _count_healths(receivers, pause)
+    return {
+        "name": application.configuration.deployment.sender.name,
+        "version": __version__,
+        "pid": os.getpid(),
+        "state": "stopping" if relay.refusing else "ready",
+        "up_ms": round(now_ms - application.started_ms, 1),
+        "mails": _message_counts(application),
+        "calls": _call_counts(application),
+        "clients": _client_counts(application),
+        "spool": _journal_sizes(application),
+        "process": _process_resources(application),
+        "receivers": healths | {"known": len(receivers)},
+        "lines_known": len(queues),
+        "lines": listed_queues,
+    }
 
-async def facts(parts: dict[str, Any], most: int, pause: Callable[[], Awaitable[None]]) -> dict[str, Any]:
-    """The whole answer; `parts`: the process's parts by name, `most`: lines told of, `pause`: gives others a turn."""
-    told, relay, spool, door, pool = (parts[one] for one in ("told", "relay", "spool", "door", "pool"))
-    facade, now = relay.facade, relay.clock.now()
-    limits = told.deployment.limits
-    lines, weights, listed = facade.lines(), [], []
-    for at, line in enumerate(lines):
-        weights.append((facade.weight(line), -at))
-        if at % SLICE == SLICE - 1:
+
+async def _largest_queues(
+    facade: Any, queues: Sequence[Any], max_queues: int, now_ms: float, pause: Pause
+) -> list[dict[str, Any]]:
+    """Describe the queues with most messages; of equals the one with the older first message comes first."""
+    weights = []
+    for position, queue in enumerate(queues):
+        weights.append((facade.weight(queue), -position))
+        if position % SLICE_SIZE == SLICE_SIZE - 1:
             await pause()
-    for weight, at in nlargest(most, weights):      # of equals the one with the older first mail comes first
-        listed.append(facade.line(lines[-at], now))
-        if len(listed) % SLICE == 0:
+    described: list[dict[str, Any]] = []
+    for _, negative_position in nlargest(max_queues, weights):
+        described.append(facade.line(queues[-negative_position], now_ms))
+        if len(described) % SLICE_SIZE == 0:
             await pause()
-    receivers = list(facade.receivers.values())
-    healths = {"set aside": 0, "failing": 0, "well": 0, "unknown": 0}
-    for at, receiver in enumerate(receivers):
-        health = receiver.health
-        healths["unknown" if not health else "set aside" if health.trickle else "failing" if health.fails
-                else "well"] += 1
-        if at % SLICE == SLICE - 1:
+    return described
+
+
+async def _count_healths(receivers: Sequence[Any], pause: Pause) -> dict[str, int]:
+    counts = {"set aside": 0, "failing": 0, "well": 0, "unknown": 0}
+    for position, receiver in enumerate(receivers):
+        counts[_health_name(receiver.health)] += 1
+        if position % SLICE_SIZE == SLICE_SIZE - 1:
             await pause()
+    return counts
+
+
+def _health_name(health: Any) -> str:
+    if not health:
+        return "unknown"
+    if health.trickle:
+        return "set aside"
+    return "failing" if health.fails else "well"
+
+
+def _message_counts(application: "SenderApplication") -> dict[str, int]:
+    relay, facade = application.relay, application.relay.facade
     return {
-        "name": told.deployment.sender.name, "version": __version__, "pid": os.getpid(),
-        "state": "stopping" if relay.refusing else "ready", "up_ms": round(now - parts["since"], 1),
-        "mails": {"held": facade.module.held, "most": facade.most, "owed": len(spool.sheets),
-                  "notices": len(relay.notices.owed), "behind_notice": sum(map(len, relay.behind.values()))},
-        "calls": {"out": facade.module.slots, "slots": int(told.module["FamilyInfo"]["CallSlots"]),
-                  "opening": len(pool.opening), "idle": pool.resting, "most_idle": pool.most_idle},
-        "clients": {"open": len(door.clients), "most": door.most, "bytes": door.held, "most_bytes": int(door.memory)},
-        "spool": {"file_bytes": spool.size, "owed_bytes": spool.live, "room_bytes": int(spool.room),
-                  "used": round((max(spool.size, spool.live) + spool.live) / spool.room, 4)},
-        "process": {"memory_bytes": memory(), "most_memory_bytes": int(limits.memory),
-                    "descriptors": len(os.listdir("/proc/self/fd")), "most_descriptors": limits.sockets},
-        "receivers": healths | {"known": len(receivers)},
-        "lines_known": len(lines), "lines": listed}
+        "held": facade.module.held,
+        "most": facade.most,
+        "owed": len(application.spool.sheets),
+        "notices": len(relay.notices.owed),
+        "behind_notice": sum(map(len, relay.behind.values())),
+    }
+
+
+def _call_counts(application: "SenderApplication") -> dict[str, int]:
+    pool = application.pool
+    return {
+        "out": application.relay.facade.module.slots,
+        "slots": int(application.configuration.module["FamilyInfo"]["CallSlots"]),
+        "opening": len(pool.opening),
+        "idle": pool.resting,
+        "most_idle": pool.most_idle,
+    }
+
+
+def _client_counts(application: "SenderApplication") -> dict[str, int]:
+    server = application.server
+    return {
+        "open": len(server.clients),
+        "most": server.most,
+        "bytes": server.held,
+        "most_bytes": int(server.memory),
+    }
+
+
+def _journal_sizes(application: "SenderApplication") -> dict[str, float]:
+    spool = application.spool
+    return {
+        "file_bytes": spool.size,
+        "owed_bytes": spool.live,
+        "room_bytes": int(spool.room),
+        "used": round((max(spool.size, spool.live) + spool.live) / spool.room, 4),
+    }
+
+
+def _process_resources(application: "SenderApplication") -> dict[str, int]:
+    limits = application.configuration.deployment.limits
+    return {
+        "memory_bytes": resident_bytes(),
+        "most_memory_bytes": int(limits.memory),
+        "descriptors": len(os.listdir("/proc/self/fd")),
+        "most_descriptors": limits.sockets,
+    }
 
 
-def memory() -> int:
-    """Resident bytes of this process."""
+def resident_bytes() -> int:
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
--- a/dewpin/daemon/upgrade.py
+++ b/dewpin/daemon/upgrade.py
@@ -1,9 +1,10 @@
-"""One sender's process takes over from another that still serves, through the folder that both share.
+"""How one process of a sender takes over from another that still serves, through the state folder that both share.
 
-It owns two files there. `next`: made and locked by the process that wants to take over; a byte in it says that it takes
-clients. `handed`: written by the process that leaves, in one step; from that moment the journal and all decisions are
-the next one's, and whatever still happens at the old one goes into its tail. It decides nothing about a mail.
+Two files are used. `next` is made and locked by the process that wants to take over; a byte in it says that this
+process accepts clients. `handed` is written by the process that leaves, in one step; from that moment the journal and
+all decisions belong to the next process, and what still happens at the old one is written to its hand-over log.
 """
+
 import asyncio
 import errno
 import fcntl
@@ -14,67 +15,82 @@
 
 from ..spool.lock import Hold, held, hold
 
-NEXT, HANDED = "next", "handed"
-LOOK = 0.05             # seconds between two looks of a process that serves for one that wants to take over
-TRIES = 20
-SOON = 0.005            # and between those of the two while they change over
-WAITS = 10.0            # seconds that a new process waits for the folder
+CLAIM_FILE, HANDED_OVER_FILE = "next", "handed"
+CLAIM_CHECK_SECONDS = 0.05  # between two checks of a serving process for one that wants to take over
+TAKEOVER_POLL_SECONDS = 0.005  # between two checks of each process while they change over
+LOCK_ATTEMPTS = 20
+FOLDER_TIMEOUT_SECONDS = 10.0  # for which a new process waits for the folder
+
+HandedOverState = dict[str, Any]
+"""What `relay.learnt.told` gives, with `out` (serials of messages in flight) and `descriptors` (still held there)."""
 
 
-class Claim:
-    """The new process's side: its claim on the folder, from the start until the old process has ended."""
+class TakeoverClaim:
+    """The new process's claim on the folder, from its start until the old process has ended.
+
+    Attributes:
+        folder: the state folder.
+        file: descriptor of the locked claim file, or -1 without one.
+    """
 
     def __init__(self, folder: str) -> None:
-        self.folder, self.file = folder, -1
+        self.folder = folder
+        self.file = -1
 
-    async def enter(self) -> tuple[Hold | None, dict[str, Any] | None]:
-        """(the folder's mark, None) where no process has it; (None, what was handed over) where one hands it on.
+    async def enter(self) -> tuple[Hold | None, HandedOverState | None]:
+        """Wait for the folder; return its lock, or what the process that still holds it has handed over.
 
-        OSError where one has it and doesn't hand it on, or another claims it already."""
+        Exactly one of the two is not None. Raises OSError where a process has the folder and doesn't hand it over, or
+        another one claims it already.
+        """
         try:
             return hold(self.folder, tries=2), None
         except OSError as error:
             if error.errno != errno.EBUSY:
                 raise
             busy = error
-        self.file = os.open(os.path.join(self.folder, NEXT), os.O_RDWR | os.O_CREAT, 0o600)
-        for left in reversed(range(TRIES)):     # the old process's look holds it for an instant
-            try:
-                fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                break
-            except BlockingIOError:
-                if not left:
-                    raise busy from None
-                await asyncio.sleep(SOON)
+        await self._lock_claim_file(busy)
         os.ftruncate(self.file, 0)
         loop = asyncio.get_running_loop()
-        end = loop.time() + WAITS
-        while loop.time() < end:
-            if mark := self.mark():         # it has ended instead, by a stop or a kill
+        deadline = loop.time() + FOLDER_TIMEOUT_SECONDS
+        while loop.time() < deadline:
+            if lock := self.try_lock_folder():  # the old process was stopped or killed instead
                 self.drop()
-                return mark, None
+                return lock, None
             try:
-                with open(os.path.join(self.folder, HANDED), "rb") as file:
+                with open(os.path.join(self.folder, HANDED_OVER_FILE), "rb") as file:
                     return None, msgspec.json.decode(file.read())
             except FileNotFoundError:
-                await asyncio.sleep(SOON)
+                await asyncio.sleep(TAKEOVER_POLL_SECONDS)
         self.drop()
         raise busy
 
-    def mark(self) -> Hold | None:
-        """The folder's mark, if the old process has ended."""
+    async def _lock_claim_file(self, busy: OSError) -> None:
+        """Lock the claim file; raises `busy` where another process keeps it locked."""
+        self.file = os.open(os.path.join(self.folder, CLAIM_FILE), os.O_RDWR | os.O_CREAT, 0o600)
+        for attempts_left in reversed(range(LOCK_ATTEMPTS)):  # the old process's check holds it for an instant
+            try:
+                fcntl.flock(self.file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                break
+            except BlockingIOError:
+                if not attempts_left:
+                    raise busy from None
+                await asyncio.sleep(TAKEOVER_POLL_SECONDS)
+
+    def try_lock_folder(self) -> Hold | None:
+        """Return the folder's lock if the old process has ended, else None."""
         try:
             return hold(self.folder, tries=1)
         except OSError:
             return None
 
-    def ready(self) -> None:
-        """Tells the old process that clients are taken here."""
+    def mark_ready(self) -> None:
+        """Let the old process know that clients are accepted here."""
         os.write(self.file, b"1")
 
     def drop(self) -> None:
-        """The old process is gone, or was never there: clears what the two shared."""
-        for name in (HANDED, NEXT):
+        """Remove what the two processes shared: the old one is gone, or was never there."""
+        for name in (HANDED_OVER_FILE, CLAIM_FILE):
             try:
                 os.unlink(os.path.join(self.folder, name))
             except FileNotFoundError:
@@ -84,23 +100,23 @@
             self.file = -1
 
 
-async def claimed(folder: str) -> None:
-    """Waits until a new process claims the folder: one that was killed left its file, and no lock on it."""
-    path = os.path.join(folder, NEXT)
+async def wait_until_claimed(folder: str) -> None:
+    """Wait until a new process claims the folder. A claim file without a lock was left by a killed process."""
+    path = os.path.join(folder, CLAIM_FILE)
     while not held(path):
-        await asyncio.sleep(LOOK)
+        await asyncio.sleep(CLAIM_CHECK_SECONDS)
 
 
-async def taken_over(folder: str) -> None:
-    """Waits until the new process takes clients."""
-    path = os.path.join(folder, NEXT)
+async def wait_until_taken_over(folder: str) -> None:
+    """Wait until the new process accepts clients."""
+    path = os.path.join(folder, CLAIM_FILE)
     while os.path.exists(path) and not os.path.getsize(path):
-        await asyncio.sleep(SOON)
+        await asyncio.sleep(TAKEOVER_POLL_SECONDS)
 
 
-def hand_on(folder: str, facts: dict[str, Any]) -> None:
-    """From here on the folder is the new process's."""
-    path = os.path.join(folder, HANDED)
+def hand_over_folder(folder: str, state: HandedOverState) -> None:
+    """Write the state for the new process; from here on the folder is its own. Raises OSError where that fails."""
+    path = os.path.join(folder, HANDED_OVER_FILE)
     with open(path + ".new", "wb") as file:
-        file.write(msgspec.json.encode(facts))
+        file.write(msgspec.json.encode(state))
     os.replace(path + ".new", path)
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -10,7 +10,7 @@
 import pytest
 
 from dewpin.config import page
-from dewpin.daemon.process import chance
+from dewpin.daemon.configuration_source import dispatcher_seed
 from driver import play, reply, until
 
 
@@ -162,7 +162,7 @@
 
 def test_senders_with_one_configured_seed_do_not_choose_alike():
     def made(name):
-        return chance(SimpleNamespace(name=name, seed="1f"))
+        return dispatcher_seed(SimpleNamespace(name=name, seed="1f"))
 
     assert made("n0") == made("n0") != made("n1") and made("n1") < 1 << 64
 
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -183,11 +183,11 @@
         (tmp_path / "next").touch()
         with open(tmp_path / "next") as looking:
             fcntl.flock(looking, fcntl.LOCK_SH)
-            claim = upgrade.Claim(str(tmp_path))
+            claim = upgrade.TakeoverClaim(str(tmp_path))
             entering = asyncio.create_task(claim.enter())
             await until(lambda: claim.file >= 0)
             await asyncio.sleep(0)
-        upgrade.hand_on(str(tmp_path), {"out": [1]})
+        upgrade.hand_over_folder(str(tmp_path), {"out": [1]})
         assert await entering == (None, {"out": [1]})
         claim.drop()
         mark.release()
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -18,8 +18,8 @@
 from dewpin.console.door import Console
 from dewpin.core import model
 from dewpin.daemon import upgrade
-from dewpin.daemon.control import Control
-from dewpin.daemon.operated import Operated
+from dewpin.daemon.control_socket import ControlSocket
+from dewpin.daemon.operator_actions import OperatorActions
 from dewpin.net.agent import Notices, Turns, Watch
 from dewpin.net.http import Malformed, Reader
 from dewpin.net.inbound import Door
@@ -356,7 +356,7 @@
         """The folder is the next process's from now on; gives what was handed on as bytes."""
         self.spool.follow(0)
         tail = Tail(self.folder, self.spool)
-        upgrade.hand_on(self.folder, learnt.told(self.facade) | {"out": list(tail.sheets), "descriptors": 17})
+        upgrade.hand_over_folder(self.folder, learnt.told(self.facade) | {"out": list(tail.sheets), "descriptors": 17})
         self.relay.part(tail)
         self.spool.close()
         return Path(self.folder, "handed").read_bytes()
@@ -389,7 +389,7 @@
         return self.relay.attach(octets(receiver))
 
     def figures(self):
-        operated = Operated()
+        operated = OperatorActions()
         operated.serve(self.relay, SimpleNamespace(sent=0))
         figures = operated.figures()
         ends = {
@@ -559,7 +559,7 @@
 
 @asynccontextmanager
 async def control_socket(path, token, facts):
-    control = Control(facts)
+    control = ControlSocket(facts)
     await control.move(str(path), token, 50)
     try:
         yield
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dewpin.daemon import process
+from dewpin.daemon.graceful_stop import stop_gracefully
 from dewpin.net import inbound
 from dewpin.net.inbound import Door
 from dewpin.net.outbound import Link
@@ -211,7 +211,7 @@
             0,
             SimpleNamespace(stop=SimpleNamespace(sends=0.0, ends=10000.0), sender=SimpleNamespace(name="n0")),
         )
-        await process.finish({"relay": taker, "door": door, "told": SimpleNamespace(deployment=deployment)}, notices)
+        await stop_gracefully(taker, door, notices, deployment)
         assert not door.queued()
         assert b" 503 " in await asyncio.to_thread(notices.caller.recv, 65536)
         notices.caller.close()
