--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -16,7 +16,7 @@
 from dewpin.core import model
 from dewpin.daemon.status import collect_status
 from dewpin.relay.facade import Facade
-from dewpin.spool.records import Sheet
+from dewpin.spool.records import MessageRecord
 
 SETTINGS = {
     "Allowed": {"MaxAttempts": 6, "MaxOpen": 10**6},
@@ -41,7 +41,7 @@
         True,
     )
     for at in range(destinations):
-        facade.take(Sheet(b"m%d" % at, b"status", b"", b"", b"%d" % at, b"", b"", 0.0, 16000.0), 0.0)
+        facade.take(MessageRecord(b"m%d" % at, b"status", b"", b"", b"%d" % at, b"", b"", 0.0, 16000.0), 0.0)
     application = SimpleNamespace(
         configuration=SimpleNamespace(deployment=Deployment(), module=SETTINGS),
         started_ms=0.0,
@@ -52,7 +52,7 @@
             notices=SimpleNamespace(owed={}),
             behind={},
         ),
-        spool=SimpleNamespace(sheets={}, size=0, live=0, room=1.0),
+        spool=SimpleNamespace(pending={}, size_bytes=0, live_bytes=0, capacity_bytes=1.0),
         server=SimpleNamespace(clients={}, most=1, held=0, memory=1.0),
         pool=SimpleNamespace(opening=set(), resting=0, most_idle=1),
     )
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -22,10 +22,10 @@
 from ..relay import learnt
 from ..relay.course import Relay
 from ..relay.facade import Facade
-from ..spool.journal import Spool
-from ..spool.kept import Kept
-from ..spool.lock import Hold
-from ..spool.tail import Follower
+from ..spool.endpoint_cache import EndpointCache
+from ..spool.folder_lock import FolderLock
+from ..spool.handover_log import HandoverLogReader
+from ..spool.journal import Journal
 from .configuration_source import ConfigurationSource, dispatcher_seed
 from .control_socket import ControlSocket
 from .graceful_stop import stop_gracefully
@@ -73,14 +73,14 @@
     pool: Pool
     facade: Facade
     claim: TakeoverClaim
-    folder_lock: Hold | None
-    spool: Spool
-    follower: Follower
+    folder_lock: FolderLock | None
+    spool: Journal
+    follower: HandoverLogReader
     notices: Notices
     relay: Relay
     server: Door
     started_ms: float
-    endpoint_cache: Kept
+    endpoint_cache: EndpointCache
     watch: Watch
     control_socket: ControlSocket
 
@@ -143,7 +143,7 @@
             events.START,
             name=deployment.sender.name,
             at=f"{host}:{port}",
-            mails=len(self.spool.sheets),
+            mails=len(self.spool.pending),
             version=__version__,
         )
 
@@ -155,8 +155,8 @@
 
     def _make_message_parts(self) -> None:
         deployment = self.configuration.deployment
-        self.spool = Spool(self.folder, deployment.limits.disk)
-        self.follower = Follower(self.folder, self.spool)
+        self.spool = Journal(self.folder, deployment.limits.disk)
+        self.follower = HandoverLogReader(self.folder, self.spool)
         self.notices = Notices(layers.address(deployment.agent.address))
         self.relay = Relay(self.loop, self.facade, self.spool, self.pool, self.notices)
         self.server = Door(self.loop, self.relay)
@@ -170,7 +170,7 @@
         """
         configuration = self.configuration
         deployment = configuration.deployment
-        for ident in self.spool.detached:
+        for ident in self.spool.detached_receivers:
             self.facade.detach(ident)
         turns = agent.Turns(
             configuration.module["FleetSize"],
@@ -178,17 +178,17 @@
             dispatcher_seed(deployment.sender),
             configuration.module.get("RegistryMode") != "on_request",
         )
-        cache = self.endpoint_cache = Kept(self.folder, deployment.agent.address, deployment.limits.disk)
+        cache = self.endpoint_cache = EndpointCache(self.folder, deployment.agent.address, deployment.limits.disk)
         is_first_process = cache.revision is None and not handed_over
         known_revision = configuration.known.get("revision", 0)
         if handed_over:
             revision = None
             self._learn_endpoints(learnt.entries(handed_over), True)
-        elif cache.newer(known_revision):
+        elif cache.is_newer_than(known_revision):
             revision = cache.revision
             self._learn_endpoints(cache.entries(), True)
         else:
-            revision, ended = known_revision, cache.ended()
+            revision, ended = known_revision, cache.unavailable_at_other_agent()
             self._learn_endpoints(agent.entries(configuration.known.get("members", ())), True, revision)
             self._learn_endpoints(ended, False)
         agent_address = layers.address(deployment.agent.address)
@@ -200,7 +200,7 @@
             self.pool.recall(address)
             self.pool.close_idle(address)
         if revision is not None:
-            self.endpoint_cache.learn(entries, complete, revision, self.relay.clock.now())
+            self.endpoint_cache.update(entries, complete, revision, self.relay.clock.now())
         self.relay.wake()
 
     def _resume_messages(self, handed_over: HandedOverState | None) -> None:
@@ -209,9 +209,9 @@
             self.relay.resume(self.follower, set(handed_over["out"]))
             learnt.recall(self.facade, handed_over)
             name = self.configuration.deployment.sender.name
-            tell(events.TAKEN_OVER, name=name, mails=len(self.spool.sheets))
+            tell(events.TAKEN_OVER, name=name, mails=len(self.spool.pending))
         else:
-            self.relay.resume(self.follower if self.follower.there() else None, None)
+            self.relay.resume(self.follower if self.follower.exists() else None, None)
             self.relay.follow(gone=True)  # of an upgrade during which both processes were killed
             self.claim.drop()
 
@@ -241,7 +241,7 @@
         apply_limits(self)
         self._apply_log_settings()
         agent_address = layers.address(deployment.agent.address)
-        self.endpoint_cache.move(deployment.agent.address, deployment.limits.disk)
+        self.endpoint_cache.reconfigure(deployment.agent.address, deployment.limits.disk)
         self.watch.move(agent_address)
         self.notices.move(agent_address)
         await self._move_control_socket()
@@ -268,7 +268,7 @@
         self.server.close()
         self.pool.close()
         journal = self.relay.spool  # after a hand-over the hand-over log in its place
-        tell(events.END, name=self.configuration.deployment.sender.name, mails=len(journal.sheets))
+        tell(events.END, name=self.configuration.deployment.sender.name, mails=len(journal.pending))
         journal.close()
         if self.folder_lock:
             self.folder_lock.release()
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -7,7 +7,7 @@
 from .. import log
 from ..log import events, tell
 from ..relay import learnt
-from ..spool.tail import Tail
+from ..spool.handover_log import HandoverLogWriter
 from . import upgrade
 from .resource_limits import apply_limits
 
@@ -76,19 +76,19 @@
         pass
     server.shut()
     while loop.time() < deadline and (application.relay.out or server.clients):
-        tail.count(count_descriptors())
+        tail.report_descriptors(count_descriptors())
         await asyncio.sleep(DRAIN_CHECK_SECONDS)
     return True
 
 
-def _write_handed_over_state(application: "SenderApplication") -> Tail | None:
+def _write_handed_over_state(application: "SenderApplication") -> HandoverLogWriter | None:
     """Write the state for the next process; return the hand-over log, or None where the folder refuses."""
     tail = None
     try:
-        application.spool.follow(0)
-        tail = Tail(application.folder, application.spool)
+        application.spool.mark_handover_consumed(0)
+        tail = HandoverLogWriter(application.folder, application.spool)
         state = learnt.told(application.relay.facade) | {
-            "out": list(tail.sheets),
+            "out": list(tail.pending),
             "descriptors": count_descriptors() - application.pool.resting,
         }
         upgrade.hand_over_folder(application.folder, state)
@@ -101,13 +101,13 @@
     return tail
 
 
-def _stop_deciding(application: "SenderApplication", tail: Tail) -> None:
+def _stop_deciding(application: "SenderApplication", tail: HandoverLogWriter) -> None:
     """Leave journal, endpoint list, notices and idle connections to the next process."""
     application.relay.part(tail)
-    application.endpoint_cache.stop()
+    application.endpoint_cache.stop_writing()
     application.spool.close()
     name = application.configuration.deployment.sender.name
-    tell(events.HANDED_ON, name=name, mails=len(application.spool.sheets))
+    tell(events.HANDED_ON, name=name, mails=len(application.spool.pending))
     application.notices.channel.stop()
     application.pool.most_idle = 0
     application.pool.close()
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -38,7 +38,7 @@
         return {
             "ends": self.relay.ends,
             "sent": self.pool.sent,
-            "owed": len(self.relay.spool.sheets),
+            "owed": len(self.relay.spool.pending),
             "listed": facade.listed,
             "avoided": facade.avoided(),
         }
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -42,4 +42,4 @@
     server.patience = deployment.door.patience / 1000.0
     server.rest = deployment.door.rest / 1000.0
     server.idle = deployment.door.idle / 1000.0
-    application.spool.bound(limits.disk)
+    application.spool.set_disk_limit(limits.disk)
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -86,7 +86,7 @@
     return {
         "held": facade.module.held,
         "most": facade.most,
-        "owed": len(application.spool.sheets),
+        "owed": len(application.spool.pending),
         "notices": len(relay.notices.owed),
         "behind_notice": sum(map(len, relay.behind.values())),
     }
@@ -115,11 +115,12 @@
 
 def _journal_sizes(application: "SenderApplication") -> dict[str, float]:
     spool = application.spool
+    used_bytes = max(spool.size_bytes, spool.live_bytes) + spool.live_bytes
     return {
-        "file_bytes": spool.size,
-        "owed_bytes": spool.live,
-        "room_bytes": int(spool.room),
-        "used": round((max(spool.size, spool.live) + spool.live) / spool.room, 4),
+        "file_bytes": spool.size_bytes,
+        "owed_bytes": spool.live_bytes,
+        "room_bytes": int(spool.capacity_bytes),
+        "used": round(used_bytes / spool.capacity_bytes, 4),
     }
 
 
--- a/dewpin/daemon/upgrade.py
+++ b/dewpin/daemon/upgrade.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from ..spool.lock import Hold, held, hold
+from ..spool.folder_lock import FolderLock, is_locked
 
 CLAIM_FILE, HANDED_OVER_FILE = "next", "handed"
 CLAIM_CHECK_SECONDS = 0.05  # between two checks of a serving process for one that wants to take over
@@ -37,14 +37,14 @@
         self.folder = folder
         self.file = -1
 
-    async def enter(self) -> tuple[Hold | None, HandedOverState | None]:
+    async def enter(self) -> tuple[FolderLock | None, HandedOverState | None]:
         """Wait for the folder; return its lock, or what the process that still holds it has handed over.
 
         Exactly one of the two is not None. Raises OSError where a process has the folder and doesn't hand it over, or
         another one claims it already.
         """
         try:
-            return hold(self.folder, tries=2), None
+            return FolderLock.acquire(self.folder, attempts=2), None
         except OSError as error:
             if error.errno != errno.EBUSY:
                 raise
@@ -77,10 +77,10 @@
                     raise busy from None
                 await asyncio.sleep(TAKEOVER_POLL_SECONDS)
 
-    def try_lock_folder(self) -> Hold | None:
+    def try_lock_folder(self) -> FolderLock | None:
         """Return the folder's lock if the old process has ended, else None."""
         try:
-            return hold(self.folder, tries=1)
+            return FolderLock.acquire(self.folder, attempts=1)
         except OSError:
             return None
 
@@ -103,7 +103,7 @@
 async def wait_until_claimed(folder: str) -> None:
     """Wait until a new process claims the folder. A claim file without a lock was left by a killed process."""
     path = os.path.join(folder, CLAIM_FILE)
-    while not held(path):
+    while not is_locked(path):
         await asyncio.sleep(CLAIM_CHECK_SECONDS)
 
 
--- a/dewpin/ports.py
+++ b/dewpin/ports.py
@@ -5,13 +5,38 @@
 not relayed. The core knows these and no wire; a wire knows these and neither spool nor decisions.
 """
 from collections.abc import Callable, Sequence
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 Address = tuple[str, int, bytes]        # host, port, the receiver's id
 Heard = Callable[[str, float, float, dict[str, float], bool], None]
 """(outcome of core.model, ms of the wait told, ms it took, load report, whether the mail is over)."""
 
 
+class AttemptResult(NamedTuple):
+    """What came of an attempt to deliver a message.
+
+    `outcome`: one of core.model; `retry_after_ms`: how long the receiver asks to wait, 0 for no wait; `load_report`:
+    what the receiver says of its load; `is_withdrawn`: nothing is owed for the message any more."""
+
+    outcome: str
+    retry_after_ms: float
+    duration_ms: float
+    load_report: dict[str, float]
+    is_withdrawn: bool
+
+
+class EndpointEntry(NamedTuple):
+    """One receiver as an endpoint list has it; `state`: one of core.model, `address`: host and port."""
+
+    receiver_id: bytes
+    destination: int
+    state: str
+    address: tuple[str, int]
+    zone: str | None
+    kind: str | None
+    weight: float
+
+
 class Intake(Protocol):
     """Where a front hands mails in: the relay."""
     refusing: bool
--- a/dewpin/relay/course.py
+++ b/dewpin/relay/course.py
@@ -8,8 +8,9 @@
 
 from ..core import model
 from ..log import events, fault, tell
-from ..ports import Outlet, Teller
-from ..spool.records import Sheet
+from ..ports import AttemptResult, Outlet, Teller
+from ..spool.handover_log import AcceptedMessage, FinishedAttempt
+from ..spool.records import MessageRecord, PendingNotice
 
 PATIENCE = 50.0         # ms that a picked mail waits for the answer to an earlier one's notice
 ROUNDS = 200            # questions to the module in one turn of the loop
@@ -51,23 +52,24 @@
         now = self.clock.now()
         self.follower = follower
         if not follower:
-            self.spool.cut()
-        for ident in self.spool.past:
+            self.spool.assume_attempts_executed()
+        for ident in self.spool.finished_ids:
             self._remember(ident, now)
-        for sheet in list(self.spool.sheets.values()):
-            self._remember(sheet.ident, now)
-            if sheet.out and out is not None and sheet.serial not in out:
-                sheet.settle(True)      # the journal has no record for the end of a call that may have run
-            if sheet.ending:
+        for sheet in list(self.spool.pending.values()):
+            self._remember(sheet.message_id, now)
+            if sheet.in_flight and out is not None and sheet.serial not in out:
+                # the journal has no record for the end of a call that may have run
+                sheet.finish_attempt(may_have_executed=True)
+            if sheet.pending_notice:
                 self._tell(sheet)
             elif not self.facade.knows(sheet.queue_class, sheet.account):
-                tell(events.UNKNOWN_CLASS, mail=sheet.ident, queue_class=sheet.queue_class)
+                tell(events.UNKNOWN_CLASS, mail=sheet.message_id, queue_class=sheet.queue_class)
                 self._give_up(sheet, model.Decision.BOUNCED, 0.0)
             else:
-                tell(events.RESUMED, mail=sheet.ident, serial=sheet.serial, queue_class=sheet.queue_class,
-                     destination=sheet.destination, key=sheet.key, connect=sheet.tries,
-                     lifetime_ms=sheet.expires - now)
-                if sheet.out:
+                tell(events.RESUMED, mail=sheet.message_id, serial=sheet.serial, queue_class=sheet.queue_class,
+                     destination=sheet.destination, key=sheet.ordering_key, connect=sheet.attempts,
+                     lifetime_ms=sheet.expires_at_ms - now)
+                if sheet.in_flight:
                     self.out += 1
                     self.abroad[sheet.serial] = sheet, self.facade.adopt(sheet, now)
                 else:
@@ -94,10 +96,10 @@
             return False, ms
         lifetime = self.facade.lifetime(queue_class)
         left = lifetime if left is None else min(left, lifetime)
-        sheet = Sheet(ident, queue_class, account, key, destination, tag, body,
+        sheet = MessageRecord(ident, queue_class, account, key, destination, tag, body,
                       self.facade.first_in(queue_class, left, again, now), now + left)
-        if not self.spool.take(sheet):
-            tell(events.SPOOL_FULL, bytes=self.spool.size, mails=len(self.spool.sheets))
+        if not self.spool.accept(sheet):
+            tell(events.SPOOL_FULL, bytes=self.spool.size_bytes, mails=len(self.spool.pending))
             return False, 0.0
         if self.tail:
             self._remember(ident, now)
@@ -106,10 +108,10 @@
         try:
             self.facade.take(sheet, now)
         except Exception:
-            self.spool.end(sheet)   # the client hears of a failure, and nothing is owed
+            self.spool.finish(sheet)   # the client hears of a failure, and nothing is owed
             raise
         tell(events.TAKEN, mail=ident, serial=sheet.serial, queue_class=queue_class, destination=destination, key=key,
-             bytes=len(body), lifetime_ms=sheet.expires - now)
+             bytes=len(body), lifetime_ms=sheet.expires_at_ms - now)
         self._remember(ident, now)
         self.wake()
         return True, 0.0
@@ -152,17 +154,17 @@
     def _do(self, sheet, what, ms, now):
         if not isinstance(what, model.Receiver):
             self._give_up(sheet, what, ms)
-        elif sheet.key in self.unsaid:
+        elif sheet.ordering_key in self.unsaid:
             late = self.loop.call_later(min(ms, PATIENCE) / 1000.0, self._unsent, sheet, what)
-            self.behind.setdefault(sheet.key, {})[sheet] = what, now + ms, late
-            tell(events.BEHIND, mail=sheet.ident, receiver=what.receiver_id, key=sheet.key)
+            self.behind.setdefault(sheet.ordering_key, {})[sheet] = what, now + ms, late
+            tell(events.BEHIND, mail=sheet.message_id, receiver=what.receiver_id, key=sheet.ordering_key)
             self.out += 1
         else:
             self.out += 1
             self._send(sheet, what, ms)
 
     def _send(self, sheet, receiver, limit):
-        self.pool.call(receiver.address, sheet.ident, sheet.tag, sheet.body, limit,
+        self.pool.call(receiver.address, sheet.message_id, sheet.idempotency_key, sheet.body, limit,
                        lambda: self._leaves(sheet, receiver, limit),
                        lambda *heard: self._heard(sheet, receiver, *heard))
 
@@ -174,47 +176,47 @@
         have run."""
         now = self.clock.now()
         ms = self.facade.leaves(sheet, receiver, now) if self.sending else 0.0
-        if ms <= 0.0 or not self.spool.connect(sheet, receiver.receiver_id, now):
+        if ms <= 0.0 or not self.spool.start_attempt(sheet, receiver.receiver_id, now):
             return 0.0
-        tell(events.CONNECT, mail=sheet.ident, connect=sheet.tries, receiver=receiver.receiver_id,
+        tell(events.CONNECT, mail=sheet.message_id, connect=sheet.attempts, receiver=receiver.receiver_id,
              destination=sheet.destination, limit_ms=limit)
         return ms
 
     def _unsent(self, sheet, receiver):
         """A notice for an earlier mail of the key is not answered: the connect never left."""
-        del self.behind[sheet.key][sheet]
+        del self.behind[sheet.ordering_key][sheet]
         self._heard(sheet, receiver, model.Outcome.NOT_SENT, 0.0, 0.0, {}, False)
 
     def _heard(self, sheet, receiver, outcome, told, took, load, over):
         self.out -= 1
         if self.tail:
-            self.tail.heard(sheet, outcome, told, took, load, over)
+            self.tail.finish_attempt(sheet, AttemptResult(outcome, told, took, load, over))
             if told > 0.0:
                 self._recall(receiver)
             return
         try:
             ran = self.facade.ran(outcome)
-            tell(events.HEARD, mail=sheet.ident, connect=sheet.tries + (sheet.out is None),
+            tell(events.HEARD, mail=sheet.message_id, connect=sheet.attempts + (sheet.in_flight is None),
                  receiver=receiver.receiver_id, destination=sheet.destination, outcome=outcome, ran=ran,
                  took_ms=took, told_ms=told)
-            self.spool.settle(sheet, ran)
+            self.spool.finish_attempt(sheet, ran)
             ending, ms, leaves = self.facade.report(sheet, outcome, told, took, load, over, self.clock.now())
             if ending == model.Decision.RELAYED:
-                tell(events.ENDED, mail=sheet.ident, ending=ending, connect=sheet.tries)
+                tell(events.ENDED, mail=sheet.message_id, ending=ending, connect=sheet.attempts)
                 self.ends[sheet.queue_class][ending] += outcome == model.Outcome.DELIVERED     # else it was withdrawn
-                self.spool.end(sheet)
+                self.spool.finish(sheet)
                 self.facade.release(sheet)
             elif ending:
                 self._give_up(sheet, ending, ms)
             else:
-                tell(events.AGAIN, mail=sheet.ident, connect=sheet.tries,
+                tell(events.AGAIN, mail=sheet.message_id, connect=sheet.attempts,
                      after_ms=self.facade.pause(sheet, self.clock.now()))
             if leaves:
                 self.pool.close_idle(receiver.address)
             if told > 0.0:
                 self._recall(receiver)
         except Exception:
-            fault("outcome", mail=sheet.ident)
+            fault("outcome", mail=sheet.message_id)
         self.wake()
 
     def _recall(self, receiver):
@@ -222,28 +224,28 @@
             self.pool.recall(address)
 
     def _give_up(self, sheet, ending, ms):
-        tell(events.ENDED, mail=sheet.ident, ending=ending, connect=sheet.tries, after_ms=ms)
+        tell(events.ENDED, mail=sheet.message_id, ending=ending, connect=sheet.attempts, after_ms=ms)
         if sheet.queue_class in self.ends:
             self.ends[sheet.queue_class][ending] += 1
-        self.spool.give_up(sheet, ending == model.Decision.DEFERRED, ms)
+        self.spool.give_up(sheet, PendingNotice(ending == model.Decision.DEFERRED, ms))
         self.facade.release(sheet)
         self._tell(sheet)
 
     def _tell(self, sheet):
-        if sheet.key:
-            self.unsaid[sheet.key] = self.unsaid.get(sheet.key, 0) + 1
-        self.notices.tell(sheet.ident, *sheet.ending, lambda: self._told(sheet))
+        if sheet.ordering_key:
+            self.unsaid[sheet.ordering_key] = self.unsaid.get(sheet.ordering_key, 0) + 1
+        self.notices.tell(sheet.message_id, *sheet.pending_notice, lambda: self._told(sheet))
 
     def _told(self, sheet):
-        tell(events.TOLD, mail=sheet.ident)
-        self.spool.end(sheet)
-        if not sheet.key:
+        tell(events.TOLD, mail=sheet.message_id)
+        self.spool.finish(sheet)
+        if not sheet.ordering_key:
             return
-        self.unsaid[sheet.key] -= 1
-        if self.unsaid[sheet.key] == 0:
-            del self.unsaid[sheet.key]
+        self.unsaid[sheet.ordering_key] -= 1
+        if self.unsaid[sheet.ordering_key] == 0:
+            del self.unsaid[sheet.ordering_key]
             now = self.clock.now()
-            for held, (receiver, until, late) in self.behind.pop(sheet.key, {}).items():
+            for held, (receiver, until, late) in self.behind.pop(sheet.ordering_key, {}).items():
                 late.cancel()
                 self._send(held, receiver, max(1.0, until - now))
 
@@ -263,7 +265,13 @@
         """Takes in what the process before wrote since; `gone`: it has ended, and calls it did not tell of are cut."""
         if not self.follower:
             return
-        self.follower.read(self._taken_there, self._heard_there, self._detached_there)
+        for event in self.follower.read_events():
+            if isinstance(event, AcceptedMessage):
+                self._taken_there(event.message)
+            elif isinstance(event, FinishedAttempt):
+                self._heard_there(event.serial, *event.result)
+            else:
+                self._detached_there(event.receiver, event.is_detached)
         if gone:
             self.follower.close()
             self.follower = None
@@ -271,14 +279,15 @@
                 self._heard_there(serial, model.Outcome.RESET, 0.0, 0.0, {}, False)
 
     def _taken_there(self, sheet):
-        if sheet.ident in self.idents or sheet.ident in self.older:
+        if sheet.message_id in self.idents or sheet.message_id in self.older:
             return              # read before a kill, and not marked as read
         now = self.clock.now()
-        self._remember(sheet.ident, now)
-        self.spool.take(sheet, owed=True)
+        self._remember(sheet.message_id, now)
+        self.spool.accept(sheet, already_accepted=True)
         self.facade.take(sheet, now)
-        tell(events.TAKEN, mail=sheet.ident, serial=sheet.serial, queue_class=sheet.queue_class,
-             destination=sheet.destination, key=sheet.key, bytes=len(sheet.body), lifetime_ms=sheet.expires - now)
+        tell(events.TAKEN, mail=sheet.message_id, serial=sheet.serial, queue_class=sheet.queue_class,
+             destination=sheet.destination, key=sheet.ordering_key, bytes=len(sheet.body),
+             lifetime_ms=sheet.expires_at_ms - now)
         self.wake()
 
     def _heard_there(self, serial, *heard):
@@ -295,7 +304,7 @@
         named it; None: it can't be recorded."""
         if ident not in self.facade.receivers and ident not in self.facade.detached:
             return False
-        if not self.spool.detach(ident, True):
+        if not self.spool.set_detached(ident, True):
             return None
         if ident not in self.facade.detached:
             tell(events.DETACHED, receiver=ident)
@@ -309,7 +318,7 @@
         """What the list says of this receiver holds again; the answers are those of `detach`."""
         if ident not in self.facade.receivers and ident not in self.facade.detached:
             return False
-        if not self.spool.detach(ident, False):
+        if not self.spool.set_detached(ident, False):
             return None
         if ident in self.facade.detached:
             tell(events.ATTACHED, receiver=ident)
--- a/dewpin/relay/facade.py
+++ b/dewpin/relay/facade.py
@@ -40,7 +40,7 @@
 
     def report(self, sheet, outcome, told, took, load, over, now):
         """After a connect: its ending or None, the ms to come back after, and whether idle connections go."""
-        mail = sheet.mail
+        mail = sheet.message
         mail.retry_after_ms, mail.duration_ms = told, took
         mail.is_withdrawn = mail.is_withdrawn or over
         if load:
@@ -53,7 +53,8 @@
 
     def pause(self, sheet, now):
         """Ms of the pause that a mail is in."""
-        return max(0.0, sheet.mail.dispatch_state.due - now) if sheet.mail and sheet.mail.dispatch_state else 0.0
+        message = sheet.message
+        return max(0.0, message.dispatch_state.due - now) if message and message.dispatch_state else 0.0
 
     # -- mails and receivers --------------------------------------------------------------------------------
 
@@ -76,8 +77,8 @@
         """Parts an ended mail from its sheet: the module may hold it until its time is up.
 
         Guards against memory that only a collector's full round gives back."""
-        if sheet.mail:
-            sheet.mail.message_id = sheet.mail = None
+        if sheet.message:
+            sheet.message.message_id = sheet.message = None
 
     def lifetime(self, queue_class):
         return self.lifetimes[self.classes[queue_class]]
@@ -90,26 +91,27 @@
 
     def leaves(self, sheet, receiver, now):
         """Ms within which the last byte of a mail that was picked may leave; 0: none of it may."""
-        return self.module.leaves(sheet.mail, receiver, now)
+        return self.module.leaves(sheet.message, receiver, now)
 
     def adopt(self, sheet, now):
         """A mail whose call is out at the process before this one; gives the receiver."""
-        ident, sent = sheet.out
+        ident, sent = sheet.in_flight
         receiver = self._receiver(ident, self.destination(int(sheet.destination)))
-        sheet.tries -= 1        # the one out is counted when the module takes it over
+        sheet.attempts -= 1        # the one out is counted when the module takes it over
         self.take(sheet, now)
-        sheet.tries += 1
-        self.module.adopt(sheet.mail, receiver, sent, now)
+        sheet.attempts += 1
+        self.module.adopt(sheet.message, receiver, sent, now)
         return receiver
 
     def take(self, sheet, now):
         destination = self.destination(int(sheet.destination))
-        ran_to = None if sheet.ran_to is None else self._receiver(sheet.ran_to, destination)
-        sheet.mail = model.Message(
-            sheet, destination, sheet.arrived, sheet.expires, self.classes[sheet.queue_class],
-            self.accounts.get(sheet.account, 0), sheet.key or 0,
-            model.PriorAttempts(sheet.tries, sheet.ran_at, ran_to))
-        self.module.route(sheet.mail, now)
+        ran = sheet.possibly_executed
+        ran_to = None if ran is None else self._receiver(ran.receiver, destination)
+        sheet.message = model.Message(
+            sheet, destination, sheet.arrived_at_ms, sheet.expires_at_ms, self.classes[sheet.queue_class],
+            self.accounts.get(sheet.account, 0), sheet.ordering_key or 0,
+            model.PriorAttempts(sheet.attempts, ran and ran.sent_at_ms, ran_to))
+        self.module.route(sheet.message, now)
 
     def learn(self, entries, complete):
         """News of the list; gives the addresses, each with its receiver's id, that nothing new goes to."""
--- a/dewpin/relay/learnt.py
+++ b/dewpin/relay/learnt.py
@@ -4,7 +4,7 @@
 It decides nothing; calls out and mails in hand are not among it, they are the journal's.
 """
 from ..core.decide import Gate, Pace, Ring, Trickle
-from ..spool.kept import entry, row
+from ..spool.endpoint_cache import decode_row, encode_row
 
 OWN = ("out", "call", "waiting", "order")       # of calls and mails in hand, and of this process
 SHAPES = {"rate": Pace, "span": Ring}       # a field that only this one has
@@ -14,7 +14,7 @@
     """A map for JSON: the list as known, and the notes on the sender, its destinations and their receivers."""
     module = facade.module
     return {
-        "list": [row((receiver.receiver_id, receiver.destination.destination_id,
+        "list": [encode_row((receiver.receiver_id, receiver.destination.destination_id,
                       facade.detached.get(receiver.receiver_id, receiver.state), (receiver.address or ("", 0))[:2],
                       _name(facade.zones, receiver.zone), _name(facade.kinds, receiver.kind), receiver.weight))
                  for receiver in facade.receivers.values()],
@@ -29,7 +29,7 @@
 
 def entries(held):
     """The list of `told` in the form of `Facade.learn`."""
-    return [entry(one) for one in held["list"]]
+    return [decode_row(one) for one in held["list"]]
 
 
 def recall(facade, held):
--- a/dewpin/spool/__init__.py
+++ b/dewpin/spool/__init__.py
@@ -1,4 +1,5 @@
-"""The journal in the folder that lasts: its format, its one writer, and readers that change nothing.
+"""The sender's stored data: the message journal, the endpoint cache, the hand-over log and the lock on their folder.
 
-It owns the files of `state` and their size. It knows no wire and decides nothing about a mail.
+One process at a time writes to the folder; the inspector reads it without changing anything. The package knows no wire
+format and decides nothing about a message.
 """
--- /dev/null
+++ b/dewpin/spool/codec.py
@@ -0,0 +1,173 @@
+"""The journal's format on disk: records to bytes and back, without I/O.
+
+A record is a header (length and checksum of what follows), a kind, a serial number and the fields of its kind. All
+numbers are little-endian. The writer of the journal, that of the hand-over log and every reader use this module, so
+`dewpin spool` shows what a start would read.
+"""
+
+import struct
+from typing import NamedTuple
+from zlib import crc32
+
+from .records import Attempt, MessageRecord, PendingNotice, RecordKind
+
+HEADER = struct.Struct("<II")
+"""Length and CRC-32 of the payload."""
+KIND_AND_SERIAL = struct.Struct("<cQ")
+MESSAGE_TIMES = struct.Struct("<dd")
+ATTEMPT_SUMMARY = struct.Struct("<Hd")
+SENT_AT = struct.Struct("<d")
+NOTICE = struct.Struct("<?d")
+TEXT_LENGTH = struct.Struct("<I")
+MESSAGE_TEXTS = 7
+MAX_PAYLOAD_BYTES = 1_048_576
+"""A longer one is no record of this program."""
+NOT_EXECUTED_AT_MS = -1.0
+"""Stands in a summary where no attempt may have been executed."""
+
+KNOWN_KIND_CODES = frozenset(kind.value for kind in RecordKind)
+
+
+class Frame(NamedTuple):
+    """A complete record: what follows its header, and the offset of the next record."""
+
+    payload: bytes
+    end_offset: int
+
+
+class DamagedFrame(NamedTuple):
+    """An offset at which no complete record stands."""
+
+    reason: str
+
+
+class AttemptSummary(NamedTuple):
+    """The attempts of a message before a compaction, the one in flight left aside."""
+
+    attempts: int
+    possibly_executed: Attempt | None
+
+
+def encode_record(kind: RecordKind, serial: int, *fields: bytes) -> bytes:
+    """A record with these fields, which are encoded already."""
+    payload = KIND_AND_SERIAL.pack(kind.value, serial) + b"".join(fields)
+    return HEADER.pack(len(payload), crc32(payload)) + payload
+
+
+def encode_accepted(message: MessageRecord) -> bytes:
+    """The record of a message's acceptance."""
+    texts = (
+        message.message_id,
+        message.queue_class,
+        message.account,
+        message.ordering_key,
+        message.destination,
+        message.idempotency_key,
+        message.body,
+    )
+    return encode_record(
+        RecordKind.ACCEPTED,
+        message.serial,
+        MESSAGE_TIMES.pack(message.arrived_at_ms, message.expires_at_ms),
+        *[field for text in texts for field in (TEXT_LENGTH.pack(len(text)), text)],
+    )
+
+
+def encode_attempt_started(serial: int, attempt: Attempt) -> bytes:
+    """The record of an attempt, written before its first byte leaves."""
+    return encode_record(RecordKind.ATTEMPT_STARTED, serial, SENT_AT.pack(attempt.sent_at_ms), attempt.receiver)
+
+
+def encode_given_up(serial: int, notice: PendingNotice) -> bytes:
+    """The record of giving a message up, written before the notice leaves."""
+    return encode_record(RecordKind.GIVEN_UP, serial, NOTICE.pack(*notice))
+
+
+def encode_pending_message(message: MessageRecord) -> bytes:
+    """All records that a pending message needs in a compacted journal."""
+    records = [encode_accepted(message)]
+    finished_attempts = message.attempts - (message.in_flight is not None)
+    if finished_attempts:
+        records.append(_encode_summary(message.serial, AttemptSummary(finished_attempts, message.possibly_executed)))
+    if message.in_flight:
+        records.append(encode_attempt_started(message.serial, message.in_flight))
+    if message.pending_notice:
+        records.append(encode_given_up(message.serial, message.pending_notice))
+    return b"".join(records)
+
+
+def _encode_summary(serial: int, summary: AttemptSummary) -> bytes:
+    receiver, sent_at_ms = summary.possibly_executed or (b"", NOT_EXECUTED_AT_MS)
+    return encode_record(
+        RecordKind.ATTEMPT_SUMMARY, serial, ATTEMPT_SUMMARY.pack(summary.attempts, sent_at_ms), receiver
+    )
+
+
+def read_frame(content: bytes, offset: int) -> Frame | DamagedFrame:
+    """The record at this offset, or why there is none."""
+    if offset + HEADER.size > len(content):
+        return DamagedFrame("torn: it ends within a record's head")
+    length, checksum = HEADER.unpack_from(content, offset)
+    if not KIND_AND_SERIAL.size <= length <= MAX_PAYLOAD_BYTES:
+        return DamagedFrame(f"corrupt: a record of {length} bytes")
+    payload = content[offset + HEADER.size : offset + HEADER.size + length]
+    if len(payload) < length:
+        return DamagedFrame(f"torn: {len(payload)} of a record's {length} bytes")
+    if crc32(payload) != checksum:
+        return DamagedFrame("corrupt: the checksum differs")
+    return Frame(payload, offset + HEADER.size + length)
+
+
+def decode_kind_and_serial(payload: bytes) -> tuple[bytes, int]:
+    """The byte of a record's kind, which a newer program may have made, and its serial number."""
+    code, serial = KIND_AND_SERIAL.unpack_from(payload)
+    return code, serial
+
+
+def decode_fields(payload: bytes) -> bytes:
+    """What follows kind and serial number: the id in a receiver's record, JSON in a hand-over log's attempt."""
+    return payload[KIND_AND_SERIAL.size :]
+
+
+def decode_message(serial: int, payload: bytes) -> MessageRecord:
+    """The message of an `ACCEPTED` record. Raises struct.error where the fields make no sense."""
+    arrived_at_ms, expires_at_ms = MESSAGE_TIMES.unpack_from(payload, KIND_AND_SERIAL.size)
+    offset = KIND_AND_SERIAL.size + MESSAGE_TIMES.size
+    texts = []
+    for _ in range(MESSAGE_TEXTS):
+        (length,) = TEXT_LENGTH.unpack_from(payload, offset)
+        texts.append(payload[offset + TEXT_LENGTH.size : offset + TEXT_LENGTH.size + length])
+        offset += TEXT_LENGTH.size + length
+    message_id, queue_class, account, ordering_key, destination, idempotency_key, body = texts
+    message = MessageRecord(
+        message_id,
+        queue_class,
+        account,
+        ordering_key,
+        destination,
+        idempotency_key,
+        body,
+        arrived_at_ms,
+        expires_at_ms,
+    )
+    message.serial = serial
+    return message
+
+
+def decode_attempt(payload: bytes) -> Attempt:
+    """The attempt of an `ATTEMPT_STARTED` record. Raises struct.error where the fields make no sense."""
+    (sent_at_ms,) = SENT_AT.unpack_from(payload, KIND_AND_SERIAL.size)
+    return Attempt(payload[KIND_AND_SERIAL.size + SENT_AT.size :], sent_at_ms)
+
+
+def decode_summary(payload: bytes) -> AttemptSummary:
+    """The attempts of an `ATTEMPT_SUMMARY` record. Raises struct.error where the fields make no sense."""
+    attempts, sent_at_ms = ATTEMPT_SUMMARY.unpack_from(payload, KIND_AND_SERIAL.size)
+    receiver = payload[KIND_AND_SERIAL.size + ATTEMPT_SUMMARY.size :]
+    return AttemptSummary(attempts, Attempt(receiver, sent_at_ms) if sent_at_ms >= 0.0 else None)
+
+
+def decode_notice(payload: bytes) -> PendingNotice:
+    """The notice of a `GIVEN_UP` record. Raises struct.error where the fields make no sense."""
+    is_deferred, retry_after_ms = NOTICE.unpack_from(payload, KIND_AND_SERIAL.size)
+    return PendingNotice(is_deferred, retry_after_ms)
--- /dev/null
+++ b/dewpin/spool/inspector.py
@@ -0,0 +1,158 @@
+"""A read-only view of a journal, for `dewpin spool`: offline, or in the folder of a live sender.
+
+The file is read once, as it is at that moment. A live sender may be writing its last record just then, so a damaged
+file is read a second time after a moment before the damage is reported.
+"""
+
+import os
+import time
+from typing import Any, NamedTuple
+
+from . import codec
+from .codec import DamagedFrame, Frame
+from .folder_lock import is_locked
+from .journal import COMPACTION_FILE, JOURNAL_FILE
+from .records import MessageRecord, RecordKind
+from .replay import JournalReplay
+
+REREAD_SECONDS = 0.05
+KIND_LABELS = {
+    RecordKind.ACCEPTED: "taken",
+    RecordKind.ATTEMPT_STARTED: "connect",
+    RecordKind.ATTEMPT_NOT_EXECUTED: "not run",
+    RecordKind.GIVEN_UP: "given up",
+    RecordKind.FINISHED: "over",
+    RecordKind.ATTEMPT_SUMMARY: "summary",
+    RecordKind.RECEIVER_DETACHED: "detached",
+    RecordKind.RECEIVER_ATTACHED: "attached",
+    RecordKind.ATTEMPT_FINISHED: "heard",
+    RecordKind.DESCRIPTOR_COUNT: "count",
+    RecordKind.HANDOVER_CONSUMED: "followed",
+}
+"""The kinds as the command shows them; scripts of operators read these words."""
+LABELS_BY_CODE = {kind.value: label for kind, label in KIND_LABELS.items()}
+
+
+class Damage:
+    """A stretch of the file that is not a record: `offset` and `size_bytes`, the reason, and how many complete records
+    follow it (`records_behind`)."""
+
+    __slots__ = ("offset", "size_bytes", "reason", "records_behind")
+
+    def __init__(self, offset: int, size_bytes: int, reason: str) -> None:
+        self.offset = offset
+        self.size_bytes = size_bytes
+        self.reason = reason
+        self.records_behind = 0
+
+
+class RecordView(NamedTuple):
+    """One record of a message: its offset in the file, its kind as operators know it, and its fields."""
+
+    offset: int
+    label: str
+    facts: dict[str, Any]
+
+
+class JournalInspector:
+    """What a folder's journal holds.
+
+    `replay`: the state that a start would find. `readable_bytes`: how much of the file it would read. `damages`: the
+    stretches that are not records. `has_compaction_file`: a compaction is under way or was not finished.
+    `is_sender_running`: whether a live sender holds the folder, None where that can't be determined.
+
+    Raises OSError where there is no journal to read."""
+
+    def __init__(self, folder: Any) -> None:
+        self.path = os.path.join(folder, JOURNAL_FILE)
+        self.content = _read_file(self.path)
+        self._scan()
+        if self.damages:
+            time.sleep(REREAD_SECONDS)
+            self.content = _read_file(self.path)
+            self._scan()
+        self.has_compaction_file = os.path.exists(os.path.join(folder, COMPACTION_FILE))
+        self.is_sender_running = is_locked(folder)
+
+    def pending(self) -> list[MessageRecord]:
+        """The messages without an end, in order of acceptance."""
+        return list(self.replay.pending.values())
+
+    def find(self, message_id: bytes) -> list[MessageRecord]:
+        """The pending messages with this id: one, unless a client has used the id twice."""
+        return [message for message in self.replay.pending.values() if message.message_id == message_id]
+
+    def records_of(self, serial: int) -> list[RecordView]:
+        """Every record of one message that the file still has."""
+        views, offset = [], 0
+        while offset < self.readable_bytes:
+            frame = codec.read_frame(self.content, offset)
+            assert isinstance(frame, Frame)  # the replay has read all records before `readable_bytes`
+            code, record_serial = codec.decode_kind_and_serial(frame.payload)
+            if record_serial == serial:
+                label = LABELS_BY_CODE.get(code, "unknown")
+                views.append(RecordView(offset, label, _record_facts(code, frame.payload)))
+            offset = frame.end_offset
+        return views
+
+    def _scan(self) -> None:
+        self.replay = JournalReplay()
+        self.damages: list[Damage] = []
+        self.readable_bytes = offset = self.replay.run(self.content)
+        while offset < len(self.content):
+            frame = codec.read_frame(self.content, offset)
+            reason = frame.reason if isinstance(frame, DamagedFrame) else "corrupt: its fields make no sense"
+            next_offset = _find_next_record(self.content, offset + 1)
+            damage = Damage(offset, next_offset - offset, reason)
+            self.damages.append(damage)
+            offset = next_offset
+            while offset < len(self.content):
+                following = codec.read_frame(self.content, offset)
+                if isinstance(following, DamagedFrame):
+                    break
+                damage.records_behind += 1
+                offset = following.end_offset
+
+
+def describe_state(message: MessageRecord) -> str:
+    """A message's state in the words of `dewpin spool`, as a start would find it."""
+    if message.pending_notice:
+        return "deferred, notice owed" if message.pending_notice.is_deferred else "bounced, notice owed"
+    if message.in_flight:
+        return "connect out"
+    if message.possibly_executed is not None:
+        return "may have run"
+    return "not run" if message.attempts else "not sent"
+
+
+def _record_facts(code: bytes, payload: bytes) -> dict[str, Any]:
+    """A record's fields, under the names that `dewpin spool show` prints."""
+    if code == RecordKind.ATTEMPT_STARTED.value:
+        attempt = codec.decode_attempt(payload)
+        return {"sent": attempt.sent_at_ms, "receiver": attempt.receiver}
+    if code == RecordKind.GIVEN_UP.value:
+        notice = codec.decode_notice(payload)
+        return {"ending": "deferred" if notice.is_deferred else "bounced", "after_ms": notice.retry_after_ms}
+    if code == RecordKind.ATTEMPT_SUMMARY.value:
+        summary = codec.decode_summary(payload)
+        possibly_executed = summary.possibly_executed
+        return {"connects": summary.attempts, "ran_at": possibly_executed and possibly_executed.sent_at_ms}
+    if code == RecordKind.ACCEPTED.value:
+        arrived_at_ms, expires_at_ms = codec.MESSAGE_TIMES.unpack_from(payload, codec.KIND_AND_SERIAL.size)
+        return {"arrived": arrived_at_ms, "expires": expires_at_ms}
+    return {}
+
+
+def _find_next_record(content: bytes, offset: int) -> int:
+    """The offset of the next complete record of a known kind, or the end."""
+    while offset < len(content):
+        frame = codec.read_frame(content, offset)
+        if isinstance(frame, Frame) and frame.payload[:1] in codec.KNOWN_KIND_CODES:
+            return offset
+        offset += 1
+    return len(content)
+
+
+def _read_file(path: str) -> bytes:
+    with open(path, "rb") as file:  # the file that has the name now, even if a compaction replaces it meanwhile
+        return file.read()
--- a/dewpin/spool/journal.py
+++ b/dewpin/spool/journal.py
@@ -1,171 +1,212 @@
-"""The journal in the folder that lasts: what was taken on, what left, what proved not to have run, what ended.
+"""The journal: what was accepted, attempted, given up and finished, in a file that survives the process.
 
-It owns the folder's files and their size, and the sheets of the mails that are still owed an end. Whatever it has
-written survives the process; it must never hold more than its share of the disk, both copies of a compaction
-together, and never decide what becomes of a mail.
+The journal is append-only, with a compaction that writes the pending messages to a second file and renames it. Its size
+is bounded by a share of the disk limit, both files of a compaction together. It decides nothing about a message.
 """
+
 import os
+from typing import Any
 
 from ..log import events, tell
-from . import kept, records
-
-BLOCK = 512             # files count in whole blocks
-LATER = 512             # a mail's later records need at most so much after a compaction
-SLACK = 262144          # so much of the file may be over before it is written anew
-
-
-class Spool:
-    def __init__(self, folder, disk):
+from . import codec
+from .endpoint_cache import max_cache_bytes
+from .records import Attempt, MessageRecord, PendingNotice, RecordKind
+from .replay import JournalReplay
+
+JOURNAL_FILE = "journal"
+COMPACTION_FILE = "journal.new"
+BLOCK_BYTES = 512
+"""Files count in whole blocks against the disk limit."""
+RESERVED_BLOCKS = 8
+RESERVED_BYTES_PER_MESSAGE = 512
+"""What a message's records after its acceptance take in a compacted journal, at most."""
+GARBAGE_BYTES = 262_144
+"""So many bytes of obsolete records may stand in the file, beyond twice the live ones, before a compaction."""
+
+
+def write_all(descriptor: int, content: bytes) -> None:
+    """Writes all bytes, however many system calls it takes. Raises OSError."""
+    unwritten = memoryview(content)
+    while unwritten:
+        unwritten = unwritten[os.write(descriptor, unwritten) :]
+
+
+class Journal:
+    """The one writer of a folder's journal. It opens the file, replays it and truncates a torn end.
+
+    `pending`: the messages without an end, by serial number, in order of acceptance. `finished_ids`: those of the
+    messages whose end the journal held at the start. `detached_receivers`: the receivers that operators detached
+    (a dict for its order). `consumed_handover_bytes`: how much of an earlier process's hand-over log was read.
+    `live_bytes`: what a compaction would write, at most. `capacity_bytes`: the limit for both files of a compaction
+    together."""
+
+    def __init__(self, folder: Any, disk_bytes: float) -> None:
         os.makedirs(folder, exist_ok=True)
-        self.path, self.spare = os.path.join(folder, "journal"), os.path.join(folder, "journal.new")
-        self.bound(disk)
-        self.sheets = {}            # serial: sheet, in the order in which they were taken on
-        self.past = []              # ids of mails whose end was found in the journal at the start
-        self.live = 0               # what a compaction would write, at most
-        self.serial = 0
-        if os.path.exists(self.spare):
-            os.unlink(self.spare)   # a compaction that did not come to its end; the old copy holds all
-        self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
+        self.path = os.path.join(folder, JOURNAL_FILE)
+        self.compaction_path = os.path.join(folder, COMPACTION_FILE)
+        self.set_disk_limit(disk_bytes)
+        self.pending: dict[int, MessageRecord] = {}
+        self.live_bytes = 0
+        if os.path.exists(self.compaction_path):
+            os.unlink(self.compaction_path)  # of a compaction that was not finished; the journal holds everything
+        self._descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         with open(self.path, "rb") as file:
             content = file.read()
-        found = records.Replay()
-        self.size, self.serial, self.past = found.run(content), found.serial, found.past
-        self.detached = found.detached      # receivers that operators took out: id: None
-        self.live += LATER * len(self.detached)
-        for sheet in found.sheets.values():
-            self._add(sheet, sheet.size)
-        if self.size < len(content):
-            tell(events.TORN, bytes=len(content) - self.size, at=self.size)
-            os.ftruncate(self.file, self.size)
-        self.followed = found.followed      # bytes of an earlier process's tail that are taken in
-
-    def bound(self, disk):
-        """The room for the journal and its second copy, beside the list of receivers."""
-        self.room = disk - 8 * BLOCK - kept.room(disk)
-
-    def cut(self):
-        """Nobody has the calls any more that were out when the process before ended: they may have run."""
-        for sheet in self.sheets.values():
-            sheet.settle(True)
-
-    # -- writing --------------------------------------------------------------------------------------------
-
-    def take(self, sheet, owed=False):
-        """Records a mail before it is answered for; False if the folder has no room for it. One that is owed already,
-        by the process before, is recorded in any case."""
-        self.serial += 1
-        sheet.serial = self.serial
-        record = records.taken(sheet)
-        whole = len(record) + LATER
-        if not self._holds(whole):
+        replay = JournalReplay()
+        self.size_bytes = replay.run(content)
+        self.last_serial = replay.last_serial
+        self.finished_ids = replay.finished_ids
+        self.detached_receivers = replay.detached_receivers
+        self.consumed_handover_bytes = replay.consumed_handover_bytes
+        self.live_bytes += RESERVED_BYTES_PER_MESSAGE * len(self.detached_receivers)
+        for message in replay.pending.values():
+            self._add(message, message.stored_bytes)
+        if self.size_bytes < len(content):
+            tell(events.TORN, bytes=len(content) - self.size_bytes, at=self.size_bytes)
+            os.ftruncate(self._descriptor, self.size_bytes)
+
+    def set_disk_limit(self, disk_bytes: float) -> None:
+        """Sets the capacity to what the disk limit leaves beside the endpoint cache."""
+        self.capacity_bytes = disk_bytes - RESERVED_BLOCKS * BLOCK_BYTES - max_cache_bytes(disk_bytes)
+
+    def assume_attempts_executed(self) -> None:
+        """The attempts that were in flight when the process before ended are lost; they may have been executed."""
+        for message in self.pending.values():
+            message.finish_attempt(may_have_executed=True)
+
+    # -- messages -------------------------------------------------------------------------------------------
+
+    def accept(self, message: MessageRecord, already_accepted: bool = False) -> bool:
+        """Records a message before its acceptance is acknowledged; False if there is no capacity for it.
+
+        `already_accepted`: the process before has acknowledged it, so it is recorded over the limit too."""
+        self.last_serial += 1
+        message.serial = self.last_serial
+        record = codec.encode_accepted(message)
+        needed_bytes = len(record) + RESERVED_BYTES_PER_MESSAGE
+        if not self._has_capacity_for(needed_bytes):
             self.compact()
-            if not self._holds(whole) and not owed:
+            if not self._has_capacity_for(needed_bytes) and not already_accepted:
                 return False
         if not self._write(record):
             return False
-        self._add(sheet, len(record))
+        self._add(message, len(record))
         return True
 
-    def connect(self, sheet, receiver, now):
-        """Records a connect before its first byte; False if that can't be done."""
-        sheet.settle(True)
-        if not self._append(records.connect(sheet, receiver, now)):
+    def start_attempt(self, message: MessageRecord, receiver: bytes, now_ms: float) -> bool:
+        """Records an attempt before its first byte leaves; False if that is not possible."""
+        message.finish_attempt(may_have_executed=True)
+        attempt = Attempt(receiver, now_ms)
+        if not self._append(codec.encode_attempt_started(message.serial, attempt)):
             return False
-        sheet.out, sheet.tries = (receiver, now), sheet.tries + 1   # after: the append may compact
+        # only now: the append may compact, which writes the attempt in flight as well
+        message.in_flight = attempt
+        message.attempts += 1
         return True
 
-    def settle(self, sheet, ran):
-        """After a connect's outcome: whether it may have run."""
-        sheet.settle(ran)
-        if not ran:
-            self._append(records.record(records.NOT_RUN, sheet.serial))
-
-    def give_up(self, sheet, deferred, ms):
-        """Records the notice that is owed, before it leaves."""
-        sheet.ending = deferred, ms
-        self._append(records.given_up(sheet))
-
-    def end(self, sheet):
-        if sheet.serial in self.sheets:
-            self._drop(sheet)
-            self._append(records.record(records.OVER, sheet.serial))
-
-    def detach(self, receiver, out):
-        """Records before it is answered that operators took a receiver out, or put it back; False if it can't be."""
-        if out == (receiver in self.detached):
+    def finish_attempt(self, message: MessageRecord, may_have_executed: bool) -> None:
+        """Records the outcome of the attempt in flight."""
+        message.finish_attempt(may_have_executed)
+        if not may_have_executed:
+            self._append(codec.encode_record(RecordKind.ATTEMPT_NOT_EXECUTED, message.serial))
+
+    def give_up(self, message: MessageRecord, notice: PendingNotice) -> None:
+        """Records the notice that is owed for a message, before it leaves."""
+        message.pending_notice = notice
+        self._append(codec.encode_given_up(message.serial, notice))
+
+    def finish(self, message: MessageRecord) -> None:
+        """Records the end of a message; nothing where it is not pending."""
+        if message.serial in self.pending:
+            self._remove(message)
+            self._append(codec.encode_record(RecordKind.FINISHED, message.serial))
+
+    # -- receivers and hand-over ----------------------------------------------------------------------------
+
+    def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
+        """Records, before it is acknowledged, that operators detached or attached a receiver; False if not possible."""
+        if is_detached == (receiver in self.detached_receivers):
             return True
-        if out and not self._holds(LATER):
+        if is_detached and not self._has_capacity_for(RESERVED_BYTES_PER_MESSAGE):
             return False
-        if not self._append(records.record(records.DETACHED if out else records.ATTACHED, 0, receiver)):
+        kind = RecordKind.RECEIVER_DETACHED if is_detached else RecordKind.RECEIVER_ATTACHED
+        if not self._append(codec.encode_record(kind, 0, receiver)):
             return False
-        if out:
-            self.detached[receiver] = None
+        if is_detached:
+            self.detached_receivers[receiver] = None
+            self.live_bytes += RESERVED_BYTES_PER_MESSAGE
         else:
-            del self.detached[receiver]
-        self.live += LATER if out else -LATER
+            del self.detached_receivers[receiver]
+            self.live_bytes -= RESERVED_BYTES_PER_MESSAGE
         return True
 
-    def follow(self, offset):
-        """Records that the tail of the process before is taken in up to there."""
-        self._append(records.record(records.FOLLOWED, offset))
-        self.followed = offset
+    def mark_handover_consumed(self, offset: int) -> None:
+        """Records that the hand-over log of the process before is consumed up to this offset."""
+        self._append(codec.encode_record(RecordKind.HANDOVER_CONSUMED, offset))
+        self.consumed_handover_bytes = offset
 
-    def compact(self):
-        """Writes what is owed to a second file, which takes the first one's place in one step."""
-        content = b"".join([records.record(records.FOLLOWED, self.followed)]
-                           + [records.record(records.DETACHED, 0, one) for one in self.detached]
-                           + [records.whole(sheet) for sheet in self.sheets.values()])
+    # -- the file -------------------------------------------------------------------------------------------
+
+    def compact(self) -> None:
+        """Writes the live state to a second file and renames it over the journal. A fault is logged, and nothing
+        changes."""
+        content = self._live_content()
         try:
-            file = os.open(self.spare, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
+            descriptor = os.open(self.compaction_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
             try:
-                self._put(file, content)
-                os.replace(self.spare, self.path)
+                write_all(descriptor, content)
+                os.replace(self.compaction_path, self.path)
             except OSError:
-                os.close(file)
-                os.unlink(self.spare)
+                os.close(descriptor)
+                os.unlink(self.compaction_path)
                 raise
         except OSError as error:
             tell(events.COMPACT_FAULT, why=str(error))
             return
-        os.close(self.file)
-        self.file, self.size = file, len(content)
-
-    def close(self):
-        os.close(self.file)
-
-    def _holds(self, whole):
-        """Whether a mail more leaves room for all that may follow, and for a compaction then."""
-        return max(self.size, self.live) + self.live + 2 * whole <= self.room
-
-    def _fits(self, more):
-        return self.size + self.live + more <= self.room
-
-    def _add(self, sheet, size):
-        sheet.size = size + LATER
-        self.sheets[sheet.serial] = sheet
-        self.live += sheet.size
-
-    def _drop(self, sheet):
-        del self.sheets[sheet.serial]
-        self.live -= sheet.size
-
-    def _append(self, record):
-        if not self._fits(len(record)) or self.size > 2 * self.live + SLACK:
+        os.close(self._descriptor)
+        self._descriptor = descriptor
+        self.size_bytes = len(content)
+
+    def close(self) -> None:
+        """Closes the file."""
+        os.close(self._descriptor)
+
+    def _live_content(self) -> bytes:
+        records = [codec.encode_record(RecordKind.HANDOVER_CONSUMED, self.consumed_handover_bytes)]
+        for receiver in self.detached_receivers:
+            records.append(codec.encode_record(RecordKind.RECEIVER_DETACHED, 0, receiver))
+        for message in self.pending.values():
+            records.append(codec.encode_pending_message(message))
+        return b"".join(records)
+
+    def _has_capacity_for(self, needed_bytes: int) -> bool:
+        """Whether one more item leaves capacity for all records that may follow, and for a compaction then."""
+        used_bytes = max(self.size_bytes, self.live_bytes) + self.live_bytes
+        return used_bytes + 2 * needed_bytes <= self.capacity_bytes
+
+    def _fits(self, record_bytes: int) -> bool:
+        return self.size_bytes + self.live_bytes + record_bytes <= self.capacity_bytes
+
+    def _add(self, message: MessageRecord, record_bytes: int) -> None:
+        message.stored_bytes = record_bytes + RESERVED_BYTES_PER_MESSAGE
+        self.pending[message.serial] = message
+        self.live_bytes += message.stored_bytes
+
+    def _remove(self, message: MessageRecord) -> None:
+        del self.pending[message.serial]
+        self.live_bytes -= message.stored_bytes
+
+    def _append(self, record: bytes) -> bool:
+        if not self._fits(len(record)) or self.size_bytes > 2 * self.live_bytes + GARBAGE_BYTES:
             self.compact()
         return self._write(record)
 
-    def _write(self, record):
+    def _write(self, record: bytes) -> bool:
         try:
-            self._put(self.file, record)
+            write_all(self._descriptor, record)
         except OSError as error:
             tell(events.WRITE_FAULT, why=str(error))
-            os.ftruncate(self.file, self.size)      # no later record may stand behind a torn one
+            os.ftruncate(self._descriptor, self.size_bytes)  # no later record may stand behind a torn one
             return False
-        self.size += len(record)
+        self.size_bytes += len(record)
         return True
-
-    @staticmethod
-    def _put(file, content):
-        view = memoryview(content)
-        while view:
-            view = view[os.write(file, view):]
--- /dev/null
+++ b/dewpin/spool/replay.py
@@ -0,0 +1,84 @@
+"""What the records of a journal amount to: the state that a start of the sender finds."""
+
+import struct
+
+from .codec import (
+    DamagedFrame,
+    decode_attempt,
+    decode_fields,
+    decode_kind_and_serial,
+    decode_message,
+    decode_notice,
+    decode_summary,
+    read_frame,
+)
+from .records import MessageRecord, RecordKind
+
+
+class JournalReplay:
+    """The state after the records that were applied, in their order.
+
+    `pending`: the messages without an end, by serial number, in order of acceptance. `finished_ids`: those of the
+    messages whose end was recorded. `detached_receivers`: the receivers that operators detached, in that order (a dict
+    for its order). `consumed_handover_bytes`: how much of an earlier process's hand-over log was read. `last_serial`:
+    the highest serial number. `counts_by_code`: the records of each kind, kinds of newer programs included.
+
+    An attempt may have been executed unless a later record says otherwise: only proof of the contrary is recorded."""
+
+    def __init__(self) -> None:
+        self.pending: dict[int, MessageRecord] = {}
+        self.finished_ids: list[bytes] = []
+        self.detached_receivers: dict[bytes, None] = {}
+        self.consumed_handover_bytes = 0
+        self.last_serial = 0
+        self.counts_by_code = {kind.value: 0 for kind in RecordKind}
+
+    def run(self, content: bytes) -> int:
+        """Applies complete records from the start; the offset of the first that is not complete or makes no sense."""
+        offset = 0
+        while True:
+            frame = read_frame(content, offset)
+            if isinstance(frame, DamagedFrame) or not self._apply(frame.payload, frame.end_offset - offset):
+                return offset
+            offset = frame.end_offset
+
+    def _apply(self, payload: bytes, size_bytes: int) -> bool:
+        """Applies one record; False where its fields make no sense."""
+        code, serial = decode_kind_and_serial(payload)
+        try:
+            if code == RecordKind.ACCEPTED.value:
+                accepted = decode_message(serial, payload)
+                accepted.stored_bytes = size_bytes
+                self.pending[serial] = accepted
+            elif code == RecordKind.HANDOVER_CONSUMED.value:
+                self.consumed_handover_bytes = serial
+            elif code == RecordKind.RECEIVER_DETACHED.value:
+                self.detached_receivers[decode_fields(payload)] = None
+            elif code == RecordKind.RECEIVER_ATTACHED.value:
+                self.detached_receivers.pop(decode_fields(payload), None)
+            elif message := self.pending.get(serial):
+                self._apply_to_message(message, code, payload)
+        except struct.error:
+            return False
+        if code != RecordKind.HANDOVER_CONSUMED.value:
+            self.last_serial = max(self.last_serial, serial)
+        self.counts_by_code[code] = self.counts_by_code.get(code, 0) + 1
+        return True
+
+    def _apply_to_message(self, message: MessageRecord, code: bytes, payload: bytes) -> None:
+        if code == RecordKind.ATTEMPT_STARTED.value:
+            message.finish_attempt(may_have_executed=True)
+            message.in_flight = decode_attempt(payload)
+            message.attempts += 1
+        elif code == RecordKind.ATTEMPT_NOT_EXECUTED.value:
+            message.finish_attempt(may_have_executed=False)
+        elif code == RecordKind.ATTEMPT_SUMMARY.value:
+            summary = decode_summary(payload)
+            message.attempts = summary.attempts
+            if summary.possibly_executed:
+                message.possibly_executed = summary.possibly_executed
+        elif code == RecordKind.GIVEN_UP.value:
+            message.pending_notice = decode_notice(payload)
+        elif code == RecordKind.FINISHED.value:
+            self.finished_ids.append(message.message_id)
+            del self.pending[message.serial]
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -139,7 +139,8 @@
             *(
                 "python3",
                 "-c",
-                "import sys; sys.path[:0] = sys.argv[1:2]; from dewpin.spool.lock import hold; hold(sys.argv[2])",
+                "import sys; sys.path[:0] = sys.argv[1:2]; from dewpin.spool.folder_lock import FolderLock; "
+                "FolderLock.acquire(sys.argv[2])",
                 os.getcwd(),
                 str(state),
             ),
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -9,7 +9,7 @@
 import pytest
 
 from dewpin.daemon import upgrade
-from dewpin.spool.lock import hold
+from dewpin.spool.folder_lock import FolderLock
 from driver import Sender, play, reply, until
 
 
@@ -179,7 +179,7 @@
 
 def test_a_look_at_the_claim_does_not_turn_it_away(tmp_path):
     async def scene():
-        mark = hold(tmp_path)
+        mark = FolderLock.acquire(tmp_path)
         (tmp_path / "next").touch()
         with open(tmp_path / "next") as looking:
             fcntl.flock(looking, fcntl.LOCK_SH)
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -11,7 +11,7 @@
 
 from dewpin.core import model
 from dewpin.core.decide import Dispatcher
-from dewpin.spool.look import Look
+from dewpin.spool.inspector import JournalInspector
 
 
 def settings(effects=("safe",), window=5000.0, scope="all", order=False, bundle=1, slots=8, room=200, fleet=2,
@@ -299,7 +299,7 @@
 
     def owed(self):
         """How many mails the spool says are owed an end."""
-        return len(Look(self.folder / "state").sheets())
+        return len(JournalInspector(self.folder / "state").pending())
 
     async def end(self, number=signal.SIGKILL):
         self.process.send_signal(number)
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -24,14 +24,15 @@
 from dewpin.net.http import Malformed, Reader
 from dewpin.net.inbound import Door
 from dewpin.net.outbound import Pool
+from dewpin.ports import AttemptResult
 from dewpin.relay import learnt
 from dewpin.relay.course import Relay
 from dewpin.relay.facade import Facade
-from dewpin.spool.journal import Spool
-from dewpin.spool.kept import Kept
-from dewpin.spool.look import Look, state
-from dewpin.spool.records import Sheet
-from dewpin.spool.tail import Follower, Tail
+from dewpin.spool.endpoint_cache import EndpointCache
+from dewpin.spool.handover_log import AcceptedMessage, FinishedAttempt, HandoverLogReader, HandoverLogWriter
+from dewpin.spool.inspector import JournalInspector, describe_state
+from dewpin.spool.journal import Journal as SpoolJournal
+from dewpin.spool.records import MessageRecord, PendingNotice
 
 FOLDER = Path(__file__).parent / "sender"
 ROOT = Path(__file__).parents[2]
@@ -103,7 +104,7 @@
 
 def stored_message(facts):
     """The record of a message with these plain facts, as it is when a client hands it in."""
-    return Sheet(
+    return MessageRecord(
         octets(facts["id"]),
         octets(facts["queue_class"]),
         octets(facts["tenant"]),
@@ -117,21 +118,27 @@
 
 
 def message_facts(sheet):
-    first = None if sheet.ran_at is None else {"receiver": text(sheet.ran_to), "sent_ms": sheet.ran_at}
-    in_flight = sheet.out and {"receiver": text(sheet.out[0]), "sent_ms": sheet.out[1]}
-    notice = sheet.ending and {"retryable": sheet.ending[0], "retry_after_ms": sheet.ending[1]}
+    first = sheet.possibly_executed and {
+        "receiver": text(sheet.possibly_executed.receiver),
+        "sent_ms": sheet.possibly_executed.sent_at_ms,
+    }
+    in_flight = sheet.in_flight and {"receiver": text(sheet.in_flight.receiver), "sent_ms": sheet.in_flight.sent_at_ms}
+    notice = sheet.pending_notice and {
+        "retryable": sheet.pending_notice.is_deferred,
+        "retry_after_ms": sheet.pending_notice.retry_after_ms,
+    }
     return {
         "serial": sheet.serial,
-        "id": text(sheet.ident),
+        "id": text(sheet.message_id),
         "queue_class": text(sheet.queue_class),
         "tenant": text(sheet.account),
-        "ordering_key": text(sheet.key),
+        "ordering_key": text(sheet.ordering_key),
         "destination": text(sheet.destination),
-        "idempotency_key": text(sheet.tag),
+        "idempotency_key": text(sheet.idempotency_key),
         "body": text(sheet.body),
-        "received_ms": sheet.arrived,
-        "expires_ms": sheet.expires,
-        "attempts": sheet.tries,
+        "received_ms": sheet.arrived_at_ms,
+        "expires_ms": sheet.expires_at_ms,
+        "attempts": sheet.attempts,
         "first_attempt_that_may_have_executed": first,
         "attempt_in_flight": in_flight or None,
         "notice_owed": notice or None,
@@ -142,49 +149,49 @@
     """The one writer of a folder's journal, asked in plain values."""
 
     def __init__(self, folder, disk_bytes):
-        self.spool = Spool(str(folder), disk_bytes)
+        self.spool = SpoolJournal(str(folder), disk_bytes)
 
     def contents(self):
         spool = self.spool
         return {
-            "messages": [message_facts(sheet) for sheet in spool.sheets.values()],
-            "finished": [text(ident) for ident in spool.past],
-            "detached_receivers": [text(ident) for ident in spool.detached],
-            "consumed_of_hand_over_log": spool.followed,
-            "highest_serial": spool.serial,
-            "file_bytes": spool.size,
-            "bytes_after_compaction_at_most": spool.live,
+            "messages": [message_facts(sheet) for sheet in spool.pending.values()],
+            "finished": [text(ident) for ident in spool.finished_ids],
+            "detached_receivers": [text(ident) for ident in spool.detached_receivers],
+            "consumed_of_hand_over_log": spool.consumed_handover_bytes,
+            "highest_serial": spool.last_serial,
+            "file_bytes": spool.size_bytes,
+            "bytes_after_compaction_at_most": spool.live_bytes,
         }
 
     def _sheet(self, ident):
-        return next(sheet for sheet in self.spool.sheets.values() if sheet.ident == octets(ident))
+        return next(sheet for sheet in self.spool.pending.values() if sheet.message_id == octets(ident))
 
     def accept(self, facts, already_owed=False):
-        return self.spool.take(stored_message(facts), already_owed)
+        return self.spool.accept(stored_message(facts), already_owed)
 
     def attempt(self, ident, receiver, sent_ms):
-        return self.spool.connect(self._sheet(ident), octets(receiver), sent_ms)
+        return self.spool.start_attempt(self._sheet(ident), octets(receiver), sent_ms)
 
     def attempt_ended(self, ident, may_have_executed):
-        self.spool.settle(self._sheet(ident), may_have_executed)
+        self.spool.finish_attempt(self._sheet(ident), may_have_executed)
 
     def give_up(self, ident, retryable, retry_after_ms):
-        self.spool.give_up(self._sheet(ident), retryable, retry_after_ms)
+        self.spool.give_up(self._sheet(ident), PendingNotice(retryable, retry_after_ms))
 
     def finish(self, ident):
-        self.spool.end(self._sheet(ident))
+        self.spool.finish(self._sheet(ident))
 
     def detach(self, receiver):
-        return self.spool.detach(octets(receiver), True)
+        return self.spool.set_detached(octets(receiver), True)
 
     def attach(self, receiver):
-        return self.spool.detach(octets(receiver), False)
+        return self.spool.set_detached(octets(receiver), False)
 
     def mark_consumed(self, offset):
-        self.spool.follow(offset)
+        self.spool.mark_handover_consumed(offset)
 
     def assume_attempts_executed(self):
-        self.spool.cut()
+        self.spool.assume_attempts_executed()
 
     def compact(self):
         self.spool.compact()
@@ -195,23 +202,23 @@
 
 def inspected(folder):
     """What the read-only view of a journal, as `dewpin spool` shows it, tells of a folder."""
-    look = Look(str(folder))
+    look = JournalInspector(str(folder))
     return {
-        "messages": [{"id": text(sheet.ident), "state": state(sheet)} for sheet in look.sheets()],
+        "messages": [{"id": text(sheet.message_id), "state": describe_state(sheet)} for sheet in look.pending()],
         "records": {
-            text(sheet.ident): [
+            text(sheet.message_id): [
                 [at, kind, {name: text(fact) if isinstance(fact, bytes) else fact for name, fact in facts.items()}]
-                for at, kind, facts in look.course(sheet.serial)
+                for at, kind, facts in look.records_of(sheet.serial)
             ]
-            for sheet in look.sheets()
+            for sheet in look.pending()
         },
         "damages": [
-            {"offset": one.offset, "bytes": one.size, "why": one.why, "records_behind": one.behind}
+            {"offset": one.offset, "bytes": one.size_bytes, "why": one.reason, "records_behind": one.records_behind}
             for one in look.damages
         ],
-        "readable_bytes": look.end,
-        "compaction_under_way": look.spare,
-        "counts": {text(kind): count for kind, count in look.replay.counts.items()},
+        "readable_bytes": look.readable_bytes,
+        "compaction_under_way": look.has_compaction_file,
+        "counts": {text(kind): count for kind, count in look.replay.counts_by_code.items()},
     }
 
 
@@ -244,47 +251,47 @@
     """The file with the latest list of receivers, asked in plain values."""
 
     def __init__(self, folder, agent, disk_bytes):
-        self.kept = Kept(str(folder), agent, disk_bytes)
+        self.kept = EndpointCache(str(folder), agent, disk_bytes)
 
     def contents(self):
         return {
             "revision": self.kept.revision,
-            "of_another_agent": self.kept.other,
+            "of_another_agent": self.kept.is_from_other_agent,
             "receivers": [receiver_facts(entry) for entry in self.kept.entries()],
-            "not_active_at_another_agent": [receiver_facts(entry) for entry in self.kept.ended()],
+            "not_active_at_another_agent": [receiver_facts(entry) for entry in self.kept.unavailable_at_other_agent()],
         }
 
     def is_newer_than(self, revision):
-        return self.kept.newer(revision)
+        return self.kept.is_newer_than(revision)
 
     def learn(self, receivers, complete, revision, now_ms):
-        self.kept.learn([receiver_entry(one) for one in receivers], complete, revision, now_ms)
+        self.kept.update([receiver_entry(one) for one in receivers], complete, revision, now_ms)
 
     def move(self, agent, disk_bytes):
-        self.kept.move(agent, disk_bytes)
+        self.kept.reconfigure(agent, disk_bytes)
 
 
 class HandOverLog:
     """What a process that leaves writes for the next one after the journal is the next one's."""
 
     def __init__(self, folder, journal):
-        self.tail = Tail(str(folder), journal.spool)
+        self.tail = HandoverLogWriter(str(folder), journal.spool)
 
     def accept(self, facts):
-        return self.tail.take(stored_message(facts))
+        return self.tail.accept(stored_message(facts))
 
     def attempt_ended(self, ident, outcome, wait_ms, took_ms, load, over):
-        sheet = next(one for one in self.tail.sheets.values() if one.ident == octets(ident))
-        self.tail.heard(sheet, OUTCOMES[outcome], wait_ms, took_ms, load, over)
+        sheet = next(one for one in self.tail.pending.values() if one.message_id == octets(ident))
+        self.tail.finish_attempt(sheet, AttemptResult(OUTCOMES[outcome], wait_ms, took_ms, load, over))
 
     def detach(self, receiver):
-        return self.tail.detach(octets(receiver), True)
+        return self.tail.set_detached(octets(receiver), True)
 
     def attach(self, receiver):
-        return self.tail.detach(octets(receiver), False)
+        return self.tail.set_detached(octets(receiver), False)
 
     def count_descriptors(self, descriptors):
-        self.tail.count(descriptors)
+        self.tail.report_descriptors(descriptors)
 
     def close(self):
         self.tail.close()
@@ -292,7 +299,7 @@
 
 def consumed_hand_over_log(folder, journal):
     """What the next process reads of that log, record by record."""
-    follower, told = Follower(str(folder), journal.spool), []
+    follower, told = HandoverLogReader(str(folder), journal.spool), []
 
     def accepted(sheet):
         told.append({"accepted": message_facts(sheet)})
@@ -312,8 +319,14 @@
     def detached(receiver, out):
         told.append({"detached" if out else "attached": text(receiver)})
 
-    follower.read(accepted, attempt_ended, detached)
-    return {"records": told, "descriptors": follower.descriptors, "consumed": journal.spool.followed}
+    for event in follower.read_events():
+        if isinstance(event, AcceptedMessage):
+            accepted(event.message)
+        elif isinstance(event, FinishedAttempt):
+            attempt_ended(event.serial, *event.result)
+        else:
+            detached(event.receiver, event.is_detached)
+    return {"records": told, "descriptors": follower.descriptors, "consumed": journal.spool.consumed_handover_bytes}
 
 
 # -- a sender's process without its sockets -----------------------------------------------------------------------
@@ -328,13 +341,13 @@
 
     def __init__(self, folder, settings, seed, loop, calls, notices):
         self.folder = str(folder)
-        self.spool = Spool(self.folder, 3_000_000)
+        self.spool = SpoolJournal(self.folder, 3_000_000)
         self.facade = Facade(settings, seed)
         self.relay = Relay(loop, self.facade, self.spool, Outlet(calls), Teller(notices))
         self.relay.clock.offset = 0.0
-        for ident in self.spool.detached:
+        for ident in self.spool.detached_receivers:
             self.facade.detach(ident)
-        self.follower = Follower(self.folder, self.spool)
+        self.follower = HandoverLogReader(self.folder, self.spool)
 
     def resume(self):
         """After a start without a process before this one."""
@@ -354,9 +367,9 @@
 
     def hand_on(self):
         """The folder is the next process's from now on; gives what was handed on as bytes."""
-        self.spool.follow(0)
-        tail = Tail(self.folder, self.spool)
-        upgrade.hand_over_folder(self.folder, learnt.told(self.facade) | {"out": list(tail.sheets), "descriptors": 17})
+        self.spool.mark_handover_consumed(0)
+        tail = HandoverLogWriter(self.folder, self.spool)
+        upgrade.hand_over_folder(self.folder, learnt.told(self.facade) | {"out": list(tail.pending), "descriptors": 17})
         self.relay.part(tail)
         self.spool.close()
         return Path(self.folder, "handed").read_bytes()
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -20,8 +20,8 @@
 Facade.report = lambda self, sheet, outcome, told, *more: report(self, sheet, outcome, 0.0, *more)
 """
 FORGETS = """
-from dewpin.spool.journal import Spool
-Spool.take = lambda self, sheet, owed=False: True
+from dewpin.spool.journal import Journal
+Journal.accept = lambda self, message, already_accepted=False: True
 """
 
 
--- a/tests/relay/test_late_repeats.py
+++ b/tests/relay/test_late_repeats.py
@@ -10,7 +10,7 @@
 from dewpin.net.outbound import HELD, Link, Pool
 from dewpin.relay.course import Relay
 from dewpin.relay.facade import Facade
-from dewpin.spool.journal import Spool
+from dewpin.spool.journal import Journal
 from driver import settings
 
 RECEIVER = ("10.0.0.1", 80)
@@ -93,7 +93,7 @@
 
     async def scene():
         facade.learn([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
-        relay = Relay(loop, facade, Spool(folder, 1e6), Pool(loop, 1500.0, 0.0), notices)
+        relay = Relay(loop, facade, Journal(folder, 1e6), Pool(loop, 1500.0, 0.0), notices)
         assert relay.hand_in(b"m", b"notice", b"", b"", b"7", b"tag", b"body", 10_000.0) == (True, 0.0)
         await asyncio.sleep(3.0)
 
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -9,8 +9,8 @@
 from dewpin.relay import learnt
 from dewpin.relay.course import Relay
 from dewpin.relay.facade import Facade
-from dewpin.spool.journal import Spool
-from dewpin.spool.records import Sheet
+from dewpin.spool.journal import Journal
+from dewpin.spool.records import MessageRecord
 from driver import settings, until
 
 
@@ -23,7 +23,7 @@
         left = facade.learn([(ident, at // 2, model.ReceiverState.READY, spots[at % 2], "a", "k", 1.0)], True)
         assert (*spots[at % 2], ident) not in left
         assert at < 2 or (*spots[at % 2], b"r%d" % (at - 2)) in left
-        facade.take(Sheet(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
+        facade.take(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
         while facade.tick(1e6) is not None:
             facade.pick(1e6)
     assert max(map(len, (facade.receivers, facade.destinations, facade.module.lines))) < 300
@@ -31,7 +31,7 @@
 
 
 def test_an_ended_mail_leaves_nothing_for_the_collector(tmp_path, monkeypatch):
-    class Watched(Sheet):
+    class Watched(MessageRecord):
         __slots__ = ("__weakref__",)
 
     class Outward:
@@ -45,17 +45,17 @@
     async def scene():
         facade, outward, kept = Facade(told, 1), Outward(), []
         facade.learn([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
-        relay = Relay(loop, facade, Spool(tmp_path, 1e6), outward, outward)
+        relay = Relay(loop, facade, Journal(tmp_path, 1e6), outward, outward)
         for at in range(10):
             assert relay.hand_in(b"m%d" % at, b"charge", b"", b"", b"7", b"", b"body", 5000.0) == (True, 0.0)
-        assert len(relay.spool.sheets) == 10
-        kept = [weakref.ref(one) for one in relay.spool.sheets.values()]
-        await until(lambda: not relay.spool.sheets)
+        assert len(relay.spool.pending) == 10
+        kept = [weakref.ref(one) for one in relay.spool.pending.values()]
+        await until(lambda: not relay.spool.pending)
         await until(lambda: not any(one() for one in kept), 1.0)
 
     told = settings(effects=("unsafe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     told["Services"][0]["Name"] = "charge"
-    monkeypatch.setattr("dewpin.relay.course.Sheet", Watched)
+    monkeypatch.setattr("dewpin.relay.course.MessageRecord", Watched)
     loop = asyncio.new_event_loop()
     gc.disable()
     try:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -14,7 +14,7 @@
     "peers": set(),
     "config": set(),
     "log": set(),
-    "spool": {"core", "log"},
+    "spool": {"core", "log", "ports"},
     "relay": {"core", "log", "ports", "spool"},
     "console": {"log", "net"},
     "net": {"core", "log", "ports"},
