--- a/benchmarks/capacity/measures/process.py
+++ b/benchmarks/capacity/measures/process.py
@@ -17,10 +17,10 @@
 from benchmarks.capacity.timing import MICROSECONDS, in_fresh_process, resident_bytes
 from dewpin.dataplane.routing.event_relay import EventRelay
 from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
-from dewpin.dataplane.upstream.receiver_stream import ReceiverStream
 from dewpin.dataplane.upstream.response_body import framing_of
+from dewpin.dataplane.upstream.response_stream import ResponseStream
 
-RELAY = "dewpin/dataplane/routing/event_relay.py, receiver_stream.py, events.py"
+RELAY = "dewpin/dataplane/routing/event_relay.py, response_stream.py, event_splitter.py"
 THREADS = (50, 100, 200, 400)
 CONNECTIONS = (50, 100, 200, 400)
 STREAMS = (10, 40, 80, 120)
@@ -120,7 +120,7 @@
     connection.request("POST", "/", preload_content=False, decode_content=False)
     response = connection.getresponse()
     framing = framing_of("POST", response.status, response.headers.getlist)
-    stream = ReceiverStream(connection, response, framing, lambda *_: None)
+    stream = ResponseStream(connection, response, framing, lambda *_: None)
     relay = EventRelay(stream, None, None, lambda: LONGEST_STREAM_S, lambda ended: None)
     with source, sink:
         for part in relay:
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -20,12 +20,12 @@
 from dewpin.cluster.settings import BOOT_VARIABLE, Settings, settings_or_exit
 from dewpin.cluster.settings_watch import POLL_PERIOD_S, SettingsWatch
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.ingress.readiness import ReadyServer
-from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.ingress.readiness import ReadinessServer
+from dewpin.dataplane.ingress.server import IngressServer
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 from dewpin.dataplane.membership.cluster_state import ClusterState
 from dewpin.dataplane.programs.store_client import BlockingStoreClient, StoreClient
-from dewpin.dataplane.routing.request_handler import RequestPath
+from dewpin.dataplane.routing.request_handler import RequestHandler
 from dewpin.dataplane.stop_signal import StopSignal
 
 log = logging.getLogger(__name__)
@@ -61,9 +61,9 @@
             raise RuntimeError("the agent's loop did not start")
         assert self._store_client is not None
         store = BlockingStoreClient(self._store_client, self.loop)
-        path = RequestPath(self.state, store, self.settings.zone)
-        ingress = Ingress(self.state, path.handle)
-        ready = ReadyServer(self.is_ready)
+        request_handler = RequestHandler(self.state, store, self.settings.zone)
+        ingress = IngressServer(self.state, request_handler.handle)
+        ready = ReadinessServer(self.is_ready)
         ingress.start(split_address(self.settings.listen["front"]))
         ready.start(split_address(self.settings.listen["ready"]))
         threading.Thread(target=self._follow_settings, name="settings", daemon=True).start()
--- a/dewpin/dataplane/http11/event_splitter.py
+++ b/dewpin/dataplane/http11/event_splitter.py
@@ -1,7 +1,7 @@
-"""Server-sent events: cutting the bytes of a stream into whole events.
+"""Server-sent events: splits the bytes of a stream into complete events (WHATWG HTML, section 9.2.6).
 
-An event ends with an empty line; lines end with a line feed, with or without a carriage return before it. The bytes of
-an event are kept as they came. Fields other than `id` and `data` (`versions`, `event`, comments) are passed on unread.
+An event ends with an empty line; a line ends with LF or CRLF. The bytes of an event are kept as they were received.
+Only the fields `id` and `data` are parsed; all other fields (`versions`, `event`, comments) are forwarded unread.
 """
 
 import re
@@ -12,7 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One whole event: its bytes with the empty line behind, its id, and its data (None if it has none)."""
+    """One complete event.
+
+    Attributes:
+        raw: its bytes, with the empty line at the end.
+        id: its id, None if it has none.
+        data: its `data` lines, joined by LF; None if it has none.
+    """
 
     raw: bytes
     id: str | None
@@ -20,14 +26,14 @@
 
 
 class EventSplitter:
-    """Collects bytes until they make whole events."""
+    """Buffers the bytes of a stream until they make complete events."""
 
     def __init__(self) -> None:
         self._pending = b""
 
-    def feed(self, part: bytes) -> list[Event]:
-        """Take in the next bytes and return the events that became whole."""
-        self._pending += part
+    def feed(self, data: bytes) -> list[Event]:
+        """Buffer the next bytes and return the events that are complete now."""
+        self._pending += data
         events = []
         start = 0
         for end in _EVENT_END.finditer(self._pending):
@@ -36,18 +42,18 @@
         self._pending = self._pending[start:]
         return events
 
-    def take_rest(self) -> list[Event]:
-        """Return what came after the last whole event; the end of a whole body ends an event as well."""
-        rest, self._pending = self._pending, b""
-        return [parse_event(rest)] if rest else []
+    def flush(self) -> list[Event]:
+        """Return what is pending as an event, at the end of a complete body, which also ends an event."""
+        pending, self._pending = self._pending, b""
+        return [parse_event(pending)] if pending else []
 
-    def drop_pending(self) -> None:
-        """Forget the bytes of an event that will not become whole."""
+    def discard_pending(self) -> None:
+        """Discard the bytes of an event that will not be completed."""
         self._pending = b""
 
 
 def parse_event(raw: bytes) -> Event:
-    """Read the fields of one event; several `data` lines are joined by line feeds."""
+    """Parse the fields of one event."""
     event_id: str | None = None
     data: list[bytes] = []
     for line in raw.split(b"\n"):
--- a/dewpin/dataplane/http11/messages.py
+++ b/dewpin/dataplane/http11/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the request path handles them, apart from any connection."""
+"""Requests and responses as the data plane handles them, apart from any connection."""
 
 from collections.abc import Iterable, Iterator, Sequence, Set
 from dataclasses import dataclass, field
@@ -6,7 +6,9 @@
 from typing import Protocol
 
 from dewpin.cluster.errors import ERROR_RESPONSES, ErrorKind
+from dewpin.dataplane.errors import DataplaneError
 
+# Names of header fields, in lower case, as `Headers` looks them up.
 REQUEST_ID = "x-dewpin-request-id"
 REQUEST_DEADLINE = "x-dewpin-request-deadline"
 TARGET_INSTANCE = "x-dewpin-target-instance"
@@ -17,7 +19,7 @@
 PRIORITY = "priority"
 PROMPT_PREFIX = "x-dewpin-prompt-prefix"
 AFFINITY = "x-dewpin-session-affinity"
-"""A header, or a cookie: what the requests about one object have in common."""
+"""Header or cookie that requests about the same object have in common."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -33,13 +35,13 @@
         "upgrade",
     }
 )
-"""Headers, in lower case, that concern one connection only and are not passed on."""
+"""Fields, in lower case, that apply to one connection only and are not forwarded (RFC 9110, 7.6.1)."""
 
 HeaderField = tuple[str, str]
 
 
 class Headers:
-    """Header fields in their order, looked up without regard to case."""
+    """Header fields in their order; names are looked up in lower case (field names are case-insensitive)."""
 
     __slots__ = ("_values", "fields")
 
@@ -50,46 +52,55 @@
             self._values.setdefault(name.lower(), []).append(value)
 
     def get(self, name: str) -> str | None:
-        """Return the first value of a header, whose name is given in lower case."""
+        """Return the first value of a field whose name is given in lower case."""
         values = self._values.get(name)
         return values[0] if values else None
 
     def get_all(self, name: str) -> Sequence[str]:
-        """Return every value of a header, whose name is given in lower case."""
+        """Return every value of a field whose name is given in lower case."""
         return self._values.get(name, ())
 
     def tokens(self, name: str) -> set[str]:
-        """Return the comma-separated members of a header in lower case."""
+        """Return the comma-separated members of a field's values, in lower case."""
         return {token.strip().lower() for value in self.get_all(name) for token in value.split(",") if token.strip()}
 
     @property
     def has_body_framing(self) -> bool:
-        """Tell whether the sender of these fields said how long the body is, if only that it is empty."""
+        """Return whether the fields say how the body ends, even if only that it is empty (RFC 9112, 6)."""
         return "content-length" in self._values or "transfer-encoding" in self._values
 
-    def end_to_end(self, left_out: Set[str] = frozenset()) -> list[HeaderField]:
-        """Return the fields that are passed on: not those of the connection, not those in `left_out`."""
-        dropped = left_out | self.tokens("connection") | CONNECTION_HEADERS
+    def end_to_end(self, excluded: Set[str] = frozenset()) -> list[HeaderField]:
+        """Return the fields that are forwarded: neither those of the connection nor those in `excluded`."""
+        dropped = excluded | self.tokens("connection") | CONNECTION_HEADERS
         return [(name, value) for name, value in self.fields if name.lower() not in dropped]
 
 
 class Client(Protocol):
-    """The client's side of a connection, watched while its request is under way.
+    """The connection to a client, watched while its request is in progress.
 
-    A client that ended its sending counts as gone, whatever bytes of it are still to be read: nothing tells it apart
-    from one that closed its connection. It gets an answer all the same, if it still reads.
+    A client that half-closed its connection counts as disconnected, even if bytes of it remain to be read: it cannot be
+    told apart from a client that closed the connection. It gets a response all the same, in case it still reads.
     """
 
     def fileno(self) -> int:
         """Return the descriptor to poll for POLLRDHUP."""
 
-    def has_gone(self) -> bool:
-        """Tell, without blocking, whether the client has closed the connection."""
+    def has_disconnected(self) -> bool:
+        """Return, without blocking, whether the client has closed the connection or its sending side."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request. `received_at` is the clock's time of its first byte, in seconds."""
+    """A complete request.
+
+    Attributes:
+        method: the method.
+        target: the request target as it was received.
+        headers: the header fields.
+        body: the body, without transfer coding.
+        received_at: when its first byte was received, in seconds of the monotonic clock.
+        client: the connection that it was received on.
+    """
 
     method: str
     target: str
@@ -105,22 +116,22 @@
 
 
 class BodyStream(Protocol):
-    """The parts of a body that is passed on as it arrives."""
+    """A body that is forwarded as it arrives."""
 
     def __iter__(self) -> Iterator[bytes]:
-        """Return the parts in order; raises BodyBroken where the body cannot be completed."""
+        """Return the bytes in order; raises IncompleteBodyError if the body cannot be completed."""
 
     def close(self) -> None:
-        """Give up the rest; may be called at any time and more than once."""
+        """Abandon the rest; may be called at any time and more than once."""
 
 
-class BodyBroken(Exception):
-    """A body ends before it is whole; its client must be able to see that."""
+class IncompleteBodyError(DataplaneError):
+    """A body ended before it was complete; the client must be able to detect that."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """The answer to a client: a whole body, or one that is still arriving."""
+class Response:
+    """A response to a client. `body` is complete, or a stream of which the receiver of this object is the owner."""
 
     status: int
     headers: Sequence[HeaderField] = field(default=())
@@ -128,18 +139,18 @@
     reason: str = ""
 
 
-def own_answer(kind: ErrorKind, detail: str = "", retry_after_s: float | None = None) -> Answer:
-    """Return the sender's own answer to an error; `retry_after_s` tells when to come back."""
+def error_response(kind: ErrorKind, detail: str = "", retry_after_s: float | None = None) -> Response:
+    """Return the response that the sender itself gives to an error; `retry_after_s` becomes `Retry-After`."""
     status = ERROR_RESPONSES[kind].status
     headers: list[HeaderField] = [("Content-Type", "text/plain; charset=utf-8")]
     if retry_after_s is not None:
         headers.append(("Retry-After", f"{retry_after_s:.3f}"))
     body = f"{kind}: {detail}\n" if detail else f"{kind}\n"
-    return Answer(status, headers, body.encode())
+    return Response(status, headers, body.encode())
 
 
 def reason_phrase(status: int) -> str:
-    """Return the standard reason phrase of a status, or an empty one."""
+    """Return the standard reason phrase of a status, or an empty one for an unknown status."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/dewpin/dataplane/http11/request_parsing.py
+++ b/dewpin/dataplane/http11/request_parsing.py
@@ -1,8 +1,13 @@
-"""Reading the heads of HTTP/1 requests, strictly: what two parties could read differently is rejected."""
+"""Strict parsing of the heads of HTTP/1 requests (RFC 9112).
+
+A head that two implementations could read differently is rejected, because such differences are what request smuggling
+relies on (RFC 9112, 11.2).
+"""
 
 import re
 from dataclasses import dataclass
 
+from dewpin.dataplane.errors import DataplaneError
 from dewpin.dataplane.http11.messages import HeaderField, Headers
 
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
@@ -13,13 +18,13 @@
 _CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,15}")
 
 
-class MalformedRequest(ValueError):
-    """A request that cannot be read without doubt."""
+class MalformedMessageError(DataplaneError, ValueError):
+    """A message is not valid, or could be read in more than one way."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request. `content_length` is None where the body comes in chunks."""
+    """The head of a request. `content_length` is None if the body has the chunked transfer coding."""
 
     method: str
     target: str
@@ -29,41 +34,41 @@
 
     @property
     def wants_close(self) -> bool:
-        """Tell whether the client wants the connection closed after the answer."""
+        """Return whether the client wants the connection closed after the response (RFC 9112, 9.3 and 9.6)."""
         return self.is_http_1_0 or "close" in self.headers.tokens("connection")
 
     @property
     def expects_continue(self) -> bool:
-        """Tell whether the client waits for leave to send the body."""
+        """Return whether the client waits for 100 (Continue) before it sends the body (RFC 9110, 10.1.1)."""
         return "100-continue" in self.headers.tokens("expect") and not self.is_http_1_0
 
 
 def parse_head(head: bytes) -> RequestHead:
-    """Read a head without the empty line that ends it; raises MalformedRequest."""
+    """Parse a head, given without the empty line at its end; raises MalformedMessageError."""
     request_line, *lines = head.decode("latin-1").split("\r\n")
     method, target, version = _parse_request_line(request_line)
     headers = Headers(_parse_field(line) for line in lines)
     is_http_1_0 = version == "HTTP/1.0"
     if len(headers.get_all("host")) != 1 and not is_http_1_0:
-        raise MalformedRequest("there has to be one Host")
+        raise MalformedMessageError("there has to be one Host")
     return RequestHead(method, target, is_http_1_0, headers, _content_length(headers))
 
 
 def parse_chunk_size(line: bytes) -> int:
-    """Read the line before a chunk, without its end; raises MalformedRequest."""
+    """Parse the line before a chunk, given without its CRLF (RFC 9112, 7.1); raises MalformedMessageError."""
     size = line.partition(b";")[0].rstrip(b" \t")
     if not _CHUNK_SIZE.fullmatch(size):
-        raise MalformedRequest("a chunk has no readable size")
+        raise MalformedMessageError("a chunk has no readable size")
     return int(size, 16)
 
 
 def _parse_request_line(line: str) -> tuple[str, str, str]:
     parts = line.split(" ")
     if len(parts) != 3:
-        raise MalformedRequest("the request line is not readable")
+        raise MalformedMessageError("the request line is not readable")
     method, target, version = parts
     if not _TOKEN.fullmatch(method) or not _TARGET.fullmatch(target) or not _VERSION.fullmatch(version):
-        raise MalformedRequest("the request line is not readable")
+        raise MalformedMessageError("the request line is not readable")
     return method, target, version
 
 
@@ -71,22 +76,22 @@
     name, colon, value = line.partition(":")
     value = value.strip(" \t")
     if not colon or not _TOKEN.fullmatch(name) or _FORBIDDEN_IN_VALUE.search(value):
-        raise MalformedRequest("a header is not readable")
+        raise MalformedMessageError("a header is not readable")
     return name, value
 
 
 def _content_length(headers: Headers) -> int | None:
-    """Return the length of the body, or None where it comes in chunks."""
+    """Return the length of the body, or None if it is chunked (RFC 9112, 6.3)."""
     codings = headers.get_all("transfer-encoding")
     lengths = headers.get_all("content-length")
     if codings:
         if lengths:
-            raise MalformedRequest("a body has either a length or chunks")
+            raise MalformedMessageError("a body has either a length or chunks")
         if [coding.strip().lower() for coding in codings] != ["chunked"]:
-            raise MalformedRequest("the only transfer coding is chunked")
+            raise MalformedMessageError("the only transfer coding is chunked")
         return None
     if not lengths:
         return 0
     if len(set(lengths)) != 1 or not _LENGTH.fullmatch(lengths[0]):
-        raise MalformedRequest("the length is not readable")
+        raise MalformedMessageError("the length is not readable")
     return int(lengths[0])
--- a/dewpin/dataplane/http11/response_format.py
+++ b/dewpin/dataplane/http11/response_format.py
@@ -1,32 +1,33 @@
-"""The bytes of answers to clients."""
+"""The bytes of responses to clients (RFC 9112)."""
 
 from collections.abc import Iterable
 
-from dewpin.dataplane.http11.messages import Answer, HeaderField, reason_phrase
+from dewpin.dataplane.http11.messages import HeaderField, Response, reason_phrase
 
 NO_BODY_STATUSES = frozenset({204, 304})
+"""Responses with these statuses have neither a body nor `Content-Length` (RFC 9110, 8.6)."""
 
 
-def render_whole(answer: Answer, body: bytes, closing: bool, without_body: bool) -> bytes:
-    """Return the bytes of an answer with a whole body, or of its head alone."""
-    if without_body or answer.status in NO_BODY_STATUSES:
-        return render_head(answer, closing, [])
-    answer_headers = [field for field in answer.headers if field[0].lower() != "content-length"]
-    head = Answer(answer.status, answer_headers, b"", answer.reason)
-    return render_head(head, closing, [("Content-Length", str(len(body)))]) + body
+def format_response(response: Response, body: bytes, is_closing: bool, omit_body: bool) -> bytes:
+    """Return the bytes of a response with a complete body; `omit_body` is set for the response to a HEAD request."""
+    if omit_body or response.status in NO_BODY_STATUSES:
+        return format_response_head(response, is_closing, [])
+    headers = [field for field in response.headers if field[0].lower() != "content-length"]
+    head = Response(response.status, headers, b"", response.reason)
+    return format_response_head(head, is_closing, [("Content-Length", str(len(body)))]) + body
 
 
-def render_head(answer: Answer, closing: bool, framing: Iterable[HeaderField]) -> bytes:
-    """Return the bytes of an answer's head."""
-    reason = answer.reason or reason_phrase(answer.status)
-    lines = [f"HTTP/1.1 {answer.status} {reason}"]
-    lines.extend(f"{name}: {value}" for name, value in answer.headers)
+def format_response_head(response: Response, is_closing: bool, framing: Iterable[HeaderField]) -> bytes:
+    """Return the bytes of a response's head with the given framing fields."""
+    reason = response.reason or reason_phrase(response.status)
+    lines = [f"HTTP/1.1 {response.status} {reason}"]
+    lines.extend(f"{name}: {value}" for name, value in response.headers)
     lines.extend(f"{name}: {value}" for name, value in framing)
-    if closing:
+    if is_closing:
         lines.append("Connection: close")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def render_chunk(part: bytes) -> bytes:
-    """Return one chunk of a body."""
-    return b"%x\r\n%b\r\n" % (len(part), part)
+def format_chunk(data: bytes) -> bytes:
+    """Return one chunk of the chunked transfer coding (RFC 9112, 7.1)."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
--- a/dewpin/dataplane/ingress/__init__.py
+++ b/dewpin/dataplane/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP server for clients, and the readiness check that the platform calls."""
+"""The HTTP server for clients, and the readiness endpoint for the platform."""
--- /dev/null
+++ b/dewpin/dataplane/ingress/connection_acceptor.py
@@ -0,0 +1,92 @@
+"""Accepts the connections of clients and has each served on a thread of its own.
+
+Of `socketserver` only the accept loop is used: its request handlers are replaced by `connection_handler`.
+"""
+
+import logging
+import socket
+import threading
+from collections.abc import Callable
+from socketserver import BaseRequestHandler, TCPServer
+from typing import Any
+
+from dewpin.dataplane.ingress.worker_threads import WorkerThreads
+
+log = logging.getLogger(__name__)
+
+LISTEN_BACKLOG = 1024
+ACCEPT_ERROR_PAUSE_S = 0.01
+
+
+class ConnectionAcceptor(TCPServer):
+    """A listening socket; `serve_forever` accepts its connections until `shutdown`.
+
+    Of each connection `try_admit` is called first, which may reject it by returning False, then `serve` on a worker
+    thread, which has to close the socket, and at last `on_closed`.
+    """
+
+    request_queue_size = LISTEN_BACKLOG
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        try_admit: Callable[[], bool],
+        serve: Callable[[socket.socket], None],
+        on_closed: Callable[[], None],
+    ) -> None:
+        """Listen on a host and port; raises OSError if that fails."""
+        self._try_admit = try_admit
+        self._serve = serve
+        self._on_closed = on_closed
+        self._has_accepted_all = False
+        self._workers = WorkerThreads(self._serve_admitted)
+        super().__init__(address, BaseRequestHandler)
+
+    def accept_pending(self) -> None:
+        """Serve the connections that are established but not accepted yet, once `serve_forever` has ended."""
+        self.timeout = 0
+        self._has_accepted_all = False
+        while not self._has_accepted_all:
+            self.handle_request()
+
+    def server_bind(self) -> None:
+        """Bind without looking up the name of the host."""
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.socket.bind(self.server_address)
+        self.server_address = self.socket.getsockname()
+
+    def get_request(self) -> tuple[socket.socket, Any]:
+        """Accept a connection; pause after an error, which would recur at once while descriptors have run out."""
+        try:
+            accepted, address = self.socket.accept()
+        except OSError:
+            threading.Event().wait(ACCEPT_ERROR_PAUSE_S)
+            raise
+        accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        return accepted, address
+
+    def handle_timeout(self) -> None:
+        """Record that `accept_pending` found no further connection."""
+        self._has_accepted_all = True
+
+    def verify_request(self, request: Any, client_address: Any) -> bool:
+        """Return whether a connection may be served."""
+        return self._try_admit()
+
+    def process_request(self, request: Any, client_address: Any) -> None:
+        """Serve a connection on a worker thread."""
+        try:
+            self._workers.submit(request)
+        except BaseException:
+            self._on_closed()
+            raise
+
+    def handle_error(self, request: Any, client_address: Any) -> None:
+        """Log why a connection could not be served."""
+        log.exception("a connection could not be served")
+
+    def _serve_admitted(self, sock: socket.socket) -> None:
+        try:
+            self._serve(sock)
+        finally:
+            self._on_closed()
--- /dev/null
+++ b/dewpin/dataplane/ingress/connection_handler.py
@@ -0,0 +1,120 @@
+"""Serves one connection of a client: reads its requests one after the other and writes their responses."""
+
+import logging
+from collections.abc import Callable
+from typing import cast
+
+from dewpin.cluster.errors import ErrorKind
+from dewpin.dataplane.http11.messages import BodyStream, IncompleteBodyError, Request, Response, error_response
+from dewpin.dataplane.http11.request_parsing import RequestHead
+from dewpin.dataplane.http11.response_format import format_chunk, format_response, format_response_head
+from dewpin.dataplane.ingress.client_connection import ClientConnection
+from dewpin.dataplane.ingress.request_reader import RequestReader, limits_of
+from dewpin.dataplane.membership.cluster_state import ClusterState
+
+log = logging.getLogger(__name__)
+
+IDLE_TIMEOUT_FACTOR = 1.1
+"""An idle connection is kept a little longer than the operator's limit says."""
+WRITE_TIMEOUT_S = 10.0
+LAST_CHUNK = b"0\r\n\r\n"
+
+HandleRequest = Callable[[Request], Response]
+
+
+class ConnectionHandler:
+    """Serves the requests of one connection.
+
+    A response is the last one of its connection if the client wants that, if the server is draining or if only the end
+    of the connection can mark the end of the body.
+    """
+
+    def __init__(
+        self,
+        connection: ClientConnection,
+        cluster_state: ClusterState,
+        handle_request: HandleRequest,
+        is_draining: Callable[[], bool],
+        clock: Callable[[], float],
+    ) -> None:
+        self._connection = connection
+        self._state = cluster_state
+        self._handle_request = handle_request
+        self._is_draining = is_draining
+        self._clock = clock
+        self._reader = RequestReader(connection, clock)
+
+    def serve(self) -> None:
+        """Serve requests until the connection is closed; raises OSError and IncompleteBodyError if it breaks."""
+        while self._connection.wait_for_request(self._idle_timeout_s):
+            self._connection.skip_empty_lines()
+            if not self._connection.has_buffered_bytes:
+                continue
+            received = self._reader.read(self._state.configuration)
+            if isinstance(received, ErrorKind):
+                self._write_final_error(received)
+                self._connection.close_lingering()
+                return
+            must_close = self._write(received.head, self._response_to(received.request))
+            if must_close:
+                self._connection.close_lingering()
+                return
+        self._connection.close()
+
+    def _response_to(self, request: Request) -> Response:
+        try:
+            return self._handle_request(request)
+        except Exception:
+            log.exception("a request could not be handled")
+            return error_response(ErrorKind.INTERNAL)
+
+    def _idle_timeout_s(self) -> float:
+        return limits_of(self._state.configuration).idle_timeout_ms / 1000 * IDLE_TIMEOUT_FACTOR
+
+    def _write_final_error(self, kind: ErrorKind) -> None:
+        """Write the response to an error as the last one of the connection."""
+        response = error_response(kind)
+        self._send(format_response(response, cast(bytes, response.body), is_closing=True, omit_body=False))
+
+    def _write(self, head: RequestHead, response: Response) -> bool:
+        """Write a response; return whether the connection must be closed."""
+        body = response.body
+        is_closing = head.wants_close or self._is_draining()
+        if isinstance(body, bytes):
+            self._send(format_response(response, body, is_closing, head.method == "HEAD"))
+            return is_closing
+        try:
+            return self._write_stream(head, response, body, is_closing)
+        finally:
+            body.close()
+
+    def _write_stream(self, head: RequestHead, response: Response, body: BodyStream, is_closing: bool) -> bool:
+        """Write a body as it arrives; return whether the connection must be closed.
+
+        If the body breaks off, the client gets an error if nothing was sent yet. Otherwise it does not get the last
+        chunk or, where no chunk marks the end, the connection is reset (RFC 9112, 8); IncompleteBodyError is raised.
+        """
+        is_chunked = not head.is_http_1_0
+        is_closing = is_closing or not is_chunked
+        data = format_response_head(response, is_closing, [("Transfer-Encoding", "chunked")] if is_chunked else [])
+        has_begun = False
+        try:
+            for part in body:
+                data += format_chunk(part) if is_chunked else part
+                has_begun = True
+                self._send(data)
+                data = b""
+        except IncompleteBodyError:
+            if not has_begun:
+                self._write_final_error(ErrorKind.RECEIVER_FAILED)
+                return True
+            if not is_chunked:
+                self._connection.reset()
+            raise
+        if is_chunked:
+            data += LAST_CHUNK
+        self._send(data)
+        return is_closing or self._is_draining()
+
+    def _send(self, data: bytes) -> None:
+        self._connection.send_all(data, self._clock() + WRITE_TIMEOUT_S)
--- a/dewpin/dataplane/ingress/readiness.py
+++ b/dewpin/dataplane/ingress/readiness.py
@@ -1,19 +1,21 @@
-"""The HTTP server that tells the platform whether clients may be sent here."""
+"""The readiness endpoint: the platform asks it whether clients may be sent to this sender."""
 
 import logging
 import socket
 import threading
 from collections.abc import Callable
 from contextlib import suppress
+from http import HTTPStatus
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-ACCEPT_POLL_S = 0.5
+SHUTDOWN_POLL_S = 0.5
+REQUEST_TIMEOUT_S = 5.0
 
 log = logging.getLogger(__name__)
 
 
-class ReadyServer:
-    """Tells the platform at `/dewpin/ready` whether clients may be sent here."""
+class ReadinessServer:
+    """Responds to GET `/dewpin/ready` with 200 while clients may be sent here, else with 503."""
 
     PATH = "/dewpin/ready"
 
@@ -23,45 +25,51 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Return the host and port that the server listens at."""
+        """Return the host and port that the server listens on."""
         assert self._server is not None
         host, port = self._server.server_address[:2]
         return str(host), int(port)
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listen at a host and port and serve in the background; raises OSError if it cannot listen."""
-        is_ready, path = self._is_ready, self.PATH
-
-        class Handler(BaseHTTPRequestHandler):
-            protocol_version = "HTTP/1.1"
-            timeout = 5.0
-
-            def do_GET(self) -> None:
-                status = 404 if self.path.partition("?")[0] != path else (200 if is_ready() else 503)
-                self.send_response_only(status)
-                self.send_header("Content-Length", "0")
-                self.end_headers()
-
-            def log_message(self, format: str, *args: object) -> None:
-                log.debug(format, *args)
-
-        server = self._server = _ReadyHttpServer(address, Handler)
-        threading.Thread(target=server.serve_forever, args=(ACCEPT_POLL_S,), name="ready", daemon=True).start()
+        """Listen on a host and port and serve in the background; raises OSError if it cannot listen."""
+        server = self._server = _HttpServer(address, _handler_class(self.PATH, self._is_ready))
+        threading.Thread(target=server.serve_forever, args=(SHUTDOWN_POLL_S,), name="ready", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop answering."""
+        """Stop serving."""
         if self._server is not None:
             with suppress(OSError):
                 self._server.shutdown()
                 self._server.server_close()
 
 
-class _ReadyHttpServer(ThreadingHTTPServer):
+def _handler_class(ready_path: str, is_ready: Callable[[], bool]) -> type[BaseHTTPRequestHandler]:
+    class Handler(BaseHTTPRequestHandler):
+        protocol_version = "HTTP/1.1"
+        timeout = REQUEST_TIMEOUT_S
+
+        def do_GET(self) -> None:
+            self.send_response_only(self._status())
+            self.send_header("Content-Length", "0")
+            self.end_headers()
+
+        def _status(self) -> HTTPStatus:
+            if self.path.partition("?")[0] != ready_path:
+                return HTTPStatus.NOT_FOUND
+            return HTTPStatus.OK if is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
+
+        def log_message(self, format: str, *args: object) -> None:
+            log.debug(format, *args)
+
+    return Handler
+
+
+class _HttpServer(ThreadingHTTPServer):
     daemon_threads = True
     block_on_close = False
 
     def server_bind(self) -> None:
-        """Bind without looking up the host's name."""
+        """Bind without looking up the name of the host."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(self.server_address)
         self.server_address = self.socket.getsockname()
--- a/dewpin/dataplane/ingress/worker_threads.py
+++ b/dewpin/dataplane/ingress/worker_threads.py
@@ -8,26 +8,30 @@
 import threading
 from collections.abc import Callable
 
-IDLE_S = 5.0
+IDLE_TIMEOUT_S = 5.0
 """How long a thread without work is kept."""
 
 
-class Workers:
-    """Hands sockets to threads; `serve` is called in a thread for each and must not raise."""
+class WorkerThreads:
+    """A thread pool without an upper bound.
 
-    def __init__(self, serve: Callable[[socket.socket], None], idle_s: float = IDLE_S) -> None:
+    `serve` is called on a thread for each socket and must not raise. `_idle_count` is the number of threads that wait
+    for a socket, less the sockets that were submitted to them already.
+    """
+
+    def __init__(self, serve: Callable[[socket.socket], None], idle_timeout_s: float = IDLE_TIMEOUT_S) -> None:
         self._serve = serve
-        self._idle_s = idle_s
+        self._idle_timeout_s = idle_timeout_s
         self._lock = threading.Lock()
-        self._handed_over: queue.SimpleQueue[socket.socket] = queue.SimpleQueue()
-        self._idle = 0
+        self._submitted: queue.SimpleQueue[socket.socket] = queue.SimpleQueue()
+        self._idle_count = 0
 
     def submit(self, sock: socket.socket) -> None:
-        """Serve a socket in an idle thread or a new one; raises RuntimeError if no thread can be started."""
+        """Serve a socket on an idle thread or a new one; raises RuntimeError if no thread can be started."""
         with self._lock:
-            if self._idle > 0:
-                self._idle -= 1
-                self._handed_over.put(sock)
+            if self._idle_count > 0:
+                self._idle_count -= 1
+                self._submitted.put(sock)
                 return
         threading.Thread(target=self._run, args=(sock,), name="connection", daemon=True).start()
 
@@ -36,18 +40,19 @@
         while sock is not None:
             self._serve(sock)
             with self._lock:
-                self._idle += 1
-            sock = self._next()
+                self._idle_count += 1
+            sock = self._next_socket()
 
-    def _next(self) -> socket.socket | None:
-        """Return the next socket, or None if this thread has been idle for long enough."""
+    def _next_socket(self) -> socket.socket | None:
+        """Return the next socket, or None if this thread has been idle for too long."""
         try:
-            return self._handed_over.get(timeout=self._idle_s)
+            return self._submitted.get(timeout=self._idle_timeout_s)
         except queue.Empty:
             pass
         with self._lock:
+            # A socket may have been submitted to this thread after the time-out.
             try:
-                return self._handed_over.get_nowait()
+                return self._submitted.get_nowait()
             except queue.Empty:
-                self._idle -= 1
+                self._idle_count -= 1
                 return None
--- a/dewpin/dataplane/load_balancing/balancer.py
+++ b/dewpin/dataplane/load_balancing/balancer.py
@@ -1,4 +1,7 @@
-"""Places at receivers for the threads that serve clients: `PlaceBook` behind a lock, with waiting."""
+"""Slots at receivers for the threads that serve clients: a `SlotAllocator` behind a lock, with waiting.
+
+A thread acquires a `Slot` for each attempt, reports through it how the attempt went, and releases it at the end.
+"""
 
 import random
 import threading
@@ -7,71 +10,79 @@
 
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.load_balancing.receiver_load import ServerLoad
-from dewpin.dataplane.load_balancing.slot_allocation import PlaceBook, PlaceRequest, Ticket
+from dewpin.dataplane.load_balancing.slot_allocation import QueuedRequest, SlotAllocator, SlotRequest
 from dewpin.dataplane.membership.cluster_state import ClusterState
 
 
 @dataclass(frozen=True, slots=True)
-class NoPlace:
-    """No receiver had room in time; one is expected to have after `retry_after_s`."""
+class NoSlot:
+    """No receiver had a free slot in time; one is expected to be free after `retry_after_s`."""
 
     retry_after_s: float
 
 
-class Place:
-    """A place at a receiver; it is held until `release`, which may be called more than once."""
+class Slot:
+    """A slot at a receiver; it is held until `release`, which may be called more than once.
+
+    Attributes:
+        service: name of the service that the slot was requested for.
+        receiver: the receiver that the request may be sent to.
+    """
 
-    __slots__ = ("_balancer", "_released", "_sent_at", "receiver", "service")
+    __slots__ = ("_acquired_at", "_balancer", "_is_released", "receiver", "service")
 
-    def __init__(self, balancer: "Balancer", service: str, receiver: Receiver, sent_at: float) -> None:
+    def __init__(self, balancer: "Balancer", service: str, receiver: Receiver, acquired_at: float) -> None:
         self._balancer = balancer
-        self._released = False
-        self._sent_at = sent_at
+        self._is_released = False
+        self._acquired_at = acquired_at
         self.service = service
         self.receiver = receiver
 
     @property
-    def sent_at(self) -> float:
-        """Return when the place was given, which tells its call from others."""
-        return self._sent_at
+    def acquired_at(self) -> float:
+        """Return when the slot was acquired; it identifies the slot's call among those to the receiver."""
+        return self._acquired_at
 
-    def was_answered(self) -> None:
-        """Take in that the receiver began to answer, in whatever way."""
-        self._balancer.count_answered(self)
+    def record_response(self) -> None:
+        """Record that the receiver's response began, whatever its status."""
+        self._balancer.record_response(self)
 
-    def heard(self, load: ServerLoad) -> None:
-        """Take in the load that the receiver told."""
-        self._balancer.hear(self.receiver, load)
+    def record_report(self, load: ServerLoad) -> None:
+        """Record the load that the receiver reported."""
+        self._balancer.record_report(self.receiver, load)
 
-    def was_refused(self, told_wait_s: float | None = None) -> None:
-        """Take in that the receiver is full; `told_wait_s` is the wait that it asked for, if any."""
-        self._balancer.block_full(self.receiver, told_wait_s)
+    def back_off_full(self, retry_after_s: float | None = None) -> None:
+        """Record that the receiver is full; `retry_after_s` is the wait that it asked for, if any."""
+        self._balancer.back_off_full(self.receiver, retry_after_s)
 
-    def has_failed(self) -> None:
-        """Take in that the receiver could not be reached, or that another one has its address."""
-        self._balancer.block_failed(self.receiver)
+    def back_off_unreachable(self) -> None:
+        """Record that the receiver could not be reached, or that another one has its address."""
+        self._balancer.back_off_unreachable(self.receiver)
 
-    def has_begun(self) -> None:
-        """Take in that the receiver has begun to answer."""
-        self._balancer.count_begun(self.receiver)
+    def reset_backoff(self) -> None:
+        """Record that the receiver accepted a call."""
+        self._balancer.reset_backoff(self.receiver)
 
-    def has_erred(self) -> None:
-        """Take in that a call failed after it was sent."""
-        self._balancer.count_error(self.receiver)
+    def record_error(self) -> None:
+        """Record that a call failed after it was sent."""
+        self._balancer.record_error(self.receiver)
 
-    def was_served(self, call_time_s: float) -> None:
-        """Take in that the receiver served a call in so many seconds."""
-        self._balancer.count_served(self.receiver, call_time_s)
+    def record_success(self, call_time_s: float) -> None:
+        """Record a successful call and the time that it took."""
+        self._balancer.record_success(self.receiver, call_time_s)
 
     def release(self) -> None:
-        """Give the place back."""
-        if not self._released:
-            self._released = True
+        """Release the slot."""
+        if not self._is_released:
+            self._is_released = True
             self._balancer.release(self)
 
 
 class Balancer:
-    """Gives out places at receivers; every method may be called from any thread."""
+    """Allocates slots at receivers; every method may be called from any thread.
+
+    `_granted_events` has an event for each queued request, which is set when the request is granted a slot.
+    """
 
     def __init__(
         self, state: ClusterState, zone: str, clock: Callable[[], float], randomness: random.Random | None = None
@@ -79,100 +90,102 @@
         self._state = state
         self._clock = clock
         self._lock = threading.Lock()
-        self._book = PlaceBook(zone, randomness or random.Random())
-        self._granted: dict[Ticket, threading.Event] = {}
+        self._allocator = SlotAllocator(zone, randomness or random.Random())
+        self._granted_events: dict[QueuedRequest, threading.Event] = {}
 
-    def acquire(self, request: PlaceRequest, client_has_gone: Callable[[], bool] = lambda: False) -> Place | NoPlace:
-        """Return a place, after waiting until `request.hold_until` or until the client leaves, or NoPlace."""
+    def acquire(
+        self, request: SlotRequest, has_client_disconnected: Callable[[], bool] = lambda: False
+    ) -> Slot | NoSlot:
+        """Acquire a slot, waiting until `request.wait_until` or until the client disconnects."""
         service = request.service.name
         with self._lock:
             now = self._clock()
             self._refresh(service)
-            receiver = self._book.take(request, now)
+            receiver = self._allocator.acquire(request, now)
             if receiver is not None:
-                return self._place(service, receiver, now)
-            if now >= request.hold_until:
-                return NoPlace(self._book.expected_wait(service, now))
-            ticket = self._book.wait(request)
-            granted = self._granted[ticket] = threading.Event()
-        return self._await_place(ticket, granted, client_has_gone)
-
-    def count_answered(self, place: Place) -> None:
-        """Take in that a receiver began to answer the call of a place."""
+                return self._make_slot(service, receiver, now)
+            if now >= request.wait_until:
+                return NoSlot(self._allocator.expected_wait_s(service, now))
+            queued = self._allocator.enqueue(request)
+            granted = self._granted_events[queued] = threading.Event()
+        return self._wait_for_slot(queued, granted, has_client_disconnected)
+
+    def record_response(self, slot: Slot) -> None:
+        """Record that the response to the call of a slot began."""
         with self._lock:
-            self._book.load(place.receiver.id).count_answered(place.sent_at, self._clock())
+            self._allocator.load_of(slot.receiver.id).record_response(slot.acquired_at, self._clock())
 
-    def hear(self, receiver: Receiver, load: ServerLoad) -> None:
-        """Take in the load that a receiver told."""
+    def record_report(self, receiver: Receiver, load: ServerLoad) -> None:
+        """Record the load that a receiver reported."""
         with self._lock:
-            self._book.load(receiver.id).hear(load, self._clock())
+            self._allocator.load_of(receiver.id).record_report(load, self._clock())
 
-    def block_full(self, receiver: Receiver, told_wait_s: float | None) -> None:
-        """Send nothing more to a receiver that is full until the wait told, or derived, has passed."""
+    def back_off_full(self, receiver: Receiver, retry_after_s: float | None) -> None:
+        """Send nothing to a full receiver for the time that it asked for, or for a derived one."""
         with self._lock:
-            load = self._book.load(receiver.id)
-            load.block_full(self._clock(), receiver.capacity, told_wait_s, self._book.draw_jitter())
+            load = self._allocator.load_of(receiver.id)
+            load.back_off_full(self._clock(), receiver.capacity, retry_after_s, self._allocator.draw_jitter())
 
-    def block_failed(self, receiver: Receiver) -> None:
-        """Send nothing more for a while to a receiver that cannot be reached."""
+    def back_off_unreachable(self, receiver: Receiver) -> None:
+        """Send nothing for a while to a receiver that cannot be reached."""
         with self._lock:
-            self._book.load(receiver.id).block_failed(self._clock(), self._book.draw_jitter())
+            self._allocator.load_of(receiver.id).back_off_unreachable(self._clock(), self._allocator.draw_jitter())
 
-    def count_begun(self, receiver: Receiver) -> None:
-        """Take in that a receiver serves calls again, if it ever did not."""
+    def reset_backoff(self, receiver: Receiver) -> None:
+        """Record that a receiver accepts calls."""
         with self._lock:
-            self._book.load(receiver.id).count_begun()
+            self._allocator.load_of(receiver.id).reset_backoff()
 
-    def count_error(self, receiver: Receiver) -> None:
-        """Take in that a call to a receiver failed after it was sent."""
+    def record_error(self, receiver: Receiver) -> None:
+        """Record that a call to a receiver failed after it was sent."""
         with self._lock:
-            self._book.load(receiver.id).count_error(self._clock())
+            self._allocator.load_of(receiver.id).record_error(self._clock())
 
-    def count_served(self, receiver: Receiver, call_time_s: float) -> None:
-        """Take in how long a served call took."""
+    def record_success(self, receiver: Receiver, call_time_s: float) -> None:
+        """Record a successful call and the time that it took."""
         with self._lock:
-            self._book.load(receiver.id).count_served(call_time_s)
+            self._allocator.load_of(receiver.id).record_success(call_time_s)
 
-    def release(self, place: Place) -> None:
-        """Take a place back and give it to a waiting request."""
+    def release(self, slot: Slot) -> None:
+        """Release a slot and grant it to a queued request."""
         with self._lock:
-            self._book.give_back(place.receiver.id)
-            self._book.load(place.receiver.id).forget_call(place.sent_at)
-            if self._granted:
-                self._grant(place.service)
+            self._allocator.release(slot.receiver.id)
+            self._allocator.load_of(slot.receiver.id).forget_call(slot.acquired_at)
+            if self._granted_events:
+                self._grant_queued(slot.service)
 
-    def expected_wait(self, service: str) -> float:
-        """Return the seconds after which a receiver of a service is expected to have room."""
+    def expected_wait_s(self, service: str) -> float:
+        """Return the expected time until a new request for a service gets a slot."""
         with self._lock:
-            return self._book.expected_wait(service, self._clock())
+            return self._allocator.expected_wait_s(service, self._clock())
 
-    def _place(self, service: str, receiver: Receiver, now: float) -> Place:
-        self._book.load(receiver.id).count_sent(now)
-        return Place(self, service, receiver, now)
+    def _make_slot(self, service: str, receiver: Receiver, now: float) -> Slot:
+        self._allocator.load_of(receiver.id).record_sent(now)
+        return Slot(self, service, receiver, now)
 
-    def _await_place(
-        self, ticket: Ticket, granted: threading.Event, client_has_gone: Callable[[], bool]
-    ) -> Place | NoPlace:
-        request = ticket.request
+    def _wait_for_slot(
+        self, queued: QueuedRequest, granted: threading.Event, has_client_disconnected: Callable[[], bool]
+    ) -> Slot | NoSlot:
+        request = queued.request
         service = request.service.name
         while True:
             with self._lock:
                 self._refresh(service)
-                self._grant(service)
+                self._grant_queued(service)
                 now = self._clock()
-                if ticket.receiver is not None:
-                    return self._place(service, ticket.receiver, now)
-                if now >= request.hold_until or client_has_gone():
-                    self._book.give_up(ticket)
-                    del self._granted[ticket]
-                    return NoPlace(self._book.expected_wait(service, now))
-                wake_at = min(request.hold_until, self._book.next_change(request, now))
+                if queued.receiver is not None:
+                    return self._make_slot(service, queued.receiver, now)
+                if now >= request.wait_until or has_client_disconnected():
+                    self._allocator.cancel(queued)
+                    del self._granted_events[queued]
+                    return NoSlot(self._allocator.expected_wait_s(service, now))
+                wake_at = min(request.wait_until, self._allocator.next_check_at(request, now))
             granted.wait(wake_at - now)
 
     def _refresh(self, service: str) -> None:
-        self._book.senders = self._state.senders
-        self._book.list_receivers(service, self._state.receivers.get(service, ()))
+        self._allocator.sender_count = self._state.senders
+        self._allocator.update_receivers(service, self._state.receivers.get(service, ()))
 
-    def _grant(self, service: str) -> None:
-        for ticket in self._book.grant(service, self._clock()):
-            self._granted.pop(ticket).set()
+    def _grant_queued(self, service: str) -> None:
+        for queued in self._allocator.grant_queued(service, self._clock()):
+            self._granted_events.pop(queued).set()
--- a/dewpin/dataplane/load_balancing/receiver_load.py
+++ b/dewpin/dataplane/load_balancing/receiver_load.py
@@ -1,30 +1,43 @@
-"""What a sender knows of the work of one receiver, and for how long it leaves it alone. Times are in seconds."""
+"""What this sender knows about the load and the health of one receiver.
+
+The load of a receiver is the sum of this sender's own calls, which are known exactly, and the calls of other senders,
+which the receiver reports in its responses and which lose weight with the age of the report. Failures make the sender
+back off from the receiver, exponentially and with jitter.
+
+All times are seconds of one monotonic clock.
+"""
 
 import math
 from dataclasses import dataclass, field
 
-HEARD_LOAD_HALF_LIFE_S = 0.25
-"""How fast what was heard of other senders' calls fades."""
-FIRST_CALL_TIME_S = 0.1
+REPORTED_LOAD_HALF_LIFE_S = 0.25
+"""After this time a report of other senders' calls counts half."""
+INITIAL_CALL_TIME_S = 0.1
+"""Estimate of the time of a call, and of its response, before the first one was measured."""
 CALL_TIME_WEIGHT = 0.2
-LEAST_CALL_TIME_RISE = 0.02
-"""How fast the least call time follows calls that took longer."""
+"""Weight of the newest measurement in the moving averages of times."""
+MIN_CALL_TIME_RISE = 0.02
+"""Weight of a measurement above `min_call_time_s`; a measurement below replaces it at once."""
 ERROR_WEIGHT = 0.1
+"""Weight of the newest call in the error rate."""
 ERROR_HALF_LIFE_S = 5.0
-"""How fast errors are forgotten, so that a receiver that failed is tried again."""
-LEAST_FULL_WAIT_S = 0.005
-MOST_FULL_WAIT_S = 0.5
-FIRST_FAILURE_WAIT_S = 0.25
-MOST_FAILURE_WAIT_S = 2.0
-MOST_DOUBLINGS = 16
-LEAST_SILENCE_S = 0.3
-SILENCE_TIMES = 4.0
-"""A receiver is silent once its oldest unanswered call waits for so many usual times, with no answer since."""
+"""After this time without calls the error rate halves, so that a receiver that failed is used again."""
+MIN_FULL_BACKOFF_S = 0.005
+MAX_FULL_BACKOFF_S = 0.5
+"""Bounds of the backoff from a receiver that is full and does not say for how long."""
+INITIAL_UNREACHABLE_BACKOFF_S = 0.25
+MAX_UNREACHABLE_BACKOFF_S = 2.0
+"""Bounds of the backoff from a receiver that cannot be reached."""
+MAX_BACKOFF_DOUBLINGS = 16
+"""Keeps the exponent of a backoff small; the bounds above are reached long before."""
+MIN_UNRESPONSIVE_S = 0.3
+UNRESPONSIVE_RESPONSE_TIMES = 4.0
+"""A receiver is unresponsive once it has sent nothing for this multiple of its usual response time."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a receiver tells of its work: requests running and waiting, and slots."""
+    """The load that a receiver reports in `X-Dewpin-Server-Load`: running and waiting requests, and its slots."""
 
     running: int
     waiting: int
@@ -32,7 +45,7 @@
 
 
 def parse_server_load(value: str | None) -> ServerLoad | None:
-    """Read `X-Dewpin-Server-Load`; None if it is absent or not readable."""
+    """Parse `X-Dewpin-Server-Load`; return None if the header is missing or invalid."""
     if value is None:
         return None
     parts = [part.strip() for part in value.split(",")]
@@ -44,92 +57,105 @@
 
 @dataclass(slots=True)
 class ReceiverLoad:
-    """The calls at one receiver: this sender's own, and those of others as last heard, which fade with time."""
+    """Load, backoff and health of one receiver.
+
+    Attributes:
+        own_calls: calls of this sender that hold a slot at the receiver.
+        other_calls: calls of other senders as of `reported_at`.
+        reported_at: when the receiver last reported its load.
+        blocked_until: the receiver gets no call before this time.
+        rejections: consecutive calls that the receiver rejected because it was full.
+        unreachable_count: consecutive failures to reach the receiver.
+        call_time_s: moving average of the time of successful calls.
+        min_call_time_s: estimate of the shortest time of a call, without queueing at the receiver.
+        response_time_s: moving average of the time from sending a call to the beginning of its response.
+    """
 
     own_calls: int = 0
-    others_calls: float = 0.0
-    heard_at: float = 0.0
+    other_calls: float = 0.0
+    reported_at: float = 0.0
     blocked_until: float = 0.0
-    refusals: int = 0
-    failures: int = 0
-    call_time_s: float = FIRST_CALL_TIME_S
-    least_call_time_s: float = FIRST_CALL_TIME_S
-    answer_time_s: float = FIRST_CALL_TIME_S
-    _errors: float = 0.0
-    _error_at: float = 0.0
-    _unanswered: list[float] = field(default_factory=list)
-    _answered_at: float = 0.0
+    rejections: int = 0
+    unreachable_count: int = 0
+    call_time_s: float = INITIAL_CALL_TIME_S
+    min_call_time_s: float = INITIAL_CALL_TIME_S
+    response_time_s: float = INITIAL_CALL_TIME_S
+    _error_rate: float = 0.0
+    _error_rate_at: float = 0.0
+    _pending_since: list[float] = field(default_factory=list)
+    _last_response_at: float = 0.0
 
     def total(self, now: float) -> float:
-        """Return the estimated number of requests running and waiting at the receiver."""
-        if not self.others_calls:
+        """Return the estimated number of requests that run or wait at the receiver."""
+        if not self.other_calls:
             return self.own_calls
-        return self.own_calls + self.others_calls * math.exp2((self.heard_at - now) / HEARD_LOAD_HALF_LIFE_S)
+        return self.own_calls + self.other_calls * math.exp2((self.reported_at - now) / REPORTED_LOAD_HALF_LIFE_S)
 
-    def hear(self, load: ServerLoad, now: float) -> None:
-        """Take in what the receiver told in an answer, while that call still counts as one's own."""
-        self.others_calls = max(0.0, float(load.running + load.waiting - self.own_calls))
-        self.heard_at = now
+    def record_report(self, load: ServerLoad, now: float) -> None:
+        """Record the load reported in a response, while the call of that response still counts in `own_calls`."""
+        self.other_calls = max(0.0, float(load.running + load.waiting - self.own_calls))
+        self.reported_at = now
 
-    def count_sent(self, now: float) -> None:
-        """Take in that a call was given to the receiver."""
-        self._unanswered.append(now)
+    def record_sent(self, now: float) -> None:
+        """Record that a call is sent at `now`."""
+        self._pending_since.append(now)
 
-    def count_answered(self, sent_at: float, now: float) -> None:
-        """Take in that the receiver began to answer a call, in whatever way."""
+    def record_response(self, sent_at: float, now: float) -> None:
+        """Record that the response to the call sent at `sent_at` began, whatever its status."""
         self.forget_call(sent_at)
-        self._answered_at = now
-        self.answer_time_s += CALL_TIME_WEIGHT * (now - sent_at - self.answer_time_s)
+        self._last_response_at = now
+        self.response_time_s += CALL_TIME_WEIGHT * (now - sent_at - self.response_time_s)
 
     def forget_call(self, sent_at: float) -> None:
-        """Take in that a call that was not answered has ended."""
-        if sent_at in self._unanswered:
-            self._unanswered.remove(sent_at)
+        """Record that the call sent at `sent_at` has ended, if it got no response before."""
+        if sent_at in self._pending_since:
+            self._pending_since.remove(sent_at)
 
-    def is_silent(self, now: float) -> bool:
-        """Tell whether calls wait for long at the receiver without any answer from it."""
-        if not self._unanswered:
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether calls have been pending for long without a response to any call from the receiver."""
+        if not self._pending_since:
             return False
-        silence_s = now - max(min(self._unanswered), self._answered_at)
-        return silence_s > max(LEAST_SILENCE_S, SILENCE_TIMES * self.answer_time_s)
+        silent_s = now - max(min(self._pending_since), self._last_response_at)
+        return silent_s > max(MIN_UNRESPONSIVE_S, UNRESPONSIVE_RESPONSE_TIMES * self.response_time_s)
 
-    def count_begun(self) -> None:
-        """Take in that the receiver has begun to answer a call."""
-        self.refusals = 0
-        self.failures = 0
+    def reset_backoff(self) -> None:
+        """Record that the receiver accepts calls: its next rejection or failure begins a new backoff."""
+        self.rejections = 0
+        self.unreachable_count = 0
 
-    def count_served(self, call_time_s: float) -> None:
-        """Take in how long a served call took."""
-        self.count_begun()
+    def record_success(self, call_time_s: float) -> None:
+        """Record a successful call and the time that it took."""
+        self.reset_backoff()
         self.call_time_s += CALL_TIME_WEIGHT * (call_time_s - self.call_time_s)
-        rise_s = call_time_s - self.least_call_time_s
-        self.least_call_time_s += rise_s if rise_s < 0 else LEAST_CALL_TIME_RISE * rise_s
-        self._errors *= 1 - ERROR_WEIGHT
-
-    def count_error(self, now: float) -> None:
-        """Take in that a call failed after it was sent."""
-        self._errors = self.error_share(now) * (1 - ERROR_WEIGHT) + ERROR_WEIGHT
-        self._error_at = now
-
-    def error_share(self, now: float) -> float:
-        """Return the share of recent calls that failed after they were sent."""
-        if not self._errors:
+        rise_s = call_time_s - self.min_call_time_s
+        self.min_call_time_s += rise_s if rise_s < 0 else MIN_CALL_TIME_RISE * rise_s
+        self._error_rate *= 1 - ERROR_WEIGHT
+
+    def record_error(self, now: float) -> None:
+        """Record that a call failed after it was sent."""
+        self._error_rate = self.error_rate(now) * (1 - ERROR_WEIGHT) + ERROR_WEIGHT
+        self._error_rate_at = now
+
+    def error_rate(self, now: float) -> float:
+        """Return the moving average of the share of calls that failed after they were sent."""
+        if not self._error_rate:
             return 0.0
-        return self._errors * math.exp2((self._error_at - now) / ERROR_HALF_LIFE_S)
-
-    def block_full(self, now: float, capacity: int, told_wait_s: float | None, jitter: float) -> None:
-        """Leave a full receiver alone for the wait that it told, or for one derived from the time a slot takes."""
-        doublings = min(self.refusals, MOST_DOUBLINGS)
-        self.refusals += 1
-        derived_s = self.call_time_s / max(1, capacity) * 2.0**doublings
-        wait_s = min(MOST_FULL_WAIT_S, max(LEAST_FULL_WAIT_S, derived_s)) * jitter
-        self._block(now + (wait_s if told_wait_s is None else told_wait_s))
-
-    def block_failed(self, now: float, jitter: float) -> None:
-        """Leave a receiver alone that could not be reached."""
-        doublings = min(self.failures, MOST_DOUBLINGS)
-        self.failures += 1
-        self._block(now + min(MOST_FAILURE_WAIT_S, FIRST_FAILURE_WAIT_S * 2.0**doublings) * jitter)
+        return self._error_rate * math.exp2((self._error_rate_at - now) / ERROR_HALF_LIFE_S)
+
+    def back_off_full(self, now: float, capacity: int, retry_after_s: float | None, jitter: float) -> None:
+        """Block a receiver that is full, for the time that it asked for or for the expected time until a slot frees."""
+        doublings = min(self.rejections, MAX_BACKOFF_DOUBLINGS)
+        self.rejections += 1
+        expected_s = self.call_time_s / max(1, capacity) * 2.0**doublings
+        backoff_s = min(MAX_FULL_BACKOFF_S, max(MIN_FULL_BACKOFF_S, expected_s)) * jitter
+        self._block(now + (backoff_s if retry_after_s is None else retry_after_s))
+
+    def back_off_unreachable(self, now: float, jitter: float) -> None:
+        """Block a receiver that could not be reached."""
+        doublings = min(self.unreachable_count, MAX_BACKOFF_DOUBLINGS)
+        self.unreachable_count += 1
+        backoff_s = min(MAX_UNREACHABLE_BACKOFF_S, INITIAL_UNREACHABLE_BACKOFF_S * 2.0**doublings)
+        self._block(now + backoff_s * jitter)
 
     def _block(self, until: float) -> None:
         self.blocked_until = max(self.blocked_until, until)
--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -1,7 +1,16 @@
-"""The choice of a receiver, and the order in which waiting requests get one, as a state machine without I/O.
+"""Slot allocation: which receiver gets the next call, and which queued request gets the next free slot.
+
+A slot is the right to have one call under way at a receiver. `SlotAllocator` is a state machine without I/O and without
+locks; `balancer.Balancer` puts it behind a lock and lets threads wait.
+
+* A receiver has a free slot if its estimated load leaves room in its capacity and in a queue that is as long as the
+  request's latency target bears, and if this sender's share of the receiver's connections is not used up.
+* A request with a sticky key goes to the receiver that rendezvous hashing (highest random weight) ranks first, if that
+  one is healthy and not too loaded. Any other request goes to the receiver with the lowest cost: load relative to
+  capacity, with penalties for errors, for another zone and for a receiver that does not respond.
+* A request that finds no free slot may be queued. A free slot goes to the route that got its last slot earliest; a
+  route of a lower priority number is served as if it had waited longer by `PRIORITY_STEP_S` for each step.
 
-A request gets a place at a receiver that has room by the sender's estimate. A request that finds none may wait; a freed
-place goes to the route whose last place lies furthest back, where being more urgent counts as some time of waiting.
 All times are seconds of one monotonic clock.
 """
 
@@ -13,183 +22,202 @@
 
 from dewpin.cluster.configuration import Service
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.load_balancing.receiver_load import HEARD_LOAD_HALF_LIFE_S, ReceiverLoad
+from dewpin.dataplane.load_balancing.receiver_load import REPORTED_LOAD_HALF_LIFE_S, ReceiverLoad
 
-QUEUE_SHARE_OF_AIM = 0.5
-"""A request may be expected to queue at a receiver for this share of its latency objective."""
-LEAST_QUEUE_SHARE = 0.25
-MOST_QUEUE_SHARE = 3.0
-"""Bounds of the requests that may queue at a receiver, as a share of its capacity."""
+QUEUE_SHARE_OF_TARGET = 0.5
+"""The time that a request is expected to queue at a receiver may take this share of its latency target."""
+MIN_QUEUE_SHARE = 0.25
+MAX_QUEUE_SHARE = 3.0
+"""Bounds of the length of the queue at a receiver, as a share of its capacity."""
 ERROR_COST = 2.0
-"""How much a receiver all of whose calls fail is taken to be fuller, in shares of its capacity."""
-MOST_STICKY_ERRORS = 0.25
-"""The share of failed calls beyond which a sticky request leaves its receiver."""
+"""Cost of an error rate of 1, in shares of the receiver's capacity."""
+MAX_STICKY_ERROR_RATE = 0.25
+"""At this error rate a sticky request leaves its receiver."""
 OTHER_ZONE_COST = 0.25
-"""How much fuller, as a share of its capacity, a receiver of this zone may be before one elsewhere is preferred."""
-COLD_CAPACITY_SHARE = 0.5
-"""What a receiver that is still slow from its start is taken to bear."""
-SILENCE_COST = 2.0
-"""How much fuller, as a share of its capacity, a receiver counts that answers none of the calls it was sent."""
+"""Cost of a receiver in another zone, in shares of its capacity."""
+WARM_UP_CAPACITY_SHARE = 0.5
+"""The share of its capacity that a receiver is taken to have while it is warming up."""
+UNRESPONSIVE_COST = 2.0
+"""Cost of a receiver that does not respond to its pending calls, in shares of its capacity."""
 TIE_BREAK_COST = 0.02
+"""Random cost that spreads calls over receivers of equal cost."""
 STICKY_LOAD_SHARE = 0.75
-"""A sticky request stays with its receiver while that one is less loaded than this share of its capacity."""
+"""A sticky request stays with its receiver while that one's load is below this share of its capacity."""
 PRIORITY_STEP_S = 0.1
-"""How much longer a route waits for a place than one that is more urgent by one."""
-UNKNOWN_SENDERS = 8
-"""The senders that share a receiver's connections while their number is unknown."""
-LEAST_CONNECTIONS = 2
-LEAST_CALL_TIME_S = 0.001
-RECHECK_S = HEARD_LOAD_HALF_LIFE_S / 4
-"""How long a waiting request stays unlooked at while nothing happens but the fading of heard loads."""
-LEAST_RETRY_AFTER_S = 0.02
-MOST_RETRY_AFTER_S = 1.0
+"""How much longer a route waits for a slot than one whose priority number is lower by one."""
+ASSUMED_SENDERS = 8
+"""The number of senders that share a receiver's connections while their number is unknown."""
+MIN_CONNECTIONS = 2
+"""The connections to a receiver that each sender may use, however many senders there are."""
+MIN_CALL_TIME_S = 0.001
+"""Lower bound of the call time that the length of a queue is computed from."""
+RECHECK_PERIOD_S = REPORTED_LOAD_HALF_LIFE_S / 4
+"""How often a queued request is checked while nothing changes but the weight of reported loads."""
+MIN_RETRY_AFTER_S = 0.02
+MAX_RETRY_AFTER_S = 1.0
+"""Bounds of the expected wait for a slot."""
 WAIT_JITTER = 0.25
+"""Relative jitter of waits."""
 
 
 @dataclass(frozen=True, slots=True)
-class PlaceRequest:
-    """What a request needs: a receiver of `service`, by `hold_until` at the latest.
-
-    `aim_s` is its latency objective; `avoid` names receivers that may not be chosen before a time.
+class SlotRequest:
+    """A request for a slot.
+
+    Attributes:
+        service: the service whose receivers are eligible.
+        route: name of the request's route; routes take turns.
+        priority: priority number of the route; 0 is the highest priority.
+        latency_target_s: latency target of the route.
+        wait_until: time until which the request may be queued.
+        sticky_key: requests with the same key should go to the same receiver.
+        avoid_until: receivers, by id, that may not be chosen before the given time.
     """
 
     service: Service
     route: str
     priority: int
-    aim_s: float
-    hold_until: float
+    latency_target_s: float
+    wait_until: float
     sticky_key: str | None = None
-    avoid: Mapping[str, float] = field(default_factory=dict)
+    avoid_until: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
-    """A waiting request; `receiver` is set once it has its place."""
+class QueuedRequest:
+    """A request in the queue; `receiver` is set once it was granted a slot."""
 
-    request: PlaceRequest
+    request: SlotRequest
     receiver: Receiver | None = None
 
 
-class PlaceBook:
-    """The places of all services that this sender gives out. It is not safe for threads by itself."""
+class SlotAllocator:
+    """Allocates slots at the receivers of all services. Not thread-safe.
+
+    `sender_count` is the number of senders that share the receivers' connections, 0 while it is unknown. A queued
+    request is in the queue of its service until `grant_queued` returns it or `cancel` removes it.
+    """
 
     def __init__(self, zone: str, randomness: random.Random) -> None:
         self._zone = zone
         self._random = randomness
         self._receivers: dict[str, tuple[Receiver, ...]] = {}
         self._loads: dict[str, ReceiverLoad] = {}
-        self._tickets: dict[str, list[Ticket]] = {}
-        self._last_place: dict[str, float] = {}
-        self.senders = 0
+        self._queues: dict[str, list[QueuedRequest]] = {}
+        self._last_grant_at: dict[str, float] = {}
+        self.sender_count = 0
 
-    def load(self, receiver_id: str) -> ReceiverLoad:
-        """Return what is known of a receiver's work; of one that is listed no more, what is told of it is dropped."""
+    def load_of(self, receiver_id: str) -> ReceiverLoad:
+        """Return the load of a receiver; for one that is no longer listed, an object whose changes are lost."""
         return self._loads.get(receiver_id) or ReceiverLoad()
 
-    def list_receivers(self, service: str, receivers: tuple[Receiver, ...]) -> None:
-        """Take in the receivers of a service as they are listed now."""
-        before = self._receivers.get(service, ())
-        if receivers is before:
+    def update_receivers(self, service: str, receivers: tuple[Receiver, ...]) -> None:
+        """Replace the receivers of a service; the load of receivers that stay is kept."""
+        previous = self._receivers.get(service, ())
+        if receivers is previous:
             return
-        listed = {receiver.id for receiver in receivers}
-        for receiver in before:
-            if receiver.id not in listed:
+        listed_ids = {receiver.id for receiver in receivers}
+        for receiver in previous:
+            if receiver.id not in listed_ids:
                 self._loads.pop(receiver.id, None)
         for receiver in receivers:
             self._loads.setdefault(receiver.id, ReceiverLoad())
         self._receivers[service] = receivers
 
-    def take(self, request: PlaceRequest, now: float) -> Receiver | None:
-        """Give a place to a request at once, unless there is none or others wait for one."""
-        if self._tickets.get(request.service.name):
+    def acquire(self, request: SlotRequest, now: float) -> Receiver | None:
+        """Acquire a slot at once; return None if there is none, or if other requests are queued for it."""
+        if self._queues.get(request.service.name):
             return None
-        return self._take(request, now)
+        return self._acquire(request, now)
 
-    def wait(self, request: PlaceRequest) -> Ticket:
-        """Let a request wait."""
-        ticket = Ticket(request)
-        self._tickets.setdefault(request.service.name, []).append(ticket)
-        return ticket
+    def enqueue(self, request: SlotRequest) -> QueuedRequest:
+        """Queue a request."""
+        queued = QueuedRequest(request)
+        self._queues.setdefault(request.service.name, []).append(queued)
+        return queued
 
-    def give_up(self, ticket: Ticket) -> None:
-        """Let a request wait no longer."""
-        self._tickets[ticket.request.service.name].remove(ticket)
+    def cancel(self, queued: QueuedRequest) -> None:
+        """Remove a request from its queue."""
+        self._queues[queued.request.service.name].remove(queued)
 
-    def give_back(self, receiver_id: str) -> None:
-        """Take a place back."""
+    def release(self, receiver_id: str) -> None:
+        """Release a slot at a receiver."""
         load = self._loads.get(receiver_id)
         if load is not None:
             load.own_calls -= 1
 
-    def grant(self, service: str, now: float) -> list[Ticket]:
-        """Give free places to waiting requests, and return those that have one now."""
-        tickets = self._tickets.get(service)
-        granted: list[Ticket] = []
-        if not tickets:
+    def grant_queued(self, service: str, now: float) -> list[QueuedRequest]:
+        """Grant free slots to queued requests; return those that were granted one and have left the queue."""
+        queue = self._queues.get(service)
+        granted: list[QueuedRequest] = []
+        if not queue:
             return granted
-        remaining = list(tickets)
+        remaining = list(queue)
         while remaining:
-            ticket = min(remaining, key=self._slot_time)
-            remaining.remove(ticket)
-            ticket.receiver = self._take(ticket.request, now)
-            if ticket.receiver is not None:
-                granted.append(ticket)
-            elif not ticket.request.avoid:
+            queued = min(remaining, key=self._turn_at)
+            remaining.remove(queued)
+            queued.receiver = self._acquire(queued.request, now)
+            if queued.receiver is not None:
+                granted.append(queued)
+            elif not queued.request.avoid_until:
+                # Only what a request avoids can make its slot useless to it and useful to the next one.
                 break
-        for ticket in granted:
-            tickets.remove(ticket)
+        for queued in granted:
+            queue.remove(queued)
         return granted
 
-    def next_change(self, request: PlaceRequest, now: float) -> float:
-        """Return when a waiting request should be looked at again although no place was given back."""
+    def next_check_at(self, request: SlotRequest, now: float) -> float:
+        """Return when a queued request has to be checked again, even if no slot is released before."""
         changes = [self._loads[receiver.id].blocked_until for receiver in self._listed(request.service.name)]
-        changes.extend(request.avoid.values())
-        return min([now + RECHECK_S, *(until for until in changes if until > now)])
+        changes.extend(request.avoid_until.values())
+        return min([now + RECHECK_PERIOD_S, *(until for until in changes if until > now)])
 
-    def expected_wait(self, service: str, now: float) -> float:
-        """Derive when there is room again from the time that a slot takes to free and the requests that wait."""
+    def expected_wait_s(self, service: str, now: float) -> float:
+        """Return the expected time until a new request gets a slot, from the length of the queue and the call time."""
         receivers = [receiver for receiver in self._listed(service) if not receiver.draining]
         if not receivers:
-            return MOST_RETRY_AFTER_S * self.draw_jitter()
+            return MAX_RETRY_AFTER_S * self.draw_jitter()
         loads = [self._loads[receiver.id] for receiver in receivers]
         slots = sum(max(1, receiver.capacity) for receiver in receivers)
         call_time_s = sum(load.call_time_s for load in loads) / len(loads)
-        waiting = len(self._tickets.get(service, ())) + 1
+        position = len(self._queues.get(service, ())) + 1
         unblocked_in_s = max(0.0, min(load.blocked_until for load in loads) - now)
-        wait_s = unblocked_in_s + call_time_s * waiting / slots
-        return min(MOST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, wait_s)) * self.draw_jitter()
+        wait_s = unblocked_in_s + call_time_s * position / slots
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)) * self.draw_jitter()
 
     def draw_jitter(self) -> float:
-        """Return a factor that keeps waits of many requests apart."""
+        """Return a random factor that spreads the waits of many requests."""
         return self._random.uniform(1 - WAIT_JITTER, 1 + WAIT_JITTER)
 
     def _listed(self, service: str) -> tuple[Receiver, ...]:
         return self._receivers.get(service, ())
 
-    def _slot_time(self, ticket: Ticket) -> float:
-        request = ticket.request
-        return self._last_place.get(request.route, 0.0) + request.priority * PRIORITY_STEP_S
+    def _turn_at(self, queued: QueuedRequest) -> float:
+        """Return the rank of a queued request: the lowest one is next."""
+        request = queued.request
+        return self._last_grant_at.get(request.route, 0.0) + request.priority * PRIORITY_STEP_S
 
-    def _take(self, request: PlaceRequest, now: float) -> Receiver | None:
+    def _acquire(self, request: SlotRequest, now: float) -> Receiver | None:
         receivers = self._listed(request.service.name)
-        candidates = [receiver for receiver in receivers if self._has_room(receiver, request, now)]
+        candidates = [receiver for receiver in receivers if self._has_free_slot(receiver, request, now)]
         if not candidates:
             return None
         receiver = self._choose(candidates, request.sticky_key, now)
         self._loads[receiver.id].own_calls += 1
-        self._last_place[request.route] = now
+        self._last_grant_at[request.route] = now
         return receiver
 
-    def _has_room(self, receiver: Receiver, request: PlaceRequest, now: float) -> bool:
+    def _has_free_slot(self, receiver: Receiver, request: SlotRequest, now: float) -> bool:
         load = self._loads[receiver.id]
-        if receiver.draining or load.blocked_until > now or request.avoid.get(receiver.id, 0.0) > now:
+        if receiver.draining or load.blocked_until > now or request.avoid_until.get(receiver.id, 0.0) > now:
             return False
-        connections = request.service.max_conns // (self.senders or UNKNOWN_SENDERS)
-        if load.own_calls >= max(LEAST_CONNECTIONS, connections):
+        connections = request.service.max_conns // (self.sender_count or ASSUMED_SENDERS)
+        if load.own_calls >= max(MIN_CONNECTIONS, connections):
             return False
         capacity = max(1, receiver.capacity)
-        queue_share = QUEUE_SHARE_OF_AIM * request.aim_s / max(load.least_call_time_s, LEAST_CALL_TIME_S)
-        queue_share = min(MOST_QUEUE_SHARE, max(LEAST_QUEUE_SHARE, queue_share))
+        call_time_s = max(load.min_call_time_s, MIN_CALL_TIME_S)
+        queue_share = QUEUE_SHARE_OF_TARGET * request.latency_target_s / call_time_s
+        queue_share = min(MAX_QUEUE_SHARE, max(MIN_QUEUE_SHARE, queue_share))
         return load.total(now) < capacity + max(1.0, capacity * queue_share)
 
     def _choose(self, candidates: Sequence[Receiver], sticky_key: str | None, now: float) -> Receiver:
@@ -197,28 +225,28 @@
             ranked = sorted(candidates, key=lambda receiver: self._sticky_rank(sticky_key, receiver))
             for receiver in ranked:
                 load = self._loads[receiver.id]
-                is_sound = load.error_share(now) < MOST_STICKY_ERRORS and not load.is_silent(now)
-                if is_sound and load.total(now) < receiver.capacity * STICKY_LOAD_SHARE:
+                is_healthy = load.error_rate(now) < MAX_STICKY_ERROR_RATE and not load.is_unresponsive(now)
+                if is_healthy and load.total(now) < receiver.capacity * STICKY_LOAD_SHARE:
                     return receiver
         return min(candidates, key=lambda receiver: self._cost(receiver, now))
 
     def _sticky_rank(self, key: str, receiver: Receiver) -> tuple[bool, float]:
-        """Receivers of this zone come first: a session's prompts are large, and its clients stay in their zone."""
+        """Rank receivers of this zone first: the prompts of a session are large, and its clients stay in their zone."""
         return receiver.zone != self._zone, rendezvous_rank(key, receiver)
 
     def _cost(self, receiver: Receiver, now: float) -> float:
-        capacity = max(1, receiver.capacity) * (COLD_CAPACITY_SHARE if receiver.cold_left_ms > 0 else 1.0)
+        capacity = max(1, receiver.capacity) * (WARM_UP_CAPACITY_SHARE if receiver.cold_left_ms > 0 else 1.0)
         load = self._loads[receiver.id]
-        cost = (load.total(now) + 1) / capacity + ERROR_COST * load.error_share(now)
+        cost = (load.total(now) + 1) / capacity + ERROR_COST * load.error_rate(now)
         if receiver.zone != self._zone:
             cost += OTHER_ZONE_COST
-        if load.is_silent(now):
-            cost += SILENCE_COST
+        if load.is_unresponsive(now):
+            cost += UNRESPONSIVE_COST
         return cost + TIE_BREAK_COST * self._random.random()
 
 
 def rendezvous_rank(key: str, receiver: Receiver) -> float:
-    """Return the rank of a receiver for a key, weighted by capacity; the lowest comes first."""
+    """Return the rank of a receiver for a key by rendezvous hashing, weighted by capacity; the lowest one is first."""
     digest = blake2b(f"{key}/{receiver.id}".encode(), digest_size=4).digest()
     drawn = (int.from_bytes(digest, "big") + 1) / (2**32 + 1)
     return -math.log(drawn) / max(1, receiver.capacity)
--- a/dewpin/dataplane/routing/__init__.py
+++ b/dewpin/dataplane/routing/__init__.py
@@ -1,1 +1,1 @@
-"""From a client's request to its response: route, attempts, retries and streams."""
+"""From a request to its response: route and service, attempts, retries, event streams."""
--- a/dewpin/dataplane/routing/request_attempts.py
+++ b/dewpin/dataplane/routing/request_attempts.py
@@ -1,55 +1,67 @@
-"""The attempts of one routed request: carries out what the retry stage says, until there is an answer."""
+"""The attempts of one routed request: performs the actions of the retry state machine until there is a response."""
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from dewpin.cluster.configuration import Route, Service
 from dewpin.cluster.errors import ErrorKind
-from dewpin.dataplane.http11.messages import PRIORITY, Answer, HeaderField, Headers, Request, own_answer
-from dewpin.dataplane.load_balancing.balancer import Balancer, NoPlace, Place
-from dewpin.dataplane.load_balancing.slot_allocation import PlaceRequest
-from dewpin.dataplane.metrics import RequestFigures
+from dewpin.dataplane.http11.messages import PRIORITY, HeaderField, Headers, Request, Response, error_response
+from dewpin.dataplane.load_balancing.balancer import Balancer, NoSlot, Slot
+from dewpin.dataplane.load_balancing.slot_allocation import SlotRequest
+from dewpin.dataplane.metrics import RequestMetrics
 from dewpin.dataplane.programs.turns import OpenTurn
 from dewpin.dataplane.routing.event_relay import EventRelay, EventSource
 from dewpin.dataplane.routing.retry import (
-    GATEWAY_TIMED_OUT,
-    EndUnknown,
-    PassOn,
-    Pause,
-    Refuse,
+    FailRequest,
+    FinalAction,
+    ForwardResponse,
+    RejectRequest,
     RetryPolicy,
-    RetryStage,
-    Send,
+    RetryStateMachine,
+    SendToReceiver,
+    WaitUntil,
 )
-from dewpin.dataplane.upstream.calls import Call, CallResult, ReceiverAnswer, Upstream
-from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
-
-HOLD_SHARE_OF_AIM = 0.2
-"""A request waits for a place for this share of its latency objective at most."""
-UNANSWERED = frozenset({Outcome.NEVER_SENT, Outcome.TIMED_OUT, Outcome.CLIENT_GONE})
+from dewpin.dataplane.upstream.call import Call, CallResult, ReceiverResponse
+from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
+from dewpin.dataplane.upstream.receiver_client import ReceiverClient
+
+QUEUE_TIME_SHARE_OF_TARGET = 0.2
+"""A request that has not run waits for a slot for this share of its latency target at most."""
+OUTCOMES_WITHOUT_RESPONSE = frozenset({Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CLIENT_DISCONNECTED})
+"""Outcomes of calls in which the receiver showed no sign of life."""
 RECEIVER_ERRORS = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.CLOSED, Outcome.MALFORMED})
-"""Outcomes that count against a receiver; silence until the time's end may be the request's own doing."""
-LEAST_URGENT_PRIORITY = 9
-"""The last rank that receivers know; 0 goes first, as among the routes."""
+"""Outcomes that count as errors of the receiver; a time-out may be the fault of the request itself."""
+LOWEST_PRIORITY = 9
+"""The highest priority number that receivers know; 0 is the highest priority, as it is for routes."""
 LENGTH_HEADERS = frozenset({"content-length"})
 
 
 @dataclass(frozen=True, slots=True)
-class Tools:
+class SharedComponents:
     """What all requests of a sender share."""
 
     balancer: Balancer
-    upstream: Upstream
+    receiver_client: ReceiverClient
     clock: Callable[[], float]
-    pause: Callable[[float], None]
+    sleep: Callable[[float], None]
     randomness: random.Random
-    figures: RequestFigures
+    metrics: RequestMetrics
 
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request, where it goes, and the time at which it has to be over."""
+    """A request and what was found out about it.
+
+    Attributes:
+        request: the request as it was received.
+        route: the route that it matches.
+        service: the service whose receivers may get it.
+        deadline: when it has to be completed, in seconds of the monotonic clock.
+        sticky_key: requests with the same key should go to the same receiver.
+        turn: the conversation turn that the request is, if it is one.
+    """
 
     request: Request
     route: Route
@@ -59,202 +71,214 @@
     turn: OpenTurn | None = None
 
     @property
-    def repeatable(self) -> bool:
-        """Tell whether the request may run more than once."""
+    def is_idempotent(self) -> bool:
+        """Return whether the request may run more than once."""
         return self.route.may_repeat or (self.route.is_stream and self.route.resumable)
 
     @property
-    def aim_s(self) -> float:
-        """Return the latency objective."""
+    def latency_target_s(self) -> float:
+        """Return the latency target."""
         return min(self.route.target_ms, self.route.timeout_ms) / 1000
 
 
+@dataclass(frozen=True, slots=True)
+class _OpenStream:
+    """The stream that is being forwarded; it holds its slot until it ends."""
+
+    slot: Slot
+    started_at: float
+
+
 class RequestAttempts:
-    """Runs one request to its answer, in the thread of its client's connection."""
+    """Runs one request until there is a response, on the thread of its client's connection."""
 
-    def __init__(self, tools: Tools, routed: RoutedRequest) -> None:
-        self._tools = tools
+    def __init__(self, shared: SharedComponents, routed: RoutedRequest) -> None:
+        self._shared = shared
         self._routed = routed
-        policy = RetryPolicy(routed.repeatable, max(1, routed.route.retries), routed.aim_s)
-        self._stage = RetryStage(policy, routed.deadline, tools.randomness)
-        self._answer: ReceiverAnswer | None = None
-        self._stream_place: Place | None = None
-        self._stream_began = 0.0
+        policy = RetryPolicy(routed.is_idempotent, max(1, routed.route.retries), routed.latency_target_s)
+        self._retry = RetryStateMachine(policy, routed.deadline, shared.randomness)
+        self._forwardable_response: ReceiverResponse | None = None
+        self._open_stream: _OpenStream | None = None
+        self._call_started_at = 0.0
         self._resume_headers: tuple[HeaderField, ...] = ()
 
-    def run(self) -> Answer:
-        """Return the answer to the client; an `EventRelay` in it settles the turn when it is closed."""
+    def run(self) -> Response:
+        """Return the response to the client; an `EventRelay` in it settles the turn when it is closed."""
         while True:
             result = self._next_result()
-            if isinstance(result, Answer):
+            if isinstance(result, Response):
                 return result
-            if result.stream is None or result.answer is None:
+            if result.stream is None or result.response is None:
                 continue
             relay = self._relay(result.stream)
             try:
-                relay.read_first()
-            except StreamCut as cut:
-                self._count_cut(cut.outcome)
+                relay.read_first_events()
+            except IncompleteResponseError as error:
+                self._record_broken_stream(error.outcome)
                 continue
-            self._tools.figures.passed_on += 1
-            return client_answer(result.answer, relay)
+            self._shared.metrics.forwarded += 1
+            return response_to_client(result.response, relay)
 
-    def _next_result(self) -> CallResult | Answer:
-        """Carry out steps until a stream begins or the request ends."""
+    def _next_result(self) -> CallResult | Response:
+        """Perform actions until a stream begins or the request ends."""
         while True:
-            step = self._stage.next_step(self._tools.clock())
-            if isinstance(step, Send):
-                if self._client_has_gone():
-                    self._stage.record_client_gone()
+            action = self._retry.next_action(self._shared.clock())
+            if isinstance(action, SendToReceiver):
+                if self._has_client_disconnected():
+                    self._retry.record_client_disconnected()
                     continue
-                result = self._send(step)
+                result = self._send(action)
                 if result is not None and result.stream is not None:
                     return result
-            elif isinstance(step, Pause):
-                self._tools.pause(max(0.0, step.until - self._tools.clock()))
+            elif isinstance(action, WaitUntil):
+                self._shared.sleep(max(0.0, action.time - self._shared.clock()))
             else:
-                return self._end(step)
-
-    def _end(self, step: PassOn | Refuse | EndUnknown) -> Answer:
-        figures = self._tools.figures
-        if isinstance(step, PassOn) and self._answer is not None:
-            figures.passed_on += 1
-            return client_answer(self._answer, self._answer.body)
-        if isinstance(step, Refuse):
-            figures.refused += 1
-            return own_answer(ErrorKind.OVERLOADED, retry_after_s=step.retry_after_s)
-        figures.unknown += 1
-        timed_out = isinstance(step, EndUnknown) and step.status == GATEWAY_TIMED_OUT
-        return own_answer(ErrorKind.DEADLINE_PASSED if timed_out else ErrorKind.RECEIVER_FAILED)
-
-    def _send(self, step: Send) -> CallResult | None:
-        """Send the request to a receiver with room; None if there is none in time."""
-        place = self._tools.balancer.acquire(self._place_request(step), self._client_has_gone)
-        if isinstance(place, NoPlace):
-            self._stage.record_no_place(place.retry_after_s)
+                return self._finish(action)
+
+    def _finish(self, action: FinalAction) -> Response:
+        metrics = self._shared.metrics
+        if isinstance(action, ForwardResponse) and self._forwardable_response is not None:
+            metrics.forwarded += 1
+            return response_to_client(self._forwardable_response, self._forwardable_response.body)
+        if isinstance(action, RejectRequest):
+            metrics.not_executed += 1
+            return error_response(ErrorKind.OVERLOADED, retry_after_s=action.retry_after_s)
+        metrics.unknown_effect += 1
+        has_timed_out = isinstance(action, FailRequest) and action.status == HTTPStatus.GATEWAY_TIMEOUT
+        return error_response(ErrorKind.DEADLINE_PASSED if has_timed_out else ErrorKind.RECEIVER_FAILED)
+
+    def _send(self, action: SendToReceiver) -> CallResult | None:
+        """Send the request to a receiver with a free slot; return None if there is none in time."""
+        slot = self._shared.balancer.acquire(self._slot_request(action), self._has_client_disconnected)
+        if isinstance(slot, NoSlot):
+            self._retry.record_no_slot(slot.retry_after_s)
             return None
-        kept = False
+        has_stream = False
         try:
-            result = self._call(place)
-            kept = result.stream is not None
+            result = self._call(slot)
+            has_stream = result.stream is not None
         finally:
-            if not kept:
-                place.release()
-        if kept:
-            place.has_begun()
-            self._stream_place = place
+            if not has_stream:
+                slot.release()
+        if has_stream:
+            slot.reset_backoff()
+            self._open_stream = _OpenStream(slot, self._call_started_at)
         return result
 
-    def _client_has_gone(self) -> bool:
+    def _has_client_disconnected(self) -> bool:
         client = self._routed.request.client
-        return client is not None and client.has_gone()
+        return client is not None and client.has_disconnected()
 
-    def _place_request(self, step: Send) -> PlaceRequest:
+    def _slot_request(self, action: SendToReceiver) -> SlotRequest:
         routed = self._routed
-        hold_until = routed.request.received_at + HOLD_SHARE_OF_AIM * routed.aim_s
-        if step.effect_unknown:
-            hold_until = max(hold_until, self._tools.clock() + routed.aim_s)
-        return PlaceRequest(
+        wait_until = routed.request.received_at + QUEUE_TIME_SHARE_OF_TARGET * routed.latency_target_s
+        if action.may_have_run:
+            # It cannot be rejected any more, so that a longer wait is better than an error.
+            wait_until = max(wait_until, self._shared.clock() + routed.latency_target_s)
+        return SlotRequest(
             service=routed.service,
             route=routed.route.name,
             priority=routed.route.priority,
-            aim_s=routed.aim_s,
-            hold_until=min(routed.deadline, hold_until),
+            latency_target_s=routed.latency_target_s,
+            wait_until=min(routed.deadline, wait_until),
             sticky_key=routed.sticky_key,
-            avoid=step.avoid,
+            avoid_until=action.avoid_until,
         )
 
-    def _call(self, place: Place) -> CallResult:
+    def _call(self, slot: Slot) -> CallResult:
         routed = self._routed
         call = Call(
             request=routed.request,
             deadline=routed.deadline,
-            repeatable=routed.repeatable,
-            streaming=routed.route.is_stream,
+            is_idempotent=routed.is_idempotent,
+            is_streaming=routed.route.is_stream,
             body=routed.turn.body if routed.turn else None,
             replaced_headers=(*self._priority_headers(), *self._resume_headers),
         )
-        self._tools.figures.attempts += 1
-        started = self._stream_began = self._tools.clock()
-        result = self._tools.upstream.call(place.receiver, call)
-        now = self._tools.clock()
-        if result.outcome not in UNANSWERED:
-            place.was_answered()
+        self._shared.metrics.attempts += 1
+        self._call_started_at = self._shared.clock()
+        result = self._shared.receiver_client.call(slot.receiver, call)
+        now = self._shared.clock()
+        if result.outcome not in OUTCOMES_WITHOUT_RESPONSE:
+            slot.record_response()
         if result.load is not None:
-            place.heard(result.load)
+            slot.record_report(result.load)
         if result.stream is None:
-            self._count(place, result, now, now - started)
+            self._record_result(slot, result, now, now - self._call_started_at)
         return result
 
     def _priority_headers(self) -> tuple[HeaderField, ...]:
-        """Return the urgency that a receiver is told: its route's rank, unless the client told one itself."""
+        """Return the priority for the receiver: that of the route, unless the client has given one itself."""
         if self._routed.request.headers.get(PRIORITY) is not None:
             return ()
-        return (("Priority", str(min(self._routed.route.priority, LEAST_URGENT_PRIORITY))),)
-
-    def _count(self, place: Place, result: CallResult, now: float, took_s: float) -> None:
-        """Tell the retry stage and the balancer how a call ended."""
-        may_pass_on = result.answer is not None and result.answer.may_pass_on
-        if may_pass_on:
-            self._answer = result.answer
-        self._stage.record_call(place.receiver.id, result.outcome, now, may_pass_on)
+        return (("Priority", str(min(self._routed.route.priority, LOWEST_PRIORITY))),)
+
+    def _record_result(self, slot: Slot, result: CallResult, now: float, call_time_s: float) -> None:
+        """Report the end of a call to the retry state machine and to the balancer."""
+        is_forwardable = result.response is not None and result.response.is_forwardable
+        if is_forwardable:
+            self._forwardable_response = result.response
+        self._retry.record_call(slot.receiver.id, result.outcome, now, is_forwardable)
         if result.outcome is Outcome.SUCCESS:
-            place.was_served(took_s)
-        elif result.outcome is Outcome.NEVER_SENT:
-            place.has_failed()
+            slot.record_success(call_time_s)
+        elif result.outcome is Outcome.NOT_SENT:
+            slot.back_off_unreachable()
         elif result.outcome is Outcome.NOT_EXECUTED:
-            self._count_refusal(place, result)
+            self._record_rejection(slot, result)
         elif result.outcome in RECEIVER_ERRORS:
-            place.has_erred()
+            slot.record_error()
 
-    def _count_refusal(self, place: Place, result: CallResult) -> None:
-        if not result.misdirected:
-            place.was_refused(result.told_wait_s)
+    def _record_rejection(self, slot: Slot, result: CallResult) -> None:
+        if not result.is_misdirected:
+            slot.back_off_full(result.retry_after_s)
         elif self._routed.request.headers.get("expect-version") is None:
-            place.has_failed()
-        self._stage.expect_wait(self._tools.balancer.expected_wait(self._routed.service.name))
+            # Without an expected version, 421 means that another receiver has this address now.
+            slot.back_off_unreachable()
+        self._retry.record_expected_wait(self._shared.balancer.expected_wait_s(self._routed.service.name))
 
     def _relay(self, source: EventSource) -> EventRelay:
         routed = self._routed
-        resume_from = self._resume if routed.repeatable else None
-        return EventRelay(source, resume_from, routed.turn, self._time_left_s, self._on_close)
+        resume_stream = self._resume_stream if routed.is_idempotent else None
+        return EventRelay(source, resume_stream, routed.turn, self._time_left_s, self._on_relay_closed)
 
     def _time_left_s(self) -> float:
-        return self._routed.deadline - self._tools.clock()
-
-    def _on_close(self, whole: bool) -> None:
-        if whole and self._stream_place is not None:
-            self._stream_place.was_served(self._tools.clock() - self._stream_began)
-        self._release_stream_place()
-        if not whole:
-            self._tools.figures.broken_streams += 1
-
-    def _resume(self, last_id: str | None, cut: Outcome) -> EventSource | None:
-        """Pick a cut stream up at another receiver, from the last event that was passed on."""
-        self._count_cut(cut)
-        if last_id is not None:
-            self._resume_headers = (("Last-Event-Id", last_id),)
+        return self._routed.deadline - self._shared.clock()
+
+    def _on_relay_closed(self, is_complete: bool) -> None:
+        stream = self._open_stream
+        if is_complete and stream is not None:
+            stream.slot.record_success(self._shared.clock() - stream.started_at)
+        self._release_stream()
+        if not is_complete:
+            self._shared.metrics.incomplete_streams += 1
+
+    def _resume_stream(self, last_event_id: str | None, outcome: Outcome) -> EventSource | None:
+        """Resume a stream that broke off at another receiver, after the last event that was forwarded."""
+        self._record_broken_stream(outcome)
+        if last_event_id is not None:
+            self._resume_headers = (("Last-Event-Id", last_event_id),)
         result = self._next_result()
-        if isinstance(result, Answer):
+        if isinstance(result, Response):
             return None
-        self._tools.figures.resumed_streams += 1
+        self._shared.metrics.resumed_streams += 1
         return result.stream
 
-    def _count_cut(self, cut: Outcome) -> None:
-        """Tell the retry stage that the stream under way was cut, and give its place back."""
-        if self._stream_place is not None:
-            self._stage.record_call(self._stream_place.receiver.id, cut, self._tools.clock())
-            if cut in RECEIVER_ERRORS:
-                self._stream_place.has_erred()
-            self._release_stream_place()
-
-    def _release_stream_place(self) -> None:
-        place, self._stream_place = self._stream_place, None
-        if place is not None:
-            place.release()
-
-
-def client_answer(answer: ReceiverAnswer, body: bytes | EventRelay) -> Answer:
-    """Return a receiver's answer as it goes to the client."""
-    left_out = frozenset() if isinstance(body, bytes) else LENGTH_HEADERS
-    return Answer(answer.status, Headers(answer.headers).end_to_end(left_out), body, answer.reason)
+    def _record_broken_stream(self, outcome: Outcome) -> None:
+        """Report that the open stream broke off, and release its slot."""
+        stream = self._open_stream
+        if stream is not None:
+            self._retry.record_call(stream.slot.receiver.id, outcome, self._shared.clock())
+            if outcome in RECEIVER_ERRORS:
+                stream.slot.record_error()
+            self._release_stream()
+
+    def _release_stream(self) -> None:
+        stream, self._open_stream = self._open_stream, None
+        if stream is not None:
+            stream.slot.release()
+
+
+def response_to_client(response: ReceiverResponse, body: bytes | EventRelay) -> Response:
+    """Return the response of a receiver as it is forwarded to the client."""
+    excluded = frozenset() if isinstance(body, bytes) else LENGTH_HEADERS
+    return Response(response.status, Headers(response.headers).end_to_end(excluded), body, response.reason)
--- a/dewpin/dataplane/upstream/connection_pool.py
+++ b/dewpin/dataplane/upstream/connection_pool.py
@@ -1,12 +1,12 @@
-"""The connections to one receiver that are kept and used again.
+"""The idle connections to one receiver that are kept for further calls.
 
-urllib3's pool stays unused: whether a connection may carry a call depends on how long it was idle, and the pool
-rewrites targets. A connection is kept only after a whole answer with nothing behind it. It is dropped before use where
-bytes wait on it, or where it was idle for longer than the receiver keeps it.
+urllib3's own pool is not used: whether a connection may carry a call depends on how long it was idle, and that pool
+rewrites targets. A connection is kept only after a complete response with nothing after it. It is closed before use if
+bytes were received on it meanwhile, or if it was idle for longer than the receiver keeps it.
 
-A call that may be repeated takes the oldest connection and so makes it young again; the young ones are left to calls
-that must not be repeated, which need them, and take the newest. While receivers are known to forget idle connections
-early, all calls take the newest.
+An idempotent call takes the connection that was idle longest and so renews it; recently used connections are left to
+calls that are not idempotent, which need them (see `idle_limit`) and take the newest one. While receivers are known to
+drop idle connections early, all calls take the newest one.
 """
 
 import threading
@@ -16,34 +16,35 @@
 from urllib3 import HTTPResponse
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.upstream.idle_limit import FORGOTTEN_WITHIN_S, IdleLimit
+from dewpin.dataplane.upstream.idle_limit import STALE_RESET_WITHIN_S, IdleLimit
 from dewpin.dataplane.upstream.outcome import Outcome
 from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
-from dewpin.dataplane.upstream.response_body import Framing
+from dewpin.dataplane.upstream.response_body import BodyFraming
 
-FIRST_CONNECT_TIMEOUT_S = 1.0
-LEAST_CONNECT_TIMEOUT_S = 0.25
-CONNECT_TIMES_ALLOWED = 8.0
-"""A connect may take this many times as long as recent ones to the same receiver did."""
+MAX_CONNECT_TIMEOUT_S = 1.0
+MIN_CONNECT_TIMEOUT_S = 0.25
+CONNECT_TIME_FACTOR = 8.0
+"""A connect may take this many times as long as recent connects to the same receiver did."""
 CONNECT_TIME_WEIGHT = 0.25
+"""Weight of the newest connect in the moving average."""
 KEEP_ALIVE_MARGIN_S = 0.15
-"""A connection is not used in the last part of the time for which the receiver says that it keeps it."""
-UNTOLD_KEEP_ALIVE_S = 0.5
-"""How long a connection may be idle if the receiver does not tell how long it keeps one."""
+"""A connection is not used in the last part of the time for which the receiver announced that it keeps it."""
+DEFAULT_KEEP_ALIVE_S = 0.5
+"""How long a connection may be idle if the receiver does not announce how long it keeps it."""
 
 
 @dataclass(slots=True, eq=False)
-class _Idle:
+class _IdleConnection:
     connection: ReceiverConnection
-    since: float
-    kept_s: float
+    idle_since: float
+    keep_alive_s: float
 
-    def is_kept(self, now: float) -> bool:
-        """Tell whether the receiver keeps the connection still, by its own word."""
-        return now - self.since < self.kept_s
+    def is_kept_alive(self, now: float) -> bool:
+        """Return whether the receiver still keeps the connection, as it announced."""
+        return now - self.idle_since < self.keep_alive_s
 
 
-class ReceiverConnections:
+class ConnectionPool:
     """The idle connections to one receiver, in the order of their last use. Times are the clock's, in seconds."""
 
     def __init__(self, receiver: Receiver, clock: Callable[[], float], idle_limit: IdleLimit) -> None:
@@ -53,17 +54,17 @@
         self._clock = clock
         self._idle_limit = idle_limit
         self._lock = threading.Lock()
-        self._idle: list[_Idle] = []
-        self._closed = False
-        self._connect_timeout_s = FIRST_CONNECT_TIMEOUT_S
+        self._idle: list[_IdleConnection] = []
+        self._is_closed = False
+        self._connect_timeout_s = MAX_CONNECT_TIMEOUT_S
         self._connect_time_s: float | None = None
 
-    def take_idle(self, repeatable: bool, request_id: str = "") -> ReceiverConnection | None:
-        """Return a connection that may carry a call now, or None; those that may carry none any more are closed.
+    def acquire_idle(self, is_idempotent: bool, request_id: str = "") -> ReceiverConnection | None:
+        """Return a connection that may carry a call now, or None; unusable ones that are met are closed.
 
-        A connection that carried the same request before may still bring the answer to that, and is closed. Where the
-        newest one is only too old for a call that must not be repeated, the oldest one gives way to the new connection
-        that the call needs.
+        A connection that carried the same request before may still bring the response to that, and is closed. If the
+        newest connection is only too old for a call that is not idempotent, the oldest one is closed in exchange for
+        the new connection that the call needs.
         """
         while True:
             with self._lock:
@@ -71,98 +72,102 @@
                     return None
                 now = self._clock()
                 newest = self._idle[-1]
-                gives_way = newest.is_kept(now) and not self._allows(newest, repeatable, now)
-                taken = self._idle.pop(0 if gives_way or self._takes_oldest(repeatable, now) else -1)
-            if gives_way:
+                is_replaced = newest.is_kept_alive(now) and not self._is_allowed(newest, is_idempotent, now)
+                takes_oldest = is_replaced or self._takes_oldest(is_idempotent, now)
+                taken = self._idle.pop(0 if takes_oldest else -1)
+            if is_replaced:
                 taken.connection.close()
                 return None
-            if self._may_carry(taken, repeatable, request_id, now):
-                taken.connection.idle_s = now - taken.since
+            if self._is_usable(taken, is_idempotent, request_id, now):
+                taken.connection.idle_s = now - taken.idle_since
                 return taken.connection
             taken.connection.close()
 
-    def _takes_oldest(self, repeatable: bool, now: float) -> bool:
-        return repeatable and not self._idle_limit.remembers_early_end(now)
+    def detect_stale(self, connection: ReceiverConnection, outcome: Outcome) -> bool:
+        """Return whether the receiver had dropped an idle connection, judging by the outcome of a call on it.
 
-    def _allows(self, idle: _Idle, repeatable: bool, now: float) -> bool:
-        return self._idle_limit.allows(now - idle.since, idle.kept_s, repeatable, now)
-
-    def _may_carry(self, idle: _Idle, repeatable: bool, request_id: str, now: float) -> bool:
-        connection = idle.connection
-        return (
-            self._allows(idle, repeatable, now) and not connection.has_carried(request_id) and connection.is_connected
-        )
-
-    def was_forgotten(self, connection: ReceiverConnection, outcome: Outcome) -> bool:
-        """Tell whether the receiver had forgotten an idle connection, by how a call on it ended, and learn from it.
-
-        That proves nothing of the request: a receiver that runs it may fail as soon.
+        A stale connection lowers the idle limit. It proves nothing about the request: a receiver that runs the request
+        may fail as quickly.
         """
         now = self._clock()
-        ended = outcome in (Outcome.RESET, Outcome.CLOSED) and not connection.raw.has_received
-        if not ended or now - connection.call_began > FORGOTTEN_WITHIN_S:
+        is_closed = outcome in (Outcome.RESET, Outcome.CLOSED) and not connection.receiver_socket.has_received
+        if not is_closed or now - connection.call_started_at > STALE_RESET_WITHIN_S:
             return False
-        self._idle_limit.count_forgotten(connection.idle_s, now)
+        self._idle_limit.record_stale_connection(connection.idle_s, now)
         return True
 
     def connect(self, timeout_s: float) -> ReceiverConnection:
-        """Return a new connection; raises an OSError if none comes up in time."""
-        started = self._clock()
+        """Return a new connection; raises OSError if none is established in time."""
+        started_at = self._clock()
         connection = ReceiverConnection(self._host, self._port, self._clock)
         connection.connect_within(min(timeout_s, self._connect_timeout_s))
-        self._count_connect(self._clock() - started)
+        self._record_connect(self._clock() - started_at)
         return connection
 
-    def give_back(self, connection: ReceiverConnection, response: HTTPResponse, framing: Framing) -> None:
-        """Keep a connection whose last answer was whole, if the receiver does not end it."""
-        kept_s = keep_alive_s(response)
-        if connection.may_be_kept(framing) and kept_s > 0:
+    def release(self, connection: ReceiverConnection, response: HTTPResponse, framing: BodyFraming) -> None:
+        """Keep a connection whose last response was complete, or close it if it cannot be used again."""
+        keep_alive_s = announced_keep_alive_s(response)
+        if connection.is_reusable(framing) and keep_alive_s > 0:
             connection.end_call()
             with self._lock:
-                if not self._closed:
-                    self._idle.append(_Idle(connection, self._clock(), kept_s))
+                if not self._is_closed:
+                    self._idle.append(_IdleConnection(connection, self._clock(), keep_alive_s))
                     return
         connection.close()
 
     def close_expired(self) -> None:
-        """Close the connections that may not be used any more."""
+        """Close the connections that the receiver no longer keeps."""
         now = self._clock()
         with self._lock:
-            expired = [idle for idle in self._idle if now - idle.since >= idle.kept_s]
-            self._idle = [idle for idle in self._idle if now - idle.since < idle.kept_s]
+            expired = [idle for idle in self._idle if not idle.is_kept_alive(now)]
+            self._idle = [idle for idle in self._idle if idle.is_kept_alive(now)]
         for idle in expired:
             idle.connection.close()
 
     def close(self) -> None:
-        """Close every idle connection, and those that come back later."""
+        """Close every idle connection, and those that are released later."""
         with self._lock:
-            self._closed = True
+            self._is_closed = True
             closing, self._idle = self._idle, []
         for idle in closing:
             idle.connection.close()
 
-    def _count_connect(self, took_s: float) -> None:
+    def _takes_oldest(self, is_idempotent: bool, now: float) -> bool:
+        return is_idempotent and not self._idle_limit.is_lowered(now)
+
+    def _is_allowed(self, idle: _IdleConnection, is_idempotent: bool, now: float) -> bool:
+        return self._idle_limit.allows(now - idle.idle_since, idle.keep_alive_s, is_idempotent, now)
+
+    def _is_usable(self, idle: _IdleConnection, is_idempotent: bool, request_id: str, now: float) -> bool:
+        connection = idle.connection
+        return (
+            self._is_allowed(idle, is_idempotent, now)
+            and not connection.has_carried(request_id)
+            and connection.is_connected
+        )
+
+    def _record_connect(self, connect_time_s: float) -> None:
         with self._lock:
-            before = took_s if self._connect_time_s is None else self._connect_time_s
-            self._connect_time_s = before + CONNECT_TIME_WEIGHT * (took_s - before)
-            allowed = CONNECT_TIMES_ALLOWED * self._connect_time_s
-            self._connect_timeout_s = min(FIRST_CONNECT_TIMEOUT_S, max(LEAST_CONNECT_TIMEOUT_S, allowed))
+            average_s = connect_time_s if self._connect_time_s is None else self._connect_time_s
+            self._connect_time_s = average_s + CONNECT_TIME_WEIGHT * (connect_time_s - average_s)
+            allowed_s = CONNECT_TIME_FACTOR * self._connect_time_s
+            self._connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, max(MIN_CONNECT_TIMEOUT_S, allowed_s))
 
 
-def keep_alive_s(response: HTTPResponse) -> float:
+def announced_keep_alive_s(response: HTTPResponse) -> float:
     """Return how long a connection may be idle before its next call; 0 if it must not be used again."""
     if "close" in response.headers.get("connection", "").lower():
         return 0.0
     for parameter in response.headers.get("keep-alive", "").split(","):
         name, _, value = parameter.strip().partition("=")
-        told_s = read_seconds(value) if name.strip().lower() == "timeout" else None
-        if told_s is not None:
-            return max(0.0, told_s - KEEP_ALIVE_MARGIN_S)
-    return UNTOLD_KEEP_ALIVE_S
+        timeout_s = parse_seconds(value) if name.strip().lower() == "timeout" else None
+        if timeout_s is not None:
+            return max(0.0, timeout_s - KEEP_ALIVE_MARGIN_S)
+    return DEFAULT_KEEP_ALIVE_S
 
 
-def read_seconds(value: str | None) -> float | None:
-    """Read a number of seconds; None if it is absent or not readable."""
+def parse_seconds(value: str | None) -> float | None:
+    """Parse a number of seconds; return None if it is missing or invalid."""
     try:
         seconds = float(value) if value is not None else None
     except ValueError:
--- a/dewpin/dataplane/upstream/outcome.py
+++ b/dewpin/dataplane/upstream/outcome.py
@@ -2,42 +2,44 @@
 
 from enum import Enum, unique
 
+from dewpin.dataplane.errors import DataplaneError
+
 
 @unique
 class Outcome(Enum):
     """How a call ended."""
 
     SUCCESS = "success"
-    """A whole answer, signed by the receiver, that is no server error."""
+    """A complete response, signed by the receiver, that is not a server error."""
     NOT_EXECUTED = "not_executed"
-    """The receiver told that it did not run the request (`X-Dewpin-Not-Executed` or 421)."""
-    NEVER_SENT = "never_sent"
-    """No connection came up, so no byte of the request left."""
+    """The receiver said that it did not run the request (`X-Dewpin-Not-Executed` or 421); proves no effect."""
+    NOT_SENT = "not_sent"
+    """No connection was established, so that no byte of the request was sent; proves no effect."""
     ERROR = "error"
-    """The receiver answered with an error and without proof that the request did not run."""
+    """The receiver responded with an error and without proof that the request did not run."""
     RESET = "reset"
     """The connection was reset after the request was sent."""
     CLOSED = "closed"
-    """The connection was closed before the answer was whole."""
+    """The connection was closed before the response was complete."""
     TIMED_OUT = "timed_out"
-    """The time of the request ended; that proves only that the caller stopped waiting."""
+    """The request's deadline passed; that proves only that the caller stopped waiting."""
     MALFORMED = "malformed"
-    """What came was no answer in the protocol, or the answer to another request."""
-    CLIENT_GONE = "client_gone"
-    """The client closed its connection while the call was under way."""
+    """What was received is not a valid response, or it is the response to another request."""
+    CLIENT_DISCONNECTED = "client_disconnected"
+    """The client disconnected while the call was in progress."""
 
     @property
     def proves_no_effect(self) -> bool:
-        """Tell whether the request surely has not run and will not run."""
-        return self in _PROOFS
+        """Return whether it is certain that the request has not run and will not run."""
+        return self in _PROOFS_OF_NO_EFFECT
 
 
-class StreamCut(Exception):
-    """A receiver's answer ended before it was whole; `outcome` tells how."""
+class IncompleteResponseError(DataplaneError):
+    """The response of a receiver could not be received completely; `outcome` tells why."""
 
     def __init__(self, outcome: Outcome) -> None:
         super().__init__(outcome.value)
         self.outcome = outcome
 
 
-_PROOFS = frozenset({Outcome.NOT_EXECUTED, Outcome.NEVER_SENT})
+_PROOFS_OF_NO_EFFECT = frozenset({Outcome.NOT_EXECUTED, Outcome.NOT_SENT})
--- a/dewpin/dataplane/upstream/receiver_connection.py
+++ b/dewpin/dataplane/upstream/receiver_connection.py
@@ -1,7 +1,10 @@
-"""One connection to a receiver: urllib3's, over a `ReceiverSocket` and with one buffer for all answers on it.
+"""One connection to a receiver: urllib3's, over a `ReceiverSocket` and with one read buffer for all responses.
 
-http.client gives each answer a buffer of its own and drops it at the end of the answer, with whatever came behind.
-Here the buffer lasts as long as the connection, so that bytes after an answer are seen.
+http.client gives each response a buffer of its own and drops it at the end of the response, with the bytes that follow.
+Here the buffer lasts as long as the connection, so that bytes after a response are detected.
+
+A receiver may respond late to a call that this sender has given up, or that it was sent twice. Such a response names an
+earlier request of the connection and is skipped.
 """
 
 import http.client
@@ -16,28 +19,31 @@
 from urllib3.connection import HTTPConnection
 
 from dewpin.dataplane.http11.messages import REQUEST_ID, Client
-from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
+from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
 from dewpin.dataplane.upstream.receiver_socket import ReceiverSocket
-from dewpin.dataplane.upstream.response_body import BodyEnd, Framing, framing_of, read_body
+from dewpin.dataplane.upstream.response_body import BodyEnd, BodyFraming, framing_of, read_body
 
 READ_BUFFER_BYTES = 16384
-MOST_SKIPPED_ANSWERS = 16
-"""So many interim answers and late answers to earlier calls may come before the answer that is due."""
+MAX_SKIPPED_RESPONSES = 16
+"""How many interim responses and late responses to earlier calls may precede the response that is due."""
 REMEMBERED_IDS = 16
-"""The last calls of a connection whose answers may still come late."""
+"""How many earlier calls of a connection may still get a late response."""
 
 _HEAD_DEFECTS = (FirstHeaderLineIsContinuationDefect, MissingHeaderBodySeparatorDefect)
 
 
-class _LastingReader(io.BufferedReader):
-    """The buffer of a connection; closing an answer leaves it open."""
+class _PersistentReader(io.BufferedReader):
+    """The read buffer of a connection; it stays open when a response is closed.
+
+    `last_line` is the line that was read last, with its end.
+    """
 
     def __init__(self, raw: ReceiverSocket) -> None:
         super().__init__(raw, READ_BUFFER_BYTES)
         self.last_line = b""
 
     def readline(self, size: int | None = -1, /) -> bytes:
-        """Return the next line and remember it."""
+        """Return the next line and keep it in `last_line`."""
         self.last_line = super().readline(size)
         return self.last_line
 
@@ -45,28 +51,28 @@
         """Do nothing: the connection closes its socket itself."""
 
 
-class _ReaderSource:
-    """What http.client takes for a socket."""
+class _SocketAdapter:
+    """What http.client takes for a socket: its `makefile` returns the connection's read buffer."""
 
-    def __init__(self, reader: _LastingReader) -> None:
+    def __init__(self, reader: _PersistentReader) -> None:
         self._reader = reader
 
-    def makefile(self, mode: str) -> _LastingReader:
+    def makefile(self, mode: str) -> _PersistentReader:
         return self._reader
 
 
-class _FinalAnswer(http.client.HTTPResponse):
-    """An answer's head; interim answers and late answers to earlier calls before it are skipped."""
+class _FinalResponse(http.client.HTTPResponse):
+    """The response that is due; interim responses and late responses to earlier calls are skipped."""
 
-    def __init__(self, reader: _LastingReader, method: str | None, earlier_ids: deque[str]) -> None:
-        super().__init__(_ReaderSource(reader), method=method)  # type: ignore[arg-type]
+    def __init__(self, reader: _PersistentReader, method: str | None, earlier_ids: deque[str]) -> None:
+        super().__init__(_SocketAdapter(reader), method=method)  # type: ignore[arg-type]
         self._reader = reader
-        self._asked_method = method
+        self._request_method = method
         self._earlier_ids = earlier_ids
 
     def begin(self) -> None:
-        """Read the head of the answer that is due."""
-        for _ in range(MOST_SKIPPED_ANSWERS):
+        """Read the head of the response that is due; raises IncompleteResponseError if it is invalid."""
+        for _ in range(MAX_SKIPPED_RESPONSES):
             super().begin()
             self._check_head()
             if not self._is_interim():
@@ -75,57 +81,59 @@
                 self._skip_body()
             self.headers = self.msg = None  # type: ignore[assignment]
             self.fp = self._reader
-        raise StreamCut(Outcome.MALFORMED)
+        raise IncompleteResponseError(Outcome.MALFORMED)
 
     def _check_head(self) -> None:
-        """Reject a head that ended before its empty line, or that has a line which is no header."""
+        """Reject a head that ended before its empty line, or that has a line which is not a header field."""
         if self._reader.last_line not in (b"\r\n", b"\n"):
-            raise StreamCut(Outcome.CLOSED)
+            raise IncompleteResponseError(Outcome.CLOSED)
         if any(isinstance(defect, _HEAD_DEFECTS) for defect in self.headers.defects):
-            raise StreamCut(Outcome.MALFORMED)
+            raise IncompleteResponseError(Outcome.MALFORMED)
 
     def _is_interim(self) -> bool:
         return self.status < http.client.OK and self.status != http.client.SWITCHING_PROTOCOLS
 
     def _skip_body(self) -> None:
-        framing = framing_of(self._asked_method, self.status, lambda name: self.headers.get_all(name, []))
+        framing = framing_of(self._request_method, self.status, lambda name: self.headers.get_all(name, []))
         if framing.end is BodyEnd.CLOSE or self.will_close:
-            raise StreamCut(Outcome.MALFORMED)
+            raise IncompleteResponseError(Outcome.MALFORMED)
         for _ in read_body(self._reader, framing):
             pass
 
 
 class ReceiverConnection(HTTPConnection):
-    """A connection to an IP address, which needs no look-up; `connect` before use, `close` at the end.
+    """A connection to an IP address; `connect_within` before use, `close` at the end.
 
-    `idle_s` is how long it was idle before the call under way, `call_began` the time when that began.
+    Attributes:
+        idle_s: how long the connection was idle before the current call, in seconds; 0 for a new one.
+        call_started_at: when the current call began.
     """
 
     def __init__(self, host: str, port: int, clock: Callable[[], float]) -> None:
         super().__init__(host, port)
         self._clock = clock
         self._earlier_ids: deque[str] = deque(maxlen=REMEMBERED_IDS)
-        self._reader: _LastingReader | None = None
-        self._raw: ReceiverSocket | None = None
+        self._reader: _PersistentReader | None = None
+        self._receiver_socket: ReceiverSocket | None = None
         self._request_id = ""
-        self._reads_head = False
+        self._is_reading_head = False
         self.idle_s = 0.0
-        self.call_began = 0.0
+        self.call_started_at = 0.0
 
     @property
-    def raw(self) -> ReceiverSocket:
-        """Return the socket with the bounds of the call."""
-        assert self._raw is not None
-        return self._raw
+    def receiver_socket(self) -> ReceiverSocket:
+        """Return the socket, which enforces the time of the call."""
+        assert self._receiver_socket is not None
+        return self._receiver_socket
 
     @property
-    def reader(self) -> _LastingReader:
-        """Return the buffer of what the receiver sent."""
+    def reader(self) -> _PersistentReader:
+        """Return the buffer of received bytes."""
         assert self._reader is not None
         return self._reader
 
     def connect_within(self, timeout_s: float) -> None:
-        """Connect; raises an OSError if that fails or takes longer."""
+        """Connect; raises OSError if that fails or takes longer than `timeout_s`."""
         sock = socket.socket(socket.AF_INET6 if ":" in self.host else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -137,64 +145,67 @@
         self.use(sock)
 
     def use(self, sock: socket.socket) -> None:
-        """Use a socket that is connected."""
+        """Use a connected socket."""
         self.sock = sock
-        self.timeout = 0.0  # urllib3 sets it on the socket, whose waits are those of ReceiverSocket
-        self._raw = ReceiverSocket(sock, self._clock)
-        self._reader = _LastingReader(self._raw)
+        self.timeout = 0.0  # urllib3 sets it on the socket, which has to stay non-blocking for ReceiverSocket
+        self._receiver_socket = ReceiverSocket(sock, self._clock)
+        self._reader = _PersistentReader(self._receiver_socket)
 
     def connect(self) -> None:
-        """Refuse to connect unasked: a call that was begun on one connection must not go on on another."""
+        """Prevent the implicit reconnect of http.client: a call must not move to another connection unnoticed."""
         raise ConnectionResetError("the connection has ended")
 
     def begin_call(self, request_id: str, deadline: float, client: Client | None) -> None:
-        """Start a call on this connection."""
-        self.raw.begin_call(deadline, client)
-        self.call_began = self._clock()
+        """Begin a call that has to be over at `deadline`; `client`, if given, is watched meanwhile."""
+        self.receiver_socket.begin_call(deadline, client)
+        self.call_started_at = self._clock()
         self._request_id = request_id
 
     def end_call(self) -> None:
-        """End a call whose answer was whole."""
-        self.raw.end_call()
+        """End a call whose response was complete."""
+        self.receiver_socket.end_call()
         self._earlier_ids.append(self._request_id)
 
     def send(self, data: Any) -> None:
-        """Send bytes of a request."""
-        self.raw.send(data)
+        """Send bytes of the request."""
+        self.receiver_socket.send(data)
 
     def has_carried(self, request_id: str) -> bool:
-        """Tell whether an answer to this id may still come late on this connection."""
+        """Return whether a late response to this request id may still arrive on this connection."""
         return request_id in self._earlier_ids
 
     @property
     def is_first_call(self) -> bool:
-        """Tell whether no call came before the one under way."""
+        """Return whether the connection carried no call before the current one."""
         return not self._earlier_ids
 
-    def may_be_kept(self, framing: Framing) -> bool:
-        """Tell whether nothing of this call is left on the connection: no byte behind the answer, none of the body."""
-        self.raw.end_call()
-        if self.sock is None or framing.end is BodyEnd.CLOSE or not self.raw.sent_whole_in_turn:
+    def is_reusable(self, framing: BodyFraming) -> bool:
+        """Return whether nothing of this call is left: neither received bytes after the response nor unsent ones."""
+        self.receiver_socket.end_call()
+        if self.sock is None or framing.end is BodyEnd.CLOSE or not self.receiver_socket.was_sent_before_response:
             return False
         return not self.reader.peek(1)
 
     def getresponse(self) -> HTTPResponse:  # type: ignore[override]
-        """Return the answer that is due, with its body unread."""
-        self._reads_head = True
+        """Return the response that is due, with its body unread."""
+        self._is_reading_head = True
         try:
             return super().getresponse()
         finally:
-            self._reads_head = False
+            self._is_reading_head = False
 
     def close(self) -> None:
-        """Close the connection; the body can still be read where http.client closes it at an answer's head."""
+        """Close the connection.
+
+        http.client does so itself after a head with `Connection: close`; the body stays readable then.
+        """
         self.sock = None
         super().close()
-        if self._raw is not None and not self._reads_head:
-            self._raw.close()
+        if self._receiver_socket is not None and not self._is_reading_head:
+            self._receiver_socket.close()
 
     def response_class(  # type: ignore[override]
         self, sock: socket.socket, method: str | None = None, **options: Any
-    ) -> _FinalAnswer:
-        """Return the answer that is due; http.client calls this as a class."""
-        return _FinalAnswer(self.reader, method, self._earlier_ids)
+    ) -> _FinalResponse:
+        """Create the response that is due; http.client expects a class here."""
+        return _FinalResponse(self.reader, method, self._earlier_ids)
--- a/dewpin/dataplane/upstream/receiver_socket.py
+++ b/dewpin/dataplane/upstream/receiver_socket.py
@@ -1,8 +1,8 @@
-"""The socket of one connection to a receiver: sends a request and reads its answer within the bounds of a call.
+"""The socket of one connection to a receiver: sends a request and reads the response within the time of a call.
 
-Every wait ends at the call's deadline, and where a client is watched, as soon as that client has gone. What the
-receiver does not take at once goes on being sent while its answer is awaited, since a receiver may answer before it has
-read a long body.
+Every wait ends at the call's deadline or, if a client is watched, as soon as that client disconnects. Bytes that the
+receiver does not accept at once are sent while waiting for its response, because a receiver may respond before it has
+read a long body (RFC 9112, 9.5).
 """
 
 import io
@@ -11,23 +11,28 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from dewpin.dataplane.errors import DataplaneError
 from dewpin.dataplane.http11.messages import Client
-from dewpin.dataplane.upstream.outcome import Outcome, StreamCut
+from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
 
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer, WriteableBuffer
 
 
 _NOTHING = memoryview(b"")
-"""In place of an empty part of a body, which would keep the whole body in memory."""
+"""Replaces an empty slice of a body, which would keep the whole body in memory."""
 
 
-class NothingSent(ConnectionError):
-    """The connection had ended before a byte of the request could be sent on it."""
+class RequestNotSentError(DataplaneError, ConnectionError):
+    """The connection had been closed before a byte of the request could be sent on it."""
 
 
 class ReceiverSocket(io.RawIOBase):
-    """Reads like a raw file; between calls a read returns None and does not look at the socket."""
+    """A raw file over a non-blocking socket; between calls a read returns None and does not touch the socket.
+
+    While a call is in progress, `_unsent` holds the bytes of the request that the receiver has not accepted yet, and
+    `_send_error` the error that ended the sending, until the bytes received before it are read.
+    """
 
     def __init__(self, sock: socket.socket, clock: Callable[[], float]) -> None:
         super().__init__()
@@ -41,10 +46,10 @@
         self._sent_bytes = 0
         self._send_error: ConnectionError | None = None
         self._has_received = False
-        self._was_answered_early = False
+        self._has_early_response = False
 
     def begin_call(self, deadline: float, client: Client | None) -> None:
-        """Start a call that has to be over at a time of the clock; a client that is given is watched."""
+        """Begin a call that has to be over at `deadline`, a time of the clock; `client`, if given, is watched."""
         self._in_call = True
         self._deadline = deadline
         self._client = client
@@ -52,28 +57,28 @@
         self._sent_bytes = 0
         self._send_error = None
         self._has_received = False
-        self._was_answered_early = False
+        self._has_early_response = False
 
     def end_call(self) -> None:
-        """End a call: reads do not wait any more."""
+        """End a call: reads no longer wait."""
         self._in_call = False
         self._client = None
 
     @property
     def has_received(self) -> bool:
-        """Tell whether any byte came during this call."""
+        """Return whether any byte was received during this call."""
         return self._has_received
 
     @property
-    def sent_whole_in_turn(self) -> bool:
-        """Tell whether the request was sent whole before its answer began."""
-        return not self._unsent and self._send_error is None and not self._was_answered_early
+    def was_sent_before_response(self) -> bool:
+        """Return whether the request was sent completely before its response began."""
+        return not self._unsent and self._send_error is None and not self._has_early_response
 
     def send(self, data: "ReadableBuffer") -> None:
-        """Send bytes of the request; returns early where the receiver answers before it takes them all.
+        """Send bytes of the request; return early if the receiver responds before it has accepted them all.
 
-        Raises NothingSent if the connection had ended before the first byte of the call. Where it ends later, the error
-        is kept until the receiver's bytes that came before it are read.
+        Raises RequestNotSentError if the connection was closed before the first byte of the call was sent. An error
+        after that is raised by `readinto`, once the bytes that were received before it are read.
         """
         self._unsent = memoryview(b"".join((self._unsent, data))) if self._unsent else memoryview(data)
         while self._unsent and self._send_error is None:
@@ -82,11 +87,14 @@
                 return
 
     def readable(self) -> bool:
-        """Return that this can be read."""
+        """Return True: this file can be read."""
         return True
 
     def readinto(self, buffer: "WriteableBuffer") -> int | None:
-        """Wait for bytes of the answer; 0 at the end of the connection. Raises StreamCut and OSError."""
+        """Wait for bytes of the response; return 0 at the end of the connection.
+
+        Raises IncompleteResponseError and OSError.
+        """
         if not self._in_call:
             return None
         while True:
@@ -98,7 +106,7 @@
         if not count and self._send_error is not None:
             raise self._send_error
         self._has_received = self._has_received or count > 0
-        self._was_answered_early = self._was_answered_early or bool(self._unsent)
+        self._has_early_response = self._has_early_response or bool(self._unsent)
         return count
 
     def close(self) -> None:
@@ -108,7 +116,7 @@
             self._socket.close()
 
     def _send_some(self) -> None:
-        """Send what the receiver takes at once."""
+        """Send what the receiver accepts without waiting."""
         if not self._unsent or self._send_error is not None:
             return
         try:
@@ -117,14 +125,17 @@
             return
         except ConnectionError as error:
             if not self._sent_bytes:
-                raise NothingSent from error
+                raise RequestNotSentError from error
             self._send_error = error
             return
         self._sent_bytes += count
         self._unsent = self._unsent[count:] or _NOTHING
 
     def _wait(self, events: int) -> int:
-        """Wait until the socket is ready and return how; raises StreamCut if the time ends or the client goes first."""
+        """Wait until the socket is ready and return the events.
+
+        Raises IncompleteResponseError if the deadline passes or the watched client disconnects first.
+        """
         receiver, client = self._socket.fileno(), self._client
         poller = select.poll()
         poller.register(receiver, events)
@@ -135,11 +146,11 @@
             if receiver in ready:
                 return ready[receiver]
             if ready:
-                raise StreamCut(Outcome.CLIENT_GONE)
+                raise IncompleteResponseError(Outcome.CLIENT_DISCONNECTED)
 
     def _time_left_s(self) -> float:
-        """Return the time until the deadline; raises StreamCut if there is none."""
+        """Return the time until the deadline; raises IncompleteResponseError if it has passed."""
         left_s = self._deadline - self._clock()
         if left_s <= 0:
-            raise StreamCut(Outcome.TIMED_OUT)
+            raise IncompleteResponseError(Outcome.TIMED_OUT)
         return left_s
--- /dev/null
+++ b/dewpin/dataplane/upstream/response_stream.py
@@ -0,0 +1,82 @@
+"""The body of a receiver's response while it arrives."""
+
+import http.client
+from collections.abc import Callable
+
+from urllib3 import HTTPResponse
+from urllib3.exceptions import HTTPError
+
+from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
+from dewpin.dataplane.upstream.receiver_connection import ReceiverConnection
+from dewpin.dataplane.upstream.response_body import BodyEnd, BodyFraming, read_body
+
+TRANSPORT_ERRORS = (OSError, http.client.HTTPException, HTTPError, ValueError)
+"""What urllib3 and the libraries below it raise if a connection breaks or a response is invalid."""
+
+ReleaseConnection = Callable[[ReceiverConnection, HTTPResponse, BodyFraming], None]
+"""Takes a connection back after a complete response, to keep it or to close it."""
+
+
+class ResponseStream:
+    """A body that is read within the time of its call; whoever has it must call `close`."""
+
+    def __init__(
+        self,
+        connection: ReceiverConnection,
+        response: HTTPResponse,
+        framing: BodyFraming,
+        release_connection: ReleaseConnection,
+    ) -> None:
+        self._connection = connection
+        self._response = response
+        self._framing = framing
+        self._release_connection = release_connection
+        self._parts = read_body(connection.reader, framing)
+        self._is_open = True
+
+    @property
+    def ends_by_close(self) -> bool:
+        """Return whether nothing but the end of the connection marks the end of the body."""
+        return self._framing.end is BodyEnd.CLOSE
+
+    def read_next(self) -> bytes:
+        """Return the next bytes, or none at the proper end; raises IncompleteResponseError."""
+        try:
+            data = next(self._parts, b"")
+        except IncompleteResponseError:
+            self.close()
+            raise
+        except TRANSPORT_ERRORS as error:
+            self.close()
+            raise IncompleteResponseError(outcome_of_error(error)) from error
+        if not data and self._is_open:
+            self._is_open = False
+            self._response.close()
+            self._release_connection(self._connection, self._response, self._framing)
+        return data
+
+    def read_all(self) -> bytes:
+        """Return the whole body; raises IncompleteResponseError."""
+        parts = []
+        while data := self.read_next():
+            parts.append(data)
+        return b"".join(parts)
+
+    def close(self) -> None:
+        """Close the connection, unless the response was complete and the connection was released."""
+        if self._is_open:
+            self._is_open = False
+            self._response.close()
+            self._connection.close()
+
+
+def outcome_of_error(error: Exception) -> Outcome:
+    """Return the outcome of a call that raised one of TRANSPORT_ERRORS after part of the request was sent."""
+    cause: BaseException | None = error
+    while cause is not None:
+        if isinstance(cause, http.client.RemoteDisconnected | http.client.IncompleteRead):
+            return Outcome.CLOSED
+        if isinstance(cause, OSError):
+            return Outcome.RESET
+        cause = cause.__cause__ or cause.__context__
+    return Outcome.MALFORMED
--- a/tests/dataplane/call_endings.py
+++ b/tests/dataplane/call_endings.py
@@ -20,9 +20,9 @@
 )
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.http11.messages import IncompleteBodyError
 from dewpin.dataplane.membership.cluster_state import ClusterState
-from dewpin.dataplane.routing.request_handler import RequestPath
+from dewpin.dataplane.routing.request_handler import RequestHandler
 
 KINDS = ("idempotent", "resumable", "stream", "non_idempotent")
 STREAM_KINDS = ("resumable", "stream")
@@ -183,7 +183,7 @@
         self._pauses: list[float] = []
         route = {"kind": "stream", "resumable": kind == "resumable"} if kind in STREAM_KINDS else {"kind": kind}
         state = ClusterState(configuration(retries=2, target_ms=target_ms, **route), {SERVICE: tuple(listed)})
-        self.path = RequestPath(state, MemoryStore(), "here", self._clock, self._pauses.append, random.Random(1))
+        self.path = RequestHandler(state, MemoryStore(), "here", self._clock, self._pauses.append, random.Random(1))
         self._calls = 0
 
     def _clock(self) -> float:
@@ -206,7 +206,7 @@
         try:
             for part in answer.body:
                 got += part
-        except BodyBroken:
+        except IncompleteBodyError:
             return answer.status, got, True
         return answer.status, got, False
 
--- a/tests/dataplane/conftest.py
+++ b/tests/dataplane/conftest.py
@@ -9,7 +9,7 @@
 def call():
     caller = Caller()
     yield caller
-    caller.upstream.close()
+    caller.receiver_client.close()
 
 
 @pytest.fixture
@@ -22,5 +22,5 @@
 
     yield start
     for server in servers:
-        if not server.ingress.stopped:
+        if not server.ingress.is_stopped:
             server.ingress.stop(0.0)
--- a/tests/dataplane/ingress_world.py
+++ b/tests/dataplane/ingress_world.py
@@ -7,8 +7,8 @@
 from dataplane.peers import PATIENCE_S
 
 from dewpin.cluster.configuration import parse_configuration
-from dewpin.dataplane.http11.messages import Answer
-from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.http11.messages import Response
+from dewpin.dataplane.ingress.server import IngressServer
 from dewpin.dataplane.membership.cluster_state import ClusterState
 
 LIMITS = {"max_header_bytes": 1000, "max_body_bytes": 5000, "header_timeout_ms": 10_000, "idle_timeout_ms": 10_000}
@@ -44,8 +44,8 @@
 
     def __init__(self, answer=None, **limits):
         self.requests = []
-        self._answer = answer or (lambda request: Answer(200, [("X-Thing", "a")], b"done"))
-        self.ingress = Ingress(cluster(**limits), self._handle, accept_poll_s=0.01)
+        self._answer = answer or (lambda request: Response(200, [("X-Thing", "a")], b"done"))
+        self.ingress = IngressServer(cluster(**limits), self._handle, accept_poll_s=0.01)
         self.ingress.start(("127.0.0.1", 0))
 
     def _handle(self, request):
--- a/tests/dataplane/path_world.py
+++ b/tests/dataplane/path_world.py
@@ -10,9 +10,9 @@
     request,
 )
 
-from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.http11.messages import IncompleteBodyError
 from dewpin.dataplane.membership.cluster_state import ClusterState
-from dewpin.dataplane.routing.request_handler import RequestPath
+from dewpin.dataplane.routing.request_handler import RequestHandler
 
 
 class Path:
@@ -27,7 +27,7 @@
         self.state = ClusterState(configuration(**route), {SERVICE: tuple(listed)})
         self.pauses = []
         self.calls = 0
-        self.path = RequestPath(self.state, self.store, "here", self._clock, self.pauses.append, random.Random(5))
+        self.path = RequestHandler(self.state, self.store, "here", self._clock, self.pauses.append, random.Random(5))
 
     def _clock(self):
         return self._now() + sum(self.pauses)
@@ -49,7 +49,7 @@
     try:
         for part in answer.body:
             got += part
-    except BodyBroken:
+    except IncompleteBodyError:
         return got, True
     finally:
         answer.body.close()
--- a/tests/dataplane/peers.py
+++ b/tests/dataplane/peers.py
@@ -277,7 +277,7 @@
     def fileno(self) -> int:
         return self.ours.fileno()
 
-    def has_gone(self) -> bool:
+    def has_disconnected(self) -> bool:
         try:
             return self.ours.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
--- a/tests/dataplane/test_balancing.py
+++ b/tests/dataplane/test_balancing.py
@@ -6,8 +6,8 @@
 from dataplane.peers import PATIENCE_S, SERVICE, configuration
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.load_balancing.balancer import Balancer, NoPlace, Place
-from dewpin.dataplane.load_balancing.slot_allocation import PlaceRequest
+from dewpin.dataplane.load_balancing.balancer import Balancer, NoSlot, Slot
+from dewpin.dataplane.load_balancing.slot_allocation import SlotRequest
 from dewpin.dataplane.membership.cluster_state import ClusterState
 
 SERVICES = configuration().services
@@ -17,8 +17,8 @@
     return Receiver(id, SERVICE, "10.0.0.1:80", "here", capacity, False, 0.0, "v1")
 
 
-def wanted(hold_until):
-    return PlaceRequest(SERVICES[SERVICE], "route", 0, 0.1, hold_until)
+def wanted(wait_until):
+    return SlotRequest(SERVICES[SERVICE], "route", 0, 0.1, wait_until)
 
 
 def full_balancer(clock=time.monotonic):
@@ -29,7 +29,7 @@
 
 def test_who_may_not_wait_gets_no_place():
     balancer, _ = full_balancer()
-    assert isinstance(balancer.acquire(wanted(0.0)), NoPlace)
+    assert isinstance(balancer.acquire(wanted(0.0)), NoSlot)
 
 
 def test_a_wait_ends_at_its_time():
@@ -40,7 +40,7 @@
         return now[0]
 
     balancer, _ = full_balancer(clock)
-    assert isinstance(balancer.acquire(wanted(11.0)), NoPlace)
+    assert isinstance(balancer.acquire(wanted(11.0)), NoSlot)
     assert now[0] >= 11.0
 
 
@@ -51,23 +51,23 @@
     waiting.start()
     places[0].release()
     waiting.join(PATIENCE_S)
-    assert [type(place) for place in got] == [Place]
+    assert [type(place) for place in got] == [Slot]
 
 
 def test_a_place_is_given_back_once():
     balancer, places = full_balancer()
     places[0].release()
     places[0].release()
-    assert isinstance(balancer.acquire(wanted(0.0)), Place)
-    assert isinstance(balancer.acquire(wanted(0.0)), NoPlace)
+    assert isinstance(balancer.acquire(wanted(0.0)), Slot)
+    assert isinstance(balancer.acquire(wanted(0.0)), NoSlot)
 
 
 def test_a_receiver_that_is_listed_later_is_used():
     state = ClusterState()
     balancer = Balancer(state, "here", time.monotonic)
-    assert isinstance(balancer.acquire(wanted(0.0)), NoPlace)
+    assert isinstance(balancer.acquire(wanted(0.0)), NoSlot)
     state.receivers = {SERVICE: (receiver("b"),)}
-    assert isinstance(balancer.acquire(wanted(0.0)), Place)
+    assert isinstance(balancer.acquire(wanted(0.0)), Slot)
 
 
 def test_no_place_is_lost_or_given_twice_by_many_threads():
@@ -79,7 +79,7 @@
     def work():
         for _ in range(50):
             place = balancer.acquire(wanted(time.monotonic() + PATIENCE_S))
-            assert isinstance(place, Place)
+            assert isinstance(place, Slot)
             with lock:
                 holding[0] += 1
                 most[0] = max(most[0], holding[0])
@@ -95,4 +95,4 @@
         thread.join(PATIENCE_S)
     assert served[0] == 16 * 50
     assert most[0] <= capacity + capacity // 2
-    assert [type(balancer.acquire(wanted(0.0))) for _ in range(7)] == [Place] * 6 + [NoPlace]
+    assert [type(balancer.acquire(wanted(0.0))) for _ in range(7)] == [Slot] * 6 + [NoSlot]
--- a/tests/dataplane/test_call_endings.py
+++ b/tests/dataplane/test_call_endings.py
@@ -137,7 +137,7 @@
 
     Where it ends without a byte of an answer, what may run twice goes to the same receiver again, on a new connection.
     """
-    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", PATIENCE_S)
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
     follows = ending.follows[KINDS.index(kind)]
     first, second = ScriptedReceiver(answer_and_keep(chunked), ending.script, id="i-1"), second_receiver()
     silent = TIMED_OUT in ending.follows
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -20,7 +20,7 @@
 )
 
 from dewpin.dataplane.ingress.client_connection import ClientConnection
-from dewpin.dataplane.upstream.calls import Call
+from dewpin.dataplane.upstream.call import Call
 
 LONG_MS = 10 * PATIENCE_S * 1000
 """A time that no test waits for: what ends sooner has ended by the client's leaving."""
@@ -109,21 +109,21 @@
         path = Path(listed, kind=kind)
         assert path(client=client).status == 503
     assert peer.requests == []
-    assert path.path.figures.attempts == 0
+    assert path.path.metrics.attempts == 0
 
 
 def test_a_client_that_leaves_in_a_pause_gets_no_repeat(client):
     peers = [ScriptedReceiver(reset, id=name) for name in ("i-1", "i-2")]
     with receivers(*peers) as listed:
         path = Path(listed, kind="idempotent", retries=3)
-        tools = path.path._tools
-        path.path._tools = type(tools)(
+        tools = path.path._shared
+        path.path._shared = type(tools)(
             tools.balancer,
-            tools.upstream,
+            tools.receiver_client,
             tools.clock,
             lambda seconds: client.leave(),
             tools.randomness,
-            tools.figures,
+            tools.metrics,
         )
         assert path(client=client).status == 502
     assert sum(len(peer.requests) for peer in peers) == 1
@@ -164,12 +164,12 @@
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
         path = Path([receiver], kind="idempotent")
-        upstream = path.path._tools.upstream
+        receiver_client = path.path._shared.receiver_client
         asked = request(now=path._clock(), client=client)
-        connections = upstream._connections_to(receiver)
+        connections = receiver_client._pool_of(receiver)
         connect = connections.connect
         connections.connect = lambda timeout_s: (connect(timeout_s), client.leave())[0]
-        upstream.call(receiver, Call(asked, path._clock() + PATIENCE_S, repeatable=True))
+        receiver_client.call(receiver, Call(asked, path._clock() + PATIENCE_S, is_idempotent=True))
     assert peer.requests == []
 
 
@@ -193,16 +193,16 @@
 
 
 def test_a_client_that_has_sent_its_next_request_has_not_gone(connection):
-    assert not connection.ours.has_gone()
+    assert not connection.ours.has_disconnected()
     connection.theirs.sendall(b"GET /next HTTP/1.1\r\n")
-    assert not connection.ours.has_gone()
+    assert not connection.ours.has_disconnected()
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /next HTTP/1.1\r\n"])
 def test_a_client_that_closed_has_gone_whatever_it_has_sent(connection, sent):
     connection.theirs.sendall(sent)
     connection.theirs.close()
-    assert connection.ours.has_gone()
+    assert connection.ours.has_disconnected()
 
 
 def test_a_call_goes_on_for_a_client_that_has_sent_its_next_request(connection):
--- a/tests/dataplane/test_events.py
+++ b/tests/dataplane/test_events.py
@@ -40,8 +40,8 @@
 def test_the_rest_of_a_whole_body_is_an_event_too():
     splitter = EventSplitter()
     splitter.feed(b"data: last")
-    assert [event.data for event in splitter.take_rest()] == [b"last"]
-    assert splitter.take_rest() == []
+    assert [event.data for event in splitter.flush()] == [b"last"]
+    assert splitter.flush() == []
 
 
 STREAM = b"versions: 2\nid: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n: note\n\nid: 3\ndata: c\ndata: d\n\n"
--- a/tests/dataplane/test_http_parsing.py
+++ b/tests/dataplane/test_http_parsing.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from dewpin.dataplane.http11.request_parsing import MalformedRequest, parse_chunk_size, parse_head
+from dewpin.dataplane.http11.request_parsing import MalformedMessageError, parse_chunk_size, parse_head
 
 
 def parse(*lines):
@@ -64,7 +64,7 @@
     ],
 )
 def test_what_could_be_read_in_two_ways_is_rejected(lines):
-    with pytest.raises(MalformedRequest):
+    with pytest.raises(MalformedMessageError):
         parse(*lines)
 
 
@@ -107,5 +107,5 @@
 
 @pytest.mark.parametrize("line", [b"", b"-1", b"+1", b"0x1", b"g", b" 1", b"1_0", b"f" * 16])
 def test_sizes_of_chunks_that_are_rejected(line):
-    with pytest.raises(MalformedRequest):
+    with pytest.raises(MalformedMessageError):
         parse_chunk_size(line)
--- a/tests/dataplane/test_idle_limit.py
+++ b/tests/dataplane/test_idle_limit.py
@@ -10,10 +10,10 @@
 from dataplane.upstream_caller import Caller
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.upstream.connection_pool import ReceiverConnections
-from dewpin.dataplane.upstream.idle_limit import EARLY_END_MEMORY_S, LONGEST_UNREPEATABLE_IDLE_S, IdleLimit
+from dewpin.dataplane.upstream.connection_pool import ConnectionPool
+from dewpin.dataplane.upstream.idle_limit import LOWERED_LIMIT_DURATION_S, MAX_IDLE_S, IdleLimit
 from dewpin.dataplane.upstream.outcome import Outcome
-from dewpin.dataplane.upstream.response_body import BodyEnd, Framing
+from dewpin.dataplane.upstream.response_body import BodyEnd, BodyFraming
 
 KEPT_S = 4.85
 TOLD = "Keep-Alive: timeout=5"
@@ -21,12 +21,12 @@
 
 def test_what_may_be_repeated_uses_a_connection_as_long_as_it_is_kept():
     limit = IdleLimit()
-    limit.count_forgotten(0.4, 0.0)
+    limit.record_stale_connection(0.4, 0.0)
     assert limit.allows(KEPT_S - 0.01, KEPT_S, True, 1.0)
     assert not limit.allows(KEPT_S, KEPT_S, True, 1.0)
 
 
-@pytest.mark.parametrize(("kept_s", "longest_s"), [(KEPT_S, LONGEST_UNREPEATABLE_IDLE_S), (1.0, 0.85), (0.5, 0.425)])
+@pytest.mark.parametrize(("kept_s", "longest_s"), [(KEPT_S, MAX_IDLE_S), (1.0, 0.85), (0.5, 0.425)])
 def test_what_must_not_be_repeated_uses_only_connections_used_lately(kept_s, longest_s):
     limit = IdleLimit()
     assert limit.allows(longest_s - 0.01, kept_s, False, 0.0)
@@ -35,17 +35,17 @@
 
 def test_an_early_end_halves_the_limit_until_it_is_forgotten():
     limit = IdleLimit()
-    limit.count_forgotten(1.2, 0.0)
-    limit.count_forgotten(3.0, 1.0)
-    assert limit.unrepeatable_idle_s(2.0) == pytest.approx(0.6)
+    limit.record_stale_connection(1.2, 0.0)
+    limit.record_stale_connection(3.0, 1.0)
+    assert limit.max_idle_s(2.0) == pytest.approx(0.6)
     assert not limit.allows(0.7, KEPT_S, False, 2.0)
-    assert limit.unrepeatable_idle_s(1.0 + EARLY_END_MEMORY_S) == LONGEST_UNREPEATABLE_IDLE_S
+    assert limit.max_idle_s(1.0 + LOWERED_LIMIT_DURATION_S) == MAX_IDLE_S
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
+@pytest.mark.parametrize("is_idempotent", [True, False])
 @pytest.mark.parametrize("ending", [reset, close])
-def test_a_used_connection_that_ends_at_once_teaches_the_limit_of_its_service(ending, repeatable, monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", PATIENCE_S)
+def test_a_used_connection_that_ends_at_once_teaches_the_limit_of_its_service(ending, is_idempotent, monkeypatch):
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
     call = Caller()
     told = whole(b"", "200 OK", TOLD)
     forgetful, other = ScriptedReceiver(told, ending, told, id="i-1"), ScriptedReceiver(told, id="i-2")
@@ -53,30 +53,30 @@
         call(first)
         call(second)
         call.clock.ahead_s += 1.0
-        assert (call(first, repeatable=repeatable).outcome is Outcome.SUCCESS) == repeatable
-        assert call(second, repeatable=False).outcome is Outcome.SUCCESS
-    call.upstream.close()
-    assert len(forgetful.requests) == (3 if repeatable else 2)
+        assert (call(first, is_idempotent=is_idempotent).outcome is Outcome.SUCCESS) == is_idempotent
+        assert call(second, is_idempotent=False).outcome is Outcome.SUCCESS
+    call.receiver_client.close()
+    assert len(forgetful.requests) == (3 if is_idempotent else 2)
     assert other.connections == 2
 
 
 def test_a_used_connection_that_ends_later_teaches_nothing_and_the_call_ends(monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", -1.0)
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", -1.0)
     call = Caller()
     peer = ScriptedReceiver(whole(b"", "200 OK", TOLD), reset)
     with receivers(peer) as (receiver,):
         call(receiver)
         call.clock.ahead_s += 1.0
         assert call(receiver).outcome is Outcome.RESET
-        limit = call.upstream._connections_to(receiver)._idle_limit
-        assert limit.unrepeatable_idle_s(call.clock()) == LONGEST_UNREPEATABLE_IDLE_S
-    call.upstream.close()
+        limit = call.receiver_client._pool_of(receiver)._idle_limit
+        assert limit.max_idle_s(call.clock()) == MAX_IDLE_S
+    call.receiver_client.close()
     assert len(peer.requests) == 2
 
 
 @pytest.mark.parametrize("then", ["refuses", "is gone"])
 def test_a_call_that_goes_on_anew_and_surely_does_not_run_there_may_have_run_before(then, monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.FORGOTTEN_WITHIN_S", PATIENCE_S)
+    monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
 
     def reset_and_go(connection, got):
         if then == "is gone":
@@ -88,7 +88,7 @@
     call(peer.receiver)
     result = call(peer.receiver)
     assert result.outcome is Outcome.RESET
-    call.upstream.close()
+    call.receiver_client.close()
     if then == "refuses":
         peer.close()
 
@@ -101,12 +101,12 @@
     call = Caller()
     with receivers(ScriptedReceiver(answer_and_close)) as (receiver,):
         call(receiver)
-        connections = call.upstream._connections_to(receiver)
+        connections = call.receiver_client._pool_of(receiver)
         assert select.select([connections._idle[0].connection.sock], [], [], PATIENCE_S)[0]
         call.clock.ahead_s += 1.0
-        assert call(receiver, repeatable=False).outcome is Outcome.SUCCESS
-        assert connections._idle_limit.unrepeatable_idle_s(call.clock()) == LONGEST_UNREPEATABLE_IDLE_S
-    call.upstream.close()
+        assert call(receiver, is_idempotent=False).outcome is Outcome.SUCCESS
+        assert connections._idle_limit.max_idle_s(call.clock()) == MAX_IDLE_S
+    call.receiver_client.close()
 
 
 class Day:
@@ -134,18 +134,18 @@
     def _call(self, now, longest_s):
         self.calls += 1
         front, receiver = self.rng.randrange(self.pairs[0]), self.rng.randrange(self.pairs[1])
-        repeatable = self.rng.random() >= self.unrepeatable_share
+        is_idempotent = self.rng.random() >= self.unrepeatable_share
         since, kept_until = self.idle.pop((front, receiver), (None, 0.0))
         limit = self.limits[front]
-        usable = since is not None and limit.allows(now - since, KEPT_S, repeatable, now)
-        if longest_s is not None and not repeatable and since is not None:
+        usable = since is not None and limit.allows(now - since, KEPT_S, is_idempotent, now)
+        if longest_s is not None and not is_idempotent and since is not None:
             usable = now - since < longest_s
         if not usable:
             self.connects += 1
         elif now >= kept_until:
-            limit.count_forgotten(now - since, now)
+            limit.record_stale_connection(now - since, now)
             self.connects += 1
-            self.lost += not repeatable
+            self.lost += not is_idempotent
         self.idle[(front, receiver)] = (now, now + self.rng.uniform(*self.forgets_after_s))
 
 
@@ -203,7 +203,7 @@
     def has_carried(self, request_id):
         return False
 
-    def may_be_kept(self, framing):
+    def is_reusable(self, framing):
         return True
 
     def end_call(self):
@@ -220,49 +220,49 @@
 
     def __init__(self, clock, limit=None):
         receiver = Receiver("i-1", "engines", "10.0.0.1:80", "east", 4)
-        self.connections = ReceiverConnections(receiver, clock, limit or IdleLimit())
+        self.connections = ConnectionPool(receiver, clock, limit or IdleLimit())
 
-    def give_back(self, connection):
-        self.connections.give_back(connection, self.response, Framing(BodyEnd.LENGTH, 0))
+    def release(self, connection):
+        self.connections.release(connection, self.response, BodyFraming(BodyEnd.LENGTH, 0))
 
-    def take(self, repeatable):
-        return self.connections.take_idle(repeatable)
+    def take(self, is_idempotent):
+        return self.connections.acquire_idle(is_idempotent)
 
 
 def two_idle(clock, limit=None):
     """A receiver with an older and a newer idle connection, 3 s and 0.5 s at the clock's time."""
     kept, older, newer = KeepingReceiver(clock, limit), IdleConnection(), IdleConnection()
-    kept.give_back(older)
+    kept.release(older)
     clock.now = 2.5
-    kept.give_back(newer)
+    kept.release(newer)
     clock.now = 3.0
     return kept, older, newer
 
 
 def test_a_call_that_may_be_repeated_leaves_the_young_connections_to_those_that_must_not():
     kept, older, newer = two_idle(HandClock())
-    assert kept.take(repeatable=True) is older
-    assert kept.take(repeatable=False) is newer
+    assert kept.take(is_idempotent=True) is older
+    assert kept.take(is_idempotent=False) is newer
 
 
 def test_a_call_that_must_not_be_repeated_takes_the_newest_connection():
     kept, older, newer = two_idle(HandClock())
-    assert kept.take(repeatable=False) is newer
+    assert kept.take(is_idempotent=False) is newer
     assert not older.closed
 
 
 def test_all_calls_take_the_newest_connection_while_receivers_forget_early():
     limit = IdleLimit()
-    limit.count_forgotten(1.2, 0.0)
+    limit.record_stale_connection(1.2, 0.0)
     kept, _, newer = two_idle(HandClock(), limit)
-    assert kept.take(repeatable=True) is newer
+    assert kept.take(is_idempotent=True) is newer
 
 
 def test_an_old_connection_that_the_receiver_keeps_no_more_is_passed_over():
     clock = HandClock()
     kept, older, newer = two_idle(clock)
     clock.now = KEPT_S
-    assert kept.take(repeatable=True) is newer
+    assert kept.take(is_idempotent=True) is newer
     assert older.closed
 
 
@@ -291,12 +291,12 @@
         front = self.rng.randrange(8)
         weights = [5 if receiver == front % 4 else 1 for receiver in range(4)]
         kept = self.rng.choices(self.pools[front], weights)[0]
-        repeatable = self.rng.random() >= 0.37
-        connection = kept.take(repeatable)
+        is_idempotent = self.rng.random() >= 0.37
+        connection = kept.take(is_idempotent)
         self.calls += 1
         if connection is not None and self.clock.now >= connection.forgotten_at:
-            self.limits[front].count_forgotten(connection.idle_s, self.clock.now)
-            self.lost += not repeatable
+            self.limits[front].record_stale_connection(connection.idle_s, self.clock.now)
+            self.lost += not is_idempotent
             connection = None
         if connection is None:
             self.connects += 1
@@ -309,7 +309,7 @@
         while self.ending and self.ending[0][0] <= now:
             self.clock.now, _, kept, connection = heapq.heappop(self.ending)
             connection.forgotten_at = self.clock.now + self.rng.uniform(*self.forgets_after_s)
-            kept.give_back(connection)
+            kept.release(connection)
         self.clock.now = now
 
 
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress.py
@@ -7,9 +7,9 @@
 from dataplane.ingress_world import Client, Parts, Server, cluster
 from dataplane.peers import PATIENCE_S
 
-from dewpin.dataplane.http11.messages import Answer, BodyBroken
-from dewpin.dataplane.ingress.readiness import ReadyServer
-from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.http11.messages import IncompleteBodyError, Response
+from dewpin.dataplane.ingress.readiness import ReadinessServer
+from dewpin.dataplane.ingress.server import IngressServer
 
 
 def test_requests_of_one_connection_are_answered_in_turn(serve):
@@ -24,7 +24,7 @@
 
 
 def test_pipelined_requests_are_neither_lost_nor_mixed(serve):
-    server = serve(lambda request: Answer(200, [], request.body + request.target.encode()))
+    server = serve(lambda request: Response(200, [], request.body + request.target.encode()))
     client = server.connect()
     first = b"POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nGET /"
     second = (
@@ -107,9 +107,9 @@
 
 def test_head_and_answers_without_a_body(serve):
     answers = {
-        "HEAD": Answer(200, [("Content-Length", "77")], b""),
-        "DELETE": Answer(204, [], b""),
-        "GET": Answer(200, [], b"x"),
+        "HEAD": Response(200, [("Content-Length", "77")], b""),
+        "DELETE": Response(204, [], b""),
+        "GET": Response(200, [], b"x"),
     }
     client = serve(lambda request: answers[request.method]).connect()
     client.send("HEAD / HTTP/1.1", "Host: h")
@@ -132,22 +132,27 @@
     assert client.is_closed()
 
 
+class ChangingState:
+    """A cluster state whose configuration is the first one when it is read first, and the second one from then on."""
+
+    def __init__(self, first, second):
+        self._configurations = [first, second]
+        self.has_changed = threading.Event()
+
+    @property
+    def configuration(self):
+        if len(self._configurations) > 1:
+            return self._configurations.pop(0)
+        self.has_changed.set()
+        return self._configurations[0]
+
+
 def test_a_connection_at_rest_is_kept_as_long_as_the_newest_limit_says(serve):
-    server = serve(idle_timeout_ms=50)
-    asked = []
-    asked_again = threading.Event()
-    first, raised = server.ingress.limits(), cluster(idle_timeout_ms=60_000).configuration.limits
-
-    def limits():
-        asked.append(None)
-        if len(asked) == 1:
-            return first
-        asked_again.set()
-        return raised
-
-    server.ingress.limits = limits
+    server = serve()
+    state = ChangingState(cluster(idle_timeout_ms=50).configuration, cluster(idle_timeout_ms=60_000).configuration)
+    server.ingress._state = state
     client = server.connect()
-    assert asked_again.wait(PATIENCE_S)
+    assert state.has_changed.wait(PATIENCE_S)
     client.send("GET / HTTP/1.1", "Host: h")
     assert client.read()[0] == 200
 
@@ -164,7 +169,7 @@
 def test_a_stream_is_passed_on_part_by_part(serve):
     go_on = threading.Event()
     body = Parts(b"one", lambda: go_on.wait(PATIENCE_S), b"two")
-    client = serve(lambda request: Answer(200, [("Content-Type", "text/event-stream")], body)).connect()
+    client = serve(lambda request: Response(200, [("Content-Type", "text/event-stream")], body)).connect()
     client.send("GET / HTTP/1.1", "Host: h")
     client.read_head()
     chunks = client.chunks()
@@ -176,8 +181,8 @@
 
 
 def test_a_stream_that_breaks_has_no_end(serve):
-    body = Parts(b"one", BodyBroken("cut"))
-    client = serve(lambda request: Answer(200, [], body)).connect()
+    body = Parts(b"one", IncompleteBodyError("cut"))
+    client = serve(lambda request: Response(200, [], body)).connect()
     client.send("GET / HTTP/1.1", "Host: h")
     client.read_head()
     chunks = client.chunks()
@@ -190,8 +195,8 @@
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 def test_a_stream_that_breaks_before_its_first_byte_is_answered_as_failed(serve, version):
     """A connection that is closed without an answer would leave the client without a word."""
-    body = Parts(BodyBroken("cut"))
-    client = serve(lambda request: Answer(200, [("X-Dewpin-Response-Signature", "s")], body)).connect()
+    body = Parts(IncompleteBodyError("cut"))
+    client = serve(lambda request: Response(200, [("X-Dewpin-Response-Signature", "s")], body)).connect()
     client.send(f"GET / HTTP/{version}", "Host: h")
     code, headers, _ = client.read()
     assert (code, headers["connection"]) == (502, "close")
@@ -201,15 +206,15 @@
 
 
 def test_a_stream_to_an_old_client_ends_with_the_connection(serve):
-    client = serve(lambda request: Answer(200, [], Parts(b"one", b"two"))).connect()
+    client = serve(lambda request: Response(200, [], Parts(b"one", b"two"))).connect()
     client.send("GET / HTTP/1.0")
     client.read_head()
     assert client._reader.read() == b"onetwo"
 
 
 def test_a_broken_stream_to_an_old_client_is_reset():
-    body = Parts(b"one", BodyBroken("cut"))
-    server = Server(lambda request: Answer(200, [], body))
+    body = Parts(b"one", IncompleteBodyError("cut"))
+    server = Server(lambda request: Response(200, [], body))
     client = server.connect()
     client.send("GET / HTTP/1.0")
     with pytest.raises(ConnectionResetError):
@@ -220,7 +225,7 @@
 def test_a_stream_whose_client_is_gone_is_closed(serve):
     go_on = threading.Event()
     body = Parts(b"one", lambda: go_on.wait(PATIENCE_S), *[b"x" * 65536] * 200)
-    client = serve(lambda request: Answer(200, [], body)).connect()
+    client = serve(lambda request: Response(200, [], body)).connect()
     client.send("GET / HTTP/1.1", "Host: h")
     client.read_head()
     client.close()
@@ -233,11 +238,11 @@
     asked, left = threading.Event(), threading.Event()
 
     def answer(request):
-        seen.append(request.client.has_gone())
+        seen.append(request.client.has_disconnected())
         asked.set()
         assert left.wait(PATIENCE_S)
-        seen.append(request.client.has_gone())
-        return Answer(200, [], b"")
+        seen.append(request.client.has_disconnected())
+        return Response(200, [], b"")
 
     server = serve(answer)
     client = server.connect()
@@ -264,7 +269,7 @@
     def answer(request):
         asked.set()
         assert go_on.wait(PATIENCE_S)
-        return Answer(200, [], b"late")
+        return Response(200, [], b"late")
 
     server = serve(answer)
     resting, working = server.connect(), server.connect()
@@ -280,7 +285,7 @@
     assert working.is_closed()
     stopping.join(PATIENCE_S)
     assert ended == [True]
-    assert server.ingress.connections == 0
+    assert server.ingress.connection_count == 0
 
 
 @pytest.mark.parametrize("meanwhile", ["drain", "stop", "shorter idle limit", "full"])
@@ -292,7 +297,7 @@
         if request.target == "/second":
             asked.set()
             assert go_on.wait(PATIENCE_S)
-        return Answer(200, [], b"done")
+        return Response(200, [], b"done")
 
     server = Server(answer)
     client, resting = server.connect(), server.connect()
@@ -309,7 +314,7 @@
     elif meanwhile == "shorter idle limit":
         server.ingress._state.configuration = cluster(idle_timeout_ms=1).configuration
     else:
-        server.ingress._most_connections = 2
+        server.ingress._max_connections = 2
         assert server.connect().is_closed()
     go_on.set()
     code, headers, body = client.read()
@@ -341,7 +346,7 @@
     def answer(request):
         asked.set()
         go_on.wait(PATIENCE_S)
-        return Answer(200, [], b"")
+        return Response(200, [], b"")
 
     server = serve(answer)
     client = server.connect()
@@ -352,7 +357,9 @@
 
 
 def test_too_many_connections_are_turned_away():
-    ingress = Ingress(cluster(), lambda request: Answer(200, [], b"done"), most_connections=1, accept_poll_s=0.01)
+    ingress = IngressServer(
+        cluster(), lambda request: Response(200, [], b"done"), max_connections=1, accept_poll_s=0.01
+    )
     ingress.start(("127.0.0.1", 0))
     first = Client(ingress.address)
     first.send("GET / HTTP/1.1", "Host: h")
@@ -363,7 +370,7 @@
 
 def test_readiness_is_told():
     ready = [True]
-    server = ReadyServer(lambda: ready[0])
+    server = ReadinessServer(lambda: ready[0])
     server.start(("127.0.0.1", 0))
     connection = http.client.HTTPConnection(*server.address, timeout=PATIENCE_S)
 
--- a/tests/dataplane/test_late_answers.py
+++ b/tests/dataplane/test_late_answers.py
@@ -53,8 +53,8 @@
 
     With one receiver only, the repeat goes to the one that refused.
     """
-    monkeypatch.setattr("dewpin.dataplane.routing.retry.REPEAT_PAUSE_S", 0.001)
-    monkeypatch.setattr("dewpin.dataplane.load_balancing.receiver_load.FIRST_FAILURE_WAIT_S", 0.001)
+    monkeypatch.setattr("dewpin.dataplane.routing.retry.SAME_RECEIVER_BACKOFF_S", 0.001)
+    monkeypatch.setattr("dewpin.dataplane.load_balancing.receiver_load.INITIAL_UNREACHABLE_BACKOFF_S", 0.001)
 
     def refuse(connection, got):
         connection.send(early_refusal(got))
--- a/tests/dataplane/test_places.py
+++ b/tests/dataplane/test_places.py
@@ -9,24 +9,24 @@
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.load_balancing.receiver_load import (
     ERROR_HALF_LIFE_S,
-    FIRST_FAILURE_WAIT_S,
-    HEARD_LOAD_HALF_LIFE_S,
-    LEAST_SILENCE_S,
-    MOST_FAILURE_WAIT_S,
-    MOST_FULL_WAIT_S,
-    SILENCE_TIMES,
+    INITIAL_UNREACHABLE_BACKOFF_S,
+    MAX_FULL_BACKOFF_S,
+    MAX_UNREACHABLE_BACKOFF_S,
+    MIN_UNRESPONSIVE_S,
+    REPORTED_LOAD_HALF_LIFE_S,
+    UNRESPONSIVE_RESPONSE_TIMES,
     ReceiverLoad,
     ServerLoad,
     parse_server_load,
 )
 from dewpin.dataplane.load_balancing.slot_allocation import (
-    COLD_CAPACITY_SHARE,
-    LEAST_RETRY_AFTER_S,
-    MOST_RETRY_AFTER_S,
+    MAX_RETRY_AFTER_S,
+    MIN_RETRY_AFTER_S,
     PRIORITY_STEP_S,
     WAIT_JITTER,
-    PlaceBook,
-    PlaceRequest,
+    WARM_UP_CAPACITY_SHARE,
+    SlotAllocator,
+    SlotRequest,
     rendezvous_rank,
 )
 
@@ -39,17 +39,17 @@
 
 
 def book(*receivers):
-    made = PlaceBook("here", random.Random(3))
-    made.list_receivers(SERVICE, receivers)
+    made = SlotAllocator("here", random.Random(3))
+    made.update_receivers(SERVICE, receivers)
     return made
 
 
-def wanted(route="route", priority=0, key=None, avoid=None, hold_until=NOW + 1, aim_s=0.1):
-    return PlaceRequest(SERVICES[SERVICE], route, priority, aim_s, hold_until, key, avoid or {})
+def wanted(route="route", priority=0, key=None, avoid_until=None, wait_until=NOW + 1, latency_target_s=0.1):
+    return SlotRequest(SERVICES[SERVICE], route, priority, latency_target_s, wait_until, key, avoid_until or {})
 
 
 def taken(places, times, request=None, now=NOW):
-    return [got.id if (got := places.take(request or wanted(), now)) else None for _ in range(times)]
+    return [got.id if (got := places.acquire(request or wanted(), now)) else None for _ in range(times)]
 
 
 def test_calls_spread_over_the_receivers_of_this_zone():
@@ -70,13 +70,13 @@
 
 def test_a_receiver_that_is_slow_from_its_start_gets_less():
     spread = Counter(taken(book(receiver("a", capacity=8), receiver("b", capacity=8, cold_left_ms=500)), 9))
-    assert spread["b"] == pytest.approx(spread["a"] * COLD_CAPACITY_SHARE, abs=1)
+    assert spread["b"] == pytest.approx(spread["a"] * WARM_UP_CAPACITY_SHARE, abs=1)
 
 
 def test_a_draining_receiver_gets_nothing():
     places = book(receiver("a", draining=True), receiver("b"))
     assert set(taken(places, 3)) == {"b"}
-    places.list_receivers(SERVICE, (receiver("a", draining=True), receiver("b", draining=True)))
+    places.update_receivers(SERVICE, (receiver("a", draining=True), receiver("b", draining=True)))
     assert taken(places, 1) == [None]
 
 
@@ -89,30 +89,30 @@
 
 
 @pytest.mark.parametrize(
-    ("call_time_s", "aim_s", "taken_at_most"),
+    ("call_time_s", "latency_target_s", "taken_at_most"),
     [(0.1, 0.1, 6), (0.1, 0.2, 8), (0.05, 0.2, 12), (0.01, 2.0, 16), (2.0, 0.1, 5)],
 )
-def test_as_many_queue_at_a_receiver_as_their_aim_bears(call_time_s, aim_s, taken_at_most):
+def test_as_many_queue_at_a_receiver_as_their_aim_bears(call_time_s, latency_target_s, taken_at_most):
     given = configuration()
     places = book(receiver("a", capacity=4))
-    places.load("a").least_call_time_s = call_time_s
-    places.senders = 1
+    places.load_of("a").min_call_time_s = call_time_s
+    places.sender_count = 1
     assert given.services[SERVICE].max_conns > taken_at_most
-    assert taken(places, 20, wanted(aim_s=aim_s)).count("a") == taken_at_most
+    assert taken(places, 20, wanted(latency_target_s=latency_target_s)).count("a") == taken_at_most
 
 
 def test_the_least_call_time_falls_at_once_and_rises_slowly():
     load = ReceiverLoad()
-    load.count_served(0.02)
-    assert load.least_call_time_s == pytest.approx(0.02)
-    load.count_served(0.5)
-    assert 0.02 < load.least_call_time_s < 0.04
+    load.record_success(0.02)
+    assert load.min_call_time_s == pytest.approx(0.02)
+    load.record_success(0.5)
+    assert 0.02 < load.min_call_time_s < 0.04
 
 
 def test_a_receiver_that_fails_calls_gets_fewer_and_is_tried_again():
     places = book(receiver("a", capacity=4), receiver("b", capacity=4))
     for _ in range(10):
-        places.load("a").count_error(NOW)
+        places.load_of("a").record_error(NOW)
     assert Counter(taken(places, 4)) == {"b": 4}
     later = NOW + 10 * ERROR_HALF_LIFE_S
     assert "a" in taken(places, 2, now=later)
@@ -123,39 +123,39 @@
     places = book(*receivers)
     first = min(receivers, key=lambda each: rendezvous_rank("session", each)).id
     for _ in range(10):
-        places.load(first).count_error(NOW)
+        places.load_of(first).record_error(NOW)
     assert first not in taken(places, 4, wanted(key="session"))
 
 
 def test_served_calls_make_up_for_failed_ones():
     load = ReceiverLoad()
     for _ in range(10):
-        load.count_error(NOW)
-    before = load.error_share(NOW)
+        load.record_error(NOW)
+    before = load.error_rate(NOW)
     for _ in range(10):
-        load.count_served(0.1)
-    assert load.error_share(NOW) < before / 2
+        load.record_success(0.1)
+    assert load.error_rate(NOW) < before / 2
 
 
 def test_the_connections_of_a_receiver_are_shared_by_the_senders():
     places = book(receiver("a", capacity=100))
-    places.senders = 16
+    places.sender_count = 16
     assert taken(places, 5) == ["a"] * 4 + [None]
 
 
 def test_a_heard_load_counts_and_fades():
     places = book(receiver("a", capacity=4), receiver("b", capacity=4))
-    places.load("a").hear(ServerLoad(4, 4, 4), NOW)
+    places.load_of("a").record_report(ServerLoad(4, 4, 4), NOW)
     assert set(taken(places, 3)) == {"b"}
-    later = NOW + 20 * HEARD_LOAD_HALF_LIFE_S
+    later = NOW + 20 * REPORTED_LOAD_HALF_LIFE_S
     assert "a" in taken(places, 3, now=later)
 
 
 def test_own_calls_are_not_counted_twice():
     load = ReceiverLoad(own_calls=3)
-    load.hear(ServerLoad(4, 1, 4), NOW)
+    load.record_report(ServerLoad(4, 1, 4), NOW)
     assert load.total(NOW) == 5
-    assert load.total(NOW + HEARD_LOAD_HALF_LIFE_S) == 4
+    assert load.total(NOW + REPORTED_LOAD_HALF_LIFE_S) == 4
 
 
 @pytest.mark.parametrize("value", [None, "", "1,2", "1,2,3,4", "a,b,c", "-1,0,1", "1.5,0,1"])
@@ -196,52 +196,52 @@
 
 def test_what_is_to_be_avoided_is_avoided_for_its_time():
     places = book(receiver("a"), receiver("b"))
-    request = wanted(avoid={"a": NOW + 0.5})
+    request = wanted(avoid_until={"a": NOW + 0.5})
     assert set(taken(places, 2, request)) == {"b"}
-    assert places.next_change(request, NOW) <= NOW + 0.5
+    assert places.next_check_at(request, NOW) <= NOW + 0.5
     assert "a" in taken(places, 2, request, now=NOW + 0.5)
 
 
 def test_a_full_receiver_is_left_alone_for_a_short_wait_that_grows():
     load = ReceiverLoad(call_time_s=0.08)
-    load.block_full(NOW, 8, None, 1.0)
+    load.back_off_full(NOW, 8, None, 1.0)
     assert load.blocked_until == pytest.approx(NOW + 0.01)
-    load.block_full(NOW, 8, None, 1.0)
+    load.back_off_full(NOW, 8, None, 1.0)
     assert load.blocked_until == pytest.approx(NOW + 0.02)
     for _ in range(40):
-        load.block_full(NOW, 8, None, 1.0)
-    assert load.blocked_until == NOW + MOST_FULL_WAIT_S
+        load.back_off_full(NOW, 8, None, 1.0)
+    assert load.blocked_until == NOW + MAX_FULL_BACKOFF_S
 
 
 def test_a_told_wait_is_heeded_and_not_cut_short_by_a_derived_one():
     load = ReceiverLoad()
-    load.block_full(NOW, 4, 3.0, 1.0)
-    load.block_full(NOW, 4, None, 1.0)
+    load.back_off_full(NOW, 4, 3.0, 1.0)
+    load.back_off_full(NOW, 4, None, 1.0)
     assert load.blocked_until == NOW + 3.0
 
 
 def test_a_receiver_that_cannot_be_reached_is_left_alone_until_it_serves_again():
     load = ReceiverLoad()
-    load.block_failed(NOW, 1.0)
-    assert load.blocked_until == NOW + FIRST_FAILURE_WAIT_S
+    load.back_off_unreachable(NOW, 1.0)
+    assert load.blocked_until == NOW + INITIAL_UNREACHABLE_BACKOFF_S
     for _ in range(20):
-        load.block_failed(NOW, 1.0)
-    assert load.blocked_until == NOW + MOST_FAILURE_WAIT_S
-    load.count_served(0.1)
-    load.block_failed(NOW + 10, 1.0)
-    assert load.blocked_until == NOW + 10 + FIRST_FAILURE_WAIT_S
+        load.back_off_unreachable(NOW, 1.0)
+    assert load.blocked_until == NOW + MAX_UNREACHABLE_BACKOFF_S
+    load.record_success(0.1)
+    load.back_off_unreachable(NOW + 10, 1.0)
+    assert load.blocked_until == NOW + 10 + INITIAL_UNREACHABLE_BACKOFF_S
 
 
 def test_freed_places_go_to_the_route_whose_last_place_lies_furthest_back():
     places = book(receiver("a", capacity=1))
     assert taken(places, 1, wanted("old"), now=NOW) == ["a"]
     assert taken(places, 1, wanted("new"), now=NOW + 1) == ["a"]
-    first_new, second_new = places.wait(wanted("new")), places.wait(wanted("new"))
-    first_old, second_old = places.wait(wanted("old")), places.wait(wanted("old"))
+    first_new, second_new = places.enqueue(wanted("new")), places.enqueue(wanted("new"))
+    first_old, second_old = places.enqueue(wanted("old")), places.enqueue(wanted("old"))
     order = []
     for step in range(4):
-        places.give_back("a")
-        order += places.grant(SERVICE, NOW + 2 + step)
+        places.release("a")
+        order += places.grant_queued(SERVICE, NOW + 2 + step)
     assert order == [first_old, first_new, second_old, second_new]
 
 
@@ -249,104 +249,104 @@
     places = book(receiver("a", capacity=2))
     taken(places, 1, wanted("old"), now=NOW)
     taken(places, 2, wanted("new"), now=NOW + 1)
-    tickets = [places.wait(wanted(route)) for route in ("old", "old", "new", "new")]
-    places.give_back("a")
-    places.give_back("a")
-    assert places.grant(SERVICE, NOW + 2) == [tickets[0], tickets[2]]
+    tickets = [places.enqueue(wanted(route)) for route in ("old", "old", "new", "new")]
+    places.release("a")
+    places.release("a")
+    assert places.grant_queued(SERVICE, NOW + 2) == [tickets[0], tickets[2]]
 
 
 def test_urgency_counts_as_time_of_waiting():
     places = book(receiver("a", capacity=1))
     taken(places, 1, wanted("low", priority=1), now=NOW)
     taken(places, 1, wanted("high", priority=0), now=NOW + PRIORITY_STEP_S / 2)
-    low, high = places.wait(wanted("low", priority=1)), places.wait(wanted("high", priority=0))
-    places.give_back("a")
-    assert places.grant(SERVICE, NOW + 1) == [high]
-    places.give_back("a")
-    assert places.grant(SERVICE, NOW + 2) == [low]
+    low, high = places.enqueue(wanted("low", priority=1)), places.enqueue(wanted("high", priority=0))
+    places.release("a")
+    assert places.grant_queued(SERVICE, NOW + 1) == [high]
+    places.release("a")
+    assert places.grant_queued(SERVICE, NOW + 2) == [low]
 
 
 def test_a_new_request_does_not_overtake_those_that_wait():
     places = book(receiver("a", capacity=1))
     taken(places, 2)
-    ticket = places.wait(wanted())
-    places.give_back("a")
+    ticket = places.enqueue(wanted())
+    places.release("a")
     assert taken(places, 1) == [None]
-    assert places.grant(SERVICE, NOW) == [ticket]
+    assert places.grant_queued(SERVICE, NOW) == [ticket]
 
 
 def test_a_request_that_avoids_what_is_free_does_not_hold_up_others():
     places = book(receiver("a", capacity=1))
     taken(places, 2)
-    avoiding = places.wait(wanted("first", avoid={"a": NOW + 9}))
-    other = places.wait(wanted("second"))
-    places.give_back("a")
-    assert places.grant(SERVICE, NOW) == [other]
+    avoiding = places.enqueue(wanted("first", avoid_until={"a": NOW + 9}))
+    other = places.enqueue(wanted("second"))
+    places.release("a")
+    assert places.grant_queued(SERVICE, NOW) == [other]
     assert avoiding.receiver is None
 
 
 def test_who_gives_up_gets_no_place():
     places = book(receiver("a", capacity=1))
     taken(places, 2)
-    places.give_up(places.wait(wanted()))
-    places.give_back("a")
-    assert places.grant(SERVICE, NOW) == []
+    places.cancel(places.enqueue(wanted()))
+    places.release("a")
+    assert places.grant_queued(SERVICE, NOW) == []
     assert taken(places, 1) == ["a"]
 
 
 def test_places_of_a_receiver_that_left_are_forgotten():
     places = book(receiver("a"), receiver("b"))
     taken(places, 4)
-    places.list_receivers(SERVICE, (receiver("b"),))
-    places.give_back("a")
-    places.load("a").block_failed(NOW, 1.0)
+    places.update_receivers(SERVICE, (receiver("b"),))
+    places.release("a")
+    places.load_of("a").back_off_unreachable(NOW, 1.0)
     assert set(taken(places, 2)) == {"b"}
 
 
 def test_the_wait_expected_grows_with_those_that_wait_and_stays_bounded():
     places = book(receiver("a", capacity=1))
-    places.load("a").call_time_s = 0.1
-    alone = places.expected_wait(SERVICE, NOW)
+    places.load_of("a").call_time_s = 0.1
+    alone = places.expected_wait_s(SERVICE, NOW)
     assert 0.1 * (1 - WAIT_JITTER) <= alone <= 0.1 * (1 + WAIT_JITTER)
     for _ in range(4):
-        places.wait(wanted())
-    assert 0.5 * (1 - WAIT_JITTER) <= places.expected_wait(SERVICE, NOW) <= 0.5 * (1 + WAIT_JITTER)
+        places.enqueue(wanted())
+    assert 0.5 * (1 - WAIT_JITTER) <= places.expected_wait_s(SERVICE, NOW) <= 0.5 * (1 + WAIT_JITTER)
     for _ in range(100):
-        places.wait(wanted())
-    assert places.expected_wait(SERVICE, NOW) <= MOST_RETRY_AFTER_S * (1 + WAIT_JITTER)
+        places.enqueue(wanted())
+    assert places.expected_wait_s(SERVICE, NOW) <= MAX_RETRY_AFTER_S * (1 + WAIT_JITTER)
 
 
 def test_the_wait_expected_is_never_nothing():
     places = book(receiver("a", capacity=1000))
-    assert places.expected_wait(SERVICE, NOW) >= LEAST_RETRY_AFTER_S * (1 - WAIT_JITTER)
+    assert places.expected_wait_s(SERVICE, NOW) >= MIN_RETRY_AFTER_S * (1 - WAIT_JITTER)
 
 
 def test_a_session_goes_to_a_receiver_of_its_own_zone_while_that_one_has_room():
     far = [receiver(f"far-{number}", zone="there") for number in range(8)]
     places = book(receiver("near", zone="here"), *far)
-    chosen = [places.take(wanted(key=f"session-{number}"), NOW).id for number in range(3)]
+    chosen = [places.acquire(wanted(key=f"session-{number}"), NOW).id for number in range(3)]
     assert chosen == ["near"] * 3
-    assert places.take(wanted(key="session-9"), NOW).id != "near"
+    assert places.acquire(wanted(key="session-9"), NOW).id != "near"
 
 
 def test_a_receiver_that_answers_nothing_gets_no_more_while_others_can():
     places = book(receiver("hung"), receiver("sound"))
-    hung = places.load("hung")
-    hung.count_sent(NOW)
-    assert not hung.is_silent(NOW + LEAST_SILENCE_S)
-    later = NOW + 2 * LEAST_SILENCE_S + SILENCE_TIMES * hung.answer_time_s
-    assert hung.is_silent(later)
-    assert {places.take(wanted(key=f"session-{number}"), later).id for number in range(3)} == {"sound"}
-    assert {places.take(wanted(), later).id for _ in range(3)} == {"sound"}
+    hung = places.load_of("hung")
+    hung.record_sent(NOW)
+    assert not hung.is_unresponsive(NOW + MIN_UNRESPONSIVE_S)
+    later = NOW + 2 * MIN_UNRESPONSIVE_S + UNRESPONSIVE_RESPONSE_TIMES * hung.response_time_s
+    assert hung.is_unresponsive(later)
+    assert {places.acquire(wanted(key=f"session-{number}"), later).id for number in range(3)} == {"sound"}
+    assert {places.acquire(wanted(), later).id for _ in range(3)} == {"sound"}
 
 
 def test_an_answer_to_any_call_ends_the_silence():
     places = book(receiver("slow"))
-    slow = places.load("slow")
-    slow.count_sent(NOW)
-    slow.count_sent(NOW + 1)
-    slow.count_answered(NOW + 1, NOW + 1.1)
-    assert not slow.is_silent(NOW + 1.2)
-    assert slow.is_silent(NOW + 3)
+    slow = places.load_of("slow")
+    slow.record_sent(NOW)
+    slow.record_sent(NOW + 1)
+    slow.record_response(NOW + 1, NOW + 1.1)
+    assert not slow.is_unresponsive(NOW + 1.2)
+    assert slow.is_unresponsive(NOW + 3)
     slow.forget_call(NOW)
-    assert not slow.is_silent(NOW + 3)
+    assert not slow.is_unresponsive(NOW + 3)
