--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_path.py
@@ -23,8 +23,9 @@
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.programs.program_store import Turn
-from dewpin.dataplane.routing.request_handler import share_of_key, sticky_key
-from dewpin.dataplane.routing.request_time_limit import time_allowed_s
+from dewpin.dataplane.routing.affinity import share_of_key, sticky_key
+from dewpin.dataplane.routing.request_timeout import request_timeout_s
+from dewpin.dataplane.routing.service_choice import choose_service
 
 FAILURES = [reset, close, whole(b"no", "500 Internal Server Error", signed=False)]
 
@@ -51,7 +52,7 @@
     assert path(target="/x").status == 503
     path.state.configuration = configuration(path_prefix="/other/")
     assert path(target="/x").status == 404
-    assert path.path.figures.not_routed == 1
+    assert path.path.metrics.not_routed == 1
 
 
 def test_a_request_without_a_route_is_refused_while_no_majority_has_confirmed_the_configuration():
@@ -61,7 +62,7 @@
     answer = path(target="/x")
     assert answer.status == 503
     assert float(header(answer, "retry-after")) > 0
-    assert path.path.figures.not_routed == 0
+    assert path.path.metrics.not_routed == 0
     path.state.is_current = lambda: True
     assert path(target="/x").status == 404
 
@@ -89,7 +90,7 @@
 @pytest.mark.parametrize(("told", "allowed_s"), [("1200", 1.2), ("99999", 5.0), (None, 5.0)])
 def test_the_time_allowed_is_the_clients_or_the_routes_whichever_is_less(told, allowed_s):
     fields = [("X-Dewpin-Request-Deadline", told)] if told else []
-    assert time_allowed_s(request(*fields).headers, configuration().routes[0]) == allowed_s
+    assert request_timeout_s(request(*fields).headers, configuration().routes[0]) == allowed_s
 
 
 @pytest.mark.parametrize("failure", FAILURES)
@@ -103,7 +104,7 @@
         answer = path()
     assert answer.status == 200
     assert len(path.pauses) >= 1
-    assert path.path.figures.attempts == 3
+    assert path.path.metrics.attempts == 3
     assert first.requests
     assert second.requests
 
@@ -118,7 +119,7 @@
     assert answer.status == 502
     assert header(answer, "x-dewpin-response-signature") is None
     assert header(answer, "retry-after") is None
-    assert path.path.figures.attempts == 1
+    assert path.path.metrics.attempts == 1
     assert sum(len(peer.requests) for peer in peers) == 1
 
 
@@ -142,7 +143,7 @@
     assert 0 < float(header(answer, "retry-after")) < 1
     assert header(answer, "x-dewpin-response-signature") is None
     assert sum(len(peer.requests) for peer in peers) == 2
-    assert path.path.figures.refused == 1
+    assert path.path.metrics.not_executed == 1
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
@@ -153,7 +154,7 @@
         path = Path([down.receiver, up.receiver], frozen=True, kind=kind, retries=1)
         assert path().status == 200
         assert path().status == 200
-    assert path.path.figures.connects == 2
+    assert path.path.metrics.connects == 2
 
 
 def test_when_all_receivers_are_down_the_request_is_refused():
@@ -210,7 +211,7 @@
         path = Path(listed, kind="idempotent", target_ms=50)
         answer = path(("X-Dewpin-Request-Deadline", "100"))
     assert answer.status == 504
-    assert path.path.figures.attempts == 1
+    assert path.path.metrics.attempts == 1
 
 
 def test_a_request_near_its_deadline_is_refused_unsent():
@@ -251,11 +252,15 @@
     path = Path([])
     path.state.configuration = parse_configuration(json.dumps(body).encode())
     route = path.state.configuration.routes[0]
-    choose = path.path._choose_service
-    drawn = [choose(path.state.configuration, route, None).name for _ in range(2000)]
+    drawn = [chosen_service(path, route, None) for _ in range(2000)]
     assert 1700 < drawn.count("a") < 1900
     assert drawn.count("c") == 0
-    assert len({choose(path.state.configuration, route, "session").name for _ in range(50)}) == 1
+    assert len({chosen_service(path, route, "session") for _ in range(50)}) == 1
+
+
+def chosen_service(path, route, key):
+    state = path.state
+    return choose_service(state.configuration, route, state.receivers, key, path.path._random).name
 
 
 def split_path(shares, listed):
@@ -287,21 +292,21 @@
     path, route = split_path(shares, listed)
     for calm_time in range(20):
         keys = [None if key == "none" else f"p-{calm_time}-{n}" for n in range(CALM_REQUESTS)]
-        drawn = [path.path._choose_service(path.state.configuration, route, each).name for each in keys]
+        drawn = [chosen_service(path, route, each) for each in keys]
         assert abs(drawn.count("a") / CALM_REQUESTS - weights[0] / 100) < MOST_OFF
 
 
 @pytest.mark.parametrize("away", [(), (receiver_of("a", draining=True),)])
 def test_a_part_of_a_split_whose_receivers_are_all_leaving_gets_nothing_while_another_has_some(away):
     path, route = split_path([("a", 90), ("b", 10)], {"a": away, "b": (receiver_of("b"),)})
-    drawn = {path.path._choose_service(path.state.configuration, route, None).name for _ in range(100)}
+    drawn = {chosen_service(path, route, None) for _ in range(100)}
     assert drawn == {"b"}
 
 
 def test_where_all_parts_of_a_split_are_leaving_the_weights_hold():
     listed = {name: (receiver_of(name, draining=True),) for name in "ab"}
     path, route = split_path([("a", 50), ("b", 50)], listed)
-    drawn = {path.path._choose_service(path.state.configuration, route, None).name for _ in range(100)}
+    drawn = {chosen_service(path, route, None) for _ in range(100)}
     assert drawn == {"a", "b"}
 
 
--- a/tests/dataplane/test_retry.py
+++ b/tests/dataplane/test_retry.py
@@ -5,17 +5,17 @@
 import pytest
 
 from dewpin.dataplane.routing.retry import (
+    BACKOFF_JITTER,
     CONNECTS_PER_ATTEMPT,
-    OTHER_RECEIVER_PAUSE_S,
-    PAUSE_JITTER,
-    REPEAT_PAUSE_S,
-    EndUnknown,
-    PassOn,
-    Pause,
-    Refuse,
+    OTHER_RECEIVER_BACKOFF_S,
+    SAME_RECEIVER_BACKOFF_S,
+    FailRequest,
+    ForwardResponse,
+    RejectRequest,
     RetryPolicy,
-    RetryStage,
-    Send,
+    RetryStateMachine,
+    SendToReceiver,
+    WaitUntil,
 )
 from dewpin.dataplane.upstream.outcome import Outcome
 
@@ -23,127 +23,131 @@
 DEADLINE = 104.0
 AIM_S = 0.2
 UNKNOWN = [Outcome.ERROR, Outcome.RESET, Outcome.CLOSED, Outcome.MALFORMED]
-PROOFS = [Outcome.NOT_EXECUTED, Outcome.NEVER_SENT]
-FINAL = [Outcome.TIMED_OUT, Outcome.CLIENT_GONE]
+PROOFS = [Outcome.NOT_EXECUTED, Outcome.NOT_SENT]
+FINAL = [Outcome.TIMED_OUT, Outcome.CLIENT_DISCONNECTED]
 
 
-def stage(repeatable=True, attempts=2, deadline=DEADLINE):
-    return RetryStage(RetryPolicy(repeatable, attempts, AIM_S), deadline, random.Random(1))
+def stage(is_idempotent=True, attempts=2, deadline=DEADLINE):
+    return RetryStateMachine(RetryPolicy(is_idempotent, attempts, AIM_S), deadline, random.Random(1))
 
 
 def test_the_first_step_is_to_send_to_any_receiver():
-    assert stage().next_step(NOW) == Send({}, False)
+    assert stage().next_action(NOW) == SendToReceiver({}, False)
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
-def test_a_success_is_passed_on(repeatable):
-    course = stage(repeatable)
-    course.record_call("a", Outcome.SUCCESS, NOW, may_pass_on=True)
-    assert course.next_step(NOW) == PassOn()
+@pytest.mark.parametrize("is_idempotent", [True, False])
+def test_a_success_is_passed_on(is_idempotent):
+    course = stage(is_idempotent)
+    course.record_call("a", Outcome.SUCCESS, NOW, is_forwardable=True)
+    assert course.next_action(NOW) == ForwardResponse()
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
+@pytest.mark.parametrize("is_idempotent", [True, False])
 @pytest.mark.parametrize("outcome", PROOFS)
-def test_a_proof_of_no_effect_leads_to_another_receiver_at_once(repeatable, outcome):
-    course = stage(repeatable)
+def test_a_proof_of_no_effect_leads_to_another_receiver_at_once(is_idempotent, outcome):
+    course = stage(is_idempotent)
     course.record_call("a", outcome, NOW)
-    step = course.next_step(NOW)
-    assert isinstance(step, Send)
-    assert not step.effect_unknown
-    assert REPEAT_PAUSE_S * (1 - PAUSE_JITTER) <= step.avoid["a"] - NOW <= REPEAT_PAUSE_S * (1 + PAUSE_JITTER)
+    step = course.next_action(NOW)
+    assert isinstance(step, SendToReceiver)
+    assert not step.may_have_run
+    assert (
+        SAME_RECEIVER_BACKOFF_S * (1 - BACKOFF_JITTER)
+        <= step.avoid_until["a"] - NOW
+        <= SAME_RECEIVER_BACKOFF_S * (1 + BACKOFF_JITTER)
+    )
 
 
 @pytest.mark.parametrize("outcome", UNKNOWN)
 def test_an_unknown_effect_is_repeated_after_a_pause_where_it_may_be(outcome):
-    course = stage(repeatable=True)
+    course = stage(is_idempotent=True)
     course.record_call("a", outcome, NOW)
-    pause = course.next_step(NOW)
-    assert isinstance(pause, Pause)
-    assert OTHER_RECEIVER_PAUSE_S * (1 - PAUSE_JITTER) <= pause.until - NOW
-    assert pause.until - NOW <= OTHER_RECEIVER_PAUSE_S * (1 + PAUSE_JITTER)
-    step = course.next_step(pause.until)
-    assert isinstance(step, Send)
-    assert step.effect_unknown
+    pause = course.next_action(NOW)
+    assert isinstance(pause, WaitUntil)
+    assert OTHER_RECEIVER_BACKOFF_S * (1 - BACKOFF_JITTER) <= pause.time - NOW
+    assert pause.time - NOW <= OTHER_RECEIVER_BACKOFF_S * (1 + BACKOFF_JITTER)
+    step = course.next_action(pause.time)
+    assert isinstance(step, SendToReceiver)
+    assert step.may_have_run
 
 
 @pytest.mark.parametrize("outcome", UNKNOWN)
 def test_an_unknown_effect_ends_what_may_not_be_repeated(outcome):
-    course = stage(repeatable=False)
+    course = stage(is_idempotent=False)
     course.record_call("a", outcome, NOW)
-    assert course.next_step(NOW) == EndUnknown(502)
-    assert course.next_step(DEADLINE) == EndUnknown(504)
+    assert course.next_action(NOW) == FailRequest(502)
+    assert course.next_action(DEADLINE) == FailRequest(504)
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
+@pytest.mark.parametrize("is_idempotent", [True, False])
 @pytest.mark.parametrize("outcome", FINAL)
-def test_the_end_of_the_time_and_a_lost_client_are_never_repeated(repeatable, outcome):
-    course = stage(repeatable)
+def test_the_end_of_the_time_and_a_lost_client_are_never_repeated(is_idempotent, outcome):
+    course = stage(is_idempotent)
     course.record_call("a", outcome, DEADLINE)
-    assert course.next_step(DEADLINE) == EndUnknown(504)
+    assert course.next_action(DEADLINE) == FailRequest(504)
 
 
 def test_a_proof_after_an_unknown_effect_does_not_refuse():
-    course = stage(repeatable=True)
+    course = stage(is_idempotent=True)
     course.record_call("a", Outcome.RESET, NOW)
     course.record_call("b", Outcome.NOT_EXECUTED, NOW + 0.3)
-    assert course.next_step(NOW + 0.3) == EndUnknown(502)
+    assert course.next_action(NOW + 0.3) == FailRequest(502)
 
 
 def test_an_unknown_effect_after_a_proof_ends_what_may_not_be_repeated():
-    course = stage(repeatable=False, attempts=3)
+    course = stage(is_idempotent=False, attempts=3)
     course.record_call("a", Outcome.NOT_EXECUTED, NOW)
     course.record_call("b", Outcome.RESET, NOW)
-    assert course.next_step(NOW) == EndUnknown(502)
+    assert course.next_action(NOW) == FailRequest(502)
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
-def test_a_request_that_surely_ran_nowhere_is_refused_with_the_wait_expected(repeatable):
-    course = stage(repeatable, attempts=2)
+@pytest.mark.parametrize("is_idempotent", [True, False])
+def test_a_request_that_surely_ran_nowhere_is_refused_with_the_wait_expected(is_idempotent):
+    course = stage(is_idempotent, attempts=2)
     course.record_call("a", Outcome.NOT_EXECUTED, NOW)
     course.record_call("b", Outcome.NOT_EXECUTED, NOW)
-    course.expect_wait(0.35)
-    assert course.next_step(NOW) == Refuse(0.35)
+    course.record_expected_wait(0.35)
+    assert course.next_action(NOW) == RejectRequest(0.35)
 
 
 def test_attempts_stay_within_the_bound():
     course = stage(attempts=3)
     for number in range(3):
-        assert isinstance(course.next_step(NOW), Send)
+        assert isinstance(course.next_action(NOW), SendToReceiver)
         course.record_call(f"r{number}", Outcome.NOT_EXECUTED, NOW)
-    assert isinstance(course.next_step(NOW), Refuse)
+    assert isinstance(course.next_action(NOW), RejectRequest)
     assert course.attempts == 3
 
 
 def test_connects_that_failed_are_no_attempts_but_bounded():
     course = stage(attempts=1)
     for _ in range(CONNECTS_PER_ATTEMPT):
-        assert isinstance(course.next_step(NOW), Send)
-        course.record_call("a", Outcome.NEVER_SENT, NOW)
+        assert isinstance(course.next_action(NOW), SendToReceiver)
+        course.record_call("a", Outcome.NOT_SENT, NOW)
     assert course.attempts == 0
-    assert isinstance(course.next_step(NOW), Refuse)
+    assert isinstance(course.next_action(NOW), RejectRequest)
 
 
 def test_the_last_signed_error_is_passed_on_when_no_repeat_is_left():
     course = stage(attempts=2)
-    course.record_call("a", Outcome.ERROR, NOW, may_pass_on=True)
+    course.record_call("a", Outcome.ERROR, NOW, is_forwardable=True)
     course.record_call("b", Outcome.RESET, NOW + 0.3)
-    assert course.next_step(NOW + 0.3) == PassOn()
+    assert course.next_action(NOW + 0.3) == ForwardResponse()
 
 
 def test_a_signed_error_of_what_may_not_be_repeated_is_passed_on_at_once():
-    course = stage(repeatable=False)
-    course.record_call("a", Outcome.ERROR, NOW, may_pass_on=True)
-    assert course.next_step(NOW) == PassOn()
+    course = stage(is_idempotent=False)
+    course.record_call("a", Outcome.ERROR, NOW, is_forwardable=True)
+    assert course.next_action(NOW) == ForwardResponse()
 
 
 def test_a_repeat_that_would_outlast_the_time_is_not_made():
     course = stage(deadline=NOW + 0.03)
     course.record_call("a", Outcome.RESET, NOW)
-    assert course.next_step(NOW) == EndUnknown(502)
+    assert course.next_action(NOW) == FailRequest(502)
 
 
 def test_a_request_near_its_deadline_is_refused_unsent():
-    assert isinstance(stage(deadline=NOW + 0.1 * AIM_S).next_step(NOW), Refuse)
+    assert isinstance(stage(deadline=NOW + 0.1 * AIM_S).next_action(NOW), RejectRequest)
 
 
 def test_pauses_double():
@@ -152,19 +156,19 @@
     now = NOW
     for number in range(3):
         course.record_call(f"r{number}", Outcome.RESET, now)
-        step = course.next_step(now)
-        pauses.append(step.until - now)
-        now = step.until
+        step = course.next_action(now)
+        pauses.append(step.time - now)
+        now = step.time
     for number, pause in enumerate(pauses):
-        base = OTHER_RECEIVER_PAUSE_S * 2**number
-        assert base * (1 - PAUSE_JITTER) <= pause <= base * (1 + PAUSE_JITTER)
+        base = OTHER_RECEIVER_BACKOFF_S * 2**number
+        assert base * (1 - BACKOFF_JITTER) <= pause <= base * (1 + BACKOFF_JITTER)
 
 
 def test_no_place_refuses_what_has_not_run_and_ends_what_may_have():
     refused = stage()
-    refused.record_no_place(0.07)
-    assert refused.next_step(NOW) == Refuse(0.07)
+    refused.record_no_slot(0.07)
+    assert refused.next_action(NOW) == RejectRequest(0.07)
     unknown = stage()
     unknown.record_call("a", Outcome.RESET, NOW)
-    unknown.record_no_place(0.07)
-    assert unknown.next_step(NOW + 1) == EndUnknown(502)
+    unknown.record_no_slot(0.07)
+    assert unknown.next_action(NOW + 1) == FailRequest(502)
--- a/tests/dataplane/test_rough_receivers.py
+++ b/tests/dataplane/test_rough_receivers.py
@@ -20,9 +20,9 @@
     receivers,
 )
 
-from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.ingress.server import IngressServer
 from dewpin.dataplane.membership.cluster_state import ClusterState
-from dewpin.dataplane.routing.request_handler import RequestPath
+from dewpin.dataplane.routing.request_handler import RequestHandler
 
 CLIENTS = 6
 REQUESTS = 40
@@ -118,15 +118,15 @@
     ("kind", "resumable"), [("idempotent", False), ("non_idempotent", False), ("stream", False), ("stream", True)]
 )
 def test_promises_hold_whatever_receivers_do(kind, resumable, seed, monkeypatch):
-    monkeypatch.setattr("dewpin.dataplane.routing.retry.OTHER_RECEIVER_PAUSE_S", 0.0)
-    monkeypatch.setattr("dewpin.dataplane.routing.retry.REPEAT_PAUSE_S", 0.001)
-    monkeypatch.setattr("dewpin.dataplane.load_balancing.receiver_load.FIRST_FAILURE_WAIT_S", 0.001)
+    monkeypatch.setattr("dewpin.dataplane.routing.retry.OTHER_RECEIVER_BACKOFF_S", 0.0)
+    monkeypatch.setattr("dewpin.dataplane.routing.retry.SAME_RECEIVER_BACKOFF_S", 0.001)
+    monkeypatch.setattr("dewpin.dataplane.load_balancing.receiver_load.INITIAL_UNREACHABLE_BACKOFF_S", 0.001)
     rough = [RoughReceiver(f"i-{number}", seed, kind) for number in range(3)]
     with receivers(*(each.scripted for each in rough)) as listed:
         given = configuration(kind=kind, retries=3, resumable=resumable, target_ms=500)
         state = ClusterState(given, {SERVICE: tuple(listed)})
-        path = RequestPath(state, MemoryStore(), "here", randomness=random.Random(seed))
-        ingress = Ingress(state, path.handle, accept_poll_s=0.01)
+        path = RequestHandler(state, MemoryStore(), "here", randomness=random.Random(seed))
+        ingress = IngressServer(state, path.handle, accept_poll_s=0.01)
         ingress.start(("127.0.0.1", 0))
         clients = [RequestsInTurn(ingress.address, f"c{number}") for number in range(CLIENTS)]
         for client in clients:
@@ -139,15 +139,15 @@
     answers = {request_id: answer for client in clients for request_id, answer in client.answers.items()}
     assert len(answers) == CLIENTS * REQUESTS
     ran = sum((each.ran for each in rough), Counter())
-    repeatable = kind == "idempotent" or resumable
+    is_idempotent = kind == "idempotent" or resumable
     for request_id, (status, headers, body) in answers.items():
         check_answer(request_id, status, headers, body, kind)
         if status in PROMISES:
             assert ran[request_id] == 0
-        if not repeatable:
+        if not is_idempotent:
             assert ran[request_id] <= 1
     served = sum(status == 200 for status, _, _ in answers.values())
-    assert served > len(answers) * (0.7 if repeatable else 0.4)
+    assert served > len(answers) * (0.7 if is_idempotent else 0.4)
 
 
 def check_answer(request_id, status, headers, body, kind):
--- a/tests/dataplane/test_stop_in_time.py
+++ b/tests/dataplane/test_stop_in_time.py
@@ -18,10 +18,10 @@
 
 class Agent:
     def __init__(self):
-        self.stopped = False
+        self.is_stopped = False
 
     async def stop(self):
-        self.stopped = True
+        self.is_stopped = True
 
 
 class SlowStores:
@@ -54,9 +54,9 @@
 def test_the_last_turns_are_settled_before_the_process_exits():
     """Otherwise their programs' budgets hold the most of these turns for good, and 402 comes too soon."""
     stores = SlowStores()
-    assert stopped_sender(stores, 1.0).stopped
+    assert stopped_sender(stores, 1.0).is_stopped
     assert stores.is_settled
 
 
 def test_stores_that_do_not_answer_do_not_hold_up_the_exit():
-    assert stopped_sender(SlowStores(dark=True), 0.02).stopped
+    assert stopped_sender(SlowStores(dark=True), 0.02).is_stopped
--- a/tests/dataplane/test_stopping.py
+++ b/tests/dataplane/test_stopping.py
@@ -10,18 +10,18 @@
 import http.client, os, signal, threading
 from types import SimpleNamespace
 from dewpin.dataplane.__main__ import Sender
-from dewpin.dataplane.ingress.readiness import ReadyServer
+from dewpin.dataplane.ingress.readiness import ReadinessServer
 
 sender = Sender(None)
 sender.agent = SimpleNamespace(hears_control=True, confirmation=SimpleNamespace(is_confirmed=True))
 sender.state.configuration = sender.state.store_view = object()
 sender.state.receivers = {"service": (object(),)}
-server = ReadyServer(sender.is_ready)
+server = ReadinessServer(sender.is_ready)
 server.start(("127.0.0.1", 0))
 connection = http.client.HTTPConnection(*server.address, timeout=10)
 
 def ask():
-    connection.request("GET", ReadyServer.PATH)
+    connection.request("GET", ReadinessServer.PATH)
     answer = connection.getresponse()
     answer.read()
     return answer.status
--- a/tests/dataplane/test_streamed_answers.py
+++ b/tests/dataplane/test_streamed_answers.py
@@ -28,7 +28,7 @@
         assert header(answer, "x-dewpin-response-signature") == "signed-r-1"
         assert header(answer, "transfer-encoding") is None
         assert read(answer) == (event(1) + event(2), False)
-    assert path.path.figures.broken_streams == 0
+    assert path.path.metrics.incomplete_streams == 0
 
 
 def test_a_stream_comes_before_it_ends():
@@ -53,7 +53,7 @@
         path = Path(listed, kind="stream")
         assert read(path()) == (event(1), True)
     assert sum(len(peer.requests) for peer in peers) == 1
-    assert path.path.figures.broken_streams == 1
+    assert path.path.metrics.incomplete_streams == 1
 
 
 def test_a_stream_that_breaks_before_its_first_event_is_an_error_and_no_success():
@@ -80,7 +80,7 @@
         assert read(answer) == (event(1) + event(2) + event(3) + event(4), False)
     assert [len(peer.requests) for peer in peers] == [1, 1]
     assert peers[0].faults == peers[1].faults == []
-    assert path.path.figures.resumed_streams == 1
+    assert path.path.metrics.resumed_streams == 1
 
 
 def test_resuming_stays_within_the_attempts():
@@ -94,12 +94,12 @@
     with receivers(ScriptedReceiver(refusal(), stream(event(1)))) as listed:
         path = Path(listed, kind="stream", target_ms=50)
         assert path().status == 503
-        load = path.path._tools.balancer._book.load("i-1")
-        assert load.refusals == 1
+        load = path.path._shared.balancer._allocator.load_of("i-1")
+        assert load.rejections == 1
         path.pauses.append(PATIENCE_S)
         before = load.call_time_s
         assert read(path()) == (event(1), False)
-    assert load.refusals == 0
+    assert load.rejections == 0
     assert load.call_time_s != before
 
 
@@ -133,4 +133,4 @@
         client.leave()
         assert ended.wait(PATIENCE_S)
         serving.join(PATIENCE_S)
-    assert path.path.figures.attempts == 1
+    assert path.path.metrics.attempts == 1
--- a/tests/dataplane/test_streams.py
+++ b/tests/dataplane/test_streams.py
@@ -3,11 +3,10 @@
 import pytest
 from dataplane.peers import MemoryStore, configuration, event, request
 
-from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.http11.messages import IncompleteBodyError
 from dewpin.dataplane.programs.turns import OpenTurn, plan_turn
 from dewpin.dataplane.routing.event_relay import EventRelay
-from dewpin.dataplane.upstream.outcome import Outcome
-from dewpin.dataplane.upstream.receiver_stream import StreamCut
+from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
 
 
 class ScriptedSource:
@@ -19,11 +18,11 @@
         self.ends_by_close = ends_by_close
         self.closed = False
 
-    def read_part(self):
+    def read_next(self):
         if self._parts:
             return self._parts.pop(0)
         if self._cut is not None:
-            raise StreamCut(self._cut)
+            raise IncompleteResponseError(self._cut)
         return b""
 
     def close(self):
@@ -46,7 +45,7 @@
     closings = []
     made = EventRelay(source, resume, turn, lambda: 1.0, closings.append)
     made.closings = closings
-    made.read_first()
+    made.read_first_events()
     return made
 
 
@@ -56,7 +55,7 @@
     try:
         for part in made:
             parts.append(part)
-    except BodyBroken:
+    except IncompleteBodyError:
         return parts, True
     return parts, False
 
@@ -86,8 +85,8 @@
 
 def test_a_cut_before_the_first_event_is_told_and_nothing_was_passed_on():
     made = EventRelay(ScriptedSource(b"id: 1\nda", cut=Outcome.RESET), Resumptions(), None, lambda: 1.0, print)
-    with pytest.raises(StreamCut) as told:
-        made.read_first()
+    with pytest.raises(IncompleteResponseError) as told:
+        made.read_first_events()
     assert told.value.outcome is Outcome.RESET
 
 
--- a/tests/dataplane/test_time_allowed.py
+++ b/tests/dataplane/test_time_allowed.py
@@ -23,12 +23,12 @@
 )
 
 from dewpin.cluster.errors import ErrorKind
-from dewpin.dataplane.http11.messages import BodyBroken
+from dewpin.dataplane.http11.messages import IncompleteBodyError
 from dewpin.dataplane.ingress.client_connection import ClientConnection
 from dewpin.dataplane.ingress.request_reader import RequestReader
 from dewpin.dataplane.programs.program_store import Turn
 from dewpin.dataplane.routing.request_attempts import RequestAttempts, RoutedRequest
-from dewpin.dataplane.routing.retry import Send
+from dewpin.dataplane.routing.retry import SendToReceiver
 
 TIMEOUT_MS = 10 * PATIENCE_S * 1000
 
@@ -94,7 +94,7 @@
         asking.join(PATIENCE_S)
     assert in_time
     assert ended == [True]
-    assert path.path.figures.attempts == 1
+    assert path.path.metrics.attempts == 1
 
 
 def test_a_stream_without_a_pause_is_cut_at_the_time_allowed():
@@ -115,7 +115,7 @@
         path._now = clock
         answer = path()
         assert sent.wait(PATIENCE_S)
-        with pytest.raises(BodyBroken):
+        with pytest.raises(IncompleteBodyError):
             for _ in answer.body:
                 clock.now_s += 1.0
         let_go.set()
@@ -211,7 +211,7 @@
     with receivers(peer) as (receiver,):
         path = Path([receiver], kind="non_idempotent", retries=1, target_ms=100)
         path._now = clock
-        connections = path.path._tools.upstream._connections_to(receiver)
+        connections = path.path._shared.receiver_client._pool_of(receiver)
         connect = connections.connect
 
         def connect_slowly(timeout_s):
@@ -229,9 +229,9 @@
     route = path.state.configuration.routes[0]
     service = path.state.configuration.services[route.split[0].backend]
     routed = RoutedRequest(asked, route, service, path._clock() + 0.5)
-    attempts = RequestAttempts(path.path._tools, routed)
-    for effect_unknown in (False, True):
-        assert attempts._place_request(Send({}, effect_unknown)).hold_until <= routed.deadline
+    attempts = RequestAttempts(path.path._shared, routed)
+    for may_have_run in (False, True):
+        assert attempts._slot_request(SendToReceiver({}, may_have_run)).wait_until <= routed.deadline
 
 
 class SteppingClock:
--- a/tests/dataplane/test_unsent_requests.py
+++ b/tests/dataplane/test_unsent_requests.py
@@ -28,7 +28,7 @@
 )
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.upstream.connection_pool import ReceiverConnections
+from dewpin.dataplane.upstream.connection_pool import ConnectionPool
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_reset_before_the_request_is_out_proves_that_nothing_ran(kind, monkeypatch):
     gone = threading.Event()
-    connect = ReceiverConnections.connect
+    connect = ConnectionPool.connect
 
     def reset_at_once(sock):
         PeerConnection(sock).reset()
@@ -73,7 +73,7 @@
         return connection
 
     first, second = RawReceiver(reset_at_once), second_receiver()
-    monkeypatch.setattr(ReceiverConnections, "connect", connect_and_wait)
+    monkeypatch.setattr(ConnectionPool, "connect", connect_and_wait)
     with receivers(first, second) as listed:
         given = Front(kind, listed).ask()
     check(kind, REPEATED, 200, given, second)
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_upstream.py
@@ -22,9 +22,10 @@
 
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.load_balancing.receiver_load import ServerLoad
-from dewpin.dataplane.upstream.calls import CONNECT_SHARE_OF_TIME_LEFT, Call
-from dewpin.dataplane.upstream.connection_pool import ReceiverConnections
+from dewpin.dataplane.upstream.call import Call
+from dewpin.dataplane.upstream.connection_pool import ConnectionPool
 from dewpin.dataplane.upstream.outcome import Outcome
+from dewpin.dataplane.upstream.receiver_client import CONNECT_SHARE_OF_TIME_LEFT
 
 
 def test_a_request_arrives_unchanged_with_the_time_left_and_the_receiver_meant(call):
@@ -66,7 +67,7 @@
     with receivers(peer) as (receiver,):
         asked = request(method="GET", body=b"")
         bare = type(asked)(asked.method, asked.target, type(asked.headers)(asked.headers.fields[:2]), b"", 0.0)
-        call.upstream.call(receiver, Call(bare, call.clock() + PATIENCE_S, True))
+        call.receiver_client.call(receiver, Call(bare, call.clock() + PATIENCE_S, True))
     assert set(peer.requests[0].headers) == {
         "host",
         "x-dewpin-request-id",
@@ -79,9 +80,9 @@
     with receivers(ScriptedReceiver(whole(b"x" * 100_000, "201 Created", "X-Thing: a", "X-Thing: b"))) as (receiver,):
         result = call(receiver)
     assert result.outcome is Outcome.SUCCESS
-    assert (result.answer.status, result.answer.reason) == (201, "Created")
-    assert result.answer.body == b"x" * 100_000
-    assert [value for name, value in result.answer.headers if name == "X-Thing"] == ["a", "b"]
+    assert (result.response.status, result.response.reason) == (201, "Created")
+    assert result.response.body == b"x" * 100_000
+    assert [value for name, value in result.response.headers if name == "X-Thing"] == ["a", "b"]
 
 
 def test_a_body_in_chunks_comes_back_whole(call):
@@ -89,7 +90,7 @@
         connection.send(head(got, "200 OK", "Transfer-Encoding: chunked") + b"\r\n" + chunk(b"ab") + chunk(b"c") + END)
 
     with receivers(ScriptedReceiver(answer)) as (receiver,):
-        assert call(receiver).answer.body == b"abc"
+        assert call(receiver).response.body == b"abc"
 
 
 def raw(data):
@@ -141,14 +142,14 @@
     with receivers(ScriptedReceiver(whole(), nameless)) as (receiver,):
         call(receiver)
         assert call(receiver).outcome is Outcome.MALFORMED
-    assert call.figures.unnamed_refusals == 1
+    assert call.metrics.rejections_without_id == 1
 
 
-@pytest.mark.parametrize(("repeatable", "streaming"), [(True, False), (True, True), (False, True)])
+@pytest.mark.parametrize(("is_idempotent", "is_streaming"), [(True, False), (True, True), (False, True)])
 @pytest.mark.parametrize(
     "begun", [b"", b"HTTP/1.1 200 OK\r\nContent-", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfi"]
 )
-def test_a_client_that_leaves_ends_its_call_at_once(call, repeatable, streaming, begun):
+def test_a_client_that_leaves_ends_its_call_at_once(call, is_idempotent, is_streaming, begun):
     asked, ended = threading.Event(), threading.Event()
 
     def answer(connection, got):
@@ -160,14 +161,14 @@
     client = LeavingClient()
     with receivers(ScriptedReceiver(answer)) as (receiver,):
         results = []
-        options = {"repeatable": repeatable, "streaming": streaming, "client": client}
+        options = {"is_idempotent": is_idempotent, "is_streaming": is_streaming, "client": client}
         calling = threading.Thread(target=lambda: results.append(call(receiver, **options)))
         calling.start()
         assert asked.wait(PATIENCE_S)
         client.leave()
         assert ended.wait(PATIENCE_S)
         calling.join(PATIENCE_S)
-    assert [result.outcome for result in results] == [Outcome.CLIENT_GONE]
+    assert [result.outcome for result in results] == [Outcome.CLIENT_DISCONNECTED]
 
 
 def test_what_must_not_be_repeated_goes_on_to_its_answer_when_its_client_leaves(call):
@@ -181,7 +182,7 @@
     client = LeavingClient()
     with receivers(ScriptedReceiver(answer)) as (receiver,):
         results = []
-        calling = threading.Thread(target=lambda: results.append(call(receiver, repeatable=False, client=client)))
+        calling = threading.Thread(target=lambda: results.append(call(receiver, is_idempotent=False, client=client)))
         calling.start()
         assert asked.wait(PATIENCE_S)
         client.leave()
@@ -190,28 +191,28 @@
     assert [result.outcome for result in results] == [Outcome.SUCCESS]
 
 
-@pytest.mark.parametrize("repeatable", [True, False])
-def test_nothing_is_sent_for_a_client_that_has_left(call, repeatable):
+@pytest.mark.parametrize("is_idempotent", [True, False])
+def test_nothing_is_sent_for_a_client_that_has_left(call, is_idempotent):
     peer = ScriptedReceiver(whole())
     client = LeavingClient()
     client.leave()
     with receivers(peer) as (receiver,):
-        assert call(receiver, repeatable=repeatable, client=client).outcome is Outcome.CLIENT_GONE
-    assert (peer.requests, call.figures.connects) == ([], 0)
+        assert call(receiver, is_idempotent=is_idempotent, client=client).outcome is Outcome.CLIENT_DISCONNECTED
+    assert (peer.requests, call.metrics.connects) == ([], 0)
 
 
 def test_a_client_that_leaves_while_a_connection_comes_up_gets_nothing_sent(call, monkeypatch):
     peer = ScriptedReceiver(whole())
     client = LeavingClient()
-    connect = ReceiverConnections.connect
+    connect = ConnectionPool.connect
 
     def leave_and_connect(connections, timeout_s):
         client.leave()
         return connect(connections, timeout_s)
 
-    monkeypatch.setattr(ReceiverConnections, "connect", leave_and_connect)
+    monkeypatch.setattr(ConnectionPool, "connect", leave_and_connect)
     with receivers(peer) as (receiver,):
-        assert call(receiver, client=client).outcome is Outcome.CLIENT_GONE
+        assert call(receiver, client=client).outcome is Outcome.CLIENT_DISCONNECTED
     assert peer.requests == []
 
 
@@ -233,8 +234,8 @@
 def test_a_refused_connect_never_sent_anything(call):
     peer = ScriptedReceiver(whole())
     peer.close()
-    assert call(peer.receiver).outcome is Outcome.NEVER_SENT
-    assert call.figures.connects == 1
+    assert call(peer.receiver).outcome is Outcome.NOT_SENT
+    assert call.metrics.connects == 1
 
 
 def test_what_a_receiver_tells_of_itself_is_returned(call):
@@ -242,7 +243,7 @@
     with receivers(ScriptedReceiver(refusal(*fields))) as (receiver,):
         result = call(receiver)
     assert result.load == ServerLoad(3, 1, 8)
-    assert result.told_wait_s == 0.25
+    assert result.retry_after_s == 0.25
 
 
 def test_a_connection_is_used_again(call):
@@ -250,7 +251,7 @@
     with receivers(peer) as (receiver,):
         for _ in range(3):
             assert call(receiver).outcome is Outcome.SUCCESS
-    assert (peer.connections, call.figures.connects) == (1, 1)
+    assert (peer.connections, call.metrics.connects) == (1, 1)
 
 
 @pytest.mark.parametrize(
@@ -289,7 +290,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "repeatable", "idle_s", "used_again"),
+    ("fields", "is_idempotent", "idle_s", "used_again"),
     [
         (["Keep-Alive: timeout=5"], True, 4.7, True),
         (["Keep-Alive: timeout=5"], True, 4.9, False),
@@ -303,12 +304,12 @@
         ([], False, 0.45, False),
     ],
 )
-def test_how_long_a_connection_may_be_idle(call, fields, repeatable, idle_s, used_again):
+def test_how_long_a_connection_may_be_idle(call, fields, is_idempotent, idle_s, used_again):
     peer = ScriptedReceiver(whole(b"", "200 OK", *fields))
     with receivers(peer) as (receiver,):
         call(receiver)
         call.clock.ahead_s += idle_s
-        call(receiver, repeatable=repeatable)
+        call(receiver, is_idempotent=is_idempotent)
     assert peer.connections == (1 if used_again else 2)
 
 
@@ -327,11 +328,11 @@
         for thread in threads:
             thread.join(PATIENCE_S)
         call.clock.ahead_s += 4.3
-        call(receiver, repeatable=False)
-        connections = call.upstream._connections_to(receiver)
+        call(receiver, is_idempotent=False)
+        connections = call.receiver_client._pool_of(receiver)
         assert peer.connections == 3
         assert len(connections._idle) == 2
-        taken = [connections.take_idle(repeatable=True) for _ in range(3)]
+        taken = [connections.acquire_idle(is_idempotent=True) for _ in range(3)]
         assert taken[2] is None
         for connection in taken[:2]:
             connection.close()
@@ -347,9 +348,9 @@
 
     with receivers(ScriptedReceiver(answer_and_watch)) as (receiver,):
         call(receiver)
-        call.upstream.retain_only([receiver])
+        call.receiver_client.retain_only([receiver])
         assert not gone.is_set()
-        call.upstream.retain_only([])
+        call.receiver_client.retain_only([])
         assert gone.wait(PATIENCE_S)
 
 
@@ -370,14 +371,14 @@
         bounds.append(timeout_s)
         raise TimeoutError
 
-    monkeypatch.setattr(ReceiverConnections, "connect", connect)
+    monkeypatch.setattr(ConnectionPool, "connect", connect)
     assert call(Receiver("i-1", "s", "127.0.0.1:9", "here", 1, False, 0.0, "v1"), time_s=2.0).outcome is (
-        Outcome.NEVER_SENT
+        Outcome.NOT_SENT
     )
     assert bounds[0] <= 2.0 * CONNECT_SHARE_OF_TIME_LEFT
 
 
 def test_an_error_on_a_stream_route_is_an_answer_with_a_whole_body(call):
     with receivers(ScriptedReceiver(whole(b"no", "500 Internal Server Error"), stream(event(1)))) as (receiver,):
-        result = call(receiver, streaming=True)
-        assert (result.outcome, result.stream, result.answer.body) == (Outcome.ERROR, None, b"no")
+        result = call(receiver, is_streaming=True)
+        assert (result.outcome, result.stream, result.response.body) == (Outcome.ERROR, None, b"no")
--- a/tests/dataplane/test_upstream_streams.py
+++ b/tests/dataplane/test_upstream_streams.py
@@ -19,8 +19,7 @@
     whole,
 )
 
-from dewpin.dataplane.upstream.outcome import Outcome
-from dewpin.dataplane.upstream.receiver_stream import StreamCut
+from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
 
 
 def test_a_stream_comes_part_by_part_and_its_connection_is_used_again(call):
@@ -33,11 +32,11 @@
 
     peer = ScriptedReceiver(answer, whole())
     with receivers(peer) as (receiver,):
-        result = call(receiver, streaming=True)
-        assert result.stream.read_part() == event(1)
+        result = call(receiver, is_streaming=True)
+        assert result.stream.read_next() == event(1)
         first_read.set()
-        assert result.stream.read_part() == event(2)
-        assert result.stream.read_part() == b""
+        assert result.stream.read_next() == event(2)
+        assert result.stream.read_next() == b""
         result.stream.close()
         assert call(receiver).outcome is Outcome.SUCCESS
     assert peer.connections == 1
@@ -49,8 +48,8 @@
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(answer)) as (receiver,):
-        result = call(receiver, streaming=True)
-        assert [result.stream.read_part(), result.stream.read_part()] == [event(1), event(2)]
+        result = call(receiver, is_streaming=True)
+        assert [result.stream.read_next(), result.stream.read_next()] == [event(1), event(2)]
         result.stream.close()
 
 
@@ -64,11 +63,11 @@
         return ending(connection, got)
 
     with receivers(ScriptedReceiver(answer)) as (receiver,):
-        result = call(receiver, streaming=True)
-        assert result.stream.read_part() == event(1)
+        result = call(receiver, is_streaming=True)
+        assert result.stream.read_next() == event(1)
         read.set()
-        with pytest.raises(StreamCut) as told:
-            result.stream.read_part()
+        with pytest.raises(IncompleteResponseError) as told:
+            result.stream.read_next()
     assert told.value.outcome is outcome
 
 
@@ -84,14 +83,14 @@
 
     def read_all(result):
         parts = b""
-        while part := result.stream.read_part():
+        while part := result.stream.read_next():
             parts += part
         return parts
 
     with receivers(ScriptedReceiver(answer, answer_short)) as (receiver,):
-        assert read_all(call(receiver, streaming=True)) == body
-        with pytest.raises(StreamCut):
-            read_all(call(receiver, streaming=True))
+        assert read_all(call(receiver, is_streaming=True)) == body
+        with pytest.raises(IncompleteResponseError):
+            read_all(call(receiver, is_streaming=True))
 
 
 def test_closing_a_stream_closes_the_connection(call):
@@ -103,8 +102,8 @@
             gone.set()
 
     with receivers(ScriptedReceiver(answer)) as (receiver,):
-        result = call(receiver, streaming=True)
-        result.stream.read_part()
+        result = call(receiver, is_streaming=True)
+        result.stream.read_next()
         result.stream.close()
         assert gone.wait(PATIENCE_S)
 
@@ -116,11 +115,11 @@
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(answer)) as (receiver,):
-        result = call(receiver, streaming=True)
-        result.stream.read_part()
+        result = call(receiver, is_streaming=True)
+        result.stream.read_next()
         call.clock.ahead_s += PATIENCE_S
-        with pytest.raises(StreamCut) as told:
-            result.stream.read_part()
+        with pytest.raises(IncompleteResponseError) as told:
+            result.stream.read_next()
     assert told.value.outcome is Outcome.TIMED_OUT
 
 
@@ -130,11 +129,11 @@
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(answer)) as (receiver,):
-        result = call(receiver, streaming=True)
-        result.stream.read_part()
+        result = call(receiver, is_streaming=True)
+        result.stream.read_next()
         call.clock.ahead_s += PATIENCE_S - 0.1
         started = time.monotonic()
-        with pytest.raises(StreamCut) as told:
-            result.stream.read_part()
+        with pytest.raises(IncompleteResponseError) as told:
+            result.stream.read_next()
     assert told.value.outcome is Outcome.TIMED_OUT
     assert time.monotonic() - started < PATIENCE_S / 2
--- a/tests/dataplane/test_urgency.py
+++ b/tests/dataplane/test_urgency.py
@@ -7,7 +7,7 @@
 from dataplane.peers import SERVICE, ScriptedReceiver, configuration, event, receivers, stream, whole
 
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.load_balancing.slot_allocation import PRIORITY_STEP_S, PlaceBook, PlaceRequest
+from dewpin.dataplane.load_balancing.slot_allocation import PRIORITY_STEP_S, SlotAllocator, SlotRequest
 
 
 @pytest.mark.parametrize(("priority", "told"), [(0, "0"), (1, "1"), (9, "9"), (40, "9")])
@@ -44,28 +44,28 @@
 
 def test_under_lasting_load_the_more_urgent_go_first_and_the_others_are_not_starved():
     """One place comes free each 10 ms, and requests of both routes wait all the while."""
-    places = PlaceBook("here", random.Random(1))
-    places.list_receivers(SERVICE, (Receiver("i-1", SERVICE, "10.0.0.1:80", "here", 1, False, 0.0, "v1"),))
+    places = SlotAllocator("here", random.Random(1))
+    places.update_receivers(SERVICE, (Receiver("i-1", SERVICE, "10.0.0.1:80", "here", 1, False, 0.0, "v1"),))
     service = configuration().services[SERVICE]
     now = 1000.0
 
     def wanted(route, priority):
-        return PlaceRequest(service, route, priority, 0.1, now + 100.0)
+        return SlotRequest(service, route, priority, 0.1, now + 100.0)
 
-    while places.take(wanted("urgent", 0), now) is not None:
+    while places.acquire(wanted("urgent", 0), now) is not None:
         pass
-    waiting = [places.wait(wanted(route, priority)) for route, priority in (("usual", 1), ("urgent", 0))]
+    waiting = [places.enqueue(wanted(route, priority)) for route, priority in (("usual", 1), ("urgent", 0))]
     served = {"urgent": 0, "usual": 0}
     longest_s, last_s = 0.0, now
     for _ in range(1000):
         now += 0.01
-        places.give_back("i-1")
-        (ticket,) = places.grant(SERVICE, now)
+        places.release("i-1")
+        (ticket,) = places.grant_queued(SERVICE, now)
         route = ticket.request.route
         served[route] += 1
         if route == "usual":
             longest_s, last_s = max(longest_s, now - last_s), now
-        waiting.append(places.wait(wanted(route, ticket.request.priority)))
+        waiting.append(places.enqueue(wanted(route, ticket.request.priority)))
     assert served["urgent"] > 5 * served["usual"]
     assert 0 < longest_s <= PRIORITY_STEP_S + 0.02
 
@@ -78,9 +78,9 @@
         for _ in range(2):
             answer = path(("Expect-Version", "4"))
             assert read(answer) == (b"versions: 4\nid: 1\ndata: a\n\n" + event(2), False)
-        load = path.path._tools.balancer._book.load("i-1")
-        assert (load.failures, load.refusals, load.blocked_until) == (0, 0, 0.0)
-        assert load.error_share(1000.0) == 0.0
+        load = path.path._shared.balancer._allocator.load_of("i-1")
+        assert (load.unreachable_count, load.rejections, load.blocked_until) == (0, 0, 0.0)
+        assert load.error_rate(1000.0) == 0.0
     assert len(other.requests) == 2
     assert {got.headers["expect-version"] for got in other.requests + meant.requests} == {"4"}
 
--- a/tests/dataplane/test_workers.py
+++ b/tests/dataplane/test_workers.py
@@ -6,7 +6,7 @@
 
 from dataplane.peers import PATIENCE_S
 
-from dewpin.dataplane.ingress.worker_threads import Workers
+from dewpin.dataplane.ingress.worker_threads import WorkerThreads
 
 
 def sockets(number):
@@ -15,7 +15,7 @@
 
 def test_an_idle_thread_serves_the_next_socket():
     served = queue.SimpleQueue()
-    workers = Workers(lambda sock: served.put((sock, threading.get_ident())))
+    workers = WorkerThreads(lambda sock: served.put((sock, threading.get_ident())))
     threads = set()
     for sock in sockets(20):
         workers.submit(sock)
@@ -33,7 +33,7 @@
         barrier.wait(PATIENCE_S)
         done.release()
 
-    workers = Workers(serve)
+    workers = WorkerThreads(serve)
     for _ in range(3):
         for sock in sockets(8):
             workers.submit(sock)
@@ -43,7 +43,7 @@
 
 def test_no_socket_is_lost_while_threads_end():
     served = threading.Semaphore(0)
-    workers = Workers(lambda sock: served.release(), idle_s=0.0)
+    workers = WorkerThreads(lambda sock: served.release(), idle_timeout_s=0.0)
     for sock in sockets(300):
         workers.submit(sock)
     for _ in range(300):
--- a/tests/dataplane/upstream_caller.py
+++ b/tests/dataplane/upstream_caller.py
@@ -7,8 +7,9 @@
     request,
 )
 
-from dewpin.dataplane.metrics import RequestFigures
-from dewpin.dataplane.upstream.calls import Call, Upstream
+from dewpin.dataplane.metrics import RequestMetrics
+from dewpin.dataplane.upstream.call import Call
+from dewpin.dataplane.upstream.receiver_client import ReceiverClient
 
 
 class Clock:
@@ -27,13 +28,13 @@
     def __init__(self):
         self.calls = 0
         self.clock = Clock()
-        self.figures = RequestFigures()
-        self.upstream = Upstream(self.clock, self.figures)
+        self.metrics = RequestMetrics()
+        self.receiver_client = ReceiverClient(self.clock, self.metrics)
 
-    def __call__(self, receiver, *fields, repeatable=True, time_s=PATIENCE_S, **options):
+    def __call__(self, receiver, *fields, is_idempotent=True, time_s=PATIENCE_S, **options):
         self.calls += 1
         options.setdefault("request_id", f"r-{self.calls}")
         named = ("method", "target", "body", "request_id", "client")
         kwargs = {key: options.pop(key) for key in named if key in options}
         asked = request(*fields, **kwargs)
-        return self.upstream.call(receiver, Call(asked, self.clock() + time_s, repeatable, **options))
+        return self.receiver_client.call(receiver, Call(asked, self.clock() + time_s, is_idempotent, **options))
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -74,15 +74,16 @@
     TurnsRequest,
 )
 from dewpin.controlplane.store.turn_table import IndexEntry
-from dewpin.dataplane.http11.messages import own_answer
-from dewpin.dataplane.http11.response_format import render_chunk, render_whole
-from dewpin.dataplane.ingress.readiness import ReadyServer
-from dewpin.dataplane.ingress.server import Ingress
+from dewpin.dataplane.http11.messages import error_response
+from dewpin.dataplane.http11.response_format import format_chunk, format_response
+from dewpin.dataplane.ingress.readiness import ReadinessServer
+from dewpin.dataplane.ingress.server import IngressServer
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 from dewpin.dataplane.membership.cluster_state import ClusterState
 from dewpin.dataplane.programs.program_store import BudgetSpent, Settlement, StoreUnavailable, Turn, TurnUnknown
 from dewpin.dataplane.programs.store_client import StoreClient
-from dewpin.dataplane.routing.request_handler import RequestPath, share_of_key
+from dewpin.dataplane.routing.affinity import share_of_key
+from dewpin.dataplane.routing.request_handler import RequestHandler
 
 Json = dict[str, Any]
 
@@ -847,7 +848,7 @@
 @contextmanager
 def ready_server(is_ready: bool) -> Iterator[Address]:
     """The server that tells the platform whether clients may be sent here."""
-    server = ReadyServer(lambda: is_ready)
+    server = ReadinessServer(lambda: is_ready)
     server.start(LOOPBACK)
     try:
         yield server.address
@@ -885,8 +886,8 @@
     def clock() -> float:
         return 1000.0 + sum(pauses)
 
-    path = RequestPath(state, _FailingStore(fault), "here", clock, pauses.append, random.Random(5))
-    ingress = Ingress(state, path.handle, clock, accept_poll_s=0.01)
+    path = RequestHandler(state, _FailingStore(fault), "here", clock, pauses.append, random.Random(5))
+    ingress = IngressServer(state, path.handle, clock, accept_poll_s=0.01)
     ingress.start(LOOPBACK)
     try:
         yield ingress.address
@@ -900,21 +901,21 @@
     to a HEAD."""
     return {
         str(kind): [
-            _rendered(own_answer(kind), False, False),
-            _rendered(own_answer(kind, "what is wrong", 0.25), True, False),
-            _rendered(own_answer(kind), False, True),
+            _rendered(error_response(kind), False, False),
+            _rendered(error_response(kind, "what is wrong", 0.25), True, False),
+            _rendered(error_response(kind), False, True),
         ]
         for kind in ErrorKind
     }
 
 
 def _rendered(answer: Any, closing: bool, without_body: bool) -> str:
-    return render_whole(answer, answer.body, closing, without_body).decode("latin-1")
+    return format_response(answer, answer.body, closing, without_body).decode("latin-1")
 
 
 def rendered_chunk(part: bytes) -> bytes:
     """One chunk of a body to a client."""
-    return render_chunk(part)
+    return format_chunk(part)
 
 
 def read_platform(address: str) -> list[Json] | str:
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -25,9 +25,9 @@
 from dewpin.dataplane.programs import ledger, ledger_ballot, ledger_client
 from dewpin.dataplane.programs.ledger_client import LedgerClient
 from dewpin.dataplane.programs.replica_calls import ViewMoved
-from dewpin.dataplane.routing.request_handler import RequestPath
-from dewpin.dataplane.routing.retry import RetryStage
-from dewpin.dataplane.upstream import calls as upstream
+from dewpin.dataplane.routing.request_handler import RequestHandler
+from dewpin.dataplane.routing.retry import RetryStateMachine
+from dewpin.dataplane.upstream import receiver_client
 from dewpin.dataplane.upstream.outcome import Outcome
 from tests.model import ledger_model, register_parts
 
@@ -285,17 +285,17 @@
 
 
 def take_an_answer_without_its_id(patch: Patch) -> None:
-    patch.setattr(upstream, "is_answer_to", lambda response, request, is_first: True)
+    patch.setattr(receiver_client, "is_response_to", lambda response, request, is_first: True)
 
 
 def take_a_reset_for_a_proof(patch: Patch) -> None:
-    original = RetryStage.record_call
+    original = RetryStateMachine.record_call
 
-    def record_call(self: RetryStage, receiver_id: str, outcome: Outcome, *rest: Any, **named: Any) -> None:
-        proves = outcome is Outcome.RESET and not self._policy.repeatable
+    def record_call(self: RetryStateMachine, receiver_id: str, outcome: Outcome, *rest: Any, **named: Any) -> None:
+        proves = outcome is Outcome.RESET and not self._policy.is_idempotent
         original(self, receiver_id, Outcome.NOT_EXECUTED if proves else outcome, *rest, **named)
 
-    patch.setattr(RetryStage, "record_call", record_call)
+    patch.setattr(RetryStateMachine, "record_call", record_call)
 
 
 def use_the_numbers_of_calls_again(patch: Patch) -> None:
@@ -338,13 +338,13 @@
 
 
 def answer_404_while_unconfirmed(patch: Patch) -> None:
-    original = RequestPath._handle
+    original = RequestHandler._handle
 
     def handle(self: Any, request: Any) -> Any:
         self._state.is_current = lambda: True
         return original(self, request)
 
-    patch.setattr(RequestPath, "_handle", handle)
+    patch.setattr(RequestHandler, "_handle", handle)
 
 
 def be_ready_before_a_majority_has_confirmed(patch: Patch) -> None:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -44,6 +44,7 @@
         "__main__",
     ),
     "dataplane": (
+        "errors",
         "metrics",
         "stop_signal",
         "http11",
