--- a/dewpin/cli/config.py
+++ b/dewpin/cli/config.py
@@ -97,8 +97,8 @@
 @config.command()
 def events() -> None:
     """Every event of the log with its fields: docs/events.md."""
-    from ..log.events import page
-    click.echo(page(), nl=False)
+    from ..log.event_page import event_page
+    click.echo(event_page(), nl=False)
 
 
 @config.command()
--- a/dewpin/console/door.py
+++ b/dewpin/console/door.py
@@ -6,7 +6,7 @@
 import asyncio
 from typing import Any
 
-from ..log import events, fault, tell
+from ..log import events, log_event, log_internal_error
 from ..net.http import Malformed, Reader, Stream, answer, listening
 from . import calls
 
@@ -41,7 +41,7 @@
         except Malformed as malformed:
             status = malformed.status
         except Exception:                   # a fault of ours costs this call, not the process
-            fault("console")
+            log_internal_error("console")
         self.answered = True
         self.reader.drop()
         self.transport.write(answer(status, True, extra, body))
@@ -69,7 +69,7 @@
                                                                      backlog=AT_ONCE)
         server.listen(QUEUE)        # the loop takes one figure for both
         at: tuple[str, int] = server.getsockname()[:2]
-        tell(events.CONSOLE, at="%s:%d" % at)
+        log_event(events.CONSOLE_LISTENING, at="%s:%d" % at)
         return at
 
     def enter(self, caller: Caller) -> None:
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -13,7 +13,7 @@
 from .. import __version__, log
 from ..config import layers
 from ..console.door import Console
-from ..log import events, tell
+from ..log import events, log_event
 from ..net import agent
 from ..net.agent import Notices, Watch
 from ..net.inbound import Door
@@ -139,11 +139,11 @@
         # reference cycles that only these free.
         gc.collect()
         gc.freeze()
-        tell(
-            events.START,
+        log_event(
+            events.SENDER_STARTED,
             name=deployment.sender.name,
             at=f"{host}:{port}",
-            mails=len(self.spool.pending),
+            messages=len(self.spool.pending),
             version=__version__,
         )
 
@@ -209,7 +209,7 @@
             self.relay.resume(self.follower, set(handed_over["out"]))
             learnt.recall(self.facade, handed_over)
             name = self.configuration.deployment.sender.name
-            tell(events.TAKEN_OVER, name=name, mails=len(self.spool.pending))
+            log_event(events.TAKEN_OVER, name=name, messages=len(self.spool.pending))
         else:
             self.relay.resume(self.follower if self.follower.exists() else None, None)
             self.relay.follow(gone=True)  # of an upgrade during which both processes were killed
@@ -249,9 +249,9 @@
     def _apply_log_settings(self) -> None:
         """Put `[log]` in force, and log what the configuration allows but most likely does not mean."""
         settings = self.configuration.deployment.log
-        log.set_up(settings.format, settings.level, settings.rate, settings.debug_rate, settings.held)
+        log.configure(settings.format, settings.level, settings.rate, settings.debug_rate, settings.held)
         for note in self.configuration.notes:
-            tell(events.NOTE, why=note)
+            log_event(events.CONFIGURATION_WARNING, why=note)
 
     async def _move_control_socket(self) -> None:
         settings = self.configuration.deployment.control
@@ -268,12 +268,13 @@
         self.server.close()
         self.pool.close()
         journal = self.relay.spool  # after a hand-over the hand-over log in its place
-        tell(events.END, name=self.configuration.deployment.sender.name, mails=len(journal.pending))
+        name = self.configuration.deployment.sender.name
+        log_event(events.SENDER_ENDED, name=name, messages=len(journal.pending))
         journal.close()
         if self.folder_lock:
             self.folder_lock.release()
-        log.end()
+        log.report_losses()
 
 
 def _tell_unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    tell(events.FAULT, part="loop", why=f"{context['message']}: {context.get('exception')!r}")
+    log_event(events.INTERNAL_ERROR, component="loop", why=f"{context['message']}: {context.get('exception')!r}")
--- a/dewpin/daemon/control_socket.py
+++ b/dewpin/daemon/control_socket.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..log import events, tell
+from ..log import events, log_event
 
 MAX_CALLERS = 4
 MAX_QUESTION_BYTES = 1024
@@ -81,7 +81,7 @@
         try:
             answer = await self.control.answer(line)
         except Exception as error:
-            tell(events.CONTROL_FAULT, why=f"{type(error).__name__}: {error}")
+            log_event(events.CONTROL_FAILED, why=f"{type(error).__name__}: {error}")
             answer = {"fault": "the sender could not answer; its log says why"}
         self.transport.write(msgspec.json.encode(answer) + b"\n")
         self.transport.close()
@@ -126,9 +126,9 @@
                 lambda: Caller(self), sock=_listening_socket(path), backlog=4 * MAX_CALLERS
             )
         except OSError as error:
-            return tell(events.CONTROL_FAULT, at=path, why=str(error))
+            return log_event(events.CONTROL_FAILED, at=path, why=str(error))
         self.path = path
-        tell(events.CONTROL, at=path)
+        log_event(events.CONTROL_LISTENING, at=path)
 
     async def answer(self, line: bytes) -> dict[str, Any]:
         """Return the answer to a question, or a map with `fault` where it can't be answered."""
--- a/dewpin/daemon/graceful_stop.py
+++ b/dewpin/daemon/graceful_stop.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from ..log import events, tell
+from ..log import events, log_event
 
 if TYPE_CHECKING:
     from ..config.keys import Deployment
@@ -21,7 +21,7 @@
     stop = deployment.stop
     relay.refusing = True
     server.stop()
-    tell(events.STOP, name=deployment.sender.name)
+    log_event(events.SENDER_STOPPING, name=deployment.sender.name)
     while loop.time() < stopped_at + stop.ends / 1000.0:
         relay.sending = loop.time() < stopped_at + stop.sends / 1000.0
         if not (relay.sending or relay.out or notices.owed or server.clients or server.queued()):
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -4,8 +4,7 @@
 import os
 from typing import TYPE_CHECKING
 
-from .. import log
-from ..log import events, tell
+from ..log import events, log_event, log_internal_error
 from ..relay import learnt
 from ..spool.handover_log import HandoverLogWriter
 from . import upgrade
@@ -29,7 +28,7 @@
             await _follow_previous_process(application)
             return await upgrade.wait_until_claimed(application.folder)
         except Exception:
-            log.fault("upgrade")
+            log_internal_error("upgrade")
             await asyncio.sleep(RETRY_SECONDS)
 
 
@@ -44,7 +43,7 @@
             apply_limits(application)
         application.folder_lock = claim.try_lock_folder()
         if application.folder_lock:
-            tell(events.ALONE, mails=len(relay.abroad))
+            log_event(events.TAKEOVER_FINISHED, messages=len(relay.abroad))
             relay.follow(gone=True)
             claim.drop()
             follower.descriptors = 0
@@ -93,7 +92,7 @@
         }
         upgrade.hand_over_folder(application.folder, state)
     except OSError:
-        log.fault("upgrade")
+        log_internal_error("upgrade")
         if tail:
             tail.close()
             application.follower.close()  # removes the file too: no other process is to read it
@@ -107,7 +106,7 @@
     application.endpoint_cache.stop_writing()
     application.spool.close()
     name = application.configuration.deployment.sender.name
-    tell(events.HANDED_ON, name=name, mails=len(application.spool.pending))
+    log_event(events.HANDED_OVER, name=name, messages=len(application.spool.pending))
     application.notices.channel.stop()
     application.pool.most_idle = 0
     application.pool.close()
--- a/dewpin/daemon/reload.py
+++ b/dewpin/daemon/reload.py
@@ -3,9 +3,8 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .. import log
 from ..config import faults, layers
-from ..log import events, tell
+from ..log import events, log_event, log_internal_error
 
 if TYPE_CHECKING:
     from .application import SenderApplication
@@ -20,10 +19,10 @@
             new = await application.source.read_stable(running.ended)
         except faults.Faulty as error:
             for fault in error.faults:
-                tell(events.RELOAD_KEPT, why=fault)
+                log_event(events.CONFIGURATION_REJECTED, why=fault)
             continue
         except Exception:  # whatever a file may hold, the old configuration stays in force
-            log.fault("reload")
+            log_internal_error("reload")
             continue
         if application.relay.tail:  # meanwhile the folder was handed over, and so were watch and notices
             continue
@@ -31,7 +30,7 @@
         keep_running_values(running, new, pending_keys)
         await application.apply(new)
         address = new.deployment.agent.address
-        tell(events.RELOAD, at=address, later=", ".join(pending_keys), keys=len(pending_keys))
+        log_event(events.CONFIGURATION_RELOADED, at=address, pending=", ".join(pending_keys), keys=len(pending_keys))
 
 
 def keys_pending_restart(running: layers.Reading, new: layers.Reading) -> list[str]:
--- /dev/null
+++ b/dewpin/log/levels.py
@@ -0,0 +1,20 @@
+"""Levels of events."""
+
+from enum import IntEnum
+
+
+class Level(IntEnum):
+    """How much attention an event needs; the values are those of the standard library's logging."""
+
+    DEBUG = 10
+    INFO = 20
+    WARNING = 30
+    ERROR = 40
+
+    @property
+    def label(self) -> str:
+        """The level's name in the log and in `log.level`."""
+        return self.name.lower()
+
+
+LEVELS_BY_LABEL = {level.label: level for level in Level}
--- a/dewpin/net/agent.py
+++ b/dewpin/net/agent.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..core import model
-from ..log import events, fault, tell
+from ..log import events, log_event, log_internal_error
 from .outbound import ANSWERED, Link
 
 FRESH = 6.0             # seconds after which news counts as told, whatever became of the calls for it (the protocol's);
@@ -82,7 +82,7 @@
                           (host.strip("[]"), int(port)), one.get("locality"), one.get("flavor"),
                           float(one.get("size") or 0.0)))
         except (KeyError, ValueError, TypeError, AttributeError) as error:
-            tell(events.LIST_ENTRY, why=f"{type(error).__name__}: {error}")
+            log_event(events.INVALID_ENDPOINT, why=f"{type(error).__name__}: {error}")
     return found
 
 
@@ -145,7 +145,7 @@
             try:
                 whole = answer is None or answer.status != 200 or not self._take(answer.body)
             except Exception as error:
-                tell(events.WATCH, why=f"{type(error).__name__}: {error}")
+                log_event(events.WATCH_FAILED, why=f"{type(error).__name__}: {error}")
                 whole = True
             if whole:
                 await asyncio.sleep(self.turns.broken())
@@ -197,7 +197,7 @@
                 b"Content-Length: %d\r\n\r\n" % (self.channel.host, len(body)) + body, limit, limit)
             status = answer.status if answer else 0
             if status == 400:
-                tell(events.NOTICE_UNREAD, sample=body[:200])
+                log_event(events.NOTICE_REJECTED, sample=body[:200])
             if 200 <= status < 300 or (status == 400 and len(batch) == 1):
                 for one in batch:
                     self._answered(self.owed.pop(one)[1])
@@ -217,4 +217,4 @@
         try:
             answered()
         except Exception:               # a fault with one mail must not keep the others' notices back
-            fault("notices")
+            log_internal_error("notices")
--- a/dewpin/net/inbound.py
+++ b/dewpin/net/inbound.py
@@ -11,7 +11,7 @@
 from array import array
 from urllib.parse import unquote_to_bytes
 
-from ..log import events, tell
+from ..log import events, log_event
 from ..ports import Intake
 from .http import Malformed, Reader, Stream, answer, listening
 
@@ -72,7 +72,7 @@
         except Malformed as fault:
             self.refuse(fault.status)
         except Exception as error:      # a fault of ours costs this request, not the process
-            tell(events.REQUEST_FAULT, why=f"{type(error).__name__}: {error}")
+            log_event(events.REQUEST_FAILED, why=f"{type(error).__name__}: {error}")
             self.refuse(500)
         if self.asked:
             self.door.begun.pop(self, None)
@@ -173,7 +173,7 @@
         try:
             self.listener.setsockopt(socket.SOL_SOCKET, STEERED_BY, struct.pack("HP", 1, second.buffer_info()[0]))
         except OSError as error:
-            tell(events.STEER, why=str(error))
+            log_event(events.STEERING_FAILED, why=str(error))
 
     def part(self):
         """From now on each connection ends with its next answer; those that rest stay, a request may be on its way."""
@@ -331,8 +331,9 @@
             tag, message.body, None if left is None else float(left) * 1000.0, b"req-retry" in fields)
         if taken:
             return 202, b""
-        tell(events.REFUSED, mail=ident, status=ms if taken is None else 503, queue_class=fields.get(b"req-kind"),
-             destination=destination, after_ms=0.0 if taken is None else ms)
+        log_event(events.MESSAGE_REJECTED, message=ident, status=ms if taken is None else 503,
+                  queue_class=fields.get(b"req-kind"), destination=destination,
+                  retry_after_ms=0.0 if taken is None else ms)
         if taken is None:
             return ms, b""
         return 503, b"Retry-After: %.3f\r\n" % (ms / 1000.0) if ms > 0.0 else b""
--- a/dewpin/net/outbound.py
+++ b/dewpin/net/outbound.py
@@ -12,7 +12,7 @@
 from collections import deque
 
 from ..core import model
-from ..log import events, tell
+from ..log import events, log_event
 from .http import Malformed, Reader, Stream
 
 NEAR = 1000.0           # ms before the other side closes an idle connection in which it is used no more
@@ -92,7 +92,7 @@
         try:
             message = self.reader.take() if self.done else None
         except Malformed as fault:
-            tell(events.SPOILT, why=str(fault), at=self.peer())
+            log_event(events.MALFORMED_RESPONSE, why=str(fault), at=self.peer())
             return self._spoilt()
         if message:
             self._tell(ANSWERED, message)
--- a/dewpin/relay/course.py
+++ b/dewpin/relay/course.py
@@ -7,7 +7,7 @@
 import time
 
 from ..core import model
-from ..log import events, fault, tell
+from ..log import events, log_event, log_internal_error
 from ..ports import AttemptResult, Outlet, Teller
 from ..spool.handover_log import AcceptedMessage, FinishedAttempt
 from ..spool.records import MessageRecord, PendingNotice
@@ -63,12 +63,12 @@
             if sheet.pending_notice:
                 self._tell(sheet)
             elif not self.facade.knows(sheet.queue_class, sheet.account):
-                tell(events.UNKNOWN_CLASS, mail=sheet.message_id, queue_class=sheet.queue_class)
+                log_event(events.UNKNOWN_QUEUE_CLASS, message=sheet.message_id, queue_class=sheet.queue_class)
                 self._give_up(sheet, model.Decision.BOUNCED, 0.0)
             else:
-                tell(events.RESUMED, mail=sheet.message_id, serial=sheet.serial, queue_class=sheet.queue_class,
-                     destination=sheet.destination, key=sheet.ordering_key, connect=sheet.attempts,
-                     lifetime_ms=sheet.expires_at_ms - now)
+                log_event(events.MESSAGE_RESUMED, message=sheet.message_id, serial=sheet.serial,
+                          queue_class=sheet.queue_class, destination=sheet.destination, key=sheet.ordering_key,
+                          attempt=sheet.attempts, lifetime_ms=sheet.expires_at_ms - now)
                 if sheet.in_flight:
                     self.out += 1
                     self.abroad[sheet.serial] = sheet, self.facade.adopt(sheet, now)
@@ -99,19 +99,19 @@
         sheet = MessageRecord(ident, queue_class, account, key, destination, tag, body,
                       self.facade.first_in(queue_class, left, again, now), now + left)
         if not self.spool.accept(sheet):
-            tell(events.SPOOL_FULL, bytes=self.spool.size_bytes, mails=len(self.spool.pending))
+            log_event(events.JOURNAL_FULL, bytes=self.spool.size_bytes, messages=len(self.spool.pending))
             return False, 0.0
         if self.tail:
             self._remember(ident, now)
-            tell(events.TAKEN_FOR, mail=ident)
+            log_event(events.MESSAGE_ACCEPTED_FOR_NEXT, message=ident)
             return True, 0.0    # the next process has it from now on
         try:
             self.facade.take(sheet, now)
         except Exception:
             self.spool.finish(sheet)   # the client hears of a failure, and nothing is owed
             raise
-        tell(events.TAKEN, mail=ident, serial=sheet.serial, queue_class=queue_class, destination=destination, key=key,
-             bytes=len(body), lifetime_ms=sheet.expires_at_ms - now)
+        log_event(events.MESSAGE_ACCEPTED, message=ident, serial=sheet.serial, queue_class=queue_class,
+                  destination=destination, key=key, bytes=len(body), lifetime_ms=sheet.expires_at_ms - now)
         self._remember(ident, now)
         self.wake()
         return True, 0.0
@@ -148,7 +148,7 @@
                     self._do(*errand, now)
             self.wake()             # others have their turn first
         except Exception:           # a fault must not end the process, nor go round without a pause
-            fault("relay")
+            log_internal_error("relay")
             self.timer = self.loop.call_later(0.1, self.wake)
 
     def _do(self, sheet, what, ms, now):
@@ -157,7 +157,8 @@
         elif sheet.ordering_key in self.unsaid:
             late = self.loop.call_later(min(ms, PATIENCE) / 1000.0, self._unsent, sheet, what)
             self.behind.setdefault(sheet.ordering_key, {})[sheet] = what, now + ms, late
-            tell(events.BEHIND, mail=sheet.message_id, receiver=what.receiver_id, key=sheet.ordering_key)
+            log_event(events.ATTEMPT_POSTPONED, message=sheet.message_id, receiver=what.receiver_id,
+                      key=sheet.ordering_key)
             self.out += 1
         else:
             self.out += 1
@@ -178,8 +179,8 @@
         ms = self.facade.leaves(sheet, receiver, now) if self.sending else 0.0
         if ms <= 0.0 or not self.spool.start_attempt(sheet, receiver.receiver_id, now):
             return 0.0
-        tell(events.CONNECT, mail=sheet.message_id, connect=sheet.attempts, receiver=receiver.receiver_id,
-             destination=sheet.destination, limit_ms=limit)
+        log_event(events.ATTEMPT_STARTED, message=sheet.message_id, attempt=sheet.attempts,
+                  receiver=receiver.receiver_id, destination=sheet.destination, timeout_ms=limit)
         return ms
 
     def _unsent(self, sheet, receiver):
@@ -196,27 +197,28 @@
             return
         try:
             ran = self.facade.ran(outcome)
-            tell(events.HEARD, mail=sheet.message_id, connect=sheet.attempts + (sheet.in_flight is None),
-                 receiver=receiver.receiver_id, destination=sheet.destination, outcome=outcome, ran=ran,
-                 took_ms=took, told_ms=told)
+            log_event(events.ATTEMPT_FINISHED, message=sheet.message_id,
+                      attempt=sheet.attempts + (sheet.in_flight is None), receiver=receiver.receiver_id,
+                      destination=sheet.destination, outcome=outcome, may_have_executed=ran, took_ms=took,
+                      retry_after_ms=told)
             self.spool.finish_attempt(sheet, ran)
             ending, ms, leaves = self.facade.report(sheet, outcome, told, took, load, over, self.clock.now())
             if ending == model.Decision.RELAYED:
-                tell(events.ENDED, mail=sheet.message_id, ending=ending, connect=sheet.attempts)
+                log_event(events.MESSAGE_ENDED, message=sheet.message_id, ending=ending, attempt=sheet.attempts)
                 self.ends[sheet.queue_class][ending] += outcome == model.Outcome.DELIVERED     # else it was withdrawn
                 self.spool.finish(sheet)
                 self.facade.release(sheet)
             elif ending:
                 self._give_up(sheet, ending, ms)
             else:
-                tell(events.AGAIN, mail=sheet.message_id, connect=sheet.attempts,
-                     after_ms=self.facade.pause(sheet, self.clock.now()))
+                log_event(events.RETRY_SCHEDULED, message=sheet.message_id, attempt=sheet.attempts,
+                          retry_after_ms=self.facade.pause(sheet, self.clock.now()))
             if leaves:
                 self.pool.close_idle(receiver.address)
             if told > 0.0:
                 self._recall(receiver)
         except Exception:
-            fault("outcome", mail=sheet.message_id)
+            log_internal_error("outcome", message=sheet.message_id)
         self.wake()
 
     def _recall(self, receiver):
@@ -224,7 +226,8 @@
             self.pool.recall(address)
 
     def _give_up(self, sheet, ending, ms):
-        tell(events.ENDED, mail=sheet.message_id, ending=ending, connect=sheet.attempts, after_ms=ms)
+        log_event(events.MESSAGE_ENDED, message=sheet.message_id, ending=ending, attempt=sheet.attempts,
+                  retry_after_ms=ms)
         if sheet.queue_class in self.ends:
             self.ends[sheet.queue_class][ending] += 1
         self.spool.give_up(sheet, PendingNotice(ending == model.Decision.DEFERRED, ms))
@@ -237,7 +240,7 @@
         self.notices.tell(sheet.message_id, *sheet.pending_notice, lambda: self._told(sheet))
 
     def _told(self, sheet):
-        tell(events.TOLD, mail=sheet.message_id)
+        log_event(events.NOTICE_ACKNOWLEDGED, message=sheet.message_id)
         self.spool.finish(sheet)
         if not sheet.ordering_key:
             return
@@ -285,9 +288,9 @@
         self._remember(sheet.message_id, now)
         self.spool.accept(sheet, already_accepted=True)
         self.facade.take(sheet, now)
-        tell(events.TAKEN, mail=sheet.message_id, serial=sheet.serial, queue_class=sheet.queue_class,
-             destination=sheet.destination, key=sheet.ordering_key, bytes=len(sheet.body),
-             lifetime_ms=sheet.expires_at_ms - now)
+        log_event(events.MESSAGE_ACCEPTED, message=sheet.message_id, serial=sheet.serial,
+                  queue_class=sheet.queue_class, destination=sheet.destination, key=sheet.ordering_key,
+                  bytes=len(sheet.body), lifetime_ms=sheet.expires_at_ms - now)
         self.wake()
 
     def _heard_there(self, serial, *heard):
@@ -307,7 +310,7 @@
         if not self.spool.set_detached(ident, True):
             return None
         if ident not in self.facade.detached:
-            tell(events.DETACHED, receiver=ident)
+            log_event(events.RECEIVER_DETACHED, receiver=ident)
         if address := self.facade.detach(ident):
             self.pool.recall(address)
             self.pool.close_idle(address)
@@ -321,7 +324,7 @@
         if not self.spool.set_detached(ident, False):
             return None
         if ident in self.facade.detached:
-            tell(events.ATTACHED, receiver=ident)
+            log_event(events.RECEIVER_ATTACHED, receiver=ident)
             self.facade.attach(ident)
         self.wake()
         return True
--- a/dewpin/spool/endpoint_cache.py
+++ b/dewpin/spool/endpoint_cache.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..core.model import ReceiverState
-from ..log import events, tell
+from ..log import events, log_event
 from ..ports import EndpointEntry
 
 CACHE_FILE = "list"
@@ -155,7 +155,7 @@
 
     def _discard(self, reason: str) -> None:
         """Empties the cache until the next complete list; a start then begins with what the platform says."""
-        tell(events.LIST_KEPT, why=reason)
+        log_event(events.LIST_NOT_CACHED, why=reason)
         self.rows, self.revision, self.size_bytes, self.snapshot_bytes = {}, None, 0, 0
         for path in (self.path, self.path + ".new"):
             try:
--- a/dewpin/spool/handover_log.py
+++ b/dewpin/spool/handover_log.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from ..log import events, tell
+from ..log import events, log_event
 from ..ports import AttemptResult
 from . import codec
 from .codec import DamagedFrame
@@ -96,7 +96,7 @@
         try:
             write_all(self._descriptor, record)
         except OSError as error:
-            tell(events.WRITE_FAULT, why=str(error))
+            log_event(events.JOURNAL_WRITE_FAILED, why=str(error))
             os.ftruncate(self._descriptor, self.size_bytes)
             return False
         self.size_bytes += len(record)
--- a/dewpin/spool/journal.py
+++ b/dewpin/spool/journal.py
@@ -7,7 +7,7 @@
 import os
 from typing import Any
 
-from ..log import events, tell
+from ..log import events, log_event
 from . import codec
 from .endpoint_cache import max_cache_bytes
 from .records import Attempt, MessageRecord, PendingNotice, RecordKind
@@ -62,7 +62,7 @@
         for message in replay.pending.values():
             self._add(message, message.stored_bytes)
         if self.size_bytes < len(content):
-            tell(events.TORN, bytes=len(content) - self.size_bytes, at=self.size_bytes)
+            log_event(events.JOURNAL_TRUNCATED, bytes=len(content) - self.size_bytes, at=self.size_bytes)
             os.ftruncate(self._descriptor, self.size_bytes)
 
     def set_disk_limit(self, disk_bytes: float) -> None:
@@ -161,7 +161,7 @@
                 os.unlink(self.compaction_path)
                 raise
         except OSError as error:
-            tell(events.COMPACT_FAULT, why=str(error))
+            log_event(events.COMPACTION_FAILED, why=str(error))
             return
         os.close(self._descriptor)
         self._descriptor = descriptor
@@ -205,7 +205,7 @@
         try:
             write_all(self._descriptor, record)
         except OSError as error:
-            tell(events.WRITE_FAULT, why=str(error))
+            log_event(events.JOURNAL_WRITE_FAILED, why=str(error))
             os.ftruncate(self._descriptor, self.size_bytes)  # no later record may stand behind a torn one
             return False
         self.size_bytes += len(record)
--- a/tests/daemon/test_bounds.py
+++ b/tests/daemon/test_bounds.py
@@ -70,7 +70,8 @@
         assert (await sender.hand_in("m"))[0] == 202
         await until(lambda: b"m" in outside.idents())
         await sender.end(signal.SIGTERM)
-        assert "fault" not in (await sender.log).decode()
+        log = (await sender.log).decode()
+        assert not any(name in log for name in ("fault", "internal_error", "request.failed", "control.failed"))
 
     play(tmp_path, scene, sockets=128)
 
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -37,7 +37,7 @@
         lines = log_of(sender)
 
         def kept():
-            return [line for line in lines if " reload.kept: " in line]
+            return [line for line in lines if " configuration.rejected: " in line]
 
         half = whole[: whole.index("[log]") + 60]
         file.write_text(half[: half.rindex("\n") + 1])  # a good file by itself, but not to its end
@@ -56,11 +56,11 @@
                 slow.write(whole[at : at + 400])
                 slow.flush()
                 await asyncio.sleep(0.01)
-        await until(lambda: any(" reload: agent at" in line for line in lines))
+        await until(lambda: any(" configuration.reloaded: agent at" in line for line in lines))
         assert len(kept()) == 3
         assert (await sender.hand_in("after"))[0] == 202
-        await until(lambda: any("mail.ended: relayed mail=after" in line for line in lines))
-        assert not any("mail=before" in line for line in lines)
+        await until(lambda: any("message.ended: relayed message=after" in line for line in lines))
+        assert not any("message=before" in line for line in lines)
 
     play(tmp_path, scene, start=False, log=False)
 
@@ -71,15 +71,15 @@
         sender.told["name"], sender.told["settings"]["Allowed"]["MaxOpen"] = "other", 1
         sender.told["limits"]["disk_mb"] = 0.5
         sender.reload()
-        await until(lambda: any(" reload: " in line for line in lines))
-        assert 'later="sender.name, settings"' in [line for line in lines if " reload: " in line][0]
+        await until(lambda: any(" configuration.reloaded: " in line for line in lines))
+        assert 'pending="sender.name, settings"' in [line for line in lines if " configuration.reloaded: " in line][0]
         sender.reload()
-        await until(lambda: sum(" reload: " in line for line in lines) == 2)
-        assert 'later="sender.name, settings"' in lines[-1]  # still: against what is in force
+        await until(lambda: sum(" configuration.reloaded: " in line for line in lines) == 2)
+        assert 'pending="sender.name, settings"' in lines[-1]  # still: against what is in force
         outside.script = lambda call: None
         answers = [(await sender.hand_in(f"m{at}", body=b"x" * 60000))[0] for at in range(6)]
         assert answers[:2] == [202, 202] and answers[-1] == 503  # the smaller disk, and more mails than one
-        await until(lambda: any(" spool.full: " in line for line in lines))
+        await until(lambda: any(" journal.full: " in line for line in lines))
 
     play(tmp_path, scene, log=False)
 
@@ -115,11 +115,11 @@
         events = [json.loads(line) for line in lines]  # every line is whole
         lost = next(one["lines"] for one in events if one["event"] == "log.lost")
         assert lost > 1000
-        assert {one["event"] for one in events if one.get("mail") == "m0-0"} == {
-            "mail.taken",
-            "connect.out",
-            "connect.heard",
-            "mail.ended",
+        assert {one["event"] for one in events if one.get("message") == "m0-0"} == {
+            "message.accepted",
+            "attempt.started",
+            "attempt.finished",
+            "message.ended",
         }
 
     play(tmp_path, scene, start=False, log=False)
@@ -135,27 +135,31 @@
         await sender.hand_in("m", left=15.0, key="", tag=b"t")
 
         def course():
-            return [one for one in map(json.loads, lines) if one.get("mail") == "m"]
-
-        await until(lambda: course()[-1:] and course()[-1]["event"] == "mail.ended", 30.0)
-        assert [(one["event"], one.get("outcome") or one.get("ending"), one.get("connect")) for one in course()] == [
-            ("mail.taken", None, None),
-            ("connect.out", None, 1),
-            ("connect.heard", "full", 1),
-            ("mail.again", None, 1),
-            ("connect.out", None, 2),
-            ("connect.heard", "reset", 2),
-            ("mail.again", None, 2),
-            ("connect.out", None, 3),
-            ("connect.heard", "delivered", 3),
-            ("mail.ended", "relayed", 3),
+            return [one for one in map(json.loads, lines) if one.get("message") == "m"]
+
+        await until(lambda: course()[-1:] and course()[-1]["event"] == "message.ended", 30.0)
+        assert [(one["event"], one.get("outcome") or one.get("ending"), one.get("attempt")) for one in course()] == [
+            ("message.accepted", None, None),
+            ("attempt.started", None, 1),
+            ("attempt.finished", "full", 1),
+            ("message.retry_scheduled", None, 1),
+            ("attempt.started", None, 2),
+            ("attempt.finished", "reset", 2),
+            ("message.retry_scheduled", None, 2),
+            ("attempt.started", None, 3),
+            ("attempt.finished", "delivered", 3),
+            ("message.ended", "relayed", 3),
+        ]
+        assert [one["may_have_executed"] for one in course() if one["event"] == "attempt.finished"] == [
+            False,
+            True,
+            True,
         ]
-        assert [one["ran"] for one in course() if one["event"] == "connect.heard"] == [False, True, True]
         await sender.hand_in("n", kind="unheard-of")
         outside.script = lambda call: "reset"
         await sender.hand_in("o", kind="charge", key="k")
-        await until(lambda: any('"notice.answered"' in line for line in lines), 30.0)
-        assert any('"mail.ended"' in line and '"bounced"' in line for line in lines)
+        await until(lambda: any('"notice.acknowledged"' in line for line in lines), 30.0)
+        assert any('"message.ended"' in line and '"bounced"' in line for line in lines)
 
     play(tmp_path, scene, start=False, log=False)
 
--- a/tests/daemon/test_sender.py
+++ b/tests/daemon/test_sender.py
@@ -106,7 +106,7 @@
         await sender.end()
         calls = len(outside.calls)
         await sender.start()  # nothing is owed any more
-        assert " 0 mails taken up" in sender.first_line and len(outside.calls) == calls
+        assert " 0 messages resumed" in sender.first_line and len(outside.calls) == calls
 
     play(tmp_path, scene)
 
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -73,7 +73,7 @@
         outside.script = lambda call: reply(200)
         await until(lambda: not again.owed(), 20.0)
         await again.end()
-        assert "the process before has ended mails=0" in (await again.log).decode()
+        assert "the previous process has ended messages=0" in (await again.log).decode()
 
     play(tmp_path, scene)
 
@@ -206,7 +206,7 @@
             await until(lambda: outside.calls)
         assert sender.process.returncode is None
         assert await sender.end(signal.SIGTERM) == 0
-        assert "fault: upgrade" in (await sender.log).decode()
+        assert "internal_error: upgrade" in (await sender.log).decode()
 
     play(tmp_path, scene)
 
@@ -220,7 +220,7 @@
         sender.reload()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         log = (await sender.log).decode()
-        assert "handed" in log and ": reload:" not in log
+        assert "takeover.handed_over" in log and "configuration.reloaded" not in log
         await again.end()
 
     play(tmp_path, scene)
--- a/tests/log/test_log.py
+++ b/tests/log/test_log.py
@@ -1,5 +1,6 @@
-"""The log: what it says, what it leaves out, and that it never waits."""
+"""The log: its lines, what it suppresses, and that it never waits."""
 
+import ast
 import json
 import os
 import random
@@ -8,17 +9,20 @@
 
 import pytest
 
-from dewpin.log import Log, events
-from dewpin.log.pipe import Pipe
+from dewpin.log import events
+from dewpin.log.event_log import EventLog
+from dewpin.log.event_page import RENAMED_EVENTS, RENAMED_FIELDS, event_page
+from dewpin.log.levels import Level
+from dewpin.log.nonblocking_writer import NonBlockingWriter
 
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class Kept:
-    """Stands for the pipe: keeps the lines."""
+class RecordingWriter:
+    """Stands for the non-blocking writer: keeps the lines."""
 
     def __init__(self):
-        self.lines, self.waiting, self.lost = [], (), 0
+        self.lines, self.waiting, self.lost_lines = [], (), 0
 
     def write(self, line):
         self.lines.append(line.decode())
@@ -27,72 +31,74 @@
         pass
 
 
-def test_a_line_for_people_and_one_for_programs_say_the_same():
-    for form in ("lines", "json"):
-        kept = Kept()
-        log = Log(kept, form, level=events.DEBUG)
-        log.tell(
-            events.HEARD,
+def test_line_for_people_and_json_line_of_one_event_say_the_same():
+    for log_format in ("lines", "json"):
+        writer = RecordingWriter()
+        log = EventLog(writer, log_format, level=Level.DEBUG)
+        log.log(
+            events.ATTEMPT_FINISHED,
             {
-                "mail": b"m\n1",
+                "message": b"m\n1",
                 "outcome": "full",
                 "took_ms": 1.23456,
-                "ran": False,
-                "told_ms": 0.0,
+                "may_have_executed": False,
+                "retry_after_ms": 0.0,
                 "receiver": "a {mail} b\x1b[2J",
             },
         )
-        (line,) = kept.lines
-        if form == "json":
-            held = json.loads(line)
-            assert held["event"] == "connect.heard" and held["level"] == "debug" and held["took_ms"] == 1.235
-            assert held["mail"] == "m\\x0a1" and held["words"] == "full after 1.235 ms" and held["ran"] is False
+        (line,) = writer.lines
+        if log_format == "json":
+            values = json.loads(line)
+            assert values["event"] == "attempt.finished" and values["level"] == "debug" and values["took_ms"] == 1.235
+            assert values["message"] == "m\\x0a1" and values["words"] == "full after 1.235 ms"
+            assert values["may_have_executed"] is False
         else:
-            assert " dewpin: debug: connect.heard: full after 1.235 ms mail=m\\x0a1 ran=False told_ms=0.0 " in line
+            start = " dewpin: debug: attempt.finished: full after 1.235 ms message=m\\x0a1 "
+            assert start + "may_have_executed=False retry_after_ms=0.0 " in line
             assert 'receiver="a {mail} b\\x1b[2J"' in line and line.count("\n") == 1
 
 
-def test_lines_over_the_rate_are_left_out_and_their_count_is_told():
-    now, kept = [5.0], Kept()
-    log = Log(kept, rate=3, clock=lambda: now[0])
+def test_lines_over_the_rate_are_suppressed_and_counted():
+    now, writer = [5.0], RecordingWriter()
+    log = EventLog(writer, rate=3, clock=lambda: now[0])
     for _ in range(10):
-        log.tell(events.WATCH, {"why": "x"})
-        log.tell(events.STOP, {"name": "n"})
-    assert len(kept.lines) == 6
+        log.log(events.WATCH_FAILED, {"why": "x"})
+        log.log(events.SENDER_STOPPING, {"name": "n"})
+    assert len(writer.lines) == 6
     now[0] = 6.0
-    log.tell(events.STOP, {"name": "n"})
-    assert [line.split("dewpin: ")[1] for line in kept.lines[6:]] == [
-        "warning: log.left_out: 7 lines of watch were left out\n",
-        "warning: log.left_out: 7 lines of stop were left out\n",
-        "stop: n takes no new mails\n",
+    log.log(events.SENDER_STOPPING, {"name": "n"})
+    assert [line.split("dewpin: ")[1] for line in writer.lines[6:]] == [
+        "warning: log.suppressed: 7 lines of endpoint_list.watch_failed were left out\n",
+        "warning: log.suppressed: 7 lines of sender.stopping were left out\n",
+        "sender.stopping: n accepts no new messages\n",
     ]
-    log.tell(events.TAKEN, {"mail": b"m"})
-    assert len(kept.lines) == 9  # below the level
-    log.level = events.DEBUG
+    log.log(events.MESSAGE_ACCEPTED, {"message": b"m"})
+    assert len(writer.lines) == 9  # below the level
+    log.level = Level.DEBUG
     for _ in range(100):
-        log.tell(events.TAKEN, {"mail": b"m"})
-    assert len(kept.lines) == 109  # a course has no gaps
+        log.log(events.MESSAGE_ACCEPTED, {"message": b"m"})
+    assert len(writer.lines) == 109  # the events of a message have no gaps
     log.debug_rate, now[0] = 5, 7.0
     for _ in range(100):
-        log.tell(events.TAKEN, {"mail": b"m"})
-    assert len(kept.lines) == 114
+        log.log(events.MESSAGE_ACCEPTED, {"message": b"m"})
+    assert len(writer.lines) == 114
 
 
-def test_a_field_that_can_not_be_written_costs_its_line_alone():
+def test_field_that_cannot_be_rendered_costs_only_its_line():
     class Bad:
         def __str__(self):
             raise RuntimeError("no")
 
-    kept = Kept()
-    log = Log(kept)
-    log.tell(events.NOTE, {"why": Bad()})
-    log.tell(events.NOTE, {"why": "y" * 100_000})
-    assert "can't be told: RuntimeError" in kept.lines[0] and len(kept.lines[1]) < 1200
+    writer = RecordingWriter()
+    log = EventLog(writer)
+    log.log(events.CONFIGURATION_WARNING, {"why": Bad()})
+    log.log(events.CONFIGURATION_WARNING, {"why": "y" * 100_000})
+    assert "can't be logged: RuntimeError" in writer.lines[0] and len(writer.lines[1]) < 1200
 
 
 @pytest.mark.parametrize("kind", ["pipe", "socket"])
 @pytest.mark.parametrize("seed", range(5))
-def test_nobody_reads_for_a_while_and_whole_lines_come_or_are_counted_as_lost(kind, seed):
+def test_lines_arrive_complete_or_are_counted_as_lost_while_nobody_reads(kind, seed):
     dice = random.Random(seed)
     if kind == "pipe":
         end, start = os.pipe()
@@ -100,56 +106,81 @@
         ours, theirs = socket.socketpair()
         end, start = ours.detach(), theirs.detach()
     os.set_blocking(end, False)
-    pipe, sent, came = Pipe(start, most=20_000), [], bytearray()
+    writer, sent, received = NonBlockingWriter(start, max_waiting_bytes=20_000), [], bytearray()
 
     def drain():
         try:
             while part := os.read(end, 65536):
-                came.extend(part)
+                received.extend(part)
         except BlockingIOError:
             pass
 
     for at in range(3000):
         line = b"%d " % at + b"x" * dice.choice((10, 200, 3000, 9000)) + b"\n"
         sent.append(line)
-        pipe.write(line)  # a blocking write would hang here: nobody reads
-        assert pipe.size <= 20_000 + 9010
+        writer.write(line)  # a blocking write would hang here: nobody reads
+        assert writer.waiting_bytes <= 20_000 + 9010
         if dice.random() < 0.01:
             drain()
     for _ in range(50):
         drain()
-        pipe.flush()
+        writer.flush()
     drain()
-    lines = bytes(came).splitlines(keepends=True)
-    assert not pipe.waiting and set(lines) <= set(sent) and len(lines) + pipe.lost == len(sent) and pipe.lost > 100
+    lines = bytes(received).splitlines(keepends=True)
+    assert (
+        not writer.waiting
+        and set(lines) <= set(sent)
+        and len(lines) + writer.lost_lines == len(sent)
+        and writer.lost_lines > 100
+    )
     assert [int(line.split()[0]) for line in lines] == sorted(int(line.split()[0]) for line in lines)
     if kind == "pipe":
         assert os.get_blocking(start)  # the mark of whoever gave us the pipe is as it was
     os.close(end)
-    pipe.write(b"nobody is there\n")  # neither an exception nor a signal
-    pipe.write(b"nobody is there\n")
+    writer.write(b"nobody is there\n")  # neither an exception nor a signal
+    writer.write(b"nobody is there\n")
     os.close(start)
 
 
-def test_lost_lines_are_told_once_there_is_room_again():
+def test_lost_lines_are_reported_once_there_is_room_again():
     end, start = os.pipe()
-    log, now = Log(Pipe(start, most=100), rate=0), 0
+    log, now = EventLog(NonBlockingWriter(start, max_waiting_bytes=100), rate=0), 0
     log.clock = lambda: now
     for _ in range(3000):
-        log.tell(events.NOTE, {"why": "x" * 100})
-    lost = log.pipe.lost
+        log.log(events.CONFIGURATION_WARNING, {"why": "x" * 100})
+    lost = log.writer.lost_lines
     os.read(end, 1_000_000)
     now = 1
-    log.tell(events.STOP, {"name": "n"})
+    log.log(events.SENDER_STOPPING, {"name": "n"})
     text = os.read(end, 1_000_000).decode()
-    assert lost > 1000 and f"log.lost: {lost} lines were lost" in text and text.endswith("n takes no new mails\n")
+    assert lost > 1000 and f"log.lost: {lost} lines were lost" in text and text.endswith("n accepts no new messages\n")
     os.close(end)
     os.close(start)
 
 
-def test_the_page_of_events_is_current_and_the_on_call_page_names_only_them():
+def test_event_page_is_current_and_on_call_page_names_only_existing_events():
     import re
 
-    assert (ROOT / "docs/events.md").read_text() == events.page()
+    assert (ROOT / "docs/events.md").read_text() == event_page()
     named = set(re.findall(r"`event ([a-z_.]+)", (ROOT / "docs/oncall.md").read_text()))
     assert named and named <= set(events.EVENTS)
+
+
+def test_rename_tables_lead_from_names_no_longer_used_to_existing_names():
+    assert not set(RENAMED_EVENTS) & set(events.EVENTS) and set(RENAMED_EVENTS.values()) <= set(events.EVENTS)
+    assert not set(RENAMED_FIELDS) & set(events.FIELDS) and set(RENAMED_FIELDS.values()) <= set(events.FIELDS)
+    unchanged = {"log.lost", "receiver.detached", "receiver.attached"}
+    assert set(events.EVENTS) == set(RENAMED_EVENTS.values()) | unchanged
+
+
+def test_each_field_that_the_program_logs_is_one_of_its_event():
+    checked = 0
+    for path in (ROOT / "dewpin").rglob("*.py"):
+        for call in ast.walk(ast.parse(path.read_text())):
+            if not (isinstance(call, ast.Call) and isinstance(call.func, ast.Name) and call.func.id == "log_event"):
+                continue
+            event = getattr(events, getattr(call.args[0], "attr", ""), None)
+            if isinstance(event, events.Event):
+                assert {keyword.arg for keyword in call.keywords} - {None} <= set(event.fields), f"{path}:{call.lineno}"
+                checked += 1
+    assert checked > 30
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -138,7 +138,8 @@
 
 def test_a_plain_sender_loads_nothing_that_it_does_not_use():
     program = (
-        "import sys, dewpin.daemon.process, dewpin.log as log\nlog.tell(log.events.NOTE, why='x')\n"
+        "import sys, dewpin.daemon.process, dewpin.log as log\n"
+        "log.log_event(log.events.CONFIGURATION_WARNING, why='x')\n"
         "print(sorted({name.partition('.')[0] for name in sys.modules} & "
         "{'click', 'rich', 'tomllib', 'numpy', 'hypothesis', 'pytest', 'json'}))"
     )
