--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -12,7 +12,7 @@
 from dewpin.core import decide
 decide.Dispatcher._receiver = lambda self, line, mail, now: min(
     (r for r in line.destination.receivers if self._receiver_at(line, r, mail, now) <= now),
-    key=lambda r: r.ident, default=None)
+    key=lambda r: r.receiver_id, default=None)
 """
 DEAF = """
 from dewpin.relay.facade import Facade
