--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -9,7 +9,7 @@
 from dewpin.controlplane.membership.reconfiguration import GONE_S, GONE_WITH_SUCCESSOR_S
 from dewpin.controlplane.platform_list_reader import READINGS_IN_DRAIN
 from dewpin.controlplane.register.system_state import MOST_REMEMBERED_CONFIGURATIONS
-from dewpin.controlplane.storage import MOST_IN_COMMIT
+from dewpin.controlplane.storage import MAX_JOBS_IN_COMMIT
 from dewpin.dataplane.membership.cluster_agent import RENEWALS_IN_BOUND
 from dewpin.dataplane.programs.history_cache import DEFAULT_BYTES as CHAIN_CACHE_BYTES
 
@@ -20,7 +20,7 @@
     "HEARTBEAT_PERIOD_S",
     "LEASE_PERIODS",
     "LEASE_ROUNDS",
-    "MOST_IN_COMMIT",
+    "MAX_JOBS_IN_COMMIT",
     "MOST_REMEMBERED_CONFIGURATIONS",
     "READINGS_IN_DRAIN",
     "RELAY_FAN_OUT",
--- a/benchmarks/capacity/measures/storage.py
+++ b/benchmarks/capacity/measures/storage.py
@@ -18,8 +18,8 @@
 from dewpin.controlplane.storage import DATABASE_NAME, Storage
 from dewpin.controlplane.store import ledger_replica, turn_table
 
-TURNS = "dewpin/controlplane/storage.py, turn_table.py"
-LEDGERS = "dewpin/controlplane/storage.py, ledger_replica.py"
+TURNS = "dewpin/controlplane/storage/storage.py, turn_table.py"
+LEDGERS = "dewpin/controlplane/storage/storage.py, ledger_replica.py"
 CHAIN_MESSAGE = "dewpin/cluster/store_messages.py, netstring.py"
 
 RECORD_BYTES = 5_000
--- a/benchmarks/capacity/roles/control.py
+++ b/benchmarks/capacity/roles/control.py
@@ -152,7 +152,7 @@
             f"{target.changes_a_day} × state (a promise writes its ballot alone)",
             lambda: target.changes_a_day * context.state_bytes,
             "B",
-            "`dewpin/controlplane/storage.py`",
+            "`dewpin/controlplane/storage/storage.py`",
         ),
         context.row(
             "depth of the relay tree",
--- a/benchmarks/capacity/roles/store.py
+++ b/benchmarks/capacity/roles/store.py
@@ -11,7 +11,7 @@
 SMALL_MESSAGE_BYTES = 300
 MEASURED_RECORD_BYTES = 5_000
 OPEN_RESERVATIONS = 2
-STORAGE = "`dewpin/controlplane/storage.py`"
+STORAGE = "`dewpin/controlplane/storage/storage.py`"
 TURNS = "`dewpin/controlplane/store/turn_table.py`"
 LEDGERS = "`dewpin/controlplane/store/ledger_replica.py`, `dewpin/consensus`"
 STORE = "`dewpin/controlplane/store/store.py`, `dewpin/cluster/rpc.py`"
@@ -52,7 +52,7 @@
     """
     ledger = context.ledger_calls_a_turn * context.at("ledger-cost", OPEN_RESERVATIONS)
     turns = context.assumed.replicas * context.at("turn-cost", context.turn_bytes)
-    sync = context.at("turn-commit", 1) / design.MOST_IN_COMMIT
+    sync = context.at("turn-commit", 1) / design.MAX_JOBS_IN_COMMIT
     writes = context.ledger_calls_a_turn + context.assumed.replicas
     a_turn = (ledger + turns + writes * sync) / MICROSECONDS
     return context.target.requests_per_s * a_turn / context.assumed.stores
@@ -190,7 +190,7 @@
         context.row(
             f"share of the one writer's time at each of {assumed.stores} stores",
             f"{target.requests_per_s:,}/s × ({ledger_calls} × ledger-cost + {replicas} × turn-cost + "
-            f"{ledger_calls + replicas} × a commit alone / {design.MOST_IN_COMMIT} in a group) / {assumed.stores}",
+            f"{ledger_calls + replicas} × a commit alone / {design.MAX_JOBS_IN_COMMIT} in a group) / {assumed.stores}",
             lambda: writer_share(context),
             "share",
             STORAGE,
--- a/dewpin/controlplane/__main__.py
+++ b/dewpin/controlplane/__main__.py
@@ -91,8 +91,7 @@
     hangup = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, hangup.set)
     assert settings.data_dir is not None
-    storage = Storage(settings.data_dir)
-    storage.on_damaged = lambda: end_from_thread(loop, stopping)
+    storage = Storage(settings.data_dir, on_damaged=lambda: end_from_thread(loop, stopping))
     client = RpcClient()
     control_server = ControlServer(settings, storage, client, random.Random())
     server = RpcServer(control_server.handlers)
--- /dev/null
+++ b/dewpin/controlplane/storage/storage.py
@@ -0,0 +1,221 @@
+"""Transactions on the database, run by one thread with group commit."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import sqlite3
+import threading
+import time
+from collections import deque
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, Generic, TypeVar
+
+from .database import is_damage, mark_damaged, open_database, sync_folder
+from .errors import StorageDamagedError, StorageError
+from .schema import incarnation_of
+
+MAX_PENDING_JOBS = 20_000
+"""Jobs that may wait for the storage thread; a further one is rejected at once."""
+MAX_JOBS_IN_COMMIT = 256
+"""Jobs that share one commit at most."""
+MAX_COMMIT_S = 2.0
+"""Once a commit has taken this long, the disk counts as unresponsive and new jobs are rejected at once: their callers
+would have given up long before the disk is back, and pending jobs take memory."""
+
+Statement = tuple[str, tuple[Any, ...]]
+"""An SQL statement with the values of its placeholders."""
+Row = tuple[Any, ...]
+Result = TypeVar("Result")
+
+
+@dataclass(slots=True)
+class _Job(Generic[Result]):
+    """One unit of work for the storage thread.
+
+    `work`: runs on the storage thread, inside the transaction of its group.
+    `loop`, `future`: where the result goes.
+    `result`, `error`: what the last run gave; set by the storage thread.
+    """
+
+    work: Callable[[sqlite3.Connection], Result]
+    loop: asyncio.AbstractEventLoop
+    future: asyncio.Future[Result]
+    result: Result | None = None
+    error: Exception | None = None
+
+
+def _log_error(text: str) -> None:
+    logging.getLogger(__name__).error("storage.damaged", extra={"why": text})
+
+
+def _ignore_damage() -> None:
+    """Do nothing about a damaged database beyond rejecting all jobs."""
+
+
+class Storage:
+    """The database of one data folder.
+
+    A thread of its own makes every call on the file, so that a slow or unresponsive disk never blocks the event loop.
+    Jobs run in the order in which they were submitted; those that are pending together share one commit.
+
+    `incarnation`: random id of the database, of 16 hexadecimal digits.
+    `is_damaged`: whether the file was found to be damaged; all jobs fail from then on.
+    """
+
+    def __init__(
+        self,
+        data_dir: str | os.PathLike[str],
+        log: Callable[[str], None] = _log_error,
+        clock: Callable[[], float] = time.monotonic,
+        on_damaged: Callable[[], None] = _ignore_damage,
+    ) -> None:
+        """Open (or create) the database; blocks until it is durable. Raises StorageError or SchemaTooNewError.
+
+        `log` receives texts for the operator; `clock` returns monotonic seconds; `on_damaged` is called on the storage
+        thread once the file was found to be damaged: the process should end.
+        """
+        self._folder = Path(data_dir)
+        self._log = log
+        self._clock = clock
+        self._on_damaged = on_damaged
+        self._commit_started_s: float | None = None  # None while no commit is in progress
+        self._connection = open_database(self._folder, log)
+        self.incarnation: str = incarnation_of(self._connection)
+        self.is_damaged = False
+        self._jobs: deque[_Job[Any]] = deque()
+        self._jobs_changed = threading.Condition()
+        self._is_closing = False
+        self._thread = threading.Thread(target=self._run_jobs, name="storage", daemon=True)
+        self._thread.start()
+
+    async def write(self, statements: Sequence[Statement]) -> None:
+        """Run `statements` as one atomic change; return once it is synced. Raises StorageError."""
+
+        def work(connection: sqlite3.Connection) -> None:
+            for sql, values in statements:
+                connection.execute(sql, values)
+
+        await self.transact(work)
+
+    async def query(self, sql: str, args: tuple[Any, ...] = ()) -> list[Row]:
+        """Return the rows of a query, which sees every write that was awaited before. Raises StorageError."""
+        return await self.transact(lambda connection: connection.execute(sql, args).fetchall())
+
+    async def transact(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
+        """Run `work` on the storage thread inside a transaction; return its result once that is synced.
+
+        `work` may be run twice (its first effects being rolled back) and must not begin or end transactions. Raises
+        StorageError; the write may have been committed all the same.
+        """
+        if self._is_disk_unresponsive():
+            raise StorageError("the disk does not answer")
+        loop = asyncio.get_running_loop()
+        job: _Job[Result] = _Job(work, loop, loop.create_future())
+        with self._jobs_changed:
+            if self._is_closing:
+                raise StorageError("the storage is closed")
+            if len(self._jobs) >= MAX_PENDING_JOBS:
+                raise StorageError("too many reads and writes wait for the disk")
+            self._jobs.append(job)
+            self._jobs_changed.notify()
+        return await job.future
+
+    def close(self) -> None:
+        """End the thread once all pending jobs are done, and close the database."""
+        with self._jobs_changed:
+            self._is_closing = True
+            self._jobs_changed.notify()
+        self._thread.join()
+        self._connection.close()
+        sync_folder(self._folder)
+
+    def _is_disk_unresponsive(self) -> bool:
+        started_s = self._commit_started_s
+        return started_s is not None and self._clock() - started_s > MAX_COMMIT_S
+
+    def _run_jobs(self) -> None:
+        """The storage thread: take the pending jobs, commit them together, deliver the results."""
+        while True:
+            with self._jobs_changed:
+                while not self._jobs and not self._is_closing:
+                    self._jobs_changed.wait()
+                if not self._jobs:
+                    return
+                group = [self._jobs.popleft() for _ in range(min(len(self._jobs), MAX_JOBS_IN_COMMIT))]
+            if not self._commit(group) and len(group) > 1:
+                for job in group:
+                    self._commit([job])
+            self._deliver(group)
+
+    def _commit(self, group: list[_Job[Any]]) -> bool:
+        """Run the jobs of `group` in one transaction; set their results or error. Return whether it was committed."""
+        self._commit_started_s = self._clock()
+        try:
+            if self.is_damaged:
+                raise StorageDamagedError("the database is damaged")
+            self._connection.execute("BEGIN")
+            for job in group:
+                job.error = None
+                job.result = job.work(self._connection)
+            self._connection.execute("COMMIT")
+        except Exception as error:
+            translated = self._translate(error)
+            for job in group:
+                job.error = translated
+            self._roll_back()
+            return False
+        finally:
+            self._commit_started_s = None
+        return True
+
+    def _translate(self, error: Exception) -> Exception:
+        """Return the error to raise for what went wrong on the storage thread; damage is handled as such."""
+        if not isinstance(error, (sqlite3.Error, OSError)):
+            return error
+        if isinstance(error, sqlite3.Error) and is_damage(error):
+            self._handle_damage(error)
+            return StorageDamagedError(str(error))
+        return StorageError(str(error))
+
+    def _handle_damage(self, error: sqlite3.Error) -> None:
+        self.is_damaged = True
+        self._log(f"the database in {self._folder} is damaged ({error}): the next start sets it aside")
+        try:
+            mark_damaged(self._folder)
+        except OSError as failure:
+            self._log(f"the damage could not be noted in {self._folder}: {failure}")
+        self._on_damaged()
+
+    def _roll_back(self) -> None:
+        try:
+            if self._connection.in_transaction:
+                self._connection.execute("ROLLBACK")
+        except sqlite3.Error as error:
+            self._log(f"a transaction in {self._folder} could not be undone: {error}")
+
+    @staticmethod
+    def _deliver(group: list[_Job[Any]]) -> None:
+        """Hand the results to the event loops, with one wake-up for each loop."""
+        by_loop: dict[asyncio.AbstractEventLoop, list[_Job[Any]]] = {}
+        for job in group:
+            by_loop.setdefault(job.loop, []).append(job)
+        for loop, jobs in by_loop.items():
+            try:
+                loop.call_soon_threadsafe(_resolve, jobs)
+            except RuntimeError:
+                continue  # that loop has ended: nobody waits for these results
+
+
+def _resolve(jobs: list[_Job[Any]]) -> None:
+    """Resolve the futures of `jobs`, on their own event loop."""
+    for job in jobs:
+        if job.future.done():
+            continue
+        if job.error is not None:
+            job.future.set_exception(job.error)
+        else:
+            job.future.set_result(job.result)
--- a/tests/controlplane/test_names_of_earlier_releases.py
+++ b/tests/controlplane/test_names_of_earlier_releases.py
@@ -8,7 +8,7 @@
 
 def test_a_new_release_finds_the_files_of_an_earlier_one():
     assert storage.DATABASE_NAME == "keeper.sqlite3"
-    assert storage.DAMAGED_MARK == "keeper.damaged"
+    assert storage.DAMAGED_MARKER_NAME == "keeper.damaged"
 
 
 def test_heartbeats_and_grants_keep_their_words():
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -7,15 +7,17 @@
 import pytest
 
 from dewpin.consensus import Ballot, Conflict
-from dewpin.controlplane import storage as storage_module
 from dewpin.controlplane.storage import (
     DATABASE_NAME,
+    MAX_COMMIT_S,
     SchemaTooNewError,
     Storage,
     StorageDamagedError,
     StorageError,
-    incarnation,
+    read_incarnation,
+    schema,
 )
+from dewpin.controlplane.storage import storage as storage_module
 from dewpin.controlplane.store import ledger_replica
 
 INSERT = "INSERT INTO meta (name, value) VALUES (?, ?)"
@@ -33,7 +35,7 @@
     return [(INSERT, (name, value))]
 
 
-def test_a_read_after_an_awaited_write_sees_it(storage):
+def test_query_sees_awaited_write(storage):
     async def scene():
         await storage.write(put("a", "1"))
         return await storage.query(SELECT, ("a",))
@@ -41,7 +43,7 @@
     assert asyncio.run(scene()) == [("1",)]
 
 
-def test_writes_that_wait_together_share_a_commit(storage):
+def test_pending_writes_share_a_commit(storage):
     commits = []
     storage._connection.set_trace_callback(lambda sql: commits.append(sql) if sql == "COMMIT" else None)
 
@@ -53,7 +55,7 @@
     assert len(commits) < 50
 
 
-def test_a_write_that_fails_leaves_those_beside_it_whole(storage):
+def test_failed_write_leaves_others_of_its_group_committed(storage):
     async def scene():
         results = await asyncio.gather(
             storage.write(put("a")),
@@ -68,7 +70,7 @@
     assert rows == [("a",), ("c",)]
 
 
-def test_a_full_disk_rejects_the_writes_it_cannot_hold_and_serves_the_rest(storage):
+def test_full_disk_rejects_large_writes_and_serves_the_rest(storage):
     async def scene():
         await storage.write(put("a", "kept"))
         pages = (await storage.query("PRAGMA page_count"))[0][0]
@@ -83,7 +85,7 @@
     assert asyncio.run(scene()) == [("kept",)]
 
 
-def test_a_copy_of_the_files_of_a_killed_process_holds_every_finished_write(storage, tmp_path):
+def test_files_of_killed_process_have_every_acknowledged_write(storage, tmp_path):
     async def scene():
         for number in range(50):
             await storage.write(put(f"n{number}"))
@@ -99,7 +101,7 @@
         copy.close()
 
 
-def test_a_torn_tail_of_the_log_loses_only_what_was_never_acknowledged(storage, tmp_path):
+def test_torn_write_ahead_log_loses_no_acknowledged_write(storage, tmp_path):
     asyncio.run(storage.write(put("a")))
     shutil.copytree(tmp_path / "data", tmp_path / "copy")
     with (tmp_path / "copy" / f"{DATABASE_NAME}-wal").open("ab") as log:
@@ -111,7 +113,7 @@
         copy.close()
 
 
-def test_a_silent_disk_does_not_hold_the_event_loop(storage):
+def test_unresponsive_disk_does_not_block_the_event_loop(storage):
     import threading
 
     go_on = threading.Event()
@@ -129,7 +131,7 @@
     assert asyncio.run(scene()) is True
 
 
-def test_a_disk_that_answers_nothing_for_long_has_new_jobs_refused_until_it_is_back(tmp_path):
+def test_jobs_are_rejected_while_disk_is_unresponsive(tmp_path):
     import threading
 
     now_s = [100.0]
@@ -143,7 +145,7 @@
     async def scene():
         slow = asyncio.ensure_future(storage.transact(stall))
         await asyncio.to_thread(begun.wait, 10)
-        now_s[0] += storage_module.MOST_COMMIT_S
+        now_s[0] += MAX_COMMIT_S
         patient = asyncio.ensure_future(storage.write(put("patient")))
         await asyncio.sleep(0)
         now_s[0] += 0.1
@@ -161,11 +163,11 @@
         storage.close()
 
 
-def test_too_many_waiting_jobs_are_refused(storage, monkeypatch):
-    monkeypatch.setattr(storage_module, "MOST_WAITING", 3)
+def test_too_many_pending_jobs_are_rejected(storage, monkeypatch):
+    monkeypatch.setattr(storage_module, "MAX_PENDING_JOBS", 3)
 
     async def scene():
-        with storage._ready:
+        with storage._jobs_changed:
             pass
         results = await asyncio.gather(*(storage.write(put(f"n{i}")) for i in range(2000)), return_exceptions=True)
         return [result for result in results if isinstance(result, StorageError)]
@@ -173,30 +175,29 @@
     assert asyncio.run(scene())
 
 
-def test_the_incarnation_stays_with_the_folder(tmp_path):
-    first = incarnation(tmp_path / "a")
-    assert incarnation(tmp_path / "a") == first
-    assert incarnation(tmp_path / "b") != first
+def test_incarnation_is_kept_by_the_folder(tmp_path):
+    first = read_incarnation(tmp_path / "a")
+    assert read_incarnation(tmp_path / "a") == first
+    assert read_incarnation(tmp_path / "b") != first
     assert len(first) == 16
 
 
-def test_a_file_that_is_no_database_is_set_aside_as_a_lost_disk(tmp_path):
-    first = incarnation(tmp_path)
+def test_file_that_is_no_database_is_set_aside(tmp_path):
+    first = read_incarnation(tmp_path)
     (tmp_path / DATABASE_NAME).write_bytes(b"not a database at all" * 1000)
-    told = []
-    opened = Storage(tmp_path, log=told.append)
+    logged = []
+    opened = Storage(tmp_path, log=logged.append)
     try:
         assert opened.incarnation != first
-        assert "damaged" in told[0]
+        assert "damaged" in logged[0]
         assert [path for path in tmp_path.iterdir() if ".damaged-" in path.name]
     finally:
         opened.close()
 
 
-def test_damage_met_while_running_is_told_and_set_aside_at_the_next_start(tmp_path):
-    told = []
-    opened = Storage(tmp_path, log=told.append)
-    opened.on_damaged = lambda: told.append("ended")
+def test_damage_found_while_running_is_reported_and_set_aside_at_next_start(tmp_path):
+    logged = []
+    opened = Storage(tmp_path, log=logged.append, on_damaged=lambda: logged.append("ended"))
     first = opened.incarnation
 
     def broken(connection):
@@ -210,12 +211,12 @@
 
     asyncio.run(scene())
     opened.close()
-    assert opened.damaged and told[-1] == "ended"
-    assert incarnation(tmp_path) != first
+    assert opened.is_damaged and logged[-1] == "ended"
+    assert read_incarnation(tmp_path) != first
 
 
-def test_a_database_of_a_newer_release_is_refused_and_left_alone(tmp_path):
-    first = incarnation(tmp_path)
+def test_database_of_newer_release_is_rejected_unchanged(tmp_path):
+    first = read_incarnation(tmp_path)
     connection = sqlite3.connect(tmp_path / DATABASE_NAME)
     connection.execute("PRAGMA user_version = 999")
     connection.close()
@@ -226,18 +227,18 @@
     connection.close()
 
 
-def test_each_schema_but_the_last_leads_to_the_next_one():
-    assert sorted(storage_module._MIGRATIONS) == list(range(storage_module.SCHEMA_VERSION))
+def test_every_schema_version_before_the_last_has_a_migration():
+    assert sorted(schema.MIGRATIONS) == list(range(schema.SCHEMA_VERSION))
 
 
-def test_an_older_database_is_migrated_and_keeps_what_it_holds(tmp_path, monkeypatch):
+def test_older_database_is_migrated_with_its_content(tmp_path, monkeypatch):
     opened = Storage(tmp_path)
     first = opened.incarnation
     asyncio.run(opened.write(put("a", "kept")))
     opened.close()
-    monkeypatch.setattr(storage_module, "SCHEMA_VERSION", storage_module.SCHEMA_VERSION + 1)
-    step = {storage_module.SCHEMA_VERSION - 1: ("CREATE TABLE later (x)",)}
-    monkeypatch.setattr(storage_module, "_MIGRATIONS", {**storage_module._MIGRATIONS, **step})
+    monkeypatch.setattr(schema, "SCHEMA_VERSION", schema.SCHEMA_VERSION + 1)
+    step = {schema.SCHEMA_VERSION - 1: ("CREATE TABLE later (x)",)}
+    monkeypatch.setattr(schema, "MIGRATIONS", {**schema.MIGRATIONS, **step})
     opened = Storage(tmp_path)
     try:
         assert opened.incarnation == first
@@ -247,7 +248,7 @@
         opened.close()
 
 
-def test_a_database_that_ended_before_its_schema_was_kept_is_begun_anew(tmp_path):
+def test_database_without_schema_is_created_anew(tmp_path):
     (tmp_path / DATABASE_NAME).touch()
     opened = Storage(tmp_path)
     try:
@@ -256,7 +257,7 @@
         opened.close()
 
 
-def test_a_promise_survives_the_kill_of_its_process(storage, tmp_path):
+def test_promise_survives_kill_of_its_process(storage, tmp_path):
     first, later = Ballot(2, "x"), Ballot(3, "y")
     asyncio.run(storage.transact(lambda connection: ledger_replica.prepare(connection, "p", later, 0)))
     shutil.copytree(tmp_path / "data", tmp_path / "copy")
--- a/tests/scripted/disk.py
+++ b/tests/scripted/disk.py
@@ -3,8 +3,8 @@
 import asyncio
 import sqlite3
 
-from dewpin.controlplane import storage as storage_module
 from dewpin.controlplane.storage import StorageError
+from dewpin.controlplane.storage.schema import migrate
 
 FOREVER_S = 1e6
 NO_ROOM = "database or disk is full"
@@ -15,7 +15,7 @@
 
     def __init__(self):
         self.connection = sqlite3.connect(":memory:", isolation_level=None, check_same_thread=False)
-        storage_module._migrate(self.connection)
+        migrate(self.connection)
         self.full = False
         self._changes = 0
 
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -8,8 +8,8 @@
 from collections import deque
 from contextvars import Context
 
-from dewpin.controlplane import storage as storage_module
-from dewpin.controlplane.storage import MOST_COMMIT_S, MOST_IN_COMMIT, StorageError
+from dewpin.controlplane.storage import MAX_COMMIT_S, MAX_JOBS_IN_COMMIT, StorageError
+from dewpin.controlplane.storage.schema import migrate
 
 SYNC_S = 0.0005
 
@@ -30,7 +30,7 @@
         self._commit_since_s = None
         self._run = 0
         self._connection = sqlite3.connect(":memory:", isolation_level=None)
-        storage_module._migrate(self._connection)
+        migrate(self._connection)
         self._connection.execute("UPDATE meta SET value = ? WHERE name = 'incarnation'", (incarnation,))
 
     async def write(self, statements):
@@ -45,7 +45,7 @@
 
     async def transact(self, work):
         since_s = self._commit_since_s
-        if since_s is not None and self._loop.now - since_s > MOST_COMMIT_S:
+        if since_s is not None and self._loop.now - since_s > MAX_COMMIT_S:
             raise StorageError("the disk does not answer")
         future = self._loop.create_future()
         self._pending.append((work, future))
@@ -76,7 +76,7 @@
     def _begin(self):
         self._run += 1
         self._commit_since_s = self._loop.now
-        self._committing = [self._pending.popleft() for _ in range(min(len(self._pending), MOST_IN_COMMIT))]
+        self._committing = [self._pending.popleft() for _ in range(min(len(self._pending), MAX_JOBS_IN_COMMIT))]
         if self.acknowledges_early:
             for work, future in self._committing:
                 self._tell(future, *self._attempt(work))
