--- a/tests/dataplane/conftest.py
+++ b/tests/dataplane/conftest.py
@@ -1,8 +1,8 @@
 """Fixtures of the data plane's tests."""
 
 import pytest
-from dataplane.ingress_world import Server
-from dataplane.upstream_caller import Caller
+from dataplane.ingress_harness import Server
+from dataplane.receiver_caller import Caller
 
 
 @pytest.fixture
--- a/tests/dataplane/test_balancing.py
+++ b/tests/dataplane/test_balancer.py
@@ -27,12 +27,12 @@
     return balancer, [balancer.acquire(wanted(0.0)) for _ in range(2)]
 
 
-def test_who_may_not_wait_gets_no_place():
+def test_request_that_may_not_wait_gets_no_slot():
     balancer, _ = full_balancer()
     assert isinstance(balancer.acquire(wanted(0.0)), NoSlot)
 
 
-def test_a_wait_ends_at_its_time():
+def test_wait_for_slot_ends_at_wait_until():
     now = [10.0]
 
     def clock():
@@ -44,7 +44,7 @@
     assert now[0] >= 11.0
 
 
-def test_a_place_given_back_goes_to_the_thread_that_waits():
+def test_released_slot_goes_to_waiting_thread():
     balancer, places = full_balancer()
     got = []
     waiting = threading.Thread(target=lambda: got.append(balancer.acquire(wanted(time.monotonic() + PATIENCE_S))))
@@ -54,7 +54,7 @@
     assert [type(place) for place in got] == [Slot]
 
 
-def test_a_place_is_given_back_once():
+def test_slot_released_twice_is_freed_once():
     balancer, places = full_balancer()
     places[0].release()
     places[0].release()
@@ -62,7 +62,7 @@
     assert isinstance(balancer.acquire(wanted(0.0)), NoSlot)
 
 
-def test_a_receiver_that_is_listed_later_is_used():
+def test_receiver_listed_later_gets_calls():
     state = ClusterState()
     balancer = Balancer(state, "here", time.monotonic)
     assert isinstance(balancer.acquire(wanted(0.0)), NoSlot)
@@ -70,7 +70,7 @@
     assert isinstance(balancer.acquire(wanted(0.0)), Slot)
 
 
-def test_no_place_is_lost_or_given_twice_by_many_threads():
+def test_many_threads_neither_lose_nor_share_slots():
     capacity = 4
     balancer = Balancer(ClusterState(receivers={SERVICE: (receiver("a", capacity),)}), "here", time.monotonic)
     lock = threading.Lock()
--- a/tests/dataplane/test_call_endings.py
+++ b/tests/dataplane/test_call_endings.py
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("ending", ENDINGS, ids=lambda ending: ending.name)
-def test_what_follows_the_end_of_a_call(ending, kind):
+def test_call_ending_has_the_documented_consequence(ending, kind):
     follows = ending.follows[KINDS.index(kind)]
     first, second = ScriptedReceiver(ending.script, id="i-1"), second_receiver()
     silent = TIMED_OUT in ending.follows
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("ending", ENDINGS, ids=lambda ending: ending.name)
-def test_what_follows_the_end_of_a_call_on_a_used_connection(ending, kind, monkeypatch):
+def test_call_ending_on_reused_connection_has_the_documented_consequence(ending, kind, monkeypatch):
     """A connection that served a call before proves no more and no less.
 
     Where it ends without a byte of an answer, what may run twice goes to the same receiver again, on a new connection.
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_client_disconnects.py
@@ -5,7 +5,6 @@
 import time
 
 import pytest
-from dataplane.path_world import Path, read
 from dataplane.peers import (
     PATIENCE_S,
     STREAM_FIELDS,
@@ -18,6 +17,7 @@
     reset,
     whole,
 )
+from dataplane.request_handler_harness import Path, read
 
 from dewpin.dataplane.ingress.client_connection import ClientConnection
 from dewpin.dataplane.upstream.call import Call
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("begin", [nothing, half_a_head, half_a_body, half_of_the_chunks])
-def test_a_repeatable_request_ends_at_its_receiver_soon_after_its_client_has_left(begin, client):
+def test_idempotent_call_is_aborted_when_client_disconnects(begin, client):
     work = Work(begin)
     peer = ScriptedReceiver(work)
     with receivers(peer) as listed:
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("begin", [nothing, half_a_body])
-def test_a_request_that_must_not_be_repeated_goes_on_without_its_client(begin, client):
+def test_non_idempotent_call_continues_when_client_disconnects(begin, client):
     begun, go_on = threading.Event(), threading.Event()
 
     def work(connection, got):
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
-def test_nothing_is_sent_for_a_client_that_has_left_already(kind, client):
+def test_request_of_disconnected_client_is_not_sent(kind, client):
     peer = ScriptedReceiver(whole())
     client.leave()
     with receivers(peer) as listed:
@@ -112,7 +112,7 @@
     assert path.path.metrics.attempts == 0
 
 
-def test_a_client_that_leaves_in_a_pause_gets_no_repeat(client):
+def test_client_that_disconnects_during_backoff_gets_no_retry(client):
     peers = [ScriptedReceiver(reset, id=name) for name in ("i-1", "i-2")]
     with receivers(*peers) as listed:
         path = Path(listed, kind="idempotent", retries=3)
@@ -133,7 +133,7 @@
 """The calls that a receiver with one slot is given by a patient route."""
 
 
-def test_a_client_that_leaves_while_its_request_waits_for_a_place_gives_up_the_wait(client):
+def test_client_that_disconnects_while_request_is_queued_ends_the_wait(client):
     begun, go_on = threading.Semaphore(0), threading.Event()
 
     def hold(connection, got):
@@ -160,7 +160,7 @@
     assert len(peer.requests) == MOST_CALLS
 
 
-def test_nothing_is_sent_over_a_connection_that_came_up_after_the_client_had_left(client):
+def test_connection_established_after_client_disconnected_carries_nothing(client):
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
         path = Path([receiver], kind="idempotent")
@@ -192,20 +192,20 @@
     made.ours.close()
 
 
-def test_a_client_that_has_sent_its_next_request_has_not_gone(connection):
+def test_pipelining_client_is_not_disconnected(connection):
     assert not connection.ours.has_disconnected()
     connection.theirs.sendall(b"GET /next HTTP/1.1\r\n")
     assert not connection.ours.has_disconnected()
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /next HTTP/1.1\r\n"])
-def test_a_client_that_closed_has_gone_whatever_it_has_sent(connection, sent):
+def test_client_that_closed_is_disconnected_even_with_unread_bytes(connection, sent):
     connection.theirs.sendall(sent)
     connection.theirs.close()
     assert connection.ours.has_disconnected()
 
 
-def test_a_call_goes_on_for_a_client_that_has_sent_its_next_request(connection):
+def test_call_continues_for_pipelining_client(connection):
     begun, go_on = threading.Event(), threading.Event()
 
     def answer(receiving, got):
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /next HTTP/1.1\r\n\r\n"])
-def test_a_call_ends_when_its_client_leaves_whatever_it_has_sent(connection, sent):
+def test_call_is_aborted_when_client_disconnects_even_with_unread_bytes(connection, sent):
     work = Work(nothing)
     with receivers(ScriptedReceiver(work)) as listed:
         path = Path(listed, kind="idempotent", timeout_ms=LONG_MS)
@@ -239,7 +239,7 @@
         assert not serving.is_alive()
 
 
-def test_a_client_that_ended_its_sending_alone_is_answered_without_a_promise(connection):
+def test_half_closed_client_gets_response_without_promise(connection):
     """Nothing tells it apart from one that closed, so its call ends; it gets an answer that is true."""
     work = Work(nothing)
     answers = []
@@ -253,7 +253,7 @@
     assert [answer.status for answer in answers] == [502]
 
 
-def test_a_stream_whose_client_pipelined_and_left_ends_at_its_receiver(connection):
+def test_stream_is_aborted_when_pipelining_client_disconnects(connection):
     work = Work(half_of_the_chunks)
     connection.theirs.sendall(b"GET /next HTTP/1.1\r\n\r\n")
     with receivers(ScriptedReceiver(work)) as listed:
--- a/tests/dataplane/test_early_answers.py
+++ b/tests/dataplane/test_early_responses.py
@@ -41,7 +41,7 @@
 @pytest.mark.parametrize("then", ["reads on", "resets"])
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize(("name", "make", "follows", "status"), EARLY, ids=[row[0] for row in EARLY])
-def test_an_answer_before_the_body_is_read_counts_and_ends_the_connection(name, make, follows, status, kind, then):
+def test_response_before_body_was_read_counts_and_closes_connection(name, make, follows, status, kind, then):
     """Whoever reads on later gets the rest of that body or the end of the connection, and no other bytes."""
     answered = threading.Event()
     read_on: list[bytes] = []
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_early_answer_without_a_length_that_is_reset_is_not_whole(kind):
+def test_reset_early_response_without_length_is_incomplete(kind):
     """The reset may be met by sending the rest of the body; what is read then ends as if the connection were closed."""
 
     def answer_early(sock):
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_answer_that_waits_for_the_rest_of_the_body_gets_it(kind):
+def test_receiver_that_waits_for_rest_of_body_gets_it(kind):
     """The head of an answer may come early and its body only once the request was read whole."""
 
     def answer_head_first(sock):
--- a/tests/dataplane/test_streams.py
+++ b/tests/dataplane/test_event_relay.py
@@ -60,13 +60,13 @@
     return parts, False
 
 
-def test_events_are_passed_on_part_by_part_as_they_come():
+def test_events_are_forwarded_as_they_arrive():
     made = relay(ScriptedSource(event(1), event(2) + event(3)))
     assert passed_on(made) == ([event(1), event(2) + event(3)], False)
     assert made.closings == [True]
 
 
-def test_an_event_is_passed_on_once_it_is_whole():
+def test_event_is_forwarded_once_complete():
     whole = event(1) + event(2)
     made = relay(ScriptedSource(whole[:5], whole[5:25], whole[25:]))
     parts, broken = passed_on(made)
@@ -75,29 +75,29 @@
     assert all(part.endswith(b"\n\n") for part in parts)
 
 
-def test_bytes_after_the_last_event_of_a_whole_body_are_passed_on():
+def test_bytes_after_last_event_of_complete_body_are_forwarded():
     assert passed_on(relay(ScriptedSource(event(1), b"data: rest"))) == ([event(1), b"data: rest"], False)
 
 
-def test_a_body_without_events_ends_whole():
+def test_body_without_events_is_complete():
     assert passed_on(relay(ScriptedSource())) == ([], False)
 
 
-def test_a_cut_before_the_first_event_is_told_and_nothing_was_passed_on():
+def test_break_before_first_event_raises_and_forwards_nothing():
     made = EventRelay(ScriptedSource(b"id: 1\nda", cut=Outcome.RESET), Resumptions(), None, lambda: 1.0, print)
     with pytest.raises(IncompleteResponseError) as told:
         made.read_first_events()
     assert told.value.outcome is Outcome.RESET
 
 
-def test_a_cut_that_may_not_be_picked_up_breaks_the_body_off():
+def test_break_without_resumption_makes_body_incomplete():
     source = ScriptedSource(event(1), b"id: 2\ndata: ha", cut=Outcome.RESET)
     made = relay(source)
     assert passed_on(made) == ([event(1)], True)
     assert made.closings == [False]
 
 
-def test_a_cut_stream_goes_on_from_the_last_whole_event():
+def test_broken_stream_is_resumed_after_last_complete_event():
     resume = Resumptions(ScriptedSource(event(2), event(3)))
     made = relay(ScriptedSource(event(1), b"id: 2\ndata: ha", cut=Outcome.RESET), resume)
     assert passed_on(made) == ([event(1), event(2), event(3)], False)
@@ -105,20 +105,20 @@
     assert made.closings == [True]
 
 
-def test_a_stream_can_be_picked_up_more_than_once():
+def test_stream_can_be_resumed_repeatedly():
     resume = Resumptions(ScriptedSource(cut=Outcome.CLOSED), ScriptedSource(event(2), cut=Outcome.RESET))
     made = relay(ScriptedSource(event(1), cut=Outcome.CLOSED), resume)
     assert passed_on(made) == ([event(1), event(2)], True)
     assert [last for last, _ in resume.asked] == ["1", "1", "2"]
 
 
-def test_events_that_the_client_has_are_not_repeated():
+def test_forwarded_events_are_not_repeated_after_resumption():
     resume = Resumptions(ScriptedSource(event(9) + event(10), event(11)))
     made = relay(ScriptedSource(event(9), event(10), cut=Outcome.RESET), resume)
     assert passed_on(made) == ([event(9), event(10), event(11)], False)
 
 
-def test_closing_early_closes_the_receiver_and_settles_once():
+def test_closing_early_closes_source_and_settles_once():
     store = MemoryStore()
     turn = open_turn(store)
     source = ScriptedSource(event(1), event(2))
@@ -134,7 +134,7 @@
     assert store.settled == [("r-1", 10)]
 
 
-def test_a_relay_that_was_never_read_still_settles():
+def test_unread_relay_settles_when_closed():
     store = MemoryStore()
     made = relay(ScriptedSource(event(1)), turn=open_turn(store))
     made.close()
@@ -151,7 +151,7 @@
     return turn
 
 
-def test_a_turn_is_stored_before_the_end_is_passed_on():
+def test_turn_is_stored_before_end_is_forwarded():
     store = MemoryStore()
     steps = []
     store.on_append = lambda turn: steps.append("stored")
@@ -164,7 +164,7 @@
     assert store.settled == [("r-1", 20)]
 
 
-def test_a_turn_that_cannot_be_stored_does_not_end_whole():
+def test_body_is_incomplete_if_turn_cannot_be_stored():
     store = MemoryStore(fails=["append"])
     made = relay(ScriptedSource(event(1)), turn=open_turn(store))
     assert passed_on(made) == ([event(1)], True)
@@ -172,7 +172,7 @@
     assert made.closings == [False]
 
 
-def test_a_broken_turn_is_not_stored():
+def test_incomplete_turn_is_not_stored():
     store = MemoryStore()
     made = relay(ScriptedSource(event(1), cut=Outcome.RESET), turn=open_turn(store))
     assert passed_on(made) == ([event(1)], True)
@@ -180,7 +180,7 @@
     assert store.settled == [("r-1", 10)]
 
 
-def test_a_turn_that_was_picked_up_is_stored_with_every_event_once():
+def test_resumed_turn_is_stored_with_each_event_once():
     store = MemoryStore()
     resume = Resumptions(ScriptedSource(event(1), event(2)))
     made = relay(ScriptedSource(event(1), cut=Outcome.RESET), resume, open_turn(store))
@@ -189,7 +189,7 @@
     assert store.settled == [("r-1", 20)]
 
 
-def test_a_connection_that_ends_in_the_midst_of_an_event_broke_off():
+def test_connection_closed_within_event_breaks_stream():
     cut_in_event = event(1) + event(2)[:-3]
     assert passed_on(relay(ScriptedSource(cut_in_event, ends_by_close=True))) == ([event(1)], True)
     resumed = Resumptions(ScriptedSource(event(2)))
@@ -197,5 +197,5 @@
     assert resumed.asked == [("1", Outcome.CLOSED)]
 
 
-def test_a_connection_that_ends_after_an_event_ends_a_stream_that_has_no_other_end():
+def test_connection_closed_after_event_ends_unframed_stream():
     assert passed_on(relay(ScriptedSource(event(1), ends_by_close=True))) == ([event(1)], False)
--- a/tests/dataplane/test_events.py
+++ b/tests/dataplane/test_event_splitter.py
@@ -24,12 +24,12 @@
         (b"data: a: b\n\n", None, b"a: b"),
     ],
 )
-def test_the_fields_of_an_event(raw, event_id, data):
+def test_fields_of_event_are_parsed(raw, event_id, data):
     event = parse_event(raw)
     assert (event.raw, event.id, event.data) == (raw, event_id, data)
 
 
-def test_an_event_counts_only_once_it_is_whole():
+def test_event_is_returned_once_complete():
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: wo") == []
     assert splitter.feed(b"rd\n") == []
@@ -37,7 +37,7 @@
     assert splitter.feed(b"ta: x\n\n")[0].id == "2"
 
 
-def test_the_rest_of_a_whole_body_is_an_event_too():
+def test_flush_returns_rest_of_complete_body_as_event():
     splitter = EventSplitter()
     splitter.feed(b"data: last")
     assert [event.data for event in splitter.flush()] == [b"last"]
@@ -48,7 +48,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_parts_of_any_size_give_the_same_events(cuts):
+def test_events_are_independent_of_read_sizes(cuts):
     places = [0, *sorted(cuts), len(STREAM)]
     splitter = EventSplitter()
     events = []
--- a/tests/dataplane/test_rough_receivers.py
+++ b/tests/dataplane/test_faulty_receivers.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 import pytest
-from dataplane.ingress_world import Client
+from dataplane.ingress_harness import Client
 from dataplane.peers import (
     END,
     HOST,
--- a/tests/dataplane/test_stop_in_time.py
+++ b/tests/dataplane/test_graceful_shutdown.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("grace_s", [0.6, 1.0, 2.0, 3.0, 4.0, 8.0, 30.0])
-def test_requests_under_way_are_not_cut_before_the_last_sixth_of_the_grace(grace_s):
+def test_requests_in_progress_are_not_cut_before_last_sixth_of_grace(grace_s):
     assert LAST_SIXTH * grace_s < drain_s(grace_s) < grace_s
 
 
@@ -51,12 +51,12 @@
     return sender.agent
 
 
-def test_the_last_turns_are_settled_before_the_process_exits():
+def test_last_turns_are_settled_before_process_exits():
     """Otherwise their programs' budgets hold the most of these turns for good, and 402 comes too soon."""
     stores = SlowStores()
     assert stopped_sender(stores, 1.0).is_stopped
     assert stores.is_settled
 
 
-def test_stores_that_do_not_answer_do_not_hold_up_the_exit():
+def test_unresponsive_stores_do_not_delay_exit():
     assert stopped_sender(SlowStores(dark=True), 0.02).is_stopped
--- a/tests/dataplane/test_idle_limit.py
+++ b/tests/dataplane/test_idle_limit.py
@@ -7,7 +7,7 @@
 
 import pytest
 from dataplane.peers import PATIENCE_S, ScriptedReceiver, close, receivers, refusal, reset, whole
-from dataplane.upstream_caller import Caller
+from dataplane.receiver_caller import Caller
 
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.upstream.connection_pool import ConnectionPool
@@ -19,7 +19,7 @@
 TOLD = "Keep-Alive: timeout=5"
 
 
-def test_what_may_be_repeated_uses_a_connection_as_long_as_it_is_kept():
+def test_idempotent_call_may_use_connection_for_its_whole_keep_alive():
     limit = IdleLimit()
     limit.record_stale_connection(0.4, 0.0)
     assert limit.allows(KEPT_S - 0.01, KEPT_S, True, 1.0)
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.parametrize(("kept_s", "longest_s"), [(KEPT_S, MAX_IDLE_S), (1.0, 0.85), (0.5, 0.425)])
-def test_what_must_not_be_repeated_uses_only_connections_used_lately(kept_s, longest_s):
+def test_non_idempotent_call_uses_only_recently_used_connection(kept_s, longest_s):
     limit = IdleLimit()
     assert limit.allows(longest_s - 0.01, kept_s, False, 0.0)
     assert not limit.allows(longest_s, kept_s, False, 0.0)
 
 
-def test_an_early_end_halves_the_limit_until_it_is_forgotten():
+def test_stale_connection_lowers_limit_for_a_while():
     limit = IdleLimit()
     limit.record_stale_connection(1.2, 0.0)
     limit.record_stale_connection(3.0, 1.0)
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
 @pytest.mark.parametrize("ending", [reset, close])
-def test_a_used_connection_that_ends_at_once_teaches_the_limit_of_its_service(ending, is_idempotent, monkeypatch):
+def test_reused_connection_that_ends_at_once_lowers_limit_of_its_service(ending, is_idempotent, monkeypatch):
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
     call = Caller()
     told = whole(b"", "200 OK", TOLD)
@@ -60,7 +60,7 @@
     assert other.connections == 2
 
 
-def test_a_used_connection_that_ends_later_teaches_nothing_and_the_call_ends(monkeypatch):
+def test_reused_connection_that_ends_later_keeps_limit_and_ends_call(monkeypatch):
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", -1.0)
     call = Caller()
     peer = ScriptedReceiver(whole(b"", "200 OK", TOLD), reset)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("then", ["refuses", "is gone"])
-def test_a_call_that_goes_on_anew_and_surely_does_not_run_there_may_have_run_before(then, monkeypatch):
+def test_call_repeated_on_new_connection_without_effect_may_still_have_run_before(then, monkeypatch):
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
 
     def reset_and_go(connection, got):
@@ -93,7 +93,7 @@
         peer.close()
 
 
-def test_a_connection_found_closed_before_its_use_teaches_nothing():
+def test_connection_found_closed_before_use_keeps_limit():
     def answer_and_close(connection, got):
         whole(b"", "200 OK", TOLD)(connection, got)
         return True
@@ -172,7 +172,7 @@
         (GROWN, TRUE_WORD, 1.1, 0.0),
     ],
 )
-def test_the_limit_saves_calls_at_a_bounded_price_in_connections(site, forgets_after_s, most_connects, most_lost):
+def test_limit_saves_calls_at_bounded_cost_in_connections(site, forgets_after_s, most_connects, most_lost):
     """Both bounds are shares of what the limit of before gave, which was 0.85 of the time told."""
     before_connects, before_lost = days(0.85 * KEPT_S, site, forgets_after_s)
     connects, lost = days(None, site, forgets_after_s)
@@ -239,26 +239,26 @@
     return kept, older, newer
 
 
-def test_a_call_that_may_be_repeated_leaves_the_young_connections_to_those_that_must_not():
+def test_idempotent_call_takes_oldest_connection():
     kept, older, newer = two_idle(HandClock())
     assert kept.take(is_idempotent=True) is older
     assert kept.take(is_idempotent=False) is newer
 
 
-def test_a_call_that_must_not_be_repeated_takes_the_newest_connection():
+def test_non_idempotent_call_takes_newest_connection():
     kept, older, newer = two_idle(HandClock())
     assert kept.take(is_idempotent=False) is newer
     assert not older.closed
 
 
-def test_all_calls_take_the_newest_connection_while_receivers_forget_early():
+def test_all_calls_take_newest_connection_while_limit_is_lowered():
     limit = IdleLimit()
     limit.record_stale_connection(1.2, 0.0)
     kept, _, newer = two_idle(HandClock(), limit)
     assert kept.take(is_idempotent=True) is newer
 
 
-def test_an_old_connection_that_the_receiver_keeps_no_more_is_passed_over():
+def test_expired_connection_is_closed_and_passed_over():
     clock = HandClock()
     kept, older, newer = two_idle(clock)
     clock.now = KEPT_S
@@ -314,9 +314,7 @@
 
 
 @pytest.mark.parametrize(("forgets_after_s", "most_connects", "most_lost"), [(TRUE_WORD, 0.12, 0), (EARLY, 0.29, 5)])
-def test_calls_that_may_be_repeated_save_new_connections_where_receivers_keep_their_word(
-    forgets_after_s, most_connects, most_lost
-):
+def test_idempotent_calls_save_connects_while_receivers_honour_keep_alive(forgets_after_s, most_connects, most_lost):
     """New connections as a share of the calls: 0.17 and 0.27 where all calls take the newest connection."""
     played = [BusyDay(seed, forgets_after_s).run(50.0) for seed in range(3)]
     connects, lost = sum(day.connects for day in played), sum(day.lost for day in played)
--- a/tests/dataplane/test_ingress.py
+++ b/tests/dataplane/test_ingress_server.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from dataplane.ingress_world import Client, Parts, Server, cluster
+from dataplane.ingress_harness import Client, Parts, Server, cluster
 from dataplane.peers import PATIENCE_S
 
 from dewpin.dataplane.http11.messages import IncompleteBodyError, Response
@@ -12,7 +12,7 @@
 from dewpin.dataplane.ingress.server import IngressServer
 
 
-def test_requests_of_one_connection_are_answered_in_turn(serve):
+def test_requests_of_one_connection_get_responses_in_order(serve):
     server = serve()
     client = server.connect()
     for number in range(3):
@@ -35,7 +35,7 @@
     assert [client.read()[2] for _ in range(3)] == [b"GET //1", b"abcde/2", b"/3"]
 
 
-def test_a_request_that_comes_byte_by_byte(serve):
+def test_request_received_byte_by_byte_is_complete(serve):
     server = serve()
     client = server.connect()
     for byte in b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n":
@@ -58,7 +58,7 @@
         (["POST / HTTP/1.1", "Host: h", "Transfer-Encoding: chunked"], b"1389\r\n" + b"a" * 5001, 413),
     ],
 )
-def test_what_is_not_taken_is_answered_and_the_connection_closed(serve, lines, body, status):
+def test_rejected_request_gets_error_and_close(serve, lines, body, status):
     server = serve()
     client = server.connect()
     client.send(*lines, body=body)
@@ -68,7 +68,7 @@
     assert server.requests == []
 
 
-def test_a_body_and_a_head_of_just_the_limit_are_taken(serve):
+def test_body_and_head_at_the_limit_are_accepted(serve):
     server = serve()
     client = server.connect()
     client.send("POST / HTTP/1.1", "Host: h", "Content-Length: 5000", body=b"a" * 5000)
@@ -80,7 +80,7 @@
     assert client.read()[0] == 431
 
 
-def test_a_client_that_expects_leave_to_go_on_gets_it(serve):
+def test_expect_continue_gets_100(serve):
     server = serve()
     client = server.connect()
     client.send("POST / HTTP/1.1", "Host: h", "Content-Length: 3", "Expect: 100-continue")
@@ -90,14 +90,14 @@
     assert server.requests[0].body == b"abc"
 
 
-def test_a_client_that_expects_leave_for_too_much_is_told_at_once(serve):
+def test_expect_continue_with_oversized_body_gets_413_at_once(serve):
     client = serve().connect()
     client.send("POST / HTTP/1.1", "Host: h", "Content-Length: 6000", "Expect: 100-continue")
     assert client.read()[0] == 413
 
 
 @pytest.mark.parametrize("lines", [["GET / HTTP/1.1", "Host: h", "Connection: close"], ["GET / HTTP/1.0"]])
-def test_a_connection_is_closed_where_the_client_wants_it(serve, lines):
+def test_connection_is_closed_if_client_asks(serve, lines):
     client = serve().connect()
     client.send(*lines)
     code, headers, _ = client.read()
@@ -105,7 +105,7 @@
     assert client.is_closed()
 
 
-def test_head_and_answers_without_a_body(serve):
+def test_responses_without_body_have_no_body(serve):
     answers = {
         "HEAD": Response(200, [("Content-Length", "77")], b""),
         "DELETE": Response(204, [], b""),
@@ -120,14 +120,14 @@
     assert client.read()[2] == b"x"
 
 
-def test_a_slow_head_is_answered_at_its_time(serve):
+def test_slow_head_gets_408_at_time_out(serve):
     client = serve(header_timeout_ms=50).connect()
     client.socket.sendall(b"GET / HTTP/1.1\r\n")
     assert client.read()[0] == 408
     assert client.is_closed()
 
 
-def test_a_connection_at_rest_is_closed_without_a_word_at_its_time(serve):
+def test_idle_connection_is_closed_silently_at_time_out(serve):
     client = serve(idle_timeout_ms=50).connect()
     assert client.is_closed()
 
@@ -147,7 +147,7 @@
         return self._configurations[0]
 
 
-def test_a_connection_at_rest_is_kept_as_long_as_the_newest_limit_says(serve):
+def test_idle_connection_follows_newest_idle_limit(serve):
     server = serve()
     state = ChangingState(cluster(idle_timeout_ms=50).configuration, cluster(idle_timeout_ms=60_000).configuration)
     server.ingress._state = state
@@ -157,7 +157,7 @@
     assert client.read()[0] == 200
 
 
-def test_empty_lines_between_requests_are_no_request(serve):
+def test_empty_lines_between_requests_are_skipped(serve):
     server = serve(header_timeout_ms=100)
     client = server.connect()
     client.send("POST / HTTP/1.1", "Host: h", "Content-Length: 1", body=b"a\r\n\r\n")
@@ -166,7 +166,7 @@
     assert client.read()[0] == 200
 
 
-def test_a_stream_is_passed_on_part_by_part(serve):
+def test_stream_is_forwarded_as_it_arrives(serve):
     go_on = threading.Event()
     body = Parts(b"one", lambda: go_on.wait(PATIENCE_S), b"two")
     client = serve(lambda request: Response(200, [("Content-Type", "text/event-stream")], body)).connect()
@@ -180,7 +180,7 @@
     client.send("GET / HTTP/1.1", "Host: h")
 
 
-def test_a_stream_that_breaks_has_no_end(serve):
+def test_incomplete_stream_gets_no_last_chunk(serve):
     body = Parts(b"one", IncompleteBodyError("cut"))
     client = serve(lambda request: Response(200, [], body)).connect()
     client.send("GET / HTTP/1.1", "Host: h")
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_stream_that_breaks_before_its_first_byte_is_answered_as_failed(serve, version):
+def test_stream_that_breaks_before_first_byte_gets_502(serve, version):
     """A connection that is closed without an answer would leave the client without a word."""
     body = Parts(IncompleteBodyError("cut"))
     client = serve(lambda request: Response(200, [("X-Dewpin-Response-Signature", "s")], body)).connect()
@@ -205,14 +205,14 @@
     assert body.closed.wait(PATIENCE_S)
 
 
-def test_a_stream_to_an_old_client_ends_with_the_connection(serve):
+def test_stream_to_http_1_0_client_ends_with_connection(serve):
     client = serve(lambda request: Response(200, [], Parts(b"one", b"two"))).connect()
     client.send("GET / HTTP/1.0")
     client.read_head()
     assert client._reader.read() == b"onetwo"
 
 
-def test_a_broken_stream_to_an_old_client_is_reset():
+def test_incomplete_stream_to_http_1_0_client_is_reset():
     body = Parts(b"one", IncompleteBodyError("cut"))
     server = Server(lambda request: Response(200, [], body))
     client = server.connect()
@@ -222,7 +222,7 @@
     server.ingress.stop(PATIENCE_S)
 
 
-def test_a_stream_whose_client_is_gone_is_closed(serve):
+def test_stream_of_disconnected_client_is_closed(serve):
     go_on = threading.Event()
     body = Parts(b"one", lambda: go_on.wait(PATIENCE_S), *[b"x" * 65536] * 200)
     client = serve(lambda request: Response(200, [], body)).connect()
@@ -233,7 +233,7 @@
     assert body.closed.wait(PATIENCE_S)
 
 
-def test_the_client_of_a_request_can_be_watched(serve):
+def test_client_of_request_can_be_watched(serve):
     seen = []
     asked, left = threading.Event(), threading.Event()
 
@@ -254,7 +254,7 @@
     assert seen == [False, True]
 
 
-def test_a_fault_in_the_handling_is_an_internal_error(serve):
+def test_exception_in_handler_gets_500(serve):
     def fail(request):
         raise RuntimeError("fault")
 
@@ -263,7 +263,7 @@
     assert client.read()[0] == 500
 
 
-def test_draining_closes_what_rests_and_finishes_what_is_under_way(serve):
+def test_draining_closes_idle_connections_and_completes_requests(serve):
     asked, go_on = threading.Event(), threading.Event()
 
     def answer(request):
@@ -289,7 +289,7 @@
 
 
 @pytest.mark.parametrize("meanwhile", ["drain", "stop", "shorter idle limit", "full"])
-def test_a_request_of_a_kept_connection_is_answered_whatever_comes_meanwhile(meanwhile):
+def test_request_of_reused_connection_gets_response_whatever_happens_meanwhile(meanwhile):
     """The second request of a connection, whose receiver is at work, while the sender has a reason to close."""
     asked, go_on = threading.Event(), threading.Event()
 
@@ -326,7 +326,7 @@
         assert server.ingress.stop(PATIENCE_S)
 
 
-def test_draining_goes_on_taking_connections_until_the_server_stops(serve):
+def test_draining_server_accepts_connections_until_stopped(serve):
     server = serve()
     resting = server.connect()
     server.ingress.begin_drain()
@@ -340,7 +340,7 @@
         server.connect()
 
 
-def test_draining_does_not_wait_longer_than_it_may(serve):
+def test_draining_waits_no_longer_than_allowed(serve):
     asked, go_on = threading.Event(), threading.Event()
 
     def answer(request):
@@ -356,7 +356,7 @@
     go_on.set()
 
 
-def test_too_many_connections_are_turned_away():
+def test_connection_beyond_maximum_is_closed():
     ingress = IngressServer(
         cluster(), lambda request: Response(200, [], b"done"), max_connections=1, accept_poll_s=0.01
     )
@@ -368,7 +368,7 @@
     assert ingress.stop(PATIENCE_S)
 
 
-def test_readiness_is_told():
+def test_readiness_server_reports_readiness():
     ready = [True]
     server = ReadinessServer(lambda: ready[0])
     server.start(("127.0.0.1", 0))
--- a/tests/dataplane/test_late_answers.py
+++ b/tests/dataplane/test_late_responses.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_late_answer_in_the_place_of_the_next_is_skipped(kind):
+def test_late_response_before_the_due_one_is_skipped(kind):
     """One answer too many comes once the next request is read; the answer that is due follows it."""
     sent = []
 
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize(
     "extra", [twice(framed), twice(chunked), behind(framed, b"garbage"), behind(chunked, b"HTTP/1.1 2")]
 )
-def test_a_connection_with_bytes_behind_an_answer_is_not_used_again(extra, kind):
+def test_connection_with_bytes_after_response_is_not_reused(extra, kind):
     first, second = ScriptedReceiver(answer_and_keep(extra), answer_and_keep(chunked), id="i-1"), second_receiver()
     with receivers(first, second) as listed:
         front = Front(kind, listed)
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_late_copy_of_a_refusal_is_no_proof_for_the_request_sent_again(kind, monkeypatch):
+def test_late_copy_of_rejection_proves_nothing_for_retried_request(kind, monkeypatch):
     """The same request never goes twice on one connection: a copy of its first refusal would look like the second's.
 
     With one receiver only, the repeat goes to the one that refused.
--- a/tests/dataplane/test_urgency.py
+++ b/tests/dataplane/test_priority.py
@@ -3,8 +3,8 @@
 import random
 
 import pytest
-from dataplane.path_world import Path, read
 from dataplane.peers import SERVICE, ScriptedReceiver, configuration, event, receivers, stream, whole
+from dataplane.request_handler_harness import Path, read
 
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.load_balancing.slot_allocation import PRIORITY_STEP_S, SlotAllocator, SlotRequest
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize(("priority", "told"), [(0, "0"), (1, "1"), (9, "9"), (40, "9")])
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
-def test_a_receiver_is_told_the_rank_of_the_route(kind, priority, told):
+def test_receiver_gets_priority_of_route(kind, priority, told):
     script = stream(event(1)) if kind == "stream" else whole()
     peer = ScriptedReceiver(script)
     with receivers(peer) as listed:
@@ -22,7 +22,7 @@
     assert [got.headers["priority"] for got in peer.requests] == [told]
 
 
-def test_the_urgency_that_a_client_tells_is_passed_on_as_it_is():
+def test_priority_of_client_is_forwarded_unchanged():
     peer = ScriptedReceiver(whole())
     with receivers(peer) as listed:
         assert Path(listed, priority=0)(("Priority", "7")).status == 200
@@ -30,7 +30,7 @@
     assert [value for name, value in got.fields if name.lower() == "priority"] == ["7"]
 
 
-def test_a_call_that_goes_on_with_a_stream_is_as_urgent_as_the_first():
+def test_resuming_call_has_priority_of_first_call():
     broken = ScriptedReceiver(stream(event(1), whole=False), id="i-1")
     sound = ScriptedReceiver(stream(event(2)), id="i-2", zone="there")
     with receivers(broken, sound) as listed:
@@ -42,7 +42,7 @@
     assert sound.requests[0].headers["last-event-id"] == "1"
 
 
-def test_under_lasting_load_the_more_urgent_go_first_and_the_others_are_not_starved():
+def test_higher_priority_goes_first_under_load_without_starving_others():
     """One place comes free each 10 ms, and requests of both routes wait all the while."""
     places = SlotAllocator("here", random.Random(1))
     places.update_receivers(SERVICE, (Receiver("i-1", SERVICE, "10.0.0.1:80", "here", 1, False, 0.0, "v1"),))
@@ -70,7 +70,7 @@
     assert 0 < longest_s <= PRIORITY_STEP_S + 0.02
 
 
-def test_a_request_that_names_a_version_moves_on_from_receivers_of_another_and_holds_nothing_against_them():
+def test_expected_version_passes_over_other_versions_without_penalty():
     other = ScriptedReceiver(whole(b"", "421 Misdirected Request", "Versions: 3", signed=False), id="i-1")
     meant = ScriptedReceiver(stream(b"versions: 4\nid: 1\ndata: a\n\n", event(2)), id="i-2", zone="there")
     with receivers(other, meant) as listed:
@@ -85,7 +85,7 @@
     assert {got.headers["expect-version"] for got in other.requests + meant.requests} == {"4"}
 
 
-def test_a_version_that_no_receiver_has_is_a_refusal_with_a_promise():
+def test_version_that_no_receiver_has_gets_503():
     peer = ScriptedReceiver(whole(b"", "421 Misdirected Request", "Versions: 3", signed=False))
     with receivers(peer) as listed:
         answer = Path(listed, kind="non_idempotent", retries=1)(("Expect-Version", "4"))
--- a/tests/dataplane/test_programs_that_come_back.py
+++ b/tests/dataplane/test_programs_that_come_back.py
@@ -1,8 +1,8 @@
 """Programs that loop or stop and come back within the time for which their turns are kept."""
 
 import pytest
-from dataplane.path_world import Path, read
 from dataplane.peers import MemoryStore, ScriptedReceiver, event, receivers, stream
+from dataplane.request_handler_harness import Path, read
 from scripted.clock import run
 from scripted.stores import World
 
--- a/tests/dataplane/test_stopping.py
+++ b/tests/dataplane/test_readiness_while_stopping.py
@@ -42,7 +42,7 @@
 """
 
 
-def test_senders_that_are_stopped_together_are_all_not_ready_at_once():
+def test_senders_stopped_together_are_unready_at_once():
     """Two questions in a row without a 200 take a sender out; those that cross the signal may still get one."""
     program = PROGRAM.replace("QUESTIONS", str(QUESTIONS))
     running = [
--- a/tests/dataplane/test_upstream.py
+++ b/tests/dataplane/test_receiver_client.py
@@ -28,7 +28,7 @@
 from dewpin.dataplane.upstream.receiver_client import CONNECT_SHARE_OF_TIME_LEFT
 
 
-def test_a_request_arrives_unchanged_with_the_time_left_and_the_receiver_meant(call):
+def test_request_arrives_unchanged_with_time_left_and_target_instance(call):
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
         result = call(
@@ -62,7 +62,7 @@
     }
 
 
-def test_a_request_without_a_body_gets_no_headers_added(call):
+def test_request_without_body_gets_no_body_headers(call):
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
         asked = request(method="GET", body=b"")
@@ -76,7 +76,7 @@
     }
 
 
-def test_the_answer_comes_back_whole(call):
+def test_complete_response_is_returned(call):
     with receivers(ScriptedReceiver(whole(b"x" * 100_000, "201 Created", "X-Thing: a", "X-Thing: b"))) as (receiver,):
         result = call(receiver)
     assert result.outcome is Outcome.SUCCESS
@@ -85,7 +85,7 @@
     assert [value for name, value in result.response.headers if name == "X-Thing"] == ["a", "b"]
 
 
-def test_a_body_in_chunks_comes_back_whole(call):
+def test_chunked_body_is_returned(call):
     def answer(connection, got):
         connection.send(head(got, "200 OK", "Transfer-Encoding: chunked") + b"\r\n" + chunk(b"ab") + chunk(b"c") + END)
 
@@ -132,12 +132,12 @@
         (raw(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Dewpin-Not-Executed: 1\r\n\r\n"), Outcome.NOT_EXECUTED),
     ],
 )
-def test_how_the_end_of_a_call_is_classified(call, script, outcome):
+def test_call_ending_is_classified(call, script, outcome):
     with receivers(ScriptedReceiver(script)) as (receiver,):
         assert call(receiver).outcome is outcome
 
 
-def test_a_refusal_without_an_id_proves_nothing_on_a_used_connection(call):
+def test_rejection_without_id_proves_nothing_on_reused_connection(call):
     nameless = raw(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Dewpin-Not-Executed: 1\r\n\r\n")
     with receivers(ScriptedReceiver(whole(), nameless)) as (receiver,):
         call(receiver)
@@ -149,7 +149,7 @@
 @pytest.mark.parametrize(
     "begun", [b"", b"HTTP/1.1 200 OK\r\nContent-", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfi"]
 )
-def test_a_client_that_leaves_ends_its_call_at_once(call, is_idempotent, is_streaming, begun):
+def test_call_ends_at_once_when_watched_client_disconnects(call, is_idempotent, is_streaming, begun):
     asked, ended = threading.Event(), threading.Event()
 
     def answer(connection, got):
@@ -171,7 +171,7 @@
     assert [result.outcome for result in results] == [Outcome.CLIENT_DISCONNECTED]
 
 
-def test_what_must_not_be_repeated_goes_on_to_its_answer_when_its_client_leaves(call):
+def test_non_idempotent_call_goes_on_to_its_response_when_client_disconnects(call):
     asked, left = threading.Event(), threading.Event()
 
     def answer(connection, got):
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
-def test_nothing_is_sent_for_a_client_that_has_left(call, is_idempotent):
+def test_call_for_disconnected_client_sends_nothing(call, is_idempotent):
     peer = ScriptedReceiver(whole())
     client = LeavingClient()
     client.leave()
@@ -201,7 +201,7 @@
     assert (peer.requests, call.metrics.connects) == ([], 0)
 
 
-def test_a_client_that_leaves_while_a_connection_comes_up_gets_nothing_sent(call, monkeypatch):
+def test_client_that_disconnects_during_connect_gets_nothing_sent(call, monkeypatch):
     peer = ScriptedReceiver(whole())
     client = LeavingClient()
     connect = ConnectionPool.connect
@@ -216,14 +216,14 @@
     assert peer.requests == []
 
 
-def test_a_client_that_sends_on_has_not_left(call):
+def test_client_that_sends_more_is_not_disconnected(call):
     client = LeavingClient()
     client.theirs.send(b"GET / HTTP/1.1")
     with receivers(ScriptedReceiver(whole())) as (receiver,):
         assert call(receiver, client=client).outcome is Outcome.SUCCESS
 
 
-def test_silence_lasts_until_the_time_ends(call):
+def test_call_without_response_times_out_at_deadline(call):
     def stay_silent(connection, got):
         connection.wait_for_close()
 
@@ -231,14 +231,14 @@
         assert call(receiver, time_s=0.1).outcome is Outcome.TIMED_OUT
 
 
-def test_a_refused_connect_never_sent_anything(call):
+def test_refused_connect_is_not_sent(call):
     peer = ScriptedReceiver(whole())
     peer.close()
     assert call(peer.receiver).outcome is Outcome.NOT_SENT
     assert call.metrics.connects == 1
 
 
-def test_what_a_receiver_tells_of_itself_is_returned(call):
+def test_reported_load_and_retry_after_are_returned(call):
     fields = ("X-Dewpin-Server-Load: 3,1,8", "Retry-After: 0.25")
     with receivers(ScriptedReceiver(refusal(*fields))) as (receiver,):
         result = call(receiver)
@@ -246,7 +246,7 @@
     assert result.retry_after_s == 0.25
 
 
-def test_a_connection_is_used_again(call):
+def test_connection_is_reused(call):
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
         for _ in range(3):
@@ -262,7 +262,7 @@
         raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Dewpin-Request-Id: x\r\n\r\n"),
     ],
 )
-def test_a_connection_that_was_ended_or_mixed_up_is_not_used_again(call, first):
+def test_closed_or_confused_connection_is_not_reused(call, first):
     peer = ScriptedReceiver(first, whole())
     with receivers(peer) as (receiver,):
         call(receiver)
@@ -270,7 +270,7 @@
     assert peer.connections == 2
 
 
-def test_a_connection_on_which_bytes_wait_is_not_used_again(call):
+def test_connection_with_unread_bytes_is_not_reused(call):
     sent = threading.Event()
 
     def answer_and_go_on(connection, got):
@@ -304,7 +304,7 @@
         ([], False, 0.45, False),
     ],
 )
-def test_how_long_a_connection_may_be_idle(call, fields, is_idempotent, idle_s, used_again):
+def test_connection_is_reused_within_idle_limit(call, fields, is_idempotent, idle_s, used_again):
     peer = ScriptedReceiver(whole(b"", "200 OK", *fields))
     with receivers(peer) as (receiver,):
         call(receiver)
@@ -313,7 +313,7 @@
     assert peer.connections == (1 if used_again else 2)
 
 
-def test_a_call_that_needs_a_new_connection_leaves_the_others_to_calls_that_do_not(call):
+def test_call_that_needs_new_connection_leaves_idle_ones(call):
     both = threading.Barrier(2)
 
     def answer_together(connection, got):
@@ -338,7 +338,7 @@
             connection.close()
 
 
-def test_connections_to_receivers_that_left_are_closed(call):
+def test_connections_to_removed_receivers_are_closed(call):
     gone = threading.Event()
 
     def answer_and_watch(connection, got):
@@ -354,7 +354,7 @@
         assert gone.wait(PATIENCE_S)
 
 
-def test_an_address_that_is_used_by_another_receiver_gets_connections_of_its_own(call):
+def test_other_receiver_at_same_address_gets_own_connections(call):
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
         call(receiver)
@@ -364,7 +364,7 @@
     assert peer.requests[1].headers["x-dewpin-target-instance"] == "i-2"
 
 
-def test_a_connect_takes_a_share_of_the_time_only(call, monkeypatch):
+def test_connect_takes_only_share_of_time_left(call, monkeypatch):
     bounds = []
 
     def connect(connections, timeout_s):
@@ -378,7 +378,7 @@
     assert bounds[0] <= 2.0 * CONNECT_SHARE_OF_TIME_LEFT
 
 
-def test_an_error_on_a_stream_route_is_an_answer_with_a_whole_body(call):
+def test_error_of_streaming_call_has_complete_body(call):
     with receivers(ScriptedReceiver(whole(b"no", "500 Internal Server Error"), stream(event(1)))) as (receiver,):
         result = call(receiver, is_streaming=True)
         assert (result.outcome, result.stream, result.response.body) == (Outcome.ERROR, None, b"no")
--- a/tests/dataplane/test_request_path.py
+++ b/tests/dataplane/test_request_handler.py
@@ -4,7 +4,6 @@
 import threading
 
 import pytest
-from dataplane.path_world import Path, header, read
 from dataplane.peers import (
     PATIENCE_S,
     MemoryStore,
@@ -19,6 +18,7 @@
     stream,
     whole,
 )
+from dataplane.request_handler_harness import Path, header, read
 
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.cluster.receivers import Receiver
@@ -30,7 +30,7 @@
 FAILURES = [reset, close, whole(b"no", "500 Internal Server Error", signed=False)]
 
 
-def test_an_answer_is_passed_on_with_its_status_headers_and_signature():
+def test_response_is_forwarded_with_status_headers_and_signature():
     peer = ScriptedReceiver(whole(b"done", "201 Created", "X-Thing: a", "Keep-Alive: timeout=9"))
     with receivers(peer) as listed:
         answer = Path(listed)()
@@ -41,13 +41,13 @@
     assert header(answer, "keep-alive") is None
 
 
-def test_headers_that_the_receiver_names_as_its_connections_are_not_passed_on():
+def test_headers_named_by_connection_header_are_not_forwarded():
     with receivers(ScriptedReceiver(whole(b"", "200 OK", "Connection: X-Hop", "X-Hop: 1"))) as listed:
         answer = Path(listed)()
     assert header(answer, "x-hop") is header(answer, "connection") is None
 
 
-def test_a_request_without_a_route_gets_404():
+def test_request_without_route_gets_404():
     path = Path([])
     assert path(target="/x").status == 503
     path.state.configuration = configuration(path_prefix="/other/")
@@ -55,7 +55,7 @@
     assert path.path.metrics.not_routed == 1
 
 
-def test_a_request_without_a_route_is_refused_while_no_majority_has_confirmed_the_configuration():
+def test_request_without_route_gets_503_while_configuration_is_unconfirmed():
     path = Path([])
     path.state.configuration = configuration(path_prefix="/other/")
     path.state.is_current = lambda: False
@@ -67,7 +67,7 @@
     assert path(target="/x").status == 404
 
 
-def test_before_the_first_configuration_requests_are_refused():
+def test_request_before_first_configuration_gets_503():
     path = Path([])
     path.state.configuration = None
     answer = path()
@@ -75,7 +75,7 @@
     assert float(header(answer, "retry-after")) > 0
 
 
-def test_a_request_without_an_id_is_malformed():
+def test_request_without_id_gets_400():
     path = Path([])
     asked = request()
     bare = type(asked)("GET", "/", type(asked.headers)([("Host", "tier.example")]), b"", 0.0)
@@ -83,18 +83,18 @@
 
 
 @pytest.mark.parametrize("value", ["soon", "-1", "nan", "inf"])
-def test_a_deadline_that_is_no_number_is_malformed(value):
+def test_invalid_request_deadline_gets_400(value):
     assert Path([])(("X-Dewpin-Request-Deadline", value)).status == 400
 
 
 @pytest.mark.parametrize(("told", "allowed_s"), [("1200", 1.2), ("99999", 5.0), (None, 5.0)])
-def test_the_time_allowed_is_the_clients_or_the_routes_whichever_is_less(told, allowed_s):
+def test_request_timeout_is_the_lesser_of_client_and_route(told, allowed_s):
     fields = [("X-Dewpin-Request-Deadline", told)] if told else []
     assert request_timeout_s(request(*fields).headers, configuration().routes[0]) == allowed_s
 
 
 @pytest.mark.parametrize("failure", FAILURES)
-def test_what_may_be_repeated_is_repeated_at_another_receiver_after_a_pause(failure):
+def test_idempotent_request_is_retried_at_another_receiver_after_backoff(failure):
     first, second = ScriptedReceiver(failure, id="i-1"), ScriptedReceiver(failure, id="i-2")
     good = whole(b"done")
     first._scripts.append(good)
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("kind", ["non_idempotent", "stream"])
 @pytest.mark.parametrize("failure", FAILURES)
-def test_what_must_not_be_repeated_ends_as_unknown(failure, kind):
+def test_non_idempotent_request_with_unknown_effect_gets_502(failure, kind):
     peers = [ScriptedReceiver(failure, id=name) for name in ("i-1", "i-2")]
     with receivers(*peers) as listed:
         path = Path(listed, kind=kind)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
-def test_a_refusal_leads_to_another_receiver_at_once(kind):
+def test_rejected_request_is_retried_at_another_receiver_at_once(kind):
     full, free = ScriptedReceiver(refusal(), id="i-1"), ScriptedReceiver(whole(b"done"), id="i-2", zone="there")
     with receivers(full, free) as listed:
         path = Path(listed, frozen=True, kind=kind)
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
-def test_what_was_refused_everywhere_is_refused_with_a_time_to_come_back(kind):
+def test_request_rejected_by_all_receivers_gets_503_with_retry_after(kind):
     peers = [ScriptedReceiver(refusal(), id=name) for name in ("i-1", "i-2", "i-3")]
     with receivers(*peers) as listed:
         path = Path(listed, kind=kind, retries=2)
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-def test_a_receiver_that_is_down_is_passed_over(kind):
+def test_unreachable_receiver_is_passed_over(kind):
     down, up = ScriptedReceiver(whole(), id="i-1"), ScriptedReceiver(whole(b"done"), id="i-2", zone="there")
     down.close()
     with receivers(up):
@@ -157,13 +157,13 @@
     assert path.path.metrics.connects == 2
 
 
-def test_when_all_receivers_are_down_the_request_is_refused():
+def test_request_gets_503_while_all_receivers_are_unreachable():
     down = ScriptedReceiver(whole())
     down.close()
     assert Path([down.receiver], kind="non_idempotent", target_ms=100)().status == 503
 
 
-def test_another_receiver_at_an_address_does_not_run_the_request_and_is_left_alone():
+def test_misdirected_request_is_retried_and_receiver_blocked():
     other = ScriptedReceiver(whole(b"", "421 Misdirected Request", "X-Dewpin-Instance-Id: i-9", signed=False), id="i-1")
     meant = ScriptedReceiver(whole(b"done"), id="i-2", zone="there")
     with receivers(other, meant) as listed:
@@ -174,14 +174,14 @@
 
 
 @pytest.mark.parametrize("kind", ["non_idempotent", "stream"])
-def test_a_receivers_own_error_is_passed_on_with_its_signature(kind):
+def test_signed_error_of_receiver_is_forwarded(kind):
     with receivers(ScriptedReceiver(whole(b"no", "500 Internal Server Error"))) as listed:
         answer = Path(listed, kind=kind)()
     assert (answer.status, answer.body) == (500, b"no")
     assert header(answer, "x-dewpin-response-signature") == "signed-r-1"
 
 
-def test_a_receivers_own_error_is_repeated_where_it_may_be_and_passed_on_at_last():
+def test_signed_error_of_idempotent_request_is_retried_then_forwarded():
     peers = [ScriptedReceiver(whole(b"no", "500 Internal Server Error"), id=name) for name in ("i-1", "i-2")]
     with receivers(*peers) as listed:
         answer = Path(listed, retries=2)()
@@ -190,20 +190,20 @@
 
 
 @pytest.mark.parametrize("status", ["408 Request Timeout", "429 Too Many Requests", "503 Service Unavailable"])
-def test_a_promise_without_proof_is_not_passed_on(status):
+def test_status_that_promises_without_proof_is_not_forwarded(status):
     with receivers(ScriptedReceiver(whole(b"no", status))) as listed:
         answer = Path(listed, kind="non_idempotent")()
     assert answer.status == 502
     assert header(answer, "x-dewpin-response-signature") is None
 
 
-def test_a_success_without_a_signature_is_not_passed_on():
+def test_unsigned_success_is_not_forwarded():
     with receivers(ScriptedReceiver(whole(b"done", signed=False))) as listed:
         answer = Path(listed, kind="non_idempotent")()
     assert (answer.status, header(answer, "x-dewpin-response-signature")) == (502, None)
 
 
-def test_silence_ends_with_the_time_as_unknown():
+def test_request_without_response_gets_504_at_deadline():
     def stay_silent(connection, got):
         connection.wait_for_close()
 
@@ -214,14 +214,14 @@
     assert path.path.metrics.attempts == 1
 
 
-def test_a_request_near_its_deadline_is_refused_unsent():
+def test_request_near_deadline_gets_503_unsent():
     peer = ScriptedReceiver(whole())
     with receivers(peer) as listed:
         assert Path(listed, target_ms=1000)(("X-Dewpin-Request-Deadline", "90")).status == 503
     assert peer.requests == []
 
 
-def test_requests_of_a_service_without_room_are_refused_early():
+def test_request_gets_503_early_while_service_is_full():
     begun, go_on = threading.Semaphore(0), threading.Event()
 
     def hold(connection, got):
@@ -244,7 +244,7 @@
             thread.join(PATIENCE_S)
 
 
-def test_the_service_is_chosen_by_weight_and_kept_for_a_session():
+def test_service_is_chosen_by_weight_and_kept_for_sticky_key():
     shares = [{"backend": "a", "weight": 90}, {"backend": "b", "weight": 10}, {"backend": "c", "weight": 0}]
     given = configuration(kind="stream", sticky=True)
     body = {**given.raw, "services": [{"name": name} for name in "abc"]}
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("weights", [(90, 10), (50, 50), (30, 70)])
 @pytest.mark.parametrize("key", ["none", "programs"])
-def test_each_part_of_a_split_gets_its_share_however_few_receivers_it_has(weights, key):
+def test_each_service_of_split_gets_its_weight_however_few_receivers_it_has(weights, key):
     """Parts with one small receiver beside ten large ones; what a receiver bears counts for nothing here."""
     shares = list(zip("ab", weights, strict=True))
     listed = {"a": (receiver_of("a", capacity=1),), "b": tuple(receiver_of("b", n, capacity=64) for n in range(10))}
@@ -297,13 +297,13 @@
 
 
 @pytest.mark.parametrize("away", [(), (receiver_of("a", draining=True),)])
-def test_a_part_of_a_split_whose_receivers_are_all_leaving_gets_nothing_while_another_has_some(away):
+def test_service_with_only_draining_receivers_is_not_chosen_while_another_has_some(away):
     path, route = split_path([("a", 90), ("b", 10)], {"a": away, "b": (receiver_of("b"),)})
     drawn = {chosen_service(path, route, None) for _ in range(100)}
     assert drawn == {"b"}
 
 
-def test_where_all_parts_of_a_split_are_leaving_the_weights_hold():
+def test_weights_hold_while_all_services_are_draining():
     listed = {name: (receiver_of(name, draining=True),) for name in "ab"}
     path, route = split_path([("a", 50), ("b", 50)], listed)
     drawn = {chosen_service(path, route, None) for _ in range(100)}
@@ -320,7 +320,7 @@
         ([], None),
     ],
 )
-def test_what_a_cached_prompt_hangs_on(fields, key):
+def test_sticky_key_of_prompt(fields, key):
     assert sticky_key(request(*fields)) == key
 
 
@@ -341,11 +341,11 @@
         ([("Cookie", "X-Dewpin-Session-Affinity=17"), ("X-Dewpin-Prompt-Prefix", "a:1,b:2")], "a"),
     ],
 )
-def test_what_is_no_prompt_sticks_to_the_object_that_it_is_about(fields, key):
+def test_sticky_key_without_prompt_is_the_object_of_the_request(fields, key):
     assert sticky_key(request(*fields)) == key
 
 
-def test_the_share_of_a_key_is_the_same_at_every_sender():
+def test_share_of_key_is_deterministic():
     assert share_of_key("session") == share_of_key("session")
     assert 0 <= share_of_key("session") < 1
 
@@ -353,7 +353,7 @@
 TURN = (("Program", "p"), ("Budget", "100"), ("X-Dewpin-Token-Usage", "5,40"))
 
 
-def test_a_turn_is_sent_with_its_chain_stored_and_settled():
+def test_turn_is_sent_with_its_history_then_stored_and_settled():
     store = MemoryStore()
     store.turns["t-1"] = Turn("t-1", "p", None, b"first", b"answer\n", 60.0)
     peer = ScriptedReceiver(stream(event(1, "a"), event(2, "b")))
@@ -377,7 +377,7 @@
         (0, ["chain"], "t-9", 503),
     ],
 )
-def test_a_turn_that_may_not_go_on_is_not_sent(spent, fails, previous, status):
+def test_turn_that_cannot_be_opened_is_not_sent(spent, fails, previous, status):
     store = MemoryStore(fails)
     store.spent["p"] = spent
     peer = ScriptedReceiver(stream(event(1)))
@@ -390,14 +390,14 @@
     assert store.spent["p"] == spent
 
 
-def test_a_turn_that_was_refused_everywhere_gives_its_budget_back():
+def test_turn_rejected_by_all_receivers_returns_its_budget():
     store = MemoryStore()
     with receivers(ScriptedReceiver(refusal())) as listed:
         assert Path(listed, store, kind="stream", retained=True, target_ms=50)(*TURN).status == 503
     assert store.settled == [("r-1", 0)]
 
 
-def test_a_turn_that_cannot_be_stored_breaks_off():
+def test_turn_that_cannot_be_stored_ends_incomplete():
     store = MemoryStore(["append"])
     with receivers(ScriptedReceiver(stream(event(1)))) as listed:
         assert read(Path(listed, store, kind="stream", retained=True)(*TURN)) == (event(1), True)
--- a/tests/dataplane/test_http_parsing.py
+++ b/tests/dataplane/test_request_parsing.py
@@ -9,7 +9,7 @@
     return parse_head("\r\n".join(lines).encode("latin-1"))
 
 
-def test_a_head_is_read_unchanged():
+def test_head_is_parsed_unchanged():
     head = parse("PATCH /a%2F/b?c=%7e&d HTTP/1.1", "Host: h", "X-Thing:  a \t", "x-thing: b")
     assert (head.method, head.target) == ("PATCH", "/a%2F/b?c=%7e&d")
     assert list(head.headers.fields) == [("Host", "h"), ("X-Thing", "a"), ("x-thing", "b")]
@@ -28,7 +28,7 @@
         ([], 0),
     ],
 )
-def test_the_framing_of_a_body(lines, length):
+def test_body_framing_is_parsed(lines, length):
     assert parse("POST / HTTP/1.1", "Host: h", *lines).content_length == length
 
 
@@ -63,7 +63,7 @@
         [""],
     ],
 )
-def test_what_could_be_read_in_two_ways_is_rejected(lines):
+def test_ambiguous_head_is_rejected(lines):
     with pytest.raises(MalformedMessageError):
         parse(*lines)
 
@@ -78,12 +78,12 @@
         ("HTTP/1.0", "keep-alive", True),
     ],
 )
-def test_when_the_client_wants_the_connection_closed(version, connection, closes):
+def test_client_asks_to_close_connection(version, connection, closes):
     lines = [f"Connection: {connection}"] if connection else []
     assert parse(f"GET / {version}", "Host: h", *lines).wants_close is closes
 
 
-def test_the_headers_of_one_connection_are_not_passed_on():
+def test_connection_headers_are_not_end_to_end():
     head = parse(
         "GET / HTTP/1.1",
         "Host: h",
@@ -101,11 +101,11 @@
 
 
 @pytest.mark.parametrize(("line", "size"), [(b"a", 10), (b"0", 0), (b"FF;name=value", 255), (b"1 ;x", 1)])
-def test_sizes_of_chunks(line, size):
+def test_chunk_size_is_parsed(line, size):
     assert parse_chunk_size(line) == size
 
 
 @pytest.mark.parametrize("line", [b"", b"-1", b"+1", b"0x1", b"g", b" 1", b"1_0", b"f" * 16])
-def test_sizes_of_chunks_that_are_rejected(line):
+def test_invalid_chunk_size_is_rejected(line):
     with pytest.raises(MalformedMessageError):
         parse_chunk_size(line)
--- a/tests/dataplane/test_time_allowed.py
+++ b/tests/dataplane/test_request_timeout.py
@@ -4,7 +4,6 @@
 import threading
 
 import pytest
-from dataplane.path_world import Path, read
 from dataplane.peers import (
     HOST,
     PATIENCE_S,
@@ -21,6 +20,7 @@
     stream_head,
     whole,
 )
+from dataplane.request_handler_harness import Path, read
 
 from dewpin.cluster.errors import ErrorKind
 from dewpin.dataplane.http11.messages import IncompleteBodyError
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
 @pytest.mark.parametrize("data", [long_head, long_body, long_stream])
-def test_an_answer_that_trickles_in_ends_at_the_time_allowed(kind, data):
+def test_slow_response_ends_at_deadline(kind, data):
     """Each byte would begin a time-out of the socket anew."""
     clock = ScriptedClock()
     script = Trickle(clock, data)
@@ -97,7 +97,7 @@
     assert path.path.metrics.attempts == 1
 
 
-def test_a_stream_without_a_pause_is_cut_at_the_time_allowed():
+def test_stream_that_never_blocks_ends_at_deadline():
     """Its bytes are there before they are waited for, so that no wait looks at the time."""
     clock = ScriptedClock()
     sent, let_go = threading.Event(), threading.Event()
@@ -147,7 +147,7 @@
     [([("X-Dewpin-Request-Deadline", "1200")], 1200), ([("X-Dewpin-Request-Deadline", "9999")], 2000), ([], 2000)],
 )
 @pytest.mark.parametrize("keyed", [[], [("Idempotency-Key", "k-1")]])
-def test_a_receiver_is_told_the_time_that_is_left(kind, fields, left_ms, keyed):
+def test_receiver_gets_time_left(kind, fields, left_ms, keyed):
     peer = ScriptedReceiver(whole())
     with receivers(peer) as listed:
         path = Path(listed, frozen=True, kind=kind, timeout_ms=2000, target_ms=500)
@@ -155,7 +155,7 @@
     assert told_ms(peer) == [left_ms]
 
 
-def test_a_repeat_is_told_less_by_the_pause_before_it():
+def test_retry_gets_time_left_after_backoff():
     failing = ScriptedReceiver(reset, id="i-1")
     sound = ScriptedReceiver(whole(), id="i-2", zone="there")
     with receivers(failing, sound) as listed:
@@ -168,7 +168,7 @@
     assert 1200 - waited_ms - 1 <= second <= 1200 - waited_ms
 
 
-def test_a_call_that_goes_on_with_a_stream_is_told_what_is_left_then():
+def test_resuming_call_gets_time_left():
     clock = ScriptedClock()
     broken = ScriptedReceiver(stream(event(1), whole=False), id="i-1")
     sound = ScriptedReceiver(stream(event(2)), id="i-2", zone="there")
@@ -189,9 +189,7 @@
 @pytest.mark.parametrize(
     ("deadline_ms", "given_s", "takes_s", "left_ms"), [(1200, 1.0, 1.0, 200), (875, 0.875, 0.5, 375)]
 )
-def test_a_turn_is_told_what_the_stores_have_left_and_they_get_no_more_than_that(
-    deadline_ms, given_s, takes_s, left_ms
-):
+def test_turn_gets_time_left_by_stores_which_get_no_more_than_it(deadline_ms, given_s, takes_s, left_ms):
     clock = ScriptedClock()
     store = SlowStore(clock, takes_s)
     store.turns["t-1"] = Turn("t-1", "p", None, b"first", b"answer\n", 60.0)
@@ -205,7 +203,7 @@
     assert store.given_s == pytest.approx([given_s])
 
 
-def test_nothing_is_sent_once_the_time_has_ended_while_a_connection_came_up():
+def test_nothing_is_sent_if_deadline_passes_during_connect():
     clock = ScriptedClock()
     peer = ScriptedReceiver(whole())
     with receivers(peer) as (receiver,):
@@ -223,7 +221,7 @@
     assert peer.requests == []
 
 
-def test_no_wait_for_a_place_outlasts_the_time_allowed():
+def test_wait_for_slot_ends_at_deadline():
     path = Path([], frozen=True, kind="idempotent", target_ms=4000)
     asked = request(("X-Dewpin-Request-Deadline", "500"), now=path._clock())
     route = path.state.configuration.routes[0]
@@ -247,7 +245,7 @@
 
 @pytest.mark.parametrize("framing", ["Content-Length: 9", "Transfer-Encoding: chunked"])
 @pytest.mark.parametrize(("timeout_ms", "told"), [(4000, []), (9000, ["X-Dewpin-Request-Deadline: 4000"])])
-def test_a_body_may_arrive_for_as_long_as_its_request_may_be_held(framing, timeout_ms, told):
+def test_body_may_arrive_until_request_times_out(framing, timeout_ms, told):
     """The clock is looked at when the request begins and when the rest of its body is waited for; that is too late."""
     clock = SteppingClock()
     listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/dataplane/test_upstream_streams.py
+++ b/tests/dataplane/test_response_stream.py
@@ -22,7 +22,7 @@
 from dewpin.dataplane.upstream.outcome import IncompleteResponseError, Outcome
 
 
-def test_a_stream_comes_part_by_part_and_its_connection_is_used_again(call):
+def test_stream_is_read_as_it_arrives_and_connection_reused(call):
     first_read = threading.Event()
 
     def answer(connection, got):
@@ -42,7 +42,7 @@
     assert peer.connections == 1
 
 
-def test_parts_that_came_together_are_read_without_waiting(call):
+def test_chunks_received_together_are_read_without_waiting(call):
     def answer(connection, got):
         connection.send(stream_head(got) + chunk(event(1)) + chunk(event(2)))
         connection.wait_for_close()
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("ending", "outcome"), [(reset, Outcome.RESET), (close, Outcome.CLOSED)])
-def test_a_stream_that_breaks_is_cut(call, ending, outcome):
+def test_stream_whose_connection_breaks_is_incomplete(call, ending, outcome):
     read = threading.Event()
 
     def answer(connection, got):
@@ -71,7 +71,7 @@
     assert told.value.outcome is outcome
 
 
-def test_a_stream_with_a_length_is_whole_at_that_length_only(call):
+def test_stream_with_length_is_complete_only_at_that_length(call):
     body = event(1) + event(2)
 
     def answer(connection, got):
@@ -93,7 +93,7 @@
             read_all(call(receiver, is_streaming=True))
 
 
-def test_closing_a_stream_closes_the_connection(call):
+def test_closing_stream_closes_connection(call):
     gone = threading.Event()
 
     def answer(connection, got):
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("fields", [STREAM_FIELDS, (*STREAM_FIELDS, "Connection: close")])
-def test_a_stream_is_cut_when_its_time_ends(call, fields):
+def test_stream_ends_at_deadline(call, fields):
     def answer(connection, got):
         connection.send(head(got, "200 OK", *fields) + b"\r\n" + chunk(event(1)))
         connection.wait_for_close()
@@ -123,7 +123,7 @@
     assert told.value.outcome is Outcome.TIMED_OUT
 
 
-def test_a_stream_of_a_receiver_that_leaves_is_bounded_by_the_time_left(call):
+def test_stream_on_closing_connection_ends_at_deadline(call):
     def answer(connection, got):
         connection.send(head(got, "200 OK", *STREAM_FIELDS, "Connection: close") + b"\r\n" + chunk(event(1)))
         connection.wait_for_close()
--- a/tests/dataplane/test_resuming.py
+++ b/tests/dataplane/test_resuming.py
@@ -1,8 +1,8 @@
 """Streams that are taken up at another receiver, by the client after a cut or by the system inside one answer."""
 
 import pytest
-from dataplane.path_world import Path, header, read
 from dataplane.peers import END, ScriptedReceiver, chunk, event, receivers, reset, stream
+from dataplane.request_handler_harness import Path, header, read
 
 
 def stream_from(name, *parts, whole=True):
--- a/tests/dataplane/test_retry.py
+++ b/tests/dataplane/test_retry.py
@@ -31,12 +31,12 @@
     return RetryStateMachine(RetryPolicy(is_idempotent, attempts, AIM_S), deadline, random.Random(1))
 
 
-def test_the_first_step_is_to_send_to_any_receiver():
+def test_first_action_is_to_send_to_any_receiver():
     assert stage().next_action(NOW) == SendToReceiver({}, False)
 
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
-def test_a_success_is_passed_on(is_idempotent):
+def test_success_is_forwarded(is_idempotent):
     course = stage(is_idempotent)
     course.record_call("a", Outcome.SUCCESS, NOW, is_forwardable=True)
     assert course.next_action(NOW) == ForwardResponse()
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
 @pytest.mark.parametrize("outcome", PROOFS)
-def test_a_proof_of_no_effect_leads_to_another_receiver_at_once(is_idempotent, outcome):
+def test_proof_of_no_effect_allows_another_receiver_at_once(is_idempotent, outcome):
     course = stage(is_idempotent)
     course.record_call("a", outcome, NOW)
     step = course.next_action(NOW)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("outcome", UNKNOWN)
-def test_an_unknown_effect_is_repeated_after_a_pause_where_it_may_be(outcome):
+def test_idempotent_request_with_unknown_effect_is_retried_after_backoff(outcome):
     course = stage(is_idempotent=True)
     course.record_call("a", outcome, NOW)
     pause = course.next_action(NOW)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("outcome", UNKNOWN)
-def test_an_unknown_effect_ends_what_may_not_be_repeated(outcome):
+def test_unknown_effect_ends_non_idempotent_request(outcome):
     course = stage(is_idempotent=False)
     course.record_call("a", outcome, NOW)
     assert course.next_action(NOW) == FailRequest(502)
@@ -80,20 +80,20 @@
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
 @pytest.mark.parametrize("outcome", FINAL)
-def test_the_end_of_the_time_and_a_lost_client_are_never_repeated(is_idempotent, outcome):
+def test_time_out_and_client_disconnect_are_never_retried(is_idempotent, outcome):
     course = stage(is_idempotent)
     course.record_call("a", outcome, DEADLINE)
     assert course.next_action(DEADLINE) == FailRequest(504)
 
 
-def test_a_proof_after_an_unknown_effect_does_not_refuse():
+def test_proof_of_no_effect_after_unknown_effect_does_not_reject():
     course = stage(is_idempotent=True)
     course.record_call("a", Outcome.RESET, NOW)
     course.record_call("b", Outcome.NOT_EXECUTED, NOW + 0.3)
     assert course.next_action(NOW + 0.3) == FailRequest(502)
 
 
-def test_an_unknown_effect_after_a_proof_ends_what_may_not_be_repeated():
+def test_unknown_effect_after_proof_ends_non_idempotent_request():
     course = stage(is_idempotent=False, attempts=3)
     course.record_call("a", Outcome.NOT_EXECUTED, NOW)
     course.record_call("b", Outcome.RESET, NOW)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
-def test_a_request_that_surely_ran_nowhere_is_refused_with_the_wait_expected(is_idempotent):
+def test_request_that_has_not_run_is_rejected_with_expected_wait(is_idempotent):
     course = stage(is_idempotent, attempts=2)
     course.record_call("a", Outcome.NOT_EXECUTED, NOW)
     course.record_call("b", Outcome.NOT_EXECUTED, NOW)
@@ -109,7 +109,7 @@
     assert course.next_action(NOW) == RejectRequest(0.35)
 
 
-def test_attempts_stay_within_the_bound():
+def test_attempts_are_bounded():
     course = stage(attempts=3)
     for number in range(3):
         assert isinstance(course.next_action(NOW), SendToReceiver)
@@ -118,7 +118,7 @@
     assert course.attempts == 3
 
 
-def test_connects_that_failed_are_no_attempts_but_bounded():
+def test_failed_connects_are_not_attempts_but_are_bounded():
     course = stage(attempts=1)
     for _ in range(CONNECTS_PER_ATTEMPT):
         assert isinstance(course.next_action(NOW), SendToReceiver)
@@ -127,30 +127,30 @@
     assert isinstance(course.next_action(NOW), RejectRequest)
 
 
-def test_the_last_signed_error_is_passed_on_when_no_repeat_is_left():
+def test_last_signed_error_is_forwarded_when_no_retry_is_left():
     course = stage(attempts=2)
     course.record_call("a", Outcome.ERROR, NOW, is_forwardable=True)
     course.record_call("b", Outcome.RESET, NOW + 0.3)
     assert course.next_action(NOW + 0.3) == ForwardResponse()
 
 
-def test_a_signed_error_of_what_may_not_be_repeated_is_passed_on_at_once():
+def test_signed_error_of_non_idempotent_request_is_forwarded_at_once():
     course = stage(is_idempotent=False)
     course.record_call("a", Outcome.ERROR, NOW, is_forwardable=True)
     assert course.next_action(NOW) == ForwardResponse()
 
 
-def test_a_repeat_that_would_outlast_the_time_is_not_made():
+def test_retry_beyond_deadline_is_not_made():
     course = stage(deadline=NOW + 0.03)
     course.record_call("a", Outcome.RESET, NOW)
     assert course.next_action(NOW) == FailRequest(502)
 
 
-def test_a_request_near_its_deadline_is_refused_unsent():
+def test_request_near_deadline_gets_503_unsent():
     assert isinstance(stage(deadline=NOW + 0.1 * AIM_S).next_action(NOW), RejectRequest)
 
 
-def test_pauses_double():
+def test_backoff_doubles():
     course = stage(attempts=4)
     pauses = []
     now = NOW
@@ -164,7 +164,7 @@
         assert base * (1 - BACKOFF_JITTER) <= pause <= base * (1 + BACKOFF_JITTER)
 
 
-def test_no_place_refuses_what_has_not_run_and_ends_what_may_have():
+def test_no_slot_rejects_request_only_if_it_has_not_run():
     refused = stage()
     refused.record_no_slot(0.07)
     assert refused.next_action(NOW) == RejectRequest(0.07)
--- a/tests/dataplane/test_places.py
+++ b/tests/dataplane/test_slot_allocation.py
@@ -52,39 +52,39 @@
     return [got.id if (got := places.acquire(request or wanted(), now)) else None for _ in range(times)]
 
 
-def test_calls_spread_over_the_receivers_of_this_zone():
+def test_calls_spread_over_receivers_of_own_zone():
     assert Counter(taken(book(receiver("a"), receiver("b")), 8)) == {"a": 4, "b": 4}
 
 
-def test_capacity_weighs():
+def test_calls_spread_by_capacity():
     spread = Counter(taken(book(receiver("a", capacity=2), receiver("b", capacity=6)), 8))
     assert spread == {"a": 2, "b": 6}
 
 
-def test_this_zone_comes_first_as_far_as_it_bears():
+def test_own_zone_is_preferred_up_to_its_load():
     places = book(receiver("a", zone="here", capacity=8), receiver("b", zone="there", capacity=8))
     order = taken(places, 10)
     assert order[:2] == ["a", "a"]
     assert "b" in order[2:5]
 
 
-def test_a_receiver_that_is_slow_from_its_start_gets_less():
+def test_receiver_that_warms_up_gets_fewer_calls():
     spread = Counter(taken(book(receiver("a", capacity=8), receiver("b", capacity=8, cold_left_ms=500)), 9))
     assert spread["b"] == pytest.approx(spread["a"] * WARM_UP_CAPACITY_SHARE, abs=1)
 
 
-def test_a_draining_receiver_gets_nothing():
+def test_draining_receiver_gets_no_calls():
     places = book(receiver("a", draining=True), receiver("b"))
     assert set(taken(places, 3)) == {"b"}
     places.update_receivers(SERVICE, (receiver("a", draining=True), receiver("b", draining=True)))
     assert taken(places, 1) == [None]
 
 
-def test_a_service_without_receivers_has_no_place():
+def test_service_without_receivers_has_no_slot():
     assert taken(book(), 1) == [None]
 
 
-def test_receivers_are_taken_until_their_queues_are_full():
+def test_slots_are_acquired_until_queue_at_receiver_is_full():
     assert taken(book(receiver("a", capacity=4)), 7) == ["a"] * 6 + [None]
 
 
@@ -92,7 +92,7 @@
     ("call_time_s", "latency_target_s", "taken_at_most"),
     [(0.1, 0.1, 6), (0.1, 0.2, 8), (0.05, 0.2, 12), (0.01, 2.0, 16), (2.0, 0.1, 5)],
 )
-def test_as_many_queue_at_a_receiver_as_their_aim_bears(call_time_s, latency_target_s, taken_at_most):
+def test_queue_at_receiver_is_bounded_by_latency_target(call_time_s, latency_target_s, taken_at_most):
     given = configuration()
     places = book(receiver("a", capacity=4))
     places.load_of("a").min_call_time_s = call_time_s
@@ -101,7 +101,7 @@
     assert taken(places, 20, wanted(latency_target_s=latency_target_s)).count("a") == taken_at_most
 
 
-def test_the_least_call_time_falls_at_once_and_rises_slowly():
+def test_min_call_time_falls_at_once_and_rises_slowly():
     load = ReceiverLoad()
     load.record_success(0.02)
     assert load.min_call_time_s == pytest.approx(0.02)
@@ -109,7 +109,7 @@
     assert 0.02 < load.min_call_time_s < 0.04
 
 
-def test_a_receiver_that_fails_calls_gets_fewer_and_is_tried_again():
+def test_failing_receiver_gets_fewer_calls_and_is_tried_again_later():
     places = book(receiver("a", capacity=4), receiver("b", capacity=4))
     for _ in range(10):
         places.load_of("a").record_error(NOW)
@@ -118,7 +118,7 @@
     assert "a" in taken(places, 2, now=later)
 
 
-def test_a_session_leaves_a_receiver_that_fails_its_calls():
+def test_sticky_request_leaves_failing_receiver():
     receivers = [receiver(name, capacity=8) for name in ("a", "b", "c")]
     places = book(*receivers)
     first = min(receivers, key=lambda each: rendezvous_rank("session", each)).id
@@ -127,7 +127,7 @@
     assert first not in taken(places, 4, wanted(key="session"))
 
 
-def test_served_calls_make_up_for_failed_ones():
+def test_successful_calls_lower_error_rate():
     load = ReceiverLoad()
     for _ in range(10):
         load.record_error(NOW)
@@ -137,13 +137,13 @@
     assert load.error_rate(NOW) < before / 2
 
 
-def test_the_connections_of_a_receiver_are_shared_by_the_senders():
+def test_connections_of_receiver_are_shared_by_senders():
     places = book(receiver("a", capacity=100))
     places.sender_count = 16
     assert taken(places, 5) == ["a"] * 4 + [None]
 
 
-def test_a_heard_load_counts_and_fades():
+def test_reported_load_counts_and_decays():
     places = book(receiver("a", capacity=4), receiver("b", capacity=4))
     places.load_of("a").record_report(ServerLoad(4, 4, 4), NOW)
     assert set(taken(places, 3)) == {"b"}
@@ -159,15 +159,15 @@
 
 
 @pytest.mark.parametrize("value", [None, "", "1,2", "1,2,3,4", "a,b,c", "-1,0,1", "1.5,0,1"])
-def test_a_load_that_is_not_readable_is_none(value):
+def test_invalid_server_load_is_ignored(value):
     assert parse_server_load(value) is None
 
 
-def test_a_load_is_read():
+def test_server_load_is_parsed():
     assert parse_server_load("3, 0,8") == ServerLoad(3, 0, 8)
 
 
-def test_a_session_stays_with_its_receiver_while_that_has_room():
+def test_sticky_request_stays_with_receiver_while_load_allows():
     receivers = [receiver(name, capacity=8) for name in ("a", "b", "c")]
     places = book(*receivers)
     first = min(receivers, key=lambda each: rendezvous_rank("session", each)).id
@@ -176,13 +176,13 @@
     assert set(order[6:]) != {first}
 
 
-def test_sessions_spread_by_capacity():
+def test_sticky_keys_spread_by_capacity():
     receivers = [receiver("a", capacity=4), receiver("b", capacity=12)]
     firsts = Counter(min(receivers, key=lambda each: rendezvous_rank(f"s{number}", each)).id for number in range(2000))
     assert firsts["b"] == pytest.approx(1500, rel=0.05)
 
 
-def test_only_sessions_of_a_receiver_that_left_move():
+def test_removed_receiver_moves_only_its_own_sticky_keys():
     receivers = [receiver(name) for name in ("a", "b", "c", "d")]
 
     def home(among, number):
@@ -194,7 +194,7 @@
         assert after == before or before == "a"
 
 
-def test_what_is_to_be_avoided_is_avoided_for_its_time():
+def test_avoided_receiver_is_not_chosen_until_given_time():
     places = book(receiver("a"), receiver("b"))
     request = wanted(avoid_until={"a": NOW + 0.5})
     assert set(taken(places, 2, request)) == {"b"}
@@ -202,7 +202,7 @@
     assert "a" in taken(places, 2, request, now=NOW + 0.5)
 
 
-def test_a_full_receiver_is_left_alone_for_a_short_wait_that_grows():
+def test_backoff_from_full_receiver_grows_exponentially():
     load = ReceiverLoad(call_time_s=0.08)
     load.back_off_full(NOW, 8, None, 1.0)
     assert load.blocked_until == pytest.approx(NOW + 0.01)
@@ -213,14 +213,14 @@
     assert load.blocked_until == NOW + MAX_FULL_BACKOFF_S
 
 
-def test_a_told_wait_is_heeded_and_not_cut_short_by_a_derived_one():
+def test_retry_after_of_full_receiver_is_not_shortened_by_backoff():
     load = ReceiverLoad()
     load.back_off_full(NOW, 4, 3.0, 1.0)
     load.back_off_full(NOW, 4, None, 1.0)
     assert load.blocked_until == NOW + 3.0
 
 
-def test_a_receiver_that_cannot_be_reached_is_left_alone_until_it_serves_again():
+def test_backoff_from_unreachable_receiver_grows_until_it_serves_again():
     load = ReceiverLoad()
     load.back_off_unreachable(NOW, 1.0)
     assert load.blocked_until == NOW + INITIAL_UNREACHABLE_BACKOFF_S
@@ -232,7 +232,7 @@
     assert load.blocked_until == NOW + 10 + INITIAL_UNREACHABLE_BACKOFF_S
 
 
-def test_freed_places_go_to_the_route_whose_last_place_lies_furthest_back():
+def test_released_slot_goes_to_route_with_earliest_last_grant():
     places = book(receiver("a", capacity=1))
     assert taken(places, 1, wanted("old"), now=NOW) == ["a"]
     assert taken(places, 1, wanted("new"), now=NOW + 1) == ["a"]
@@ -245,7 +245,7 @@
     assert order == [first_old, first_new, second_old, second_new]
 
 
-def test_places_that_free_at_once_are_shared_by_the_routes():
+def test_slots_released_together_are_shared_by_routes():
     places = book(receiver("a", capacity=2))
     taken(places, 1, wanted("old"), now=NOW)
     taken(places, 2, wanted("new"), now=NOW + 1)
@@ -255,7 +255,7 @@
     assert places.grant_queued(SERVICE, NOW + 2) == [tickets[0], tickets[2]]
 
 
-def test_urgency_counts_as_time_of_waiting():
+def test_priority_counts_as_waiting_time():
     places = book(receiver("a", capacity=1))
     taken(places, 1, wanted("low", priority=1), now=NOW)
     taken(places, 1, wanted("high", priority=0), now=NOW + PRIORITY_STEP_S / 2)
@@ -266,7 +266,7 @@
     assert places.grant_queued(SERVICE, NOW + 2) == [low]
 
 
-def test_a_new_request_does_not_overtake_those_that_wait():
+def test_new_request_does_not_overtake_queued_ones():
     places = book(receiver("a", capacity=1))
     taken(places, 2)
     ticket = places.enqueue(wanted())
@@ -275,7 +275,7 @@
     assert places.grant_queued(SERVICE, NOW) == [ticket]
 
 
-def test_a_request_that_avoids_what_is_free_does_not_hold_up_others():
+def test_queued_request_that_avoids_free_receiver_does_not_block_others():
     places = book(receiver("a", capacity=1))
     taken(places, 2)
     avoiding = places.enqueue(wanted("first", avoid_until={"a": NOW + 9}))
@@ -285,7 +285,7 @@
     assert avoiding.receiver is None
 
 
-def test_who_gives_up_gets_no_place():
+def test_cancelled_request_gets_no_slot():
     places = book(receiver("a", capacity=1))
     taken(places, 2)
     places.cancel(places.enqueue(wanted()))
@@ -294,7 +294,7 @@
     assert taken(places, 1) == ["a"]
 
 
-def test_places_of_a_receiver_that_left_are_forgotten():
+def test_slots_of_removed_receiver_are_forgotten():
     places = book(receiver("a"), receiver("b"))
     taken(places, 4)
     places.update_receivers(SERVICE, (receiver("b"),))
@@ -303,7 +303,7 @@
     assert set(taken(places, 2)) == {"b"}
 
 
-def test_the_wait_expected_grows_with_those_that_wait_and_stays_bounded():
+def test_expected_wait_grows_with_queue_and_is_bounded():
     places = book(receiver("a", capacity=1))
     places.load_of("a").call_time_s = 0.1
     alone = places.expected_wait_s(SERVICE, NOW)
@@ -316,12 +316,12 @@
     assert places.expected_wait_s(SERVICE, NOW) <= MAX_RETRY_AFTER_S * (1 + WAIT_JITTER)
 
 
-def test_the_wait_expected_is_never_nothing():
+def test_expected_wait_has_lower_bound():
     places = book(receiver("a", capacity=1000))
     assert places.expected_wait_s(SERVICE, NOW) >= MIN_RETRY_AFTER_S * (1 - WAIT_JITTER)
 
 
-def test_a_session_goes_to_a_receiver_of_its_own_zone_while_that_one_has_room():
+def test_sticky_request_prefers_own_zone_while_load_allows():
     far = [receiver(f"far-{number}", zone="there") for number in range(8)]
     places = book(receiver("near", zone="here"), *far)
     chosen = [places.acquire(wanted(key=f"session-{number}"), NOW).id for number in range(3)]
@@ -329,7 +329,7 @@
     assert places.acquire(wanted(key="session-9"), NOW).id != "near"
 
 
-def test_a_receiver_that_answers_nothing_gets_no_more_while_others_can():
+def test_unresponsive_receiver_gets_no_calls_while_others_can():
     places = book(receiver("hung"), receiver("sound"))
     hung = places.load_of("hung")
     hung.record_sent(NOW)
@@ -340,7 +340,7 @@
     assert {places.acquire(wanted(), later).id for _ in range(3)} == {"sound"}
 
 
-def test_an_answer_to_any_call_ends_the_silence():
+def test_response_to_any_call_makes_receiver_responsive():
     places = book(receiver("slow"))
     slow = places.load_of("slow")
     slow.record_sent(NOW)
--- a/tests/dataplane/test_streamed_answers.py
+++ b/tests/dataplane/test_streamed_responses.py
@@ -4,7 +4,6 @@
 from collections.abc import Iterator
 
 import pytest
-from dataplane.path_world import Path, header, read
 from dataplane.peers import (
     END,
     PATIENCE_S,
@@ -17,9 +16,10 @@
     stream,
     stream_head,
 )
+from dataplane.request_handler_harness import Path, header, read
 
 
-def test_a_stream_is_passed_on_whole():
+def test_stream_is_forwarded_completely():
     with receivers(ScriptedReceiver(stream(event(1), event(2)))) as listed:
         path = Path(listed, kind="stream")
         answer = path()
@@ -31,7 +31,7 @@
     assert path.path.metrics.incomplete_streams == 0
 
 
-def test_a_stream_comes_before_it_ends():
+def test_events_are_forwarded_before_stream_ends():
     go_on = threading.Event()
 
     def answer_slowly(connection, got):
@@ -47,7 +47,7 @@
         assert list(parts) == [event(2)]
 
 
-def test_a_stream_that_must_not_be_repeated_breaks_off():
+def test_non_resumable_stream_that_breaks_is_incomplete():
     peers = [ScriptedReceiver(stream(event(1), whole=False), id=name) for name in ("i-1", "i-2")]
     with receivers(*peers) as listed:
         path = Path(listed, kind="stream")
@@ -56,12 +56,12 @@
     assert path.path.metrics.incomplete_streams == 1
 
 
-def test_a_stream_that_breaks_before_its_first_event_is_an_error_and_no_success():
+def test_stream_that_breaks_before_first_event_gets_502():
     with receivers(ScriptedReceiver(stream(b"id: 1\nda", whole=False))) as listed:
         assert Path(listed, kind="stream")().status == 502
 
 
-def test_a_resumable_stream_goes_on_at_another_receiver_with_the_first_head():
+def test_resumable_stream_continues_at_another_receiver_under_first_head():
     def scripts(name):
         first = stream(event(1), event(2), b"id: 3\nda", whole=False)
 
@@ -83,14 +83,14 @@
     assert path.path.metrics.resumed_streams == 1
 
 
-def test_resuming_stays_within_the_attempts():
+def test_resuming_is_bounded_by_attempts():
     peers = [ScriptedReceiver(stream(event(1), whole=False), id=name) for name in ("i-1", "i-2", "i-3")]
     with receivers(*peers) as listed:
         assert read(Path(listed, kind="stream", resumable=True, retries=2)()) == (event(1), True)
     assert sum(len(peer.requests) for peer in peers) == 2
 
 
-def test_a_stream_that_was_served_ends_the_count_of_refusals():
+def test_complete_stream_resets_backoff():
     with receivers(ScriptedReceiver(refusal(), stream(event(1)))) as listed:
         path = Path(listed, kind="stream", target_ms=50)
         assert path().status == 503
@@ -103,7 +103,7 @@
     assert load.call_time_s != before
 
 
-def test_places_of_streams_are_given_back():
+def test_slots_of_streams_are_released():
     with receivers(ScriptedReceiver(stream(event(1)), capacity=1)) as listed:
         path = Path(listed, kind="stream", target_ms=100)
         for _ in range(5):
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("after_head", [True, False])
-def test_a_client_that_leaves_ends_the_call_at_the_receiver(after_head):
+def test_client_disconnect_aborts_streaming_call(after_head):
     begun, ended = threading.Event(), threading.Event()
 
     def answer(connection, got):
--- a/tests/dataplane/test_unsent_requests.py
+++ b/tests/dataplane/test_unsent_requests.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_refused_connect_proves_that_nothing_ran(kind):
+def test_refused_connect_proves_no_effect(kind):
     first, second = ScriptedReceiver(whole(), id="i-1"), second_receiver()
     first.close()
     with receivers(second) as listed:
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_connect_that_hangs_proves_that_nothing_ran(kind):
+def test_connect_time_out_proves_no_effect(kind):
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     host, port = listener.getsockname()
     waiting = [socket.socket() for _ in range(3)]
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_reset_before_the_request_is_out_proves_that_nothing_ran(kind, monkeypatch):
+def test_reset_before_request_is_sent_proves_no_effect(kind, monkeypatch):
     gone = threading.Event()
     connect = ConnectionPool.connect
 
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_used_connection_on_which_nothing_could_be_sent_gives_way_to_a_new_one(kind, monkeypatch):
+def test_reused_connection_that_cannot_send_is_replaced(kind, monkeypatch):
     """The end of the connection comes between the last look at it and the sending: the call goes on at its receiver."""
     monkeypatch.setattr("dewpin.dataplane.upstream.receiver_connection.ReceiverConnection.is_connected", True)
     gone = threading.Event()
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_reset_after_a_part_of_the_request_proves_nothing(kind):
+def test_reset_after_part_of_request_proves_nothing(kind):
     def read_some(sock):
         read_head(sock)
         PeerConnection(sock).reset()
--- a/tests/dataplane/test_workers.py
+++ b/tests/dataplane/test_worker_threads.py
@@ -13,7 +13,7 @@
     return [socket.socket() for _ in range(number)]
 
 
-def test_an_idle_thread_serves_the_next_socket():
+def test_idle_thread_serves_next_socket():
     served = queue.SimpleQueue()
     workers = WorkerThreads(lambda sock: served.put((sock, threading.get_ident())))
     threads = set()
@@ -25,7 +25,7 @@
     assert len(threads) < 20
 
 
-def test_sockets_that_come_together_are_served_together():
+def test_sockets_submitted_together_are_served_concurrently():
     barrier = threading.Barrier(8)
     done = threading.Semaphore(0)
 
--- a/tests/mutations/test_mutations.py
+++ b/tests/mutations/test_mutations.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 import pytest
-from dataplane.upstream_caller import Caller
+from dataplane.receiver_caller import Caller
 
 from dewpin.cluster import store_messages as wire
 from dewpin.dataplane.upstream.outcome import Outcome
@@ -76,8 +76,7 @@
     "test_a_sender_started_beside_a_process_that_is_cut_off_is_ready_only_with_another"
 )
 NO_ROUTE = (
-    "tests.dataplane.test_request_path::"
-    "test_a_request_without_a_route_is_refused_while_no_majority_has_confirmed_the_configuration"
+    "tests.dataplane.test_request_handler::test_request_without_route_gets_503_while_configuration_is_unconfirmed"
 )
 COPIED_PROMISE = "tests.controlplane.test_ledger_copies::test_a_copy_takes_back_no_promise_of_the_store_that_copies"
 CARRIED = (
@@ -86,8 +85,8 @@
 )
 OLD_SETS = "tests.consensus.test_register::test_a_value_needs_majorities_of_the_sets_of_the_value_that_it_follows"
 OLDER_EPOCH = "tests.controlplane.test_store::test_a_write_of_an_older_epoch_leaves_nothing_on_the_disk"
-UNKNOWN_EFFECT = "tests.dataplane.test_retry::test_an_unknown_effect_ends_what_may_not_be_repeated"
-USED_CONNECTION = "tests.dataplane.test_upstream::test_a_refusal_without_an_id_proves_nothing_on_a_used_connection"
+UNKNOWN_EFFECT = "tests.dataplane.test_retry::test_unknown_effect_ends_non_idempotent_request"
+USED_CONNECTION = "tests.dataplane.test_receiver_client::test_rejection_without_id_proves_nothing_on_reused_connection"
 LATE_ANSWER = "tests.cluster.test_rpc_endings::test_the_late_answer_to_an_abandoned_call_reaches_nobody"
 
 MUTATIONS = [
