--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -16,9 +16,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parents[1]))
 
-from dewpin.peers.member_messages import LOST, Address, Said
-from dewpin.peers.members import Members
-from dewpin.peers.wire import pack
+from dewpin.peers.membership import Membership
+from dewpin.peers.membership_messages import Address, MembershipEnvelope, MembershipMessage, MemberState
+from dewpin.peers.wire import encode_datagram
 
 PERIOD, LOOK = 1000.0, 50.0
 
@@ -28,8 +28,8 @@
 
     def __init__(self, size: int, seed: int = 1, measured: bool = False) -> None:
         self.dice, self.order, self.now = random.Random(seed), count(), 0.0
-        self.due: list[tuple[float, int, int, tuple[str, Address, Said] | None]] = []
-        self.members: dict[int, Members] = {}
+        self.due: list[tuple[float, int, int, tuple[str, Address, MembershipMessage] | None]] = []
+        self.members: dict[int, Membership] = {}
         self.away: dict[int, float] = {}  # stopped until
         self.link: Callable[[int, int], float | None] = lambda a, b: self.dice.uniform(0.5, 2.0)
         self.measured, self.bytes = measured, 0
@@ -37,15 +37,15 @@
         for number in range(size):
             self.start(number)
 
-    def start(self, number: int, life: int = 1) -> None:
+    def start(self, number: int, incarnation: int = 1) -> None:
         seeds = [("", 0), ("", 1)] if number else [("", 1)]
-        self.members[number] = Members(f"m{number}", ("", number), life, seeds, self.now, PERIOD)
+        self.members[number] = Membership(f"m{number}", ("", number), incarnation, seeds, self.now, PERIOD)
         heappush(self.due, (self.now + self.dice.uniform(0.0, LOOK), next(self.order), number, None))
 
-    def send(self, number: int, out: list[tuple[str, Address, Said]]) -> None:
+    def send(self, number: int, out: list[MembershipEnvelope]) -> None:
         for _, (_, to), message in out:
             if self.measured:
-                self.bytes += len(pack(f"m{number}", message)) + 28
+                self.bytes += len(encode_datagram(f"m{number}", message)) + 28
             after = self.link(number, to)
             if after is not None:
                 heappush(self.due, (self.now + after, next(self.order), to, (f"m{number}", ("", number), message)))
@@ -64,13 +64,13 @@
                 self.send(number, one.tick(self.now))
                 heappush(self.due, (self.now + LOOK, next(self.order), number, None))
             else:
-                self.send(number, one.hear(*message, self.now))
-            self.lost += [(self.now, one.name, name) for name, state in one.changes() if state == LOST]
+                self.send(number, one.receive(*message, self.now))
+            self.lost += [(self.now, one.name, name) for name, state in one.take_changes() if state == MemberState.LOST]
         self.now = end
 
     def agreed(self) -> bool:
         there = sorted(one.name for one in self.members.values())
-        return all(one.alive() == there for one in self.members.values())
+        return all(one.active_members() == there for one in self.members.values())
 
     def until(self, fact: Callable[[], bool], ms: float) -> float | None:
         """Ms until it holds; None: never within so long."""
--- a/dewpin/peers/__init__.py
+++ b/dewpin/peers/__init__.py
@@ -1,5 +1,6 @@
-"""Duties that one sender holds at a time, where senders may talk. Begun: docs/peers.md says what stands.
+"""Coordination between senders that may talk to each other: membership and leases. In work; docs/peers.md says what
+stands.
 
-It owns the protocol of leases, free of I/O, its messages, and one thin module with the socket and the file. The daemon
-does not import it yet; on the platform nothing of it may run.
+The protocols are free of I/O; `node` connects them to a socket and a file. No sender imports this package yet, and on
+the platform nothing of it runs.
 """
--- a/dewpin/peers/node.py
+++ b/dewpin/peers/node.py
@@ -1,53 +1,61 @@
-"""One peer on a datagram socket, with a voter's file: the thin side of `lease.py` and `members.py`.
+"""One peer on a datagram socket, with a voter's file: the I/O around the lease and membership protocols.
 
-It owns the socket, the timer and the file `votes`. Nothing leaves before what it rests on is on disk; it decides
-nothing.
+No message leaves before what it rests on is on disk. The node decides nothing.
 """
+
 import asyncio
 import ipaddress
 import os
 import time
-from collections.abc import Mapping, Sequence
+from collections.abc import Iterable, Mapping, Sequence
 
 import msgspec
 
-from .lease import Candidate, Message, Sent, Voter
-from .member_messages import Address, Out
-from .members import Members
-from .wire import Packet, pack, unpack
+from .lease_candidate import LeaseCandidate
+from .lease_messages import LeaseEnvelope, LeaseMessage
+from .lease_voter import LeaseVoter, Votes
+from .membership import Membership
+from .membership_messages import Address, MembershipEnvelope
+from .wire import Datagram, decode_datagram, encode_datagram
 
-LOOK = 0.02             # seconds between two looks at what is due
-NAME = "votes"
+TICK_SECONDS = 0.02
+RECOVERY_REQUEST_TICKS = 25
+"""Between two requests of a recovering voter."""
+VOTES_FILE = "votes"
 
 
-def clock() -> float:
+def boot_time_ms() -> float:
     """ms on a clock that never steps and goes on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
-def reachable(address: Address) -> bool:
-    """Guards against what a datagram says of another: a name would be looked up while all wait, a wild port raises."""
+def is_reachable(address: Address) -> bool:
+    """Whether an address may be sent to as it is.
+
+    Guards against what a datagram says of another member: a host name would be looked up while all wait, and a port out
+    of range raises."""
     try:
         return bool(ipaddress.ip_address(address[0])) and 0 < address[1] < 65536
     except ValueError:
         return False
 
 
-class Votes:
-    """The voter's file: {duty: [number, holder]}, replaced in one step and synced."""
+class VotesFile:
+    """A voter's file: {role: [fencing token, holder]}, replaced in one step and synced."""
 
     def __init__(self, folder: str) -> None:
-        self.path = os.path.join(folder, NAME)
+        self.path = os.path.join(folder, VOTES_FILE)
 
-    def read(self) -> dict[str, tuple[int, str]] | None:
-        """None where there is none, or none that can be read: then it is not known what was granted."""
+    def read(self) -> Votes | None:
+        """The stored votes; None where there are none that can be read: then it is not known what was granted."""
         try:
             with open(self.path, "rb") as file:
-                return msgspec.json.decode(file.read(), type=dict[str, tuple[int, str]])
+                return msgspec.json.decode(file.read(), type=Votes)
         except (OSError, msgspec.MsgspecError):
             return None
 
-    def write(self, votes: Mapping[str, tuple[int, str]]) -> None:
+    def write(self, votes: Votes) -> None:
+        """Stores the votes. Raises OSError."""
         with open(self.path + ".new", "wb") as file:
             file.write(msgspec.json.encode(votes))
             file.flush()
@@ -55,102 +63,122 @@
         os.replace(self.path + ".new", self.path)
 
 
-class Node(asyncio.DatagramProtocol):
-    """`peers`: {name: address} where it is fixed how to reach them, before what members say; `first`: the installation
-    never ran, so an empty folder is no loss; `members` is set before messages come."""
-
-    def __init__(self, name: str, peers: Mapping[str, tuple[str, int]], voters: Sequence[str], folder: str,
-                 term: float, first: bool = False) -> None:
-        self.name, self.peers, self.term = name, dict(peers), term
-        self.members: Members | None = None
-        self.candidates: list[Candidate] = []
-        self.voter: Voter | None = None
-        self.bad = 0                    # datagrams that were no message, or from nobody known
-        self.transport: asyncio.DatagramTransport | None = None
+class PeerNode(asyncio.DatagramProtocol):
+    """One peer.
+
+    `peers`: {name: address} where it is fixed how to reach them, which goes before what members report. `membership`
+    and `candidates` are set by the owner before messages come. `voter`: None where this peer is no voter.
+    `bad_datagrams`: datagrams that were no message, came from nobody known or could not be sent."""
+
+    def __init__(
+        self,
+        name: str,
+        peers: Mapping[str, Address],
+        voters: Sequence[str],
+        folder: str,
+        term_ms: float,
+        is_new_installation: bool = False,
+    ) -> None:
+        """`is_new_installation`: the installation never ran, so a folder without votes has lost nothing."""
+        self.name = name
+        self.peers = dict(peers)
+        self.membership: Membership | None = None
+        self.candidates: list[LeaseCandidate] = []
+        self.voter: LeaseVoter | None = None
+        self.bad_datagrams = 0
+        self._transport: asyncio.DatagramTransport | None = None
         if name in voters:
             os.makedirs(folder, exist_ok=True)
-            self.votes = Votes(folder)
-            held = self.votes.read()
-            if held is None and first:
-                self.votes.write(held := {})
-            self.voter = Voter(name, voters, term, clock(), held)
-
-    async def open(self, host: str, port: int) -> tuple[str, int]:
+            self._votes_file = VotesFile(folder)
+            votes = self._votes_file.read()
+            if votes is None and is_new_installation:
+                self._votes_file.write(votes := {})
+            self.voter = LeaseVoter(name, voters, term_ms, boot_time_ms(), votes)
+
+    async def open(self, host: str, port: int) -> Address:
+        """Opens the socket and starts the timer; the address that it is bound to."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, (host, port))
-        self.transport = transport
-        self.task = loop.create_task(self._run())
-        address: tuple[str, int] = transport.get_extra_info("sockname")
+        self._transport = transport
+        self._ticking = loop.create_task(self._tick_forever())
+        address: Address = transport.get_extra_info("sockname")
         return address
 
     def close(self) -> None:
-        self.task.cancel()
-        if self.transport:
-            self.transport.close()
+        """Closes the socket and stops the timer."""
+        self._ticking.cancel()
+        if self._transport:
+            self._transport.close()
 
-    def release(self, candidate: Candidate) -> None:
-        self._send(candidate.release(clock()))
+    def release(self, candidate: LeaseCandidate) -> None:
+        """Gives a lease up."""
+        self._send_lease_messages(candidate.release(boot_time_ms()))
 
     def leave(self) -> None:
-        if self.members:
-            self._out(self.members.leave())
+        """Leaves the membership by intent."""
+        if self.membership:
+            self._send_membership_messages(self.membership.leave())
 
-    async def _run(self) -> None:
-        beat = 0
+    def datagram_received(self, data: bytes, address: Address) -> None:
+        """Handles a datagram; one that is no message of a known peer is counted."""
+        datagram = decode_datagram(data)
+        if datagram is None or not self._handle_datagram(datagram, address):
+            self.bad_datagrams += 1
+
+    def error_received(self, error: Exception) -> None:
+        """A peer's port is closed: that says nothing of what it granted."""
+
+    async def _tick_forever(self) -> None:
+        ticks = 0
         while True:
             for candidate in self.candidates:
-                self._send(candidate.tick(clock()))
-            if self.members:
-                self._out(self.members.tick(clock()))
-            if self.voter and self.voter.blank and beat % 25 == 0:
-                self._send(self.voter.start())
-            beat += 1
-            await asyncio.sleep(LOOK)
-
-    def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        packet = unpack(data)
-        if packet is None or not self._takes(packet, address):
-            self.bad += 1
-
-    def _takes(self, packet: Packet, address: Address) -> bool:
-        if isinstance(packet.message, Message):
-            if self._where(packet.name) is None:
+                self._send_lease_messages(candidate.tick(boot_time_ms()))
+            if self.membership:
+                self._send_membership_messages(self.membership.tick(boot_time_ms()))
+            if self.voter and self.voter.is_recovering and ticks % RECOVERY_REQUEST_TICKS == 0:
+                self._send_lease_messages(self.voter.start_recovery())
+            ticks += 1
+            await asyncio.sleep(TICK_SECONDS)
+
+    def _handle_datagram(self, datagram: Datagram, address: Address) -> bool:
+        if isinstance(datagram.message, LeaseMessage):
+            if self._address_of(datagram.name) is None:
                 return False
-            self._heard(packet.name, packet.message)
+            self._handle_lease_message(datagram.name, datagram.message)
             return True
-        if self.members is None:
+        if self.membership is None:
             return False
-        self._out(self.members.hear(packet.name, address, packet.message, clock()))
+        envelopes = self.membership.receive(datagram.name, address, datagram.message, boot_time_ms())
+        self._send_membership_messages(envelopes)
         return True
 
-    def _where(self, name: str) -> Address | None:
-        return self.peers.get(name) or (self.members.address(name) if self.members else None)
-
-    def _out(self, out: Out) -> None:
-        for peer, address, message in out:
-            to = self.peers.get(peer, address)
-            if self.transport and reachable(to):
-                self.transport.sendto(pack(self.name, message), to)
-            else:
-                self.bad += 1
-
-    def error_received(self, error: Exception) -> None:
-        """A peer's port is shut: it says nothing of what it granted."""
-
-    def _heard(self, peer: str, message: Message) -> None:
-        now, sent = clock(), []
+    def _handle_lease_message(self, peer: str, message: LeaseMessage) -> None:
+        now_ms = boot_time_ms()
+        envelopes: list[LeaseEnvelope] = []
         if self.voter:
-            sent = self.voter.hear(peer, message, now)
-            if self.voter.changed:
-                self.votes.write(self.voter.votes)      # an error here ends the call: nothing was said yet
-                self.voter.changed = False
+            envelopes = self.voter.receive(peer, message, now_ms)
+            if self.voter.has_unsaved_votes:
+                self._votes_file.write(self.voter.votes)  # an error here ends the call: nothing was sent yet
+                self.voter.has_unsaved_votes = False
         for candidate in self.candidates:
-            sent += candidate.hear(peer, message, now)
-        self._send(sent)
-
-    def _send(self, sent: Sent) -> None:
-        for peer, message in sent:
-            if peer == self.name:
-                asyncio.get_running_loop().call_soon(self._heard, peer, message)
-            elif self.transport and (address := self._where(peer)):
-                self.transport.sendto(pack(self.name, message), address)
+            envelopes += candidate.receive(peer, message, now_ms)
+        self._send_lease_messages(envelopes)
+
+    def _address_of(self, name: str) -> Address | None:
+        return self.peers.get(name) or (self.membership.address_of(name) if self.membership else None)
+
+    def _send_membership_messages(self, envelopes: Iterable[MembershipEnvelope]) -> None:
+        for envelope in envelopes:
+            address = self.peers.get(envelope.peer, envelope.address)
+            if self._transport and is_reachable(address):
+                self._transport.sendto(encode_datagram(self.name, envelope.message), address)
+            else:
+                self.bad_datagrams += 1
+
+    def _send_lease_messages(self, envelopes: Iterable[LeaseEnvelope]) -> None:
+        for envelope in envelopes:
+            if envelope.peer == self.name:
+                loop = asyncio.get_running_loop()
+                loop.call_soon(self._handle_lease_message, envelope.peer, envelope.message)
+            elif self._transport and (address := self._address_of(envelope.peer)):
+                self._transport.sendto(encode_datagram(self.name, envelope.message), address)
--- a/dewpin/peers/wire.py
+++ b/dewpin/peers/wire.py
@@ -1,39 +1,46 @@
-"""Messages between peers as datagrams: a version, the sender's name, the message. Bounded; what is bad is counted.
+"""Messages between peers as datagrams: a version, the sender's name, the message.
 
-It owns the form on the wire and nothing of what is said. On a trusted network: nothing is signed or hidden.
+Datagrams are bounded. They are for a trusted network: nothing is signed or encrypted.
 """
+
 import msgspec
 
-from .lease import Message
-from .member_messages import Said
+from .lease_messages import LeaseMessage
+from .membership_messages import MembershipMessage
 
 VERSION = 1
-MOST = 1400             # bytes; a message that needs more is a fault of ours
+MAX_DATAGRAM_BYTES = 1400
+"""A message of ours that needs more is a fault."""
+
+PeerMessage = LeaseMessage | MembershipMessage
+
 
+class Datagram(msgspec.Struct, frozen=True, array_like=True):
+    """What a datagram holds; `name` is the sender's."""
 
-class Packet(msgspec.Struct, frozen=True, array_like=True):
     version: int
     name: str
-    message: Message | Said
+    message: PeerMessage
 
 
-_encoder, _decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Packet)
+_encoder = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(Datagram)
 
 
-def pack(name: str, message: Message | Said) -> bytes:
-    """ValueError if it is over the bound."""
-    content = _encoder.encode(Packet(VERSION, name, message))
-    if len(content) > MOST:
-        raise ValueError(f"a message of {len(content)} bytes, {MOST} at most")
+def encode_datagram(name: str, message: PeerMessage) -> bytes:
+    """The bytes of a datagram. Raises ValueError if it is too large."""
+    content = _encoder.encode(Datagram(VERSION, name, message))
+    if len(content) > MAX_DATAGRAM_BYTES:
+        raise ValueError(f"a message of {len(content)} bytes, {MAX_DATAGRAM_BYTES} at most")
     return content
 
 
-def unpack(content: bytes) -> Packet | None:
-    """None for what is no message of this version."""
-    if len(content) > MOST:
+def decode_datagram(content: bytes) -> Datagram | None:
+    """The datagram, or None for what is no message of this version."""
+    if len(content) > MAX_DATAGRAM_BYTES:
         return None
     try:
-        packet = _decoder.decode(content)
+        datagram = _decoder.decode(content)
     except msgspec.MsgspecError:
         return None
-    return packet if packet.version == VERSION else None
+    return datagram if datagram.version == VERSION else None
--- a/tests/peers/holder.py
+++ b/tests/peers/holder.py
@@ -1,6 +1,7 @@
-"""A peer as a process of its own: it wants the duty `d`, and while it holds it, acts: it tells its number to the taker.
+"""A peer as a process of its own: a candidate for the lease on the role `d`; while it holds it, it acts:
+it sends its fencing token to the resource.
 
-Its one argument is JSON: name, peers, voters, folder, term, first, taker. SIGTERM: it gives the duty up and ends.
+Its one argument is JSON: name, peers, voters, folder, term, first, taker. SIGTERM: it gives the lease up and ends.
 """
 
 import asyncio
@@ -10,16 +11,16 @@
 import sys
 import time
 
-from dewpin.peers.lease import Candidate
-from dewpin.peers.node import Node, clock
+from dewpin.peers.lease_candidate import LeaseCandidate
+from dewpin.peers.node import PeerNode, boot_time_ms
 
 
 async def main(told):
     taker = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     peers = {name: tuple(address) for name, address in told["peers"].items()}
-    node = Node(told["name"], peers, told["voters"], told["folder"], told["term"], told["first"])
+    node = PeerNode(told["name"], peers, told["voters"], told["folder"], told["term"], told["first"])
     names = sorted([told["name"], *peers])
-    one = Candidate(
+    candidate = LeaseCandidate(
         told["name"],
         names.index(told["name"]),
         len(names),
@@ -28,8 +29,8 @@
         told["term"],
         time.time_ns() & 0xFFFFFFFF,
     )
-    one.wants = True
-    node.candidates.append(one)
+    candidate.wants_lease = True
+    node.candidates.append(candidate)
 
     def tell(**facts):
         taker.sendto(json.dumps(facts | {"name": told["name"]}).encode(), tuple(told["taker"]))
@@ -41,10 +42,10 @@
         if beat % 50 == 0:  # again and again: the taker may lose one when it stands still
             tell(at=at)
         beat += 1
-        if (number := one.holds(clock())) is not None:
-            tell(number=number)
+        if (token := candidate.held_token(boot_time_ms())) is not None:
+            tell(number=token)
         await asyncio.sleep(0.01)
-    node.release(one)
+    node.release(candidate)
     await asyncio.sleep(0.05)  # what was sent to itself goes first
     node.close()
 
--- a/tests/peers/test_lease.py
+++ b/tests/peers/test_lease.py
@@ -5,33 +5,46 @@
 
 import pytest
 
-from dewpin.peers import lease
-from dewpin.peers.lease import Answer, Candidate, Fence, Recalled, Voter
-from dewpin.peers.wire import MOST, pack, unpack
+from dewpin.peers.fencing import FencingGuard
+from dewpin.peers.lease_candidate import NEVER_MS, LeaseCandidate
+from dewpin.peers.lease_messages import LeaseFreed, LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
+from dewpin.peers.lease_voter import NO_VOTE, LeaseVoter
 
-VOTERS, TERM = ("x", "y", "z"), 2.0
+VOTERS, TERM_MS = ("x", "y", "z"), 2.0
+COPIED_ATTRIBUTES = ("votes", "granted_until_ms", "waiting_candidates", "recovered_tokens", "grants", "granted_tokens")
 
 
 class World:
-    """Three voters, two candidates. Messages stay in `soup` for good: each may be taken at any time, again or never."""
+    """Three voters, two candidates. Sent messages stay for good: each may be received at any time, again or never."""
 
     def __init__(self, voter, candidate):
-        self.now = 0.0
-        self.voters = {name: voter(name, VOTERS, TERM, -TERM, {}) for name in VOTERS}
+        self.now_ms = 0.0
+        self.voters = {name: voter(name, VOTERS, TERM_MS, -TERM_MS, {}) for name in VOTERS}
         self.candidates = {
-            name: candidate(name, at, 2, "d", VOTERS, TERM, 0, drift=0.0) for at, name in enumerate("ab")
+            name: candidate(name, at, 2, "d", VOTERS, TERM_MS, 0, drift=0.0) for at, name in enumerate("ab")
         }
-        self.soup, self.held, self.restarts = {}, (), 0
+        self.sent, self.held_tokens, self.restarts = {}, (), 0
 
     def key(self):
         return (
-            self.now,
-            frozenset(self.soup),
-            self.held,
+            self.now_ms,
+            frozenset(self.sent),
+            self.held_tokens,
             self.restarts,
-            tuple((tuple(one.votes.items()), tuple(one.until.items()), one.quiet) for one in self.voters.values()),
             tuple(
-                (one.number, one.seen, one.round, one.until, frozenset(one.grants), one.wants, tuple(one.heard.items()))
+                (tuple(one.votes.items()), tuple(one.granted_until_ms.items()), one.grants_nothing_until_ms)
+                for one in self.voters.values()
+            ),
+            tuple(
+                (
+                    one.fencing_token,
+                    one.highest_token,
+                    one.round,
+                    one.holds_until_ms,
+                    frozenset(one.grants),
+                    one.wants_lease,
+                    tuple(one.granted_tokens.items()),
+                )
                 for one in self.candidates.values()
             ),
         )
@@ -41,273 +54,266 @@
         other.voters, other.candidates = dict(self.voters), dict(self.candidates)
         return other
 
-    def own(self, held, name):
+    def own(self, parties, name):
         """A copy of one party, to be changed."""
-        one = held[name] = copy.copy(held[name])
-        for field in ("votes", "until", "waiting", "told", "grants", "heard"):
-            if isinstance(getattr(one, field, None), (dict, set)):
-                setattr(one, field, copy.copy(getattr(one, field)))
+        one = parties[name] = copy.copy(parties[name])
+        for attribute in COPIED_ATTRIBUTES:
+            if isinstance(getattr(one, attribute, None), (dict, set)):
+                setattr(one, attribute, copy.copy(getattr(one, attribute)))
         return one
 
-    def send(self, name, sent):
-        self.soup = self.soup | {
-            (name, to, plain(message)): None for to, message in sent if not isinstance(message, lease.Free)
+    def send(self, name, envelopes):
+        self.sent = self.sent | {
+            (name, to, without_wait(message)): None for to, message in envelopes if not isinstance(message, LeaseFreed)
         }
 
-    def note(self):
-        """Who holds at this moment; None once two do, or a number did not grow."""
-        holding = {one.holds(self.now) for one in self.candidates.values()} - {None}
-        for number in sorted(holding - set(self.held)):
-            if self.held and number < max(self.held):
+    def check(self):
+        """Notes who holds the lease at this moment; None once two do, or a fencing token did not grow."""
+        holding = {one.held_token(self.now_ms) for one in self.candidates.values()} - {None}
+        for token in sorted(holding - set(self.held_tokens)):
+            if self.held_tokens and token < max(self.held_tokens):
                 return None
-            self.held += (number,)
-        return None if len([1 for one in self.candidates.values() if one.holds(self.now) is not None]) > 1 else self
-
-    def ways(self, rounds, end, restarts, kind):
-        """What may happen next, each as a function and its arguments: the world after it."""
-        if self.now < end:
-            yield (self.later,)
+            self.held_tokens += (token,)
+        holders = [1 for one in self.candidates.values() if one.held_token(self.now_ms) is not None]
+        return None if len(holders) > 1 else self
+
+    def steps(self, rounds, end_ms, restarts, voter):
+        """What may happen next, each as a function and its arguments, which gives the world after it."""
+        if self.now_ms < end_ms:
+            yield (self.after_a_while,)
         for name, one in self.candidates.items():
             if one.round < rounds:
-                yield self.asks, name
+                yield self.after_request, name
         if self.restarts < restarts:
-            yield self.restart, kind
-        for one in self.soup:
-            yield self.hears, one
+            yield self.after_restart, voter
+        for one in self.sent:
+            yield self.after_receipt, one
 
-    def later(self):
+    def after_a_while(self):
         other = self.fork()
-        other.now += 1.0
+        other.now_ms += 1.0
         return other
 
-    def asks(self, name):
+    def after_request(self, name):
         other = self.fork()
         mine = other.own(other.candidates, name)
-        mine.wants, mine.next_at = True, -1e18
-        other.send(name, mine.tick(self.now))
+        mine.wants_lease, mine.next_request_at_ms = True, NEVER_MS
+        other.send(name, mine.tick(self.now_ms))
         return other
 
-    def restart(self, kind):
+    def after_restart(self, voter):
         """Of the first voter: all are alike. What it granted is on disk."""
         other = self.fork()
-        other.voters["x"] = kind("x", VOTERS, TERM, self.now, self.voters["x"].votes)
+        other.voters["x"] = voter("x", VOTERS, TERM_MS, self.now_ms, self.voters["x"].votes)
         other.restarts += 1
         return other
 
-    def hears(self, one):
+    def after_receipt(self, one):
         sender, to, message = one
         other = self.fork()
         mine = other.own(other.voters if to in other.voters else other.candidates, to)
-        other.send(to, mine.hear(sender, message, self.now))
+        other.send(to, mine.receive(sender, message, self.now_ms))
         return other
 
 
-def plain(message):
-    if isinstance(message, Answer):
-        return Answer(message.duty, message.round, message.granted, message.seen, 0.0)
+def without_wait(message):
+    if isinstance(message, LeaseReply):
+        return LeaseReply(message.role, message.round, message.is_granted, message.highest_token, 0.0)
     return message
 
 
-def explored(voter=Voter, candidate=Candidate, rounds=1, end=2.0, restarts=1, most=6000):
-    """The nearest state that two hold in, or a number doesn't grow; None if the first `most` have none."""
+def explore(voter=LeaseVoter, candidate=LeaseCandidate, rounds=1, end_ms=2.0, restarts=1, max_states=6000):
+    """The nearest state that breaks a rule; None if the first `max_states` have none."""
     first = World(voter, candidate)
     seen, queue = {first.key()}, [first]
     for world in queue:
-        for step, *given in world.ways(rounds, end, restarts, voter):
-            other = step(*given)
+        for step, *arguments in world.steps(rounds, end_ms, restarts, voter):
+            other = step(*arguments)
             if other.key() not in seen:
                 seen.add(other.key())
-                if other.note() is None:
+                if other.check() is None:
                     return other
-                if len(seen) >= most:
+                if len(seen) >= max_states:
                     return None
                 queue.append(other)
     return None
 
 
-def walked(voter=Voter, candidate=Candidate, walks=2000, steps=60, rounds=4, end=8.0, restarts=2, seed=1):
-    """The same on long walks by chance, with how many leases were held on them all."""
-    dice, held = random.Random(seed), 0
+def walk(voter=LeaseVoter, candidate=LeaseCandidate, walks=2000, length=60, rounds=4, end_ms=8.0, restarts=2, seed=1):
+    """The same on long random walks, with how many leases were held on them all."""
+    random_source, leases = random.Random(seed), 0
     for _ in range(walks):
         world = World(voter, candidate)
-        for _ in range(steps):
-            ways = list(world.ways(rounds, end, restarts, voter))
-            step, *given = dice.choice(ways[-3:] if dice.random() < 0.5 else ways)
-            world = step(*given)
-            if world.note() is None:
-                return world, held
-        held += len(world.held)
-    return None, held
+        for _ in range(length):
+            steps = list(world.steps(rounds, end_ms, restarts, voter))
+            step, *arguments = random_source.choice(steps[-3:] if random_source.random() < 0.5 else steps)
+            world = step(*arguments)
+            if world.check() is None:
+                return world, leases
+        leases += len(world.held_tokens)
+    return None, leases
 
 
-class Forgets(Voter):
-    """Its promises don't outlive it."""
+class ForgetsVotes(LeaseVoter):
+    """Its votes don't outlive it."""
 
-    def __init__(self, name, voters, term, now, votes):
-        super().__init__(name, voters, term, -1e9, {})
+    def __init__(self, name, voters, term_ms, now_ms, votes):
+        super().__init__(name, voters, term_ms, -1e9, {})
 
 
-class Hasty(Voter):
+class GrantsAtOnceAfterRestart(LeaseVoter):
     """Restarted, it takes what it granted for over."""
 
-    def __init__(self, name, voters, term, now, votes):
-        super().__init__(name, voters, term, -1e9, votes)
+    def __init__(self, name, voters, term_ms, now_ms, votes):
+        super().__init__(name, voters, term_ms, -1e9, votes)
 
 
-class Repeats(Voter):
-    """Grants a number again that another had."""
+class GrantsTokenTwice(LeaseVoter):
+    """Grants a token again that another candidate had."""
 
-    def _asked(self, peer, ask, now):
-        if self.votes.get(ask.duty, (0, ""))[0] >= ask.number and now >= self.until.get(ask.duty, 0.0):
-            self.votes[ask.duty] = ask.number - 1, ""
-        return super()._asked(peer, ask, now)
+    def _handle_request(self, peer, request, now_ms):
+        granted_token = self.votes.get(request.role, NO_VOTE)[0]
+        if granted_token >= request.fencing_token and now_ms >= self.granted_until_ms.get(request.role, 0.0):
+            self.votes[request.role] = request.fencing_token - 1, ""
+        return super()._handle_request(peer, request, now_ms)
 
 
-class Timer(Candidate):
-    """Asks its clock only when it is told something."""
+class ReadsClockAtEventsOnly(LeaseCandidate):
+    """Reads its clock only when it receives something."""
 
-    def holds(self, now):
-        return self.number if self.number and self.until > 0.0 else None
+    def held_token(self, now_ms):
+        return self.fencing_token if self.fencing_token and self.holds_until_ms > 0.0 else None
 
 
-class FromAnswer(Candidate):
-    """Counts the lease from when it heard of it."""
+class CountsTermFromReply(LeaseCandidate):
+    """Counts the lease from when it received the reply."""
 
-    def hear(self, peer, message, now):
-        self.sent_at = now
-        return super().hear(peer, message, now)
+    def receive(self, peer, message, now_ms):
+        self.sent_at_ms = now_ms
+        return super().receive(peer, message, now_ms)
 
 
-class GoesOn(Candidate):
-    """Counts grants of an ask that it gave up."""
+class CountsAbandonedRequest(LeaseCandidate):
+    """Counts grants of a request that it gave up."""
 
-    def hear(self, peer, message, now):
-        number, round_, grants = self.number, self.round, set(self.grants)
-        sent = super().hear(peer, message, now)
+    def receive(self, peer, message, now_ms):
+        token, round_, grants = self.fencing_token, self.round, set(self.grants)
+        envelopes = super().receive(peer, message, now_ms)
         if self.round > round_:
-            self.number, self.round, self.grants = number, round_, grants
-        return sent
+            self.fencing_token, self.round, self.grants = token, round_, grants
+        return envelopes
+
 
+class HoldsWithMinority(LeaseCandidate):
+    """One grant is enough for it."""
 
-class Minority(Candidate):
-    def hear(self, peer, message, now):
-        sent = super().hear(peer, message, now)
+    def receive(self, peer, message, now_ms):
+        envelopes = super().receive(peer, message, now_ms)
         if self.grants:
-            self.until = max(self.until, self.sent_at + self.holds_for)
-        return sent
+            self.holds_until_ms = max(self.holds_until_ms, self.sent_at_ms + self.holds_for_ms)
+        return envelopes
 
 
-def test_never_two_hold_and_numbers_only_grow_in_the_nearest_states_and_on_long_walks():
-    assert explored() is None
-    broken, held = walked()
-    assert broken is None and held > 300
+def test_never_two_holders_and_tokens_only_grow_in_near_states_and_on_long_walks():
+    assert explore() is None
+    broken, leases = walk()
+    assert broken is None and leases > 300
 
 
 @pytest.mark.parametrize(
     "kinds",
     [
-        {"voter": Forgets},
-        {"voter": Hasty},
-        {"voter": Repeats},
-        {"candidate": Timer},
-        {"candidate": FromAnswer},
-        {"candidate": GoesOn},
-        {"candidate": Minority},
+        {"voter": ForgetsVotes},
+        {"voter": GrantsAtOnceAfterRestart},
+        {"voter": GrantsTokenTwice},
+        {"candidate": ReadsClockAtEventsOnly},
+        {"candidate": CountsTermFromReply},
+        {"candidate": CountsAbandonedRequest},
+        {"candidate": HoldsWithMinority},
     ],
 )
 def test_each_broken_variant_is_caught(kinds):
-    assert walked(**kinds, walks=20000)[0] is not None
+    assert walk(**kinds, walks=20000)[0] is not None
 
 
-def test_some_candidate_holds_soon_once_a_majority_talks_and_a_release_hands_over_in_a_round():
+def test_lease_is_held_soon_once_a_majority_talks_and_a_release_hands_it_over_in_a_round():
     """Time goes on by 10 ms, a message takes one step; the third voter is silent all the time."""
-    voters = {name: Voter(name, VOTERS, 1000.0, -1000.0, {}) for name in VOTERS}
-    candidates = [Candidate(name, at, 4, "d", VOTERS, 1000.0, at) for at, name in enumerate("abcd")]
-    way, now, holders = [], 0.0, []
+    voters = {name: LeaseVoter(name, VOTERS, 1000.0, -1000.0, {}) for name in VOTERS}
+    candidates = [LeaseCandidate(name, at, 4, "d", VOTERS, 1000.0, at) for at, name in enumerate("abcd")]
+    in_flight, now_ms, holders = [], 0.0, []
 
     def step():
-        nonlocal way, now
-        now += 10.0
-        sent, way = way, []
-        for sender, to, message in sent:
-            heard = [voters[to]] if to in voters and to != "z" else [one for one in candidates if one.name == to]
-            way += [(to, *one) for each in heard for one in each.hear(sender, message, now)]
+        nonlocal in_flight, now_ms
+        now_ms += 10.0
+        arriving, in_flight = in_flight, []
+        for sender, to, message in arriving:
+            recipients = [voters[to]] if to in voters and to != "z" else [one for one in candidates if one.name == to]
+            in_flight += [(to, *one) for each in recipients for one in each.receive(sender, message, now_ms)]
         for one in candidates:
-            way += [(one.name, *each) for each in one.tick(now)]
-        holding = [one for one in candidates if one.holds(now) is not None]
+            in_flight += [(one.name, *each) for each in one.tick(now_ms)]
+        holding = [one for one in candidates if one.held_token(now_ms) is not None]
         assert len(holding) <= 1
-        if holding and (not holders or holders[-1] != (holding[0].name, holding[0].number)):
-            holders.append((holding[0].name, holding[0].number))
+        if holding and (not holders or holders[-1] != (holding[0].name, holding[0].fencing_token)):
+            holders.append((holding[0].name, holding[0].fencing_token))
         return holding[0] if holding else None
 
     for one in candidates:
-        one.wants = True
+        one.wants_lease = True
     while not (first := step()):
-        assert now < 2500.0
+        assert now_ms < 2500.0
     for _ in range(500):  # five terms: the same one keeps it
         assert step() is first
-    way += [(first.name, *each) for each in first.release(now)]
-    assert first.holds(now) is None
-    began = now
+    in_flight += [(first.name, *each) for each in first.release(now_ms)]
+    assert first.held_token(now_ms) is None
+    began_ms = now_ms
     while step() is None:
-        assert now < began + 100.0
-    silent = next(one for one in candidates if one.holds(now) is not None)
+        assert now_ms < began_ms + 100.0
+    silent = next(one for one in candidates if one.held_token(now_ms) is not None)
     candidates.remove(silent)  # it is lost: the next one holds once its lease is over
-    began = now
+    began_ms = now_ms
     while step() is None:
-        assert now < began + 2500.0
-    assert [number for _, number in holders] == sorted({number for _, number in holders}) and len(holders) == 3
-
-
-def test_one_that_is_heard_and_hears_nobody_keeps_the_duty_from_nobody():
-    voter, deaf = Voter("x", VOTERS, 1000.0, -1000.0, {}), Candidate("a", 0, 2, "d", ["x"], 1000.0, 1)
-    deaf.wants, now, asked = True, 0.0, 0
-    while not voter.hear("b", lease.Ask("d", 1001, 1, 2), now)[0][1].granted:
-        now += 10.0
-        for _, ask in deaf.tick(now):
-            asked += 1
-            voter.hear("a", ask, now)
-        assert now < 5000.0
-    assert asked < 10
-
-
-def test_a_voter_without_its_folder_grants_nothing_until_enough_others_told_what_they_granted():
-    blank = Voter("x", VOTERS, 1000.0, 0.0, None)
-    ask = lease.Ask("d", 9, 1, 0)
-    assert [peer for peer, _ in blank.start()] == ["y", "z"]
-    assert not blank.hear("a", ask, 5000.0)[0][1].granted
-    blank.hear("y", Recalled(0, {"d": 7}), 5000.0)
-    blank.hear("a", Recalled(0, {"d": 1}), 5000.0)  # no voter
-    assert blank.blank and not blank.hear("a", ask, 5000.0)[0][1].granted
-    blank.hear("z", Recalled(0, {"d": 12}), 5000.0)
-    assert not blank.blank and not blank.start()
-    answer = blank.hear("a", lease.Ask("d", 14, 2, 0), 5500.0)[0][1]
-    assert not answer.granted and answer.seen == 12 and answer.wait_ms == 500.0
-    assert not blank.hear("a", lease.Ask("d", 11, 2, 0), 6000.0)[0][1].granted
-    assert blank.hear("a", lease.Ask("d", 14, 2, 0), 6000.0)[0][1].granted and blank.changed
-    assert not Voter("x", VOTERS, 1000.0, 0.0, None).hear("y", lease.Recall(0), 0.0)  # it can't tell either
-
-
-def test_one_that_was_started_anew_is_another_and_the_taking_side_refuses_older_numbers():
-    voter = Voter("x", VOTERS, 1000.0, -1000.0, {})
-    assert voter.hear("a", lease.Ask("d", 4, 1, 77), 0.0)[0][1].granted
-    assert not voter.hear("a", lease.Ask("d", 8, 1, 78), 500.0)[0][1].granted  # it may only have been stopped
-    assert voter.hear("a", lease.Ask("d", 8, 1, 78), 1000.0)[0][1].granted
-    fence = Fence()
-    assert [fence.takes(number) for number in (4, 4, 8, 4, 8)] == [True, True, True, False, True] and fence.refused == 1
-
-
-def test_datagrams_that_are_no_message_are_told_apart():
-    message = lease.Answer("d", 3, True, 9, 0.0)
-    content = pack("a", message)
-    packet = unpack(content)
-    assert packet.name == "a" and packet.message == message
-    dice = random.Random(3)
-    for _ in range(300):
-        spoilt = bytearray(content)
-        spoilt[dice.randrange(len(spoilt))] = dice.randrange(256)
-        unpack(bytes(spoilt[: dice.randrange(len(spoilt) + 1)]))
-    assert unpack(b"") is None and unpack(content[:-1]) is None and unpack(b"x" * (MOST + 1)) is None
-    assert unpack(content.replace(b"\x01", b"\x02", 1)) is None  # another version
-    with pytest.raises(ValueError):
-        pack("a" * 2000, message)
+        assert now_ms < began_ms + 2500.0
+    assert [token for _, token in holders] == sorted({token for _, token in holders}) and len(holders) == 3
+
+
+def test_candidate_that_is_heard_and_hears_nobody_keeps_the_lease_from_nobody():
+    voter = LeaseVoter("x", VOTERS, 1000.0, -1000.0, {})
+    deaf = LeaseCandidate("a", 0, 2, "d", ["x"], 1000.0, 1)
+    deaf.wants_lease, now_ms, requests = True, 0.0, 0
+    while not voter.receive("b", LeaseRequest("d", 1001, 1, 2), now_ms)[0].message.is_granted:
+        now_ms += 10.0
+        for _, request in deaf.tick(now_ms):
+            requests += 1
+            voter.receive("a", request, now_ms)
+        assert now_ms < 5000.0
+    assert requests < 10
+
+
+def test_voter_without_stored_votes_grants_nothing_until_enough_others_reported_their_grants():
+    recovering = LeaseVoter("x", VOTERS, 1000.0, 0.0, None)
+    request = LeaseRequest("d", 9, 1, 0)
+    assert [peer for peer, _ in recovering.start_recovery()] == ["y", "z"]
+    assert not recovering.receive("a", request, 5000.0)[0].message.is_granted
+    recovering.receive("y", RecoveryReply(0, {"d": 7}), 5000.0)
+    recovering.receive("a", RecoveryReply(0, {"d": 1}), 5000.0)  # no voter
+    assert recovering.is_recovering and not recovering.receive("a", request, 5000.0)[0].message.is_granted
+    recovering.receive("z", RecoveryReply(0, {"d": 12}), 5000.0)
+    assert not recovering.is_recovering and not recovering.start_recovery()
+    reply = recovering.receive("a", LeaseRequest("d", 14, 2, 0), 5500.0)[0].message
+    assert not reply.is_granted and reply.highest_token == 12 and reply.wait_ms == 500.0
+    assert not recovering.receive("a", LeaseRequest("d", 11, 2, 0), 6000.0)[0].message.is_granted
+    assert recovering.receive("a", LeaseRequest("d", 14, 2, 0), 6000.0)[0].message.is_granted
+    assert recovering.has_unsaved_votes
+    # it can't report either
+    assert not LeaseVoter("x", VOTERS, 1000.0, 0.0, None).receive("y", RecoveryRequest(0), 0.0)
+
+
+def test_restarted_candidate_is_another_holder_and_older_tokens_are_rejected():
+    voter = LeaseVoter("x", VOTERS, 1000.0, -1000.0, {})
+    assert voter.receive("a", LeaseRequest("d", 4, 1, 77), 0.0)[0].message.is_granted
+    # the one before may only have been stopped
+    assert not voter.receive("a", LeaseRequest("d", 8, 1, 78), 500.0)[0].message.is_granted
+    assert voter.receive("a", LeaseRequest("d", 8, 1, 78), 1000.0)[0].message.is_granted
+    guard = FencingGuard()
+    assert [guard.accepts(token) for token in (4, 4, 8, 4, 8)] == [True, True, True, False, True]
+    assert guard.rejected_count == 1
--- a/tests/peers/test_members.py
+++ b/tests/peers/test_membership.py
@@ -11,10 +11,11 @@
 import pytest
 
 from dewpin.lab.fleet.relays import Ways
-from dewpin.peers import members
-from dewpin.peers.members import ALIVE, LEFT, LOST, Entry, Members, Page, Pull
-from dewpin.peers.node import reachable
-from dewpin.peers.wire import MOST, pack
+from dewpin.peers import membership
+from dewpin.peers.membership import Membership
+from dewpin.peers.membership_messages import MemberRecord, MemberState, SyncPage, SyncRequest
+from dewpin.peers.node import is_reachable
+from dewpin.peers.wire import MAX_DATAGRAM_BYTES, encode_datagram
 from driver import until
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -31,7 +32,7 @@
 
 
 @pytest.mark.parametrize("size", [2, 3, 40])
-def test_all_meet_and_a_dead_one_is_lost_to_all_while_nobody_else_is(size):
+def test_all_members_join_and_only_the_dead_one_is_lost_to_all(size):
     world = joined(size)
     world.run(20.0 * PERIOD)
     del world.members[size - 1]
@@ -39,14 +40,14 @@
     assert {name for _, _, name in world.lost} <= {f"m{size - 1}"}
 
 
-def test_nobody_is_lost_by_a_tenth_of_messages_lost_or_a_link_that_is_cut_one_way():
+def test_no_member_is_lost_when_a_tenth_of_messages_and_one_direction_of_a_link_fail():
     world = joined(20, seed=3)
     world.link = lambda a, b: None if (a, b) == (4, 5) or world.dice.random() < 0.1 else world.dice.uniform(0.5, 200.0)
     world.run(120.0 * PERIOD)
     assert not world.lost
 
 
-def test_one_that_stood_still_takes_nobody_for_lost_and_contradicts():
+def test_member_that_stalled_calls_nobody_lost_and_refutes_its_own_loss():
     world = joined(20, seed=4)
     world.away[7] = world.now + 40.0 * PERIOD
     world.run(60.0 * PERIOD)
@@ -54,64 +55,76 @@
     assert world.until(world.agreed, 30.0 * PERIOD) is not None
 
 
-def test_halves_that_lost_each_other_meet_again():
+def test_halves_of_a_partition_rejoin():
     world, whole = joined(12, seed=5), World(0).link
     world.link = lambda a, b: None if (a < 6) != (b < 6) else 1.0
     world.run(45.0 * PERIOD)
-    assert world.members[0].alive() == [f"m{number}" for number in range(6)]
+    assert world.members[0].active_members() == [f"m{number}" for number in range(6)]
     world.link = whole
     assert world.until(world.agreed, 120.0 * PERIOD) is not None
 
 
-def test_a_leave_is_no_loss_and_a_restart_under_the_same_name_replaces_the_one_before():
+def test_leave_is_no_loss_and_restart_under_the_same_name_replaces_the_earlier_process():
     world = joined(8, seed=6)
     world.send(3, world.members[3].leave())
     del world.members[3]
     assert world.until(world.agreed, 20.0 * PERIOD) is not None and not world.lost
     before = world.members[2]
-    world.start(2, life=2)
+    world.start(2, incarnation=2)
     assert world.until(world.agreed, 30.0 * PERIOD) is not None
-    before.hear("m0", ("", 0), Page((world.members[2].me,), False), world.now)
-    assert before.replaced and "m2" not in before.alive() and before.tick(world.now + 5000.0) == []
+    before.receive("m0", ("", 0), SyncPage((world.members[2].own_record,), False), world.now)
+    assert before.is_replaced and "m2" not in before.active_members() and before.tick(world.now + 5000.0) == []
 
 
-def test_the_checks_notice_a_part_that_is_missing(monkeypatch):
-    """Who can't contradict is lost where messages are; without gossip and pulls a death is not heard of by all."""
+def test_checks_notice_missing_refutation_dissemination_and_anti_entropy(monkeypatch):
+    """Without refutation members are lost with messages; without updates and syncs not all hear of a death."""
     world = joined(20, seed=3)
     with monkeypatch.context() as broken:
-        broken.setattr(Members, "_heard_of_me", lambda self, entry: None)
+        broken.setattr(Membership, "_handle_own_record", lambda self, record: None)
         world.link = lambda a, b: None if world.dice.random() < 0.2 else 1.0
         world.run(120.0 * PERIOD)
         assert world.lost
     world = joined(20, seed=3)
-    monkeypatch.setattr(members, "PULLS", 1e9)
-    monkeypatch.setattr(members, "TELLS", 0.0)
+    monkeypatch.setattr(membership, "SYNC_PERIODS", 1e9)
+    monkeypatch.setattr(membership, "RETRANSMIT_FACTOR", 0.0)
     del world.members[9]
     world.run(12.0 * PERIOD)
     assert not world.agreed()
 
 
-def test_what_is_kept_is_bounded_and_bad_entries_are_counted(monkeypatch):
-    monkeypatch.setattr(members, "MOST", 5)
-    one = Members("a", ("", 0), 1, [], 0.0)
-    one.hear("b", ("", 1), Page(tuple(Entry(f"n{at}", "h", 1, 1, 0, ALIVE) for at in range(9)), False), 0.0)
-    one.hear("b", ("", 1), Page((Entry("x" * 100, "h", 1, 1, 0, ALIVE), Entry("y", "h", 1, 1, 0, 9)), False), 0.0)
-    assert len(one.members) == 5 and one.refused == 6
-    gone = tuple(Entry(f"n{at}", "h", 1, 1, 1, LEFT if at else LOST) for at in range(5))
-    one.hear("b", ("", 1), Page(gone, False), 0.0)
+def test_member_list_is_bounded_and_invalid_records_are_counted(monkeypatch):
+    monkeypatch.setattr(membership, "MAX_MEMBERS", 5)
+    one = Membership("a", ("", 0), 1, [], 0.0)
+    one.receive(
+        "b",
+        ("", 1),
+        SyncPage(tuple(MemberRecord(f"n{at}", "h", 1, 1, 0, MemberState.ALIVE) for at in range(9)), False),
+        0.0,
+    )
+    one.receive(
+        "b",
+        ("", 1),
+        SyncPage((MemberRecord("x" * 100, "h", 1, 1, 0, MemberState.ALIVE), MemberRecord("y", "h", 1, 1, 0, 9)), False),
+        0.0,
+    )
+    assert len(one.members) == 5 and one.rejected_count == 6
+    gone = tuple(MemberRecord(f"n{at}", "h", 1, 1, 1, MemberState.LEFT if at else MemberState.LOST) for at in range(5))
+    one.receive("b", ("", 1), SyncPage(gone, False), 0.0)
     for at in range(200):
         one.tick(at * PERIOD)
-    assert not one.members and one.alive() == ["a"]
+    assert not one.members and one.active_members() == ["a"]
 
 
-def test_what_others_say_overflows_no_datagram_and_calls_no_resolver():
-    one = Members("a", ("127.0.0.1", 1), 1, [], 0.0)
+def test_records_of_others_overflow_no_datagram_and_call_no_resolver():
+    one = Membership("a", ("127.0.0.1", 1), 1, [], 0.0)
     for at in range(60):
-        entry = Entry("\u00e4" * 60 + f"{at:03}", "127.0.0.1", 1, 1, 0, ALIVE)
-        one.hear("b", ("127.0.0.1", 1), Page((entry,), False), 0.0)
-    for _, _, message in one.hear("b", ("127.0.0.1", 1), Pull("", 0, one.me), 0.0) + one.tick(5000.0):
-        assert len(pack("a", message)) <= MOST
-    assert reachable(("127.0.0.1", 9)) and not any(map(reachable, [("host.example", 9), ("127.0.0.1", 70000), ("", 0)]))
+        entry = MemberRecord("\u00e4" * 60 + f"{at:03}", "127.0.0.1", 1, 1, 0, MemberState.ALIVE)
+        one.receive("b", ("127.0.0.1", 1), SyncPage((entry,), False), 0.0)
+    for _, _, message in one.receive("b", ("127.0.0.1", 1), SyncRequest("", 0, one.own_record), 0.0) + one.tick(5000.0):
+        assert len(encode_datagram("a", message)) <= MAX_DATAGRAM_BYTES
+    assert is_reachable(("127.0.0.1", 9)) and not any(
+        map(is_reachable, [("host.example", 9), ("127.0.0.1", 70000), ("", 0)])
+    )
 
 
 class Fleet(asyncio.DatagramProtocol):
@@ -160,7 +173,7 @@
         self.transport.close()
 
 
-def test_nine_processes_agree_again_after_kills_stops_cuts_and_slow_links():
+def test_nine_processes_agree_again_after_kills_stops_partitions_and_slow_links():
     async def scene():
         names = list("abcdefghi")
         fleet = Fleet(names)
@@ -181,7 +194,7 @@
         fleet.ways.heal()
         fleet.running["h"].send_signal(signal.SIGSTOP)
         await fleet.agree(names[:-2])
-        fleet.running["h"].send_signal(signal.SIGCONT)  # it contradicts, and takes nobody for lost
+        fleet.running["h"].send_signal(signal.SIGCONT)  # it refutes, and calls nobody lost
         await fleet.agree(names[:-1])
         assert not [by for by, _ in fleet.lost if by == "h"] or {one for by, one in fleet.lost if by == "h"} == {"i"}
         fleet.running["g"].send_signal(signal.SIGTERM)
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from dewpin.lab.fleet.relays import Ways
-from dewpin.peers.lease import Fence
+from dewpin.peers.fencing import FencingGuard
 from driver import until
 
 NAMES, VOTERS, TERM = list("abcde"), list("abc"), 800.0
@@ -20,7 +20,7 @@
     """Acts as they arrive: (time, name, number, whether the fence let it through)."""
 
     def __init__(self, ways):
-        self.ways, self.fence, self.acts = ways, Fence(), []
+        self.ways, self.guard, self.acts = ways, FencingGuard(), []
 
     def connection_made(self, transport):
         self.address = transport.get_extra_info("sockname")
@@ -30,7 +30,7 @@
         told = json.loads(data)
         if "at" in told:
             return self.ways.put(told["name"], tuple(told["at"]))
-        taken = self.fence.takes(told["number"])
+        taken = self.guard.accepts(told["number"])
         self.acts.append((asyncio.get_running_loop().time(), told["name"], told["number"], taken))
 
 
@@ -88,7 +88,7 @@
         self.taker.transport.close()
 
 
-def test_one_holds_at_a_time_while_processes_stop_die_and_lose_contact(tmp_path):
+def test_one_holder_at_a_time_while_processes_stop_die_and_lose_contact(tmp_path):
     async def scene():
         peers = Peers(tmp_path)
         await peers.open()
