--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -12,7 +12,7 @@
 
 import click
 
-from dewpin.config.keys import Deployment
+from dewpin.config.sections import Deployment
 from dewpin.core import model
 from dewpin.daemon.status import collect_status
 from dewpin.relay.facade import Facade
--- a/dewpin/cli/__init__.py
+++ b/dewpin/cli/__init__.py
@@ -1,5 +1,5 @@
 """The command line: what people and scripts ask of dewpin, on the machine where it runs.
 
-It owns arguments, tables, exit codes and sentences for people. It asks the other packages for facts and decides
-nothing; what it reads of a running sender it never changes.
+Arguments, tables, exit codes and sentences for people are defined here; the facts come from the other packages. What a
+command reads of a running sender it never changes.
 """
--- a/dewpin/cli/config.py
+++ b/dewpin/cli/config.py
@@ -1,16 +1,19 @@
-"""`dewpin config`: check, show, explain, schema, init. It owns their options and tables, and changes no file but the
-one that `init` is told to write, which must not be there yet."""
+"""`dewpin config`: check, show, explain, schema, init, events.
+
+No file is changed but the one that `init` is told to write, which must not exist yet.
+"""
+
 import os
 from typing import TYPE_CHECKING
 
 import click
 
-from .layered import options, read
-from .main import CAN_NOT, FAULTY, Plain
-from .show import as_json as print_json
-from .show import facts, table
+from .configuration_options import configuration_options, invalid_configuration, read_configuration
+from .errors import CommandError, ExitCode
+from .output import print_facts, print_json, print_table
 
 if TYPE_CHECKING:
+    from ..config.errors import ConfigurationIssue
     from ..daemon.configuration_source import ConfigurationSource
 
 
@@ -21,83 +24,105 @@
 
 @config.command()
 @click.argument("file", required=False)
-@options
+@configuration_options
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def check(file: str | None, sources: "ConfigurationSource", as_json: bool) -> int | None:
-    """Names every fault of all layers at once; FILE stands for --config FILE."""
-    from ..config.faults import Faulty
+def check(file: str | None, source: "ConfigurationSource", as_json: bool) -> int | None:
+    """Names every error of all layers at once; FILE stands for --config FILE."""
+    from ..config.errors import ConfigurationError
+
     if file:
-        if sources.operator:
-            raise Plain("give the file once, as FILE or with --config", FAULTY)
-        sources.operator = file
+        if source.operator_path:
+            raise CommandError("give the file once, as FILE or with --config", ExitCode.INVALID)
+        source.operator_path = file
     try:
-        reading = sources.read()
-    except Faulty as fault:
-        if as_json:
-            print_json({"faults": [{"file": one.file, "line": one.line, "key": one.key, "words": one.words,
-                                    "nearest": one.nearest} for one in fault.faults], "notes": []})
-            return FAULTY
-        raise Plain("\ndewpin: ".join(map(str, fault.faults)), FAULTY) from None
+        configuration = source.read()
+    except ConfigurationError as error:
+        if not as_json:
+            raise invalid_configuration(error) from error
+        print_json({"faults": [_issue_as_json(issue) for issue in error.issues], "notes": []})
+        return ExitCode.INVALID
     if as_json:
-        print_json({"faults": [], "notes": reading.notes})
+        print_json({"faults": [], "notes": configuration.warnings})
     else:
-        for note in reading.notes:
-            click.echo(f"note: {note}")
+        for warning in configuration.warnings:
+            click.echo(f"note: {warning}")
         click.echo("no fault")
     return None
 
 
+def _issue_as_json(issue: "ConfigurationIssue") -> dict[str, str | int | None]:
+    return {
+        "file": issue.file,
+        "line": issue.line,
+        "key": issue.key,
+        "words": issue.message,
+        "nearest": issue.suggestion,
+    }
+
+
 @config.command()
-@options
+@configuration_options
 @click.option("--origin", is_flag=True, help="Where each value came from.")
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def show(sources: "ConfigurationSource", origin: bool, as_json: bool) -> None:
+def show(source: "ConfigurationSource", origin: bool, as_json: bool) -> None:
     """Every key in force. Secrets are never shown."""
-    from ..config import page
-    rows = page.show(read(sources))
+    from ..config.documentation import value_rows
+
+    rows = value_rows(read_configuration(source))
     if as_json:
-        print_json({path: {"value": value, "origin": came} if origin else value for path, value, came in rows})
+        shown = {path: {"value": value, "origin": came_from} if origin else value for path, value, came_from in rows}
+        print_json(shown)
     elif origin:
-        table(("key", "value", "origin"), rows)
+        print_table(("key", "value", "origin"), rows)
     else:
-        table(("key", "value"), [row[:2] for row in rows])
+        print_table(("key", "value"), [row[:2] for row in rows])
 
 
 @config.command()
 @click.argument("key")
-@options
+@configuration_options
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
-def explain(key: str, sources: "ConfigurationSource", as_json: bool) -> None:
+def explain(key: str, source: "ConfigurationSource", as_json: bool) -> None:
     """What KEY is for, its kind, range, default and names, and its value where a configuration is at hand."""
-    from ..config import keys, page
-    from ..config.faults import Faulty, nearest
-    if key not in keys.KEYS:
-        guess = nearest(key, keys.KEYS)
-        raise Plain(f"no key is called {key!r}" + (f"; did you mean {guess}?" if guess else
-                                                   "; `dewpin config show` lists them all"), FAULTY)
+    from ..config.documentation import explain_key
+    from ..config.errors import ConfigurationError, suggest_name
+    from ..config.keys import KEYS
+
+    if key not in KEYS:
+        suggestion = suggest_name(key, KEYS)
+        hint = f"; did you mean {suggestion}?" if suggestion else "; `dewpin config show` lists them all"
+        raise CommandError(f"no key is called {key!r}{hint}", ExitCode.INVALID)
     try:
-        reading = sources.read()
-    except Faulty:
-        reading = None
-    facts(page.explain(keys.KEYS[key], reading), as_json)
+        configuration = source.read()
+    except ConfigurationError:
+        configuration = None
+    print_facts(explain_key(KEYS[key], configuration), as_json)
 
 
 @config.command()
-@click.option("--as", "form", type=click.Choice(["json", "page"]), default="json", show_default=True,
-              help="JSON schema, or docs/configuration.md.")
+@click.option(
+    "--as",
+    "form",
+    type=click.Choice(["json", "page"]),
+    default="json",
+    show_default=True,
+    help="JSON schema, or docs/configuration.md.",
+)
 def schema(form: str) -> None:
     """The operator's file as a JSON schema, for editors and other programs."""
-    from ..config import page
+    from ..config.documentation import configuration_page, json_schema
+
     if form == "json":
-        print_json(page.schema())
+        print_json(json_schema())
     else:
-        click.echo(page.page(), nl=False)
+        click.echo(configuration_page(), nl=False)
 
 
 @config.command()
 def events() -> None:
     """Every event of the log with its fields: docs/events.md."""
     from ..log.event_page import event_page
+
     click.echo(event_page(), nl=False)
 
 
@@ -105,14 +130,15 @@
 @click.argument("file", required=False)
 def init(file: str | None) -> None:
     """Writes the documented example to FILE, which must not be there yet, or to standard output."""
-    from ..config import page
+    from ..config.documentation import example_file
+
     if not file:
-        return click.echo(page.example(), nl=False)
+        click.echo(example_file(), nl=False)
+        return
     try:
-        with os.fdopen(os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as held:
-            held.write(page.example())
-    except FileExistsError:
-        raise Plain(f"{file} is there already; name another file or move it away", CAN_NOT) from None
+        with os.fdopen(os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as opened:
+            opened.write(example_file())
+    except FileExistsError as error:
+        raise CommandError(f"{file} is there already; name another file or move it away") from error
     except OSError as error:
-        raise Plain(f"{file}: {error.strerror}; name a file in a folder that you may write to", CAN_NOT) from None
-    return None
+        raise CommandError(f"{file}: {error.strerror}; name a file in a folder that you may write to") from error
--- a/dewpin/cli/lab.py
+++ b/dewpin/cli/lab.py
@@ -1,4 +1,5 @@
-"""`dewpin lab fleet`: real senders against faults, and what came of it. It owns the options, not the run."""
+"""`dewpin lab fleet`: runs real senders with fault injection, and prints the result."""
+
 import asyncio
 import tempfile
 from pathlib import Path
@@ -6,15 +7,13 @@
 
 import click
 
-from . import show
-from .main import CAN_NOT, DAMAGED, DONE, FAULTY, Plain
-
-BROKEN = DAMAGED
+from .errors import CommandError, ExitCode
+from .output import print_facts, print_json
 
 
 @click.group()
 def lab() -> None:
-    """The laboratory: the program in a world of our own, on loopback."""
+    """The laboratory: the program in a simulated world, on loopback."""
 
 
 @lab.command()
@@ -23,34 +22,39 @@
 @click.option("--seed", type=int, help="In place of the scenario's.")
 @click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
 def fleet(scenario: Path, out: Path | None, seed: int | None, as_json: bool) -> int:
-    """Starts the senders of a scenario, lets its faults befall them, ends them all and tells what came of it.
+    """Starts the senders of a scenario, injects its faults, ends them all and prints the result.
 
     Exit code 3 if a rule was broken; the rules are judged from what clients, receivers and agents saw.
     """
     from ..lab.fleet import run
     from ..lab.fleet.scenario import read
+
     try:
         found = read(scenario.read_text())
     except ValueError as error:
-        raise Plain(f"{scenario.name}: {error}", FAULTY) from None
+        raise CommandError(f"{scenario.name}: {error}", ExitCode.INVALID) from error
     if seed is not None:
         found.seed = seed
+    folder = out or Path(tempfile.mkdtemp(prefix="dewpin-fleet-"))
     try:
-        result = asyncio.run(run.play(found, out or Path(tempfile.mkdtemp(prefix="dewpin-fleet-"))))
+        result = asyncio.run(run.play(found, folder))
     except (OSError, RuntimeError) as error:
-        raise Plain(str(error), CAN_NOT) from None
-    tell(result, as_json)
-    return BROKEN if result["breaks"] else DONE
-
-
-def tell(result: dict[str, Any], as_json: bool) -> None:
+        raise CommandError(str(error), ExitCode.IMPOSSIBLE) from error
     if as_json:
-        return show.as_json(result)
-    shown = {name.replace("_", " "): round(value, 3) if isinstance(value, float) else value
-             for name, value in result["figures"].items()}
-    show.facts(shown)
-    for one in result["breaks"]:
-        at = f"at {one['at_ms']} ms, mail {one['mail']}, sender {one['sender']}"
-        click.echo(f"broken: {one['rule']} {at}: {one['what']}")
-        for words in one["last"]:
-            click.echo(f"    {words}")
+        print_json(result)
+    else:
+        _print_result(result)
+    return ExitCode.DAMAGED if result["breaks"] else ExitCode.DONE
+
+
+def _print_result(result: dict[str, Any]) -> None:
+    metrics = {
+        name.replace("_", " "): round(value, 3) if isinstance(value, float) else value
+        for name, value in result["figures"].items()
+    }
+    print_facts(metrics)
+    for violation in result["breaks"]:
+        place = f"at {violation['at_ms']} ms, message {violation['mail']}, sender {violation['sender']}"
+        click.echo(f"broken: {violation['rule']} {place}: {violation['what']}")
+        for line in violation["last"]:
+            click.echo(f"    {line}")
--- a/dewpin/cli/main.py
+++ b/dewpin/cli/main.py
@@ -1,7 +1,5 @@
-"""`dewpin`: the sub-commands, each loaded when it is asked for, and the exit codes.
+"""`dewpin`: the sub-commands, each loaded when it is used, and the one place where an error becomes a sentence."""
 
-It owns the tree of commands and the one place where an error becomes a sentence and a code.
-"""
 import sys
 from importlib import import_module
 from typing import Any
@@ -9,50 +7,52 @@
 import click
 
 from .. import __version__
+from .errors import EXIT_CODE_HELP, CommandError, ExitCode
 
-# exit codes
-DONE, CAN_NOT, FAULTY, DAMAGED, SILENT = 0, 1, 2, 3, 4
-CODES = """\b
-Exit codes:
-  0  done
-  1  it can't be done here: a file, a folder or an address refuses
-  2  the arguments or the configuration are faulty
-  3  a journal holds damaged records, or a run broke a rule
-  4  no sender answers at the control socket"""
+COMMANDS = {  # name: "module:command"
+    "run": "dewpin.cli.run:run",
+    "config": "dewpin.cli.config:config",
+    "spool": "dewpin.cli.spool:spool",
+    "status": "dewpin.cli.status:status",
+    "lab": "dewpin.cli.lab:lab",
+    "version": "dewpin.cli.main:version",
+    "completion": "dewpin.cli.main:completion",
+}
+SHOWN_PACKAGES = ("click", "msgspec", "structlog", "rich")
 
 
-class Lazy(click.Group):
-    """A group whose commands are imported when they are used: `where` is {name: "module:command"}."""
+class LazyGroup(click.Group):
+    """A group whose commands are imported when they are used.
 
-    def __init__(self, *given: Any, where: Any = (), **more: Any) -> None:
-        super().__init__(*given, **more)
-        self.where = dict(where)
+    Attributes:
+        locations: "module:command" by the command's name.
+    """
+
+    def __init__(self, *args: Any, locations: dict[str, str], **options: Any) -> None:
+        super().__init__(*args, **options)
+        self.locations = locations
 
     def list_commands(self, context: Any) -> list[str]:
-        return sorted(self.where)
+        """Return the names of all commands."""
+        return sorted(self.locations)
 
     def get_command(self, context: Any, name: str) -> click.Command | None:
-        if name not in self.where:
+        """Import a command; None where there is none of this name."""
+        if name not in self.locations:
             return None
-        module, _, command = self.where[name].partition(":")
-        found: click.Command = getattr(import_module(module), command)
-        return found
-
-
-class Plain(Exception):
-    """An error in one sentence that names what to do, and its exit code."""
+        module, _, attribute = self.locations[name].partition(":")
+        command: click.Command = getattr(import_module(module), attribute)
+        return command
 
-    def __init__(self, words: str, code: int = CAN_NOT) -> None:
-        super().__init__(words)
-        self.code = code
 
-
-@click.group(cls=Lazy, epilog=CODES, context_settings={"help_option_names": ["-h", "--help"]}, where={
-    "run": "dewpin.cli.run:run", "config": "dewpin.cli.config:config", "spool": "dewpin.cli.spool:spool",
-    "status": "dewpin.cli.status:status", "lab": "dewpin.cli.lab:lab", "version": "dewpin.cli.main:version",
-    "completion": "dewpin.cli.main:completion"})
+@click.group(
+    cls=LazyGroup,
+    epilog=EXIT_CODE_HELP,
+    context_settings={"help_option_names": ["-h", "--help"]},
+    locations=COMMANDS,
+)
 def dewpin() -> None:
-    """dewpin: a relay that hands mails on to destinations nobody here controls."""
+    """dewpin: a relay that forwards messages to destinations nobody here controls."""
 
 
 @click.command()
@@ -61,16 +61,17 @@
     """The program's version, and what it runs on."""
     import platform
     from importlib.metadata import PackageNotFoundError
-    from importlib.metadata import version as installed
+    from importlib.metadata import version as installed_version
+
+    from .output import print_facts
 
-    from .show import facts
-    held = {"dewpin": __version__, "python": platform.python_version()}
-    for name in ("click", "msgspec", "structlog", "rich"):
+    versions = {"dewpin": __version__, "python": platform.python_version()}
+    for name in SHOWN_PACKAGES:
         try:
-            held[name] = installed(name)
+            versions[name] = installed_version(name)
         except PackageNotFoundError:
-            held[name] = "not installed"
-    facts(held, as_json)
+            versions[name] = "not installed"
+    print_facts(versions, as_json)
 
 
 @click.command()
@@ -78,31 +79,32 @@
 def completion(shell: str) -> None:
     """The completion script for a shell: `eval "$(dewpin completion bash)"`."""
     from click.shell_completion import get_completion_class
-    found = get_completion_class(shell)
-    assert found is not None        # click.Choice names only shells that click completes for
-    click.echo(found(dewpin, {}, "dewpin", "_DEWPIN_COMPLETE").source())
+
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None  # click.Choice names only shells that click completes for
+    click.echo(completion_class(dewpin, {}, "dewpin", "_DEWPIN_COMPLETE").source())
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a command line; gives the exit code and writes errors to standard error, a sentence each."""
+    """Run a command line; return the exit code. Errors go to standard error, a sentence each."""
     try:
         code = dewpin.main(arguments, prog_name="dewpin", standalone_mode=False)
-        return code if isinstance(code, int) else DONE
+        return code if isinstance(code, int) else ExitCode.DONE
     except click.exceptions.Abort:
-        return 130
+        return ExitCode.INTERRUPTED
     except click.exceptions.NoArgsIsHelpError as error:
         print(error.ctx.get_help())
-        return FAULTY
+        return ExitCode.INVALID
     except click.UsageError as error:
         hint = f" (see '{error.ctx.command_path} --help')" if error.ctx else ""
         print(f"dewpin: {error.format_message()}{hint}", file=sys.stderr)
-        return FAULTY
+        return ExitCode.INVALID
     except click.ClickException as error:
         print(f"dewpin: {error.format_message()}", file=sys.stderr)
-        return CAN_NOT
-    except Plain as error:
+        return ExitCode.IMPOSSIBLE
+    except CommandError as error:
         print(f"dewpin: {error}", file=sys.stderr)
         return error.code
-    except BrokenPipeError:         # whoever read our output has gone
+    except BrokenPipeError:  # the reader of the output has gone
         sys.stdout = None
-        return DONE
+        return ExitCode.DONE
--- /dev/null
+++ b/dewpin/config/loading.py
@@ -0,0 +1,139 @@
+"""Reads the layers of a configuration and lays them over each other.
+
+The layers, the strongest first: flags, the platform's file, its environment variables, the operator's file, defaults.
+A configuration is taken complete or not at all: one `ConfigurationError` holds all that is wrong with it. It is read
+at the start and at each SIGHUP; nothing is kept in between.
+"""
+
+import os
+from collections.abc import Mapping, Sequence
+from typing import Any
+
+import msgspec
+
+from .consistency import check_consistency, check_platform_settings, find_warnings
+from .errors import ConfigurationError, ConfigurationIssue, suggest_name
+from .keys import KEYS
+from .layer import Issues, Layer
+from .platform_file import platform_layer, read_platform_file
+from .sections import Deployment
+
+DEFAULT_ORIGIN = "default"
+FLAG_ORIGIN = "flag"
+FLAG_OPTION = "--set"
+OPERATOR_FILE_VARIABLE = "DEWPIN_CONFIG"
+PLATFORM_FILE_KEY = "platform.file"
+PLATFORM_FILE_VARIABLE = "LB_CONFIG"
+
+
+class Configuration(msgspec.Struct):
+    """A valid configuration.
+
+    Attributes:
+        deployment: the values of all keys.
+        known: the platform's latest list of receivers, in the agent's form.
+        module: the settings of the decision module, a plain map.
+        origins: by key path: "flag", "config.json limits.memory_mb", "dewpin.toml:12" or "default".
+        warnings: sentences about what is allowed but most likely not meant.
+        has_end: whether an `[end]` table closed the operator's file.
+    """
+
+    deployment: Deployment
+    known: dict[str, Any]
+    module: dict[str, Any]
+    origins: dict[str, str]
+    warnings: list[str]
+    has_end: bool
+
+
+def load_configuration(
+    environment: Mapping[str, str],
+    flags: Sequence[str] = (),
+    operator_path: str | None = None,
+    must_end: bool = False,
+) -> Configuration:
+    """Return the configuration that the layers give.
+
+    `environment`: variables; `flags`: "key=value" texts; `operator_path`: of the operator's file, else DEWPIN_CONFIG
+    names it, else there is none; `must_end`: `[end]` must close the operator's file, as it closed the one before.
+    Raises ConfigurationError with every issue of every layer.
+    """
+    issues: Issues = []
+    flag_layer = _flag_layer(flags, issues)
+    operator_path = operator_path or environment.get(OPERATOR_FILE_VARIABLE)
+    operator_layer, has_end = Layer(), False
+    if operator_path:
+        from .operator_file import read_operator_file
+
+        operator_layer, has_end = read_operator_file(operator_path, issues, must_end)
+    platform_path = (
+        flag_layer.values.get(PLATFORM_FILE_KEY)
+        or environment.get(PLATFORM_FILE_VARIABLE)
+        or operator_layer.values.get(PLATFORM_FILE_KEY)
+    )
+    layers = [flag_layer]
+    document: dict[str, Any] = {}
+    if platform_path:
+        document = read_platform_file(platform_path, issues)
+        layers.append(platform_layer(document, os.path.basename(platform_path), issues))
+    else:
+        message = (
+            "expected the path of the platform's JSON file in LB_CONFIG, --platform or the operator's file; none names "
+            "one"
+        )
+        issues.append(ConfigurationIssue(PLATFORM_FILE_KEY, "", message))
+    layers += [_variable_layer(environment, issues), operator_layer]
+    deployment, origins = _merge(layers)
+    if platform_path:
+        _check_document(document, os.path.basename(platform_path), issues)
+    issues += check_consistency(deployment, origins)
+    if issues:
+        raise ConfigurationError(issues)
+    module = document.get("settings", {})
+    warnings = find_warnings(deployment, module)
+    return Configuration(deployment, document.get("known", {}), module, origins, warnings, has_end)
+
+
+def _check_document(document: dict[str, Any], file: str, issues: Issues) -> None:
+    is_readable = not any(issue.file == file and not issue.key for issue in issues)
+    if is_readable:
+        issues += check_platform_settings(document, file)
+
+
+def _merge(layers: Sequence[Layer]) -> tuple[Deployment, dict[str, str]]:
+    """Return the values of the strongest layers, and the origin of every key."""
+    deployment = Deployment()
+    origins = {}
+    for key in KEYS.values():
+        layer = next((layer for layer in layers if key.path in layer.values), None)
+        if layer is None:
+            origins[key.path] = DEFAULT_ORIGIN
+        else:
+            origins[key.path] = layer.origins[key.path]
+            key.set(deployment, layer.values[key.path])
+    return deployment, origins
+
+
+def _flag_layer(flags: Sequence[str], issues: Issues) -> Layer:
+    layer = Layer()
+    for flag in flags:
+        path, equals, given = flag.partition("=")
+        key = KEYS.get(path)
+        if not equals or key is None:
+            message = "no such key" if equals else "expected KEY=VALUE"
+            issues.append(ConfigurationIssue(FLAG_OPTION, path, message, None, suggest_name(path, KEYS)))
+            continue
+        is_number = key.value_type is int and given.lstrip("-").isdigit()
+        if layer.add(key, int(given) if is_number else given, FLAG_OPTION, path, issues):
+            layer.origins[path] = FLAG_ORIGIN
+    return layer
+
+
+def _variable_layer(environment: Mapping[str, str], issues: Issues) -> Layer:
+    layer = Layer()
+    for key in KEYS.values():
+        if key.variable and key.variable != PLATFORM_FILE_VARIABLE and environment.get(key.variable):
+            layer.add(key, environment[key.variable], key.variable, "", issues)
+    if path := environment.get(PLATFORM_FILE_VARIABLE):
+        layer.values[PLATFORM_FILE_KEY], layer.origins[PLATFORM_FILE_KEY] = path, PLATFORM_FILE_VARIABLE
+    return layer
--- a/dewpin/config/units.py
+++ b/dewpin/config/units.py
@@ -1,39 +1,55 @@
-"""Written quantities and back: durations in float milliseconds, sizes in bytes.
+"""Quantities as text and back: durations in milliseconds, sizes in bytes, both as floats.
 
-It owns the units that a configuration may use. A number without a unit is never guessed at: who reads "250" cannot
-tell whether milliseconds or seconds were meant.
+A number without a unit is rejected: a reader of "250" cannot tell whether milliseconds or seconds were meant.
 """
+
 import re
 from typing import Any
 
-DURATIONS = {"ms": 1.0, "s": 1000.0, "min": 60_000.0, "h": 3_600_000.0, "d": 86_400_000.0}
-SIZES = {"B": 1.0, "kB": 1e3, "KiB": 1024.0, "MB": 1e6, "MiB": 1024.0 ** 2, "GB": 1e9, "GiB": 1024.0 ** 3}
-KINDS = {"duration": (DURATIONS, '"250ms" or "2s"'), "size": (SIZES, '"64MB" or "512KiB"')}
-WRITTEN = re.compile(r"(\d+(?:\.\d+)?)\s*([A-Za-z]+)")
+import msgspec
+
+
+class Unit(msgspec.Struct, frozen=True):
+    """A kind of quantity: its units by name, in the base unit (the first), and examples for messages."""
+
+    factors: dict[str, float]
+    examples: str
 
 
-def read(kind: str, value: Any) -> float:
-    """A written quantity as a float in the kind's base unit (ms, bytes). ValueError says what was expected."""
-    units, example = KINDS[kind]
+UNITS = {
+    "duration": Unit({"ms": 1.0, "s": 1000.0, "min": 60_000.0, "h": 3_600_000.0, "d": 86_400_000.0}, '"250ms" or "2s"'),
+    "size": Unit(
+        {"B": 1.0, "kB": 1e3, "KiB": 1024.0, "MB": 1e6, "MiB": 1024.0**2, "GB": 1e9, "GiB": 1024.0**3},
+        '"64MB" or "512KiB"',
+    ),
+}
+QUANTITY_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*([A-Za-z]+)")
+
+
+def parse_quantity(kind: str, value: Any) -> float:
+    """Return a quantity as a number of base units (ms, bytes). Raises ValueError that says what was expected."""
+    unit = UNITS[kind]
+    expectation = f"expected a {kind} with its unit, as in {unit.examples}"
     if isinstance(value, bool) or not isinstance(value, (int, float, str)):
-        raise ValueError(f"expected a {kind} with its unit, as in {example}")
+        raise ValueError(expectation)
     if not isinstance(value, str):
-        raise ValueError(f"expected a {kind} with its unit, as in {example}: a bare number has none")
-    found = WRITTEN.fullmatch(value.strip())
+        raise ValueError(f"{expectation}: a bare number has none")
+    found = QUANTITY_PATTERN.fullmatch(value.strip())
     if not found:
-        raise ValueError(f"expected a {kind} with its unit, as in {example}")
-    if found[2] not in units:
-        raise ValueError(f"expected a {kind} in one of {', '.join(units)}, as in {example}: there is no unit "
-                         f"{found[2]!r}")
-    return float(found[1]) * units[found[2]]
-
-
-def write(kind: str, amount: float) -> str:
-    """The shortest writing that reads back as the same amount: the largest unit with at most three decimals."""
-    units, _ = KINDS[kind]
-    base = next(iter(units))
-    for name, size in sorted(units.items(), key=lambda unit: -unit[1]):
-        text = f"{amount / size:.3f}".rstrip("0").rstrip(".")
-        if amount >= size and float(text) * size == amount:
-            return text + name
+        raise ValueError(expectation)
+    number, name = found.groups()
+    if name not in unit.factors:
+        names = ", ".join(unit.factors)
+        raise ValueError(f"expected a {kind} in one of {names}, as in {unit.examples}: there is no unit {name!r}")
+    return float(number) * unit.factors[name]
+
+
+def format_quantity(kind: str, amount: float) -> str:
+    """Return the shortest text that reads back as the same amount: the largest unit with at most three decimals."""
+    factors = UNITS[kind].factors
+    base = next(iter(factors))
+    for name, factor in sorted(factors.items(), key=lambda item: -item[1]):
+        number = f"{amount / factor:.3f}".rstrip("0").rstrip(".")
+        if amount >= factor and float(number) * factor == amount:
+            return number + name
     return f"{amount:.15g}{base}"
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -11,7 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import __version__, log
-from ..config import layers
+from ..config.loading import Configuration
+from ..config.values import parse_address
 from ..console.door import Console
 from ..log import events, log_event
 from ..net import agent
@@ -84,10 +85,10 @@
     watch: Watch
     control_socket: ControlSocket
 
-    def __init__(self, configuration: layers.Reading, source: ConfigurationSource) -> None:
+    def __init__(self, configuration: Configuration, source: ConfigurationSource) -> None:
         self.configuration = configuration
         self.source = source
-        self.folder = configuration.deployment.sender.state
+        self.folder = configuration.deployment.sender.state_folder
         self.loop = asyncio.get_running_loop()
         self.stop_requested = asyncio.Event()
         self.reload_requested = asyncio.Event()
@@ -117,7 +118,7 @@
         self.operator_actions = OperatorActions()
         self.console = Console(self.operator_actions)
         if deployment.console.address:
-            await self.console.open(*layers.address(deployment.console.address))
+            await self.console.open(*parse_address(deployment.console.address))
         self._make_dispatching()
         self.claim = TakeoverClaim(self.folder)
         self.folder_lock, handed_over = await self.claim.enter()
@@ -128,7 +129,7 @@
         self._apply_log_settings()
         self._load_endpoints(handed_over)
         self._resume_messages(handed_over)
-        host, port = await self.server.open(*layers.address(deployment.sender.listen))
+        host, port = await self.server.open(*parse_address(deployment.sender.listen_address))
         self.operator_actions.serve(self.relay, self.pool)
         if handed_over:
             self.server.steer()
@@ -155,9 +156,9 @@
 
     def _make_message_parts(self) -> None:
         deployment = self.configuration.deployment
-        self.spool = Journal(self.folder, deployment.limits.disk)
+        self.spool = Journal(self.folder, deployment.limits.disk_bytes)
         self.follower = HandoverLogReader(self.folder, self.spool)
-        self.notices = Notices(layers.address(deployment.agent.address))
+        self.notices = Notices(parse_address(deployment.agent.address))
         self.relay = Relay(self.loop, self.facade, self.spool, self.pool, self.notices)
         self.server = Door(self.loop, self.relay)
         self.started_ms = self.relay.clock.now()
@@ -178,7 +179,7 @@
             dispatcher_seed(deployment.sender),
             configuration.module.get("RegistryMode") != "on_request",
         )
-        cache = self.endpoint_cache = EndpointCache(self.folder, deployment.agent.address, deployment.limits.disk)
+        cache = self.endpoint_cache = EndpointCache(self.folder, deployment.agent.address, deployment.limits.disk_bytes)
         is_first_process = cache.revision is None and not handed_over
         known_revision = configuration.known.get("revision", 0)
         if handed_over:
@@ -191,7 +192,7 @@
             revision, ended = known_revision, cache.unavailable_at_other_agent()
             self._learn_endpoints(agent.entries(configuration.known.get("members", ())), True, revision)
             self._learn_endpoints(ended, False)
-        agent_address = layers.address(deployment.agent.address)
+        agent_address = parse_address(deployment.agent.address)
         self.watch = Watch(agent_address, revision, self._learn_endpoints, turns, is_first_process)
 
     def _learn_endpoints(self, entries: Any, complete: bool, revision: int | None = None) -> None:
@@ -234,14 +235,14 @@
             await stop_gracefully(self.relay, self.server, self.notices, self.configuration.deployment)
         stopping.cancel()
 
-    async def apply(self, configuration: layers.Reading) -> None:
+    async def apply(self, configuration: Configuration) -> None:
         """Put a reloaded configuration in force; keys that wait for the next start must be as before."""
         deployment = configuration.deployment
         self.configuration = configuration
         apply_limits(self)
         self._apply_log_settings()
-        agent_address = layers.address(deployment.agent.address)
-        self.endpoint_cache.reconfigure(deployment.agent.address, deployment.limits.disk)
+        agent_address = parse_address(deployment.agent.address)
+        self.endpoint_cache.reconfigure(deployment.agent.address, deployment.limits.disk_bytes)
         self.watch.move(agent_address)
         self.notices.move(agent_address)
         await self._move_control_socket()
@@ -249,13 +250,19 @@
     def _apply_log_settings(self) -> None:
         """Put `[log]` in force, and log what the configuration allows but most likely does not mean."""
         settings = self.configuration.deployment.log
-        log.configure(settings.format, settings.level, settings.rate, settings.debug_rate, settings.held)
-        for note in self.configuration.notes:
-            log_event(events.CONFIGURATION_WARNING, why=note)
+        log.configure(
+            settings.log_format,
+            settings.level,
+            settings.max_lines_per_second,
+            settings.max_debug_lines_per_second,
+            settings.max_held_bytes,
+        )
+        for warning in self.configuration.warnings:
+            log_event(events.CONFIGURATION_WARNING, why=warning)
 
     async def _move_control_socket(self) -> None:
         settings = self.configuration.deployment.control
-        await self.control_socket.move(settings.socket, settings.token, settings.lines)
+        await self.control_socket.move(settings.socket_path, settings.token, settings.listed_destinations)
 
     # -- shutdown -----------------------------------------------------------------------------------------------------
 
--- a/dewpin/daemon/configuration_source.py
+++ b/dewpin/daemon/configuration_source.py
@@ -5,14 +5,16 @@
 import os
 from collections.abc import Mapping, Sequence
 
-from ..config import faults, keys, layers
+from ..config.errors import ConfigurationError, ConfigurationIssue
+from ..config.loading import Configuration, load_configuration
+from ..config.sections import Sender
 from ..relay.facade import Facade
 
 STABLE_READ_INTERVAL_SECONDS = 0.05  # between two readings of a configuration, which must agree
 STABLE_READ_ATTEMPTS = 20
 
 
-def dispatcher_seed(sender: keys.Sender) -> int:
+def dispatcher_seed(sender: Sender) -> int:
     """Return the decision module's 64-bit seed, made of the configured seed and the sender's name.
 
     With the name in it, senders that share one configured seed do not make the same random choices.
@@ -27,49 +29,52 @@
     Attributes:
         environment: environment variables.
         flags: `KEY=VALUE` texts of the command line.
-        operator: path of the operator's TOML file, or None for the one that the environment names.
+        operator_path: path of the operator's TOML file, or None for the one that the environment names.
     """
 
-    def __init__(self, environment: Mapping[str, str], flags: Sequence[str] = (), operator: str | None = None) -> None:
+    def __init__(
+        self, environment: Mapping[str, str], flags: Sequence[str] = (), operator_path: str | None = None
+    ) -> None:
         self.environment = environment
         self.flags = flags
-        self.operator = operator
+        self.operator_path = operator_path
 
-    def read(self, ended: bool = False) -> layers.Reading:
+    def read(self, must_end: bool = False) -> Configuration:
         """Read and check the whole configuration, including what the decision module needs.
 
-        `ended`: the operator's file must be closed by an `[end]` table. Raises Faulty with every fault found.
+        `must_end`: the operator's file must be closed by an `[end]` table. Raises ConfigurationError with every issue
+        that was found.
         """
-        configuration = layers.read(self.environment, self.flags, self.operator, ended)
+        configuration = load_configuration(self.environment, self.flags, self.operator_path, must_end)
         try:
             Facade(configuration.module, dispatcher_seed(configuration.deployment.sender))
         except (KeyError, TypeError, ValueError) as error:
             file = os.path.basename(configuration.deployment.platform.file)
-            words = f"the decision module lacks {error}" if isinstance(error, KeyError) else str(error)
-            raise faults.Faulty([faults.Fault(file, "settings", words)]) from error
+            message = f"the decision module lacks {error}" if isinstance(error, KeyError) else str(error)
+            raise ConfigurationError([ConfigurationIssue(file, "settings", message)]) from error
         return configuration
 
-    async def read_stable(self, ended: bool) -> layers.Reading:
+    async def read_stable(self, must_end: bool) -> Configuration:
         """Read until two readings a moment apart agree, so that no file is taken while it is being written.
 
-        Raises Faulty where the configuration is invalid or keeps changing.
+        Raises ConfigurationError where the configuration is invalid or keeps changing.
         """
-        previous: layers.Reading | list[faults.Fault] | None = None
+        previous: Configuration | list[ConfigurationIssue] | None = None
         for _ in range(STABLE_READ_ATTEMPTS):
-            current = self._read_or_faults(ended)
+            current = self._read_or_issues(must_end)
             if current == previous:
                 break
             previous = current
             await asyncio.sleep(STABLE_READ_INTERVAL_SECONDS)
         else:
-            words = "it still changes while it is read; send SIGHUP once it is whole"
-            current = [faults.Fault("configuration", "", words)]
+            message = "it still changes while it is read; send SIGHUP once it is whole"
+            current = [ConfigurationIssue("configuration", "", message)]
         if isinstance(current, list):
-            raise faults.Faulty(current)
+            raise ConfigurationError(current)
         return current
 
-    def _read_or_faults(self, ended: bool) -> layers.Reading | list[faults.Fault]:
+    def _read_or_issues(self, must_end: bool) -> Configuration | list[ConfigurationIssue]:
         try:
-            return self.read(ended)
-        except faults.Faulty as error:
-            return error.faults
+            return self.read(must_end)
+        except ConfigurationError as error:
+            return error.issues
--- a/dewpin/daemon/graceful_stop.py
+++ b/dewpin/daemon/graceful_stop.py
@@ -6,7 +6,7 @@
 from ..log import events, log_event
 
 if TYPE_CHECKING:
-    from ..config.keys import Deployment
+    from ..config.sections import Deployment
     from ..net.agent import Notices
     from ..net.inbound import Door
     from ..relay.course import Relay
@@ -22,8 +22,8 @@
     relay.refusing = True
     server.stop()
     log_event(events.SENDER_STOPPING, name=deployment.sender.name)
-    while loop.time() < stopped_at + stop.ends / 1000.0:
-        relay.sending = loop.time() < stopped_at + stop.sends / 1000.0
+    while loop.time() < stopped_at + stop.end_ms / 1000.0:
+        relay.sending = loop.time() < stopped_at + stop.start_attempts_ms / 1000.0
         if not (relay.sending or relay.out or notices.owed or server.clients or server.queued()):
             break
         await asyncio.sleep(CHECK_SECONDS)
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -59,7 +59,7 @@
     has changed then.
     """
     loop = asyncio.get_running_loop()
-    deadline = loop.time() + application.configuration.deployment.stop.ends / 1000.0
+    deadline = loop.time() + application.configuration.deployment.stop.end_ms / 1000.0
     tail = _write_handed_over_state(application)
     if tail is None:
         await asyncio.sleep(RETRY_SECONDS)
--- a/dewpin/daemon/process.py
+++ b/dewpin/daemon/process.py
@@ -6,7 +6,8 @@
 from collections.abc import Mapping, Sequence
 from enum import IntEnum
 
-from ..config import faults, layers
+from ..config.errors import ConfigurationError
+from ..config.loading import Configuration
 from .application import SenderApplication
 from .configuration_source import ConfigurationSource
 
@@ -19,27 +20,32 @@
     INVALID_CONFIGURATION = 2
 
 
-def main(flags: Sequence[str] = (), operator: str | None = None, environment: Mapping[str, str] | None = None) -> int:
+def main(
+    flags: Sequence[str] = (), operator_path: str | None = None, environment: Mapping[str, str] | None = None
+) -> int:
     """Run a sender until it is stopped; return the exit code.
 
-    `flags`: `KEY=VALUE` texts; `operator`: path of the operator's TOML file; `environment`: `os.environ` by default.
+    `flags`: `KEY=VALUE` texts; `operator_path`: of the operator's TOML file; `environment`: `os.environ` by default.
     """
-    source = ConfigurationSource(os.environ if environment is None else environment, flags, operator)
+    source = ConfigurationSource(os.environ if environment is None else environment, flags, operator_path)
     try:
         configuration = source.read()
-    except faults.Faulty as error:
-        for fault in error.faults:
-            print(f"dewpin: {fault}", file=sys.stderr)
+    except ConfigurationError as error:
+        for issue in error.issues:
+            print(f"dewpin: {issue}", file=sys.stderr)
         return ExitCode.INVALID_CONFIGURATION
     try:
         asyncio.run(run_sender(configuration, source))
     except OSError as error:
         sender = configuration.deployment.sender
-        print(f"dewpin: sender.listen = {sender.listen} or sender.state = {sender.state}: {error}", file=sys.stderr)
+        print(
+            f"dewpin: sender.listen = {sender.listen_address} or sender.state = {sender.state_folder}: {error}",
+            file=sys.stderr,
+        )
         return ExitCode.UNUSABLE
     return ExitCode.DONE
 
 
-async def run_sender(configuration: layers.Reading, source: ConfigurationSource) -> None:
+async def run_sender(configuration: Configuration, source: ConfigurationSource) -> None:
     """Run a sender in the running loop. Raises OSError where an address or the state folder can't be used."""
     await SenderApplication(configuration, source).run()
--- a/dewpin/daemon/reload.py
+++ b/dewpin/daemon/reload.py
@@ -3,12 +3,16 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from ..config import faults, layers
+from ..config.errors import ConfigurationError
+from ..config.keys import KEYS
+from ..config.loading import Configuration
 from ..log import events, log_event, log_internal_error
 
 if TYPE_CHECKING:
     from .application import SenderApplication
 
+MODULE_SETTINGS = "settings"  # the platform's settings of the decision module, which are no key
+
 
 async def reload_at_signals(application: "SenderApplication", requested: asyncio.Event) -> None:
     """Reload whenever `requested` is set, until cancelled. An invalid configuration changes nothing."""
@@ -16,10 +20,10 @@
         requested.clear()
         running = application.configuration
         try:
-            new = await application.source.read_stable(running.ended)
-        except faults.Faulty as error:
-            for fault in error.faults:
-                log_event(events.CONFIGURATION_REJECTED, why=fault)
+            new = await application.source.read_stable(running.has_end)
+        except ConfigurationError as error:
+            for issue in error.issues:
+                log_event(events.CONFIGURATION_REJECTED, why=issue)
             continue
         except Exception:  # whatever a file may hold, the old configuration stays in force
             log_internal_error("reload")
@@ -33,25 +37,20 @@
         log_event(events.CONFIGURATION_RELOADED, at=address, pending=", ".join(pending_keys), keys=len(pending_keys))
 
 
-def keys_pending_restart(running: layers.Reading, new: layers.Reading) -> list[str]:
-    """Return the keys that differ and take effect only at the next start, with `settings` for the platform's own."""
-    from ..config.keys import KEYS
-
-    changed = []
-    for key in KEYS.values():
-        section, _, name = key.path.partition(".")
-        running_value = getattr(getattr(running.deployment, section), name)
-        new_value = getattr(getattr(new.deployment, section), name)
-        if not key.swaps and running_value != new_value:
-            changed.append(key.path)
-    return changed + (["settings"] if running.module != new.module else [])
+def keys_pending_restart(running: Configuration, new: Configuration) -> list[str]:
+    """Return the keys that differ and take effect only at the next start, with "settings" for the platform's own."""
+    changed = [
+        key.path
+        for key in KEYS.values()
+        if not key.applies_at_reload and key.get(running.deployment) != key.get(new.deployment)
+    ]
+    return changed + ([MODULE_SETTINGS] if running.module != new.module else [])
 
 
-def keep_running_values(running: layers.Reading, new: layers.Reading, pending_keys: list[str]) -> None:
+def keep_running_values(running: Configuration, new: Configuration, pending_keys: list[str]) -> None:
     """Set the keys that wait for the next start back to the values in force."""
     new.module = running.module
     for path in pending_keys:
-        section, _, name = path.partition(".")
-        if name:
-            value = getattr(getattr(running.deployment, section), name)
-            setattr(getattr(new.deployment, section), name, value)
+        if path != MODULE_SETTINGS:
+            key = KEYS[path]
+            key.set(new.deployment, key.get(running.deployment))
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -19,9 +19,9 @@
     """Put the limits and the time-outs of clients' connections in force, at the start and at a reload."""
     deployment = application.configuration.deployment
     pool, server, follower = application.pool, application.server, application.follower
-    limits = deployment.limits
-    pool.most_idle = deployment.calls.idle or max(
-        MIN_IDLE_CONNECTIONS, min(MAX_DEFAULT_IDLE_CONNECTIONS, limits.sockets // 8)
+    limits, door = deployment.limits, deployment.door
+    pool.most_idle = deployment.calls.max_idle_connections or max(
+        MIN_IDLE_CONNECTIONS, min(MAX_DEFAULT_IDLE_CONNECTIONS, limits.max_descriptors // 8)
     )
     if follower.descriptors:  # the previous process still holds some
         pool.most_idle = max(MIN_IDLE_CONNECTIONS, pool.most_idle // 4)
@@ -29,7 +29,7 @@
     other_descriptors = OTHER_DESCRIPTORS + (CONSOLE_DESCRIPTORS if deployment.console.address else 0)
     max_clients = max(
         MIN_CLIENT_CONNECTIONS,
-        limits.sockets
+        limits.max_descriptors
         - 2 * call_slots
         - pool.most_idle
         - SPARE
@@ -37,9 +37,9 @@
         - other_descriptors
         - follower.descriptors,
     )
-    server.most = min(max_clients, deployment.door.clients) if deployment.door.clients else max_clients
-    server.memory = limits.memory / REQUEST_MEMORY_SHARE
-    server.patience = deployment.door.patience / 1000.0
-    server.rest = deployment.door.rest / 1000.0
-    server.idle = deployment.door.idle / 1000.0
-    application.spool.set_disk_limit(limits.disk)
+    server.most = min(max_clients, door.max_connections) if door.max_connections else max_clients
+    server.memory = limits.memory_bytes / REQUEST_MEMORY_SHARE
+    server.patience = door.request_timeout_ms / 1000.0
+    server.rest = door.min_idle_ms / 1000.0
+    server.idle = door.max_idle_ms / 1000.0
+    application.spool.set_disk_limit(limits.disk_bytes)
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -128,9 +128,9 @@
     limits = application.configuration.deployment.limits
     return {
         "memory_bytes": resident_bytes(),
-        "most_memory_bytes": int(limits.memory),
+        "most_memory_bytes": int(limits.memory_bytes),
         "descriptors": len(os.listdir("/proc/self/fd")),
-        "most_descriptors": limits.sockets,
+        "most_descriptors": limits.max_descriptors,
     }
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -117,7 +117,7 @@
         assert code == 0 and "\\x1b[2Jx" in out and "\x1b" not in out and "receiver=r0" in out.replace("b'r0'", "r0")
         assert (await command("spool", "show", "zz", "--state", state))[0] == 1
         code, out, _ = await command("spool", "verify", "--state", state)
-        assert code == 0 and "5 mails owed an end, a sender runs on it" in out
+        assert code == 0 and "5 pending messages, a sender runs on it" in out
         assert json.loads((await command("spool", "stats", "--json", "--state", state))[1])["owed"] == 5
         assert files == {path: path.stat().st_mtime_ns for path in state.iterdir()}
         sender.process.send_signal(signal.SIGCONT)
--- a/tests/config/test_layers.py
+++ b/tests/config/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: the order of the layers, every fault at once, and what must never be shown."""
+"""Configuration: precedence of the layers, all issues at once, and what must never be shown."""
 
 import json
 import tomllib
@@ -8,7 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as some
 
-from dewpin.config import checks, faults, keys, layers, page, units, where
+from dewpin.config import operator_file, units
+from dewpin.config.consistency import find_warnings
+from dewpin.config.documentation import configuration_page, example_file, explain_key, json_schema, value_rows
+from dewpin.config.errors import ConfigurationError
+from dewpin.config.keys import KEYS
+from dewpin.config.loading import load_configuration
+from dewpin.config.sections import Deployment
+from dewpin.config.toml_lines import line_numbers
 from driver import settings
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -18,35 +25,42 @@
 def files(tmp_path):
     """Writes the platform's and the operator's file and reads all layers."""
 
-    def read(operator="", platform=None, flags=(), ended=False, **variables):
+    def load(operator="", platform=None, flags=(), must_end=False, **variables):
         services = settings()
         services["Services"][0]["Name"] = "status"
         (tmp_path / "config.json").write_text(json.dumps({"settings": services} | (platform or {})))
         (tmp_path / "dewpin.toml").write_text(operator)
-        return layers.read(
-            {"LB_CONFIG": str(tmp_path / "config.json"), **variables}, flags, str(tmp_path / "dewpin.toml"), ended
+        return load_configuration(
+            {"LB_CONFIG": str(tmp_path / "config.json"), **variables}, flags, str(tmp_path / "dewpin.toml"), must_end
         )
 
-    return read
+    return load
 
 
-def told(read, *given, **more):
-    with pytest.raises(faults.Faulty) as caught:
-        read(*given, **more)
-    return [str(one) for one in caught.value.faults]
+def issues_of(load, *args, **options):
+    with pytest.raises(ConfigurationError) as caught:
+        load(*args, **options)
+    return [str(issue) for issue in caught.value.issues]
 
 
-def test_flags_outrank_the_platform_it_the_operators_file_and_that_the_defaults(files):
+def test_precedence_is_flags_platform_operator_file_defaults(files):
     text = '[sender]\nname = "op"\nlisten = "127.0.0.1:1"\n[limits]\nmemory = "64MB"\n[door]\nidle = "20s"\n'
-    reading = files(
+    configuration = files(
         text,
         {"name": "plat", "limits": {"memory_mb": 100}},
         ["sender.name=flag", "log.rate=7"],
         LB_NAME="var",
         LB_LISTEN="127.0.0.1:2",
     )
-    d = reading.deployment
-    assert (d.sender.name, d.sender.listen, d.limits.memory, d.door.idle, d.log.rate, d.stop.ends) == (
+    deployment = configuration.deployment
+    assert (
+        deployment.sender.name,
+        deployment.sender.listen_address,
+        deployment.limits.memory_bytes,
+        deployment.door.max_idle_ms,
+        deployment.log.max_lines_per_second,
+        deployment.stop.end_ms,
+    ) == (
         "flag",
         "127.0.0.1:2",
         100e6,
@@ -55,16 +69,19 @@
         3500.0,
     )
     assert [
-        reading.origins[key] for key in ("sender.name", "sender.listen", "limits.memory", "door.idle", "stop.ends")
+        configuration.origins[key]
+        for key in ("sender.name", "sender.listen", "limits.memory", "door.idle", "stop.ends")
     ] == ["flag", "LB_LISTEN", "config.json limits.memory_mb", "dewpin.toml:7", "default"]
 
 
-def test_every_fault_of_every_layer_is_told_at_once_with_its_place_and_the_nearest_key(files):
+def test_all_issues_of_all_layers_are_reported_at_once_with_place_and_suggested_key(files):
     text = (
         'format = 1\n[limts]\nmemory = "3MB"\n[limits]\nmemory = 64\ndsk = "3MB"\nsockets = "many"\n[stop]\n'
         'sends = "5s"\nends = "3 parsecs"\n[log]\nlevel = "loud"\nheld = "1GB"\n[agent]\nidle = "1s"\n'
     )
-    found = told(files, text, {"discovery": "nowhere", "limits": {"memory_mb": "x"}, "known": []}, ["log.lvl=3", "x"])
+    found = issues_of(
+        files, text, {"discovery": "nowhere", "limits": {"memory_mb": "x"}, "known": []}, ["log.lvl=3", "x"]
+    )
     for part in (
         "--set: log.lvl: no such key; did you mean log.level?",
         "--set: x: expected KEY=VALUE",
@@ -79,7 +96,7 @@
         "config.json: discovery: expected host:port, got 'nowhere'",
         "config.json: limits.memory_mb: expected a number, 32MB or more, got 'x'",
         "config.json: known: expected an object, got []",
-        "dewpin.toml:9: stop.sends: connects would start for 5s, after the end",
+        "dewpin.toml:9: stop.sends: attempts would start for 5s, after the end",
     ):
         assert any(one.startswith(part) for one in found), (part, found)
     assert len(found) == 14
@@ -88,7 +105,7 @@
 @pytest.mark.parametrize(
     "text, words",
     [
-        ('[stop]\nsends = "4s"\n', "dewpin.toml:2: stop.sends: connects would start for 4s"),
+        ('[stop]\nsends = "4s"\n', "dewpin.toml:2: stop.sends: attempts would start for 4s"),
         (
             '[door]\nidle = "1s"\n',
             "dewpin.toml:2: door.idle: a connection closes at door.idle = 1s, before door.rest = 2s",
@@ -117,12 +134,12 @@
         ('[limits]\ndisk = "3MB"\ndisk = "4MB"\n', "dewpin.toml:3: no"),
     ],
 )
-def test_a_file_that_contradicts_itself_or_is_for_a_newer_program_is_refused_whole(files, text, words):
-    assert any(one.startswith(words) for one in told(files, text)), told(files, text)
+def test_file_that_contradicts_itself_or_is_of_a_newer_format_is_rejected_as_a_whole(files, text, words):
+    assert any(one.startswith(words) for one in issues_of(files, text)), issues_of(files, text)
 
 
-def test_what_the_platform_says_is_taken_as_it_comes_even_where_it_contradicts_itself(files):
-    reading = files(
+def test_platform_values_are_accepted_even_where_they_contradict_each_other(files):
+    configuration = files(
         "",
         {
             "stop": {"sends_ms": 5000.0, "ends_ms": 100},
@@ -131,55 +148,57 @@
             "more": 1,
         },
     )
-    assert (reading.deployment.stop.sends, reading.deployment.sender.seed) == (5000.0, "ff")
-    assert not reading.notes
+    assert (configuration.deployment.stop.start_attempts_ms, configuration.deployment.sender.seed) == (5000.0, "ff")
+    assert not configuration.warnings
     services = settings(slots=60) | {"Services": [{"Name": "x"}]}
-    assert "leaves fewer than 8 descriptors" in files("", {"limits": {"sockets": 128}, "settings": services}).notes[0]
+    assert (
+        "leaves fewer than 8 descriptors" in files("", {"limits": {"sockets": 128}, "settings": services}).warnings[0]
+    )
 
 
-def test_words_of_another_customer_s_settings_that_are_not_known_are_named():
-    told = settings(effects=("keyed", "keyed")) | {"RegistryMode": "gossip"}
-    told["FamilyInfo"]["Decay"] = "steps"
-    for at, one in enumerate(told["Services"]):
-        one |= {"Name": f"c{at}", "KeyScope": ("all", "rack")[at]}
-    assert checks.notes(keys.Deployment(), told) == [
+def test_unknown_words_in_settings_are_warned_about():
+    module = settings(effects=("keyed", "keyed")) | {"RegistryMode": "gossip"}
+    module["FamilyInfo"]["Decay"] = "steps"
+    for position, service in enumerate(module["Services"]):
+        service |= {"Name": f"c{position}", "KeyScope": ("all", "rack")[position]}
+    assert find_warnings(Deployment(), module) == [
         "settings.RegistryMode = 'gossip' is not one of pushed, on_request; it is taken as pushed",
         "settings.FamilyInfo.Decay = 'steps' is not one of line, halves; it is taken as line",
         "settings.Services[1].KeyScope = 'rack' is not one of all, zone, cell; it is taken as cell",
     ]
 
 
-def test_a_file_that_ended_with_its_mark_is_not_followed_by_one_cut_short_at_any_line(files):
-    whole = page.example()
-    assert files(whole).ended and files(whole, ended=True).deployment == files("").deployment
-    lines = whole.splitlines(keepends=True)
+def test_file_truncated_at_any_line_is_rejected_after_one_with_an_end_table(files):
+    complete = example_file()
+    assert files(complete).has_end and files(complete, must_end=True).deployment == files("").deployment
+    lines = complete.splitlines(keepends=True)
     for at in range(len(lines)):
-        assert told(files, "".join(lines[:at]), ended=True), at
+        assert issues_of(files, "".join(lines[:at]), must_end=True), at
 
 
-def test_the_secret_is_never_shown(files):
-    reading = files('[control]\nsocket = "/x"\ntoken = "hush-hush"\n')
-    shown = json.dumps([page.show(reading), page.explain(keys.KEYS["control.token"], reading), page.schema()])
+def test_secret_is_never_shown(files):
+    configuration = files('[control]\nsocket = "/x"\ntoken = "hush-hush"\n')
+    shown = json.dumps([value_rows(configuration), explain_key(KEYS["control.token"], configuration), json_schema()])
     assert "hush" not in shown and "(set, not shown)" in shown
-    assert not any("123454321" in one for one in told(files, "[control]\nsocket = '/x'\ntoken = 123454321\n"))
+    assert not any("123454321" in one for one in issues_of(files, "[control]\nsocket = '/x'\ntoken = 123454321\n"))
 
 
-def test_what_is_written_from_the_keys_is_current_and_says_what_the_program_does(files):
-    assert (ROOT / "deploy/dewpin.toml").read_text() == page.example()
-    assert (ROOT / "docs/configuration.md").read_text() == page.page()
-    held = tomllib.loads(page.example())
+def test_example_page_and_schema_are_current_and_cover_all_keys(files):
+    assert (ROOT / "deploy/dewpin.toml").read_text() == example_file()
+    assert (ROOT / "docs/configuration.md").read_text() == configuration_page()
+    held = tomllib.loads(example_file())
     assert {f"{part}.{name}" for part, inside in held.items() if isinstance(inside, dict) for name in inside} == set(
-        keys.KEYS
+        KEYS
     )
-    sections = page.schema()["properties"]
-    for path, key in keys.KEYS.items():
+    sections = json_schema()["properties"]
+    for path, key in KEYS.items():
         part, _, name = path.partition(".")
-        assert page.explain(key)["key"] == path and sections[part]["properties"][name]["description"] == key.about
+        assert explain_key(key)["key"] == path and sections[part]["properties"][name]["description"] == key.description
 
 
-@given(some.sampled_from(sorted(units.KINDS)), some.integers(0, 10**12))
-def test_a_quantity_reads_back_as_it_was_written(kind, amount):
-    assert units.read(kind, units.write(kind, float(amount))) == amount
+@given(some.sampled_from(sorted(units.UNITS)), some.integers(0, 10**12))
+def test_formatted_quantity_parses_to_the_same_amount(kind, amount):
+    assert units.parse_quantity(kind, units.format_quantity(kind, float(amount))) == amount
 
 
 @pytest.mark.parametrize(
@@ -203,12 +222,12 @@
         ("size", [1], None),
     ],
 )
-def test_units(kind, text, amount):
+def test_quantity_with_a_known_unit_is_parsed_and_any_other_is_rejected(kind, text, amount):
     if amount is None:
         with pytest.raises(ValueError, match="expected a"):
-            units.read(kind, text)
+            units.parse_quantity(kind, text)
     else:
-        assert units.read(kind, text) == amount
+        assert units.parse_quantity(kind, text) == amount
 
 
 @given(
@@ -237,30 +256,30 @@
         )
     ).map(b"".join)
 )
-def test_whatever_a_file_holds_only_faults_come_of_it(tmp_path_factory, content):
+def test_arbitrary_file_content_raises_only_configuration_errors(tmp_path_factory, content):
     path = tmp_path_factory.getbasetemp() / "any.toml"
     path.write_bytes(content)
-    with pytest.raises(faults.Faulty):  # at least: no platform's file is named
-        layers.read({}, (), str(path))
+    with pytest.raises(ConfigurationError):  # at least: no platform's file is named
+        load_configuration({}, (), str(path))
 
 
-def test_lines_are_found_behind_texts_and_lists_of_many_lines():
+def test_line_numbers_are_found_behind_multiline_texts_and_lists():
     text = (
         'a = """\n[no]\nx = 1\n"""\nb = [\n  1,\n  {c = 2},\n]\n[ t . "u" ]\nd."e" = "# ["\n\'f\' = 2\n[[g]]\nh = 1\n'
     )
-    assert where.lines(text) == {"a": 1, "b": 5, "t.u": 9, "t.u.d.e": 10, "t.u.f": 11, "g": 12, "g.h": 13}
+    assert line_numbers(text) == {"a": 1, "b": 5, "t.u": 9, "t.u.d.e": 10, "t.u.f": 11, "g": 12, "g.h": 13}
 
 
-def test_no_file_a_folder_a_pipe_and_a_huge_one_are_faults(tmp_path, files):
+def test_missing_file_folder_pipe_and_oversized_file_are_reported(tmp_path, files):
     import os
 
     os.mkfifo(tmp_path / "pipe")
-    (tmp_path / "huge").write_bytes(b"#" * (layers.MOST_OPERATOR + 1))
+    (tmp_path / "huge").write_bytes(b"#" * (operator_file.MAX_BYTES + 1))
     for name, words in (
         ("none", "No such file"),
         (".", "Is a directory"),
         ("pipe", "regular file"),
         ("huge", "at most"),
     ):
-        found = told(lambda name=name: layers.read({}, (), str(tmp_path / name)))
+        found = issues_of(lambda name=name: load_configuration({}, (), str(tmp_path / name)))
         assert any(words in one for one in found), found
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from dewpin.config import page
+from dewpin.config.documentation import example_file
 from dewpin.daemon.configuration_source import dispatcher_seed
 from driver import play, reply, until
 
@@ -28,10 +28,10 @@
 
 def test_a_file_is_swapped_whole_or_not_at_all_also_when_sighup_comes_while_it_is_written(tmp_path):
     file = tmp_path / "dewpin.toml"
-    whole = page.example().replace("rate = 5", "rate = 50").replace('level = "info"', 'level = "debug"')
+    whole = example_file().replace("rate = 5", "rate = 50").replace('level = "info"', 'level = "debug"')
 
     async def scene(outside, sender):
-        file.write_text(page.example())
+        file.write_text(example_file())
         sender.arguments = ["--config", str(file)]
         await sender.start()
         lines = log_of(sender)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -209,7 +209,9 @@
         notices.at = door.listener.getsockname()
         taker.out, deployment = (
             0,
-            SimpleNamespace(stop=SimpleNamespace(sends=0.0, ends=10000.0), sender=SimpleNamespace(name="n0")),
+            SimpleNamespace(
+                stop=SimpleNamespace(start_attempts_ms=0.0, end_ms=10000.0), sender=SimpleNamespace(name="n0")
+            ),
         )
         await stop_gracefully(taker, door, notices, deployment)
         assert not door.queued()
