--- a/dewpin/console/__init__.py
+++ b/dewpin/console/__init__.py
@@ -1,5 +1,5 @@
 """The operators' console: HTTP/1.1 at an address of its own, one call to a connection.
 
-It owns the calls and their answers (`calls.py`, free of I/O) and the listener with its few callers (`door.py`). It
-decides nothing about a mail: what a call asks is read off or handed on to the parts that own it.
+`calls` defines the calls and their responses, without I/O; `server` has the listener and its connections. What a call
+asks for is read off, or passed on to, the components that own it.
 """
--- a/dewpin/console/calls.py
+++ b/dewpin/console/calls.py
@@ -1,72 +1,127 @@
-"""What a call at the console means, free of I/O: a request's first line to a status and a body.
+"""The calls at the console, without I/O: from a request's first line to a response.
 
-It owns the names of calls and figures as the operators' page gives them; inside the program they have our words. It
-keeps nothing, and whatever it is asked it answers: a call that makes no sense is a no, never a fault.
+The names of calls and metrics on the wire are those of the operators' page; the program's own names are in
+`SenderMetrics`. Whatever is asked, there is a response: a call that makes no sense is rejected, never an error.
 """
+
 import re
-from typing import Any, Protocol
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any, NamedTuple, Protocol
 from urllib.parse import unquote_to_bytes
 
 import msgspec
 
-Answer = tuple[int, bytes, bytes]       # status, further header lines, body
-REPLIES = {"success": "relayed", "overload": "deferred", "error": "bounced"}     # the page's words: ours
-MOST_ID = 256           # bytes of a receiver's id
-SPOILT = re.compile(rb"%(?![0-9A-Fa-f]{2})")
+ENDINGS = {"success": "relayed", "overload": "deferred", "error": "bounced"}
+"""Names of the operators' page, and the values of `core.model.Decision` that they stand for."""
+
+MAX_RECEIVER_ID_BYTES = 256
+INVALID_ESCAPE_PATTERN = re.compile(rb"%(?![0-9A-Fa-f]{2})")
+
+READY_PATH = b"/_ready"
+METRICS_PATH = b"/_vars"
+DETACH_PATH = b"/_receivers/detach"
+ATTACH_PATH = b"/_receivers/attach"
+METHODS = {READY_PATH: b"GET", METRICS_PATH: b"GET", DETACH_PATH: b"POST", ATTACH_PATH: b"POST"}
+
+
+class Response(NamedTuple):
+    """A response: status, further header lines, body."""
+
+    status: int
+    header_lines: bytes = b""
+    body: bytes = b""
+
+
+class ReceiverChange(Enum):
+    """What came of a wish to detach or attach a receiver; the value is the status of the response."""
+
+    DONE = 200
+    UNKNOWN_RECEIVER = 404
+    UNAVAILABLE = 503  # the journal can't record it, or the process still starts
+
 
+@dataclass(slots=True, frozen=True)
+class SenderMetrics:
+    """Metrics of a sender since the start of its process.
 
-class Operated(Protocol):
+    Attributes:
+        endings: counts of relayed, deferred and bounced messages, by queue class.
+        sent: messages written completely to receivers, retries included.
+        pending: messages accepted and not ended.
+        listed_receivers: receivers that the list names.
+        avoided_receivers: of those, the ones that get no messages or a trickle.
+    """
+
+    endings: Mapping[bytes, Mapping[Any, int]]
+    sent: int
+    pending: int
+    listed_receivers: int
+    avoided_receivers: int
+
+
+class SenderOperations(Protocol):
     """What the console asks of a sender."""
 
-    def ready(self) -> bool:
-        """Whether this process takes mails on."""
+    def is_ready(self) -> bool:
+        """Return whether this process accepts messages."""
 
-    def figures(self) -> dict[str, Any] | None:
-        """`ends`: counts of relayed, deferred, bounced by queue class; `sent`: mails written whole to receivers;
-        `owed`: mails taken on and not ended; `listed`: receivers; `avoided`: of those, with nothing or a trickle. None
-        while it starts."""
+    def metrics(self) -> SenderMetrics | None:
+        """Return the metrics, or None while the process starts."""
 
-    def detach(self, ident: bytes) -> int:
-        """Nothing more goes to this receiver; 200, or the status of the no."""
+    def detach(self, receiver_id: bytes) -> ReceiverChange:
+        """Send nothing more to a receiver."""
 
-    def attach(self, ident: bytes) -> int:
-        """It gets mails again."""
+    def attach(self, receiver_id: bytes) -> ReceiverChange:
+        """Send to a receiver again."""
 
 
-def answer(first: tuple[bytes, ...], sender: Operated) -> Answer:
-    """The answer to a request with this first line: (method, target, version)."""
-    method, target = first[:2]
+def respond(first_line: tuple[bytes, ...], sender: SenderOperations) -> Response:
+    """Return the response to a request with this first line: (method, target, version)."""
+    method, target = first_line[:2]
     path, _, query = target.partition(b"?")
-    wanted = {b"/_ready": b"GET", b"/_vars": b"GET", b"/_receivers/detach": b"POST",
-              b"/_receivers/attach": b"POST"}.get(path)
-    if wanted is None:
-        return 404, b"", b""
-    if method != wanted:
-        return 405, b"Allow: %s\r\n" % wanted, b""
-    if path == b"/_ready":
-        return 200 if sender.ready() else 503, b"", b""
-    if path == b"/_vars":
-        figures = sender.figures()
-        if figures is None:
-            return 503, b"", b""
-        return 200, b"Content-Type: application/json\r\n", msgspec.json.encode(page(figures))
-    ident = host(query)
-    if not ident or len(ident) > MOST_ID:
-        return 400, b"", b""
-    return (sender.detach if path == b"/_receivers/detach" else sender.attach)(ident), b"", b""
-
-
-def page(figures: dict[str, Any]) -> dict[str, Any]:
-    """The figures under the names of the operators' page."""
-    replies = {queue_class.decode("latin-1"): {name: ends[ours] for name, ours in REPLIES.items()}
-               for queue_class, ends in figures["ends"].items()}
-    return {"replies": replies, "concurrent": figures["owed"], "dispatches": figures["sent"],
-            "targets": figures["listed"], "targets_disabled": figures["avoided"]}
-
-
-def host(query: bytes) -> bytes:
-    """The receiver's id that a query names, b"" where it names none, two, or one that can't be decoded."""
-    named = [value for name, _, value in (part.partition(b"=") for part in query.split(b"&")) if name == b"host"]
-    if len(named) != 1 or SPOILT.search(named[0]):
+    if path not in METHODS:
+        return Response(404)
+    if method != METHODS[path]:
+        return Response(405, b"Allow: %s\r\n" % METHODS[path])
+    if path == READY_PATH:
+        return Response(200 if sender.is_ready() else 503)
+    if path == METRICS_PATH:
+        return _metrics_response(sender.metrics())
+    receiver_id = parse_receiver_id(query)
+    if not receiver_id or len(receiver_id) > MAX_RECEIVER_ID_BYTES:
+        return Response(400)
+    change = sender.detach(receiver_id) if path == DETACH_PATH else sender.attach(receiver_id)
+    return Response(change.value)
+
+
+def _metrics_response(metrics: SenderMetrics | None) -> Response:
+    if metrics is None:
+        return Response(503)
+    body = msgspec.json.encode(encode_metrics(metrics))
+    return Response(200, b"Content-Type: application/json\r\n", body)
+
+
+def encode_metrics(metrics: SenderMetrics) -> dict[str, Any]:
+    """Return the metrics under the names of the operators' page."""
+    replies = {
+        queue_class.decode("latin-1"): {name: counts[ending] for name, ending in ENDINGS.items()}
+        for queue_class, counts in metrics.endings.items()
+    }
+    return {
+        "replies": replies,
+        "concurrent": metrics.pending,
+        "dispatches": metrics.sent,
+        "targets": metrics.listed_receivers,
+        "targets_disabled": metrics.avoided_receivers,
+    }
+
+
+def parse_receiver_id(query: bytes) -> bytes:
+    """Return the receiver's id that a query names; b"" where it names none, two, or one that can't be decoded."""
+    fields = [field.partition(b"=") for field in query.split(b"&")]
+    hosts = [value for name, _, value in fields if name == b"host"]
+    if len(hosts) != 1 or INVALID_ESCAPE_PATTERN.search(hosts[0]):
         return b""
-    return unquote_to_bytes(named[0].replace(b"+", b" "))
+    return unquote_to_bytes(hosts[0].replace(b"+", b" "))
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -13,7 +13,7 @@
 from .. import __version__, log
 from ..config.loading import Configuration
 from ..config.values import parse_address
-from ..console.door import Console
+from ..console.server import ConsoleServer
 from ..log import events, log_event
 from ..net import agent
 from ..net.agent import Notices, Watch
@@ -70,7 +70,7 @@
     """
 
     operator_actions: OperatorActions
-    console: Console
+    console: ConsoleServer
     pool: Pool
     facade: Facade
     claim: TakeoverClaim
@@ -116,7 +116,7 @@
         """Make and open all parts, from the console, which reports "not ready" meanwhile, to the control socket."""
         deployment = self.configuration.deployment
         self.operator_actions = OperatorActions()
-        self.console = Console(self.operator_actions)
+        self.console = ConsoleServer(self.operator_actions)
         if deployment.console.address:
             await self.console.open(*parse_address(deployment.console.address))
         self._make_dispatching()
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -1,12 +1,11 @@
 """What operators ask of a running sender through the console: readiness, metrics, detaching of receivers.
 
-Each call is passed on to the component that owns the state. The statuses of the answers are defined here; the HTTP
-calls themselves are described in `console/calls.py`.
+Each call is passed on to the component that owns the state. The calls themselves are described in `console.calls`.
 """
 
 from typing import Any
 
-OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503
+from ..console.calls import ReceiverChange, SenderMetrics
 
 
 class OperatorActions:
@@ -26,34 +25,34 @@
         self.relay = relay
         self.pool = pool
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether this process accepts messages."""
         return self.relay is not None and not self.relay.refusing and not self.relay.tail
 
-    def figures(self) -> dict[str, Any] | None:
-        """Return the metrics that `console.calls.Operated` describes, or None while the process starts."""
+    def metrics(self) -> SenderMetrics | None:
+        """Return the metrics, or None while the process starts."""
         if self.relay is None:
             return None
         facade = self.relay.facade
-        return {
-            "ends": self.relay.ends,
-            "sent": self.pool.sent,
-            "owed": len(self.relay.spool.pending),
-            "listed": facade.listed,
-            "avoided": facade.avoided(),
-        }
+        return SenderMetrics(
+            endings=self.relay.ends,
+            sent=self.pool.sent,
+            pending=len(self.relay.spool.pending),
+            listed_receivers=facade.listed,
+            avoided_receivers=facade.avoided(),
+        )
 
-    def detach(self, ident: bytes) -> int:
-        """Take a receiver out of use; return the HTTP status of the answer."""
-        return _status(self.relay.detach(ident)) if self.relay else UNAVAILABLE
+    def detach(self, receiver_id: bytes) -> ReceiverChange:
+        """Send nothing more to a receiver."""
+        return _receiver_change(self.relay.detach(receiver_id)) if self.relay else ReceiverChange.UNAVAILABLE
 
-    def attach(self, ident: bytes) -> int:
-        """Put a receiver back into use; return the HTTP status of the answer."""
-        return _status(self.relay.attach(ident)) if self.relay else UNAVAILABLE
+    def attach(self, receiver_id: bytes) -> ReceiverChange:
+        """Send to a receiver again."""
+        return _receiver_change(self.relay.attach(receiver_id)) if self.relay else ReceiverChange.UNAVAILABLE
 
 
-def _status(is_done: bool | None) -> int:
-    """Return the status for: done (True), no such receiver (False), could not be recorded (None)."""
+def _receiver_change(is_done: bool | None) -> ReceiverChange:
+    """Return what the relay's answer means: done (True), no such receiver (False), could not be recorded (None)."""
     if is_done is None:
-        return UNAVAILABLE
-    return OK if is_done else NOT_FOUND
+        return ReceiverChange.UNAVAILABLE
+    return ReceiverChange.DONE if is_done else ReceiverChange.UNKNOWN_RECEIVER
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..console.door import DESCRIPTORS as CONSOLE_DESCRIPTORS
+from ..console.server import MAX_DESCRIPTORS as CONSOLE_DESCRIPTORS
 from ..net.inbound import AT_ONCE, SPARE
 
 if TYPE_CHECKING:
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' console: each call's answer, free of I/O and against the program itself."""
+"""The operators' console: the response to each call, without I/O and against the program itself."""
 
 import asyncio
 import json
@@ -10,23 +10,23 @@
 from driver import play, read_message, reply, until
 
 
-class Asked:
-    """Stands for a sender: knows one receiver."""
+class StubSender:
+    """Knows one receiver."""
 
-    def ready(self):
+    def is_ready(self):
         return True
 
-    def figures(self):
-        return {
-            "ends": {b"notice": {"relayed": 3, "deferred": 2, "bounced": 1}},
-            "sent": 4,
-            "owed": 5,
-            "listed": 7,
-            "avoided": 6,
-        }
+    def metrics(self):
+        return calls.SenderMetrics(
+            endings={b"notice": {"relayed": 3, "deferred": 2, "bounced": 1}},
+            sent=4,
+            pending=5,
+            listed_receivers=7,
+            avoided_receivers=6,
+        )
 
-    def detach(self, ident):
-        return 200 if ident == b"a b" else 404
+    def detach(self, receiver_id):
+        return calls.ReceiverChange.DONE if receiver_id == b"a b" else calls.ReceiverChange.UNKNOWN_RECEIVER
 
     attach = detach
 
@@ -48,12 +48,12 @@
         (b"POST /_receivers/attach?host=" + b"x" * 300, 400),
     ],
 )
-def test_a_call_and_its_status(line, status):
-    assert calls.answer((*line.split(b" "), b"HTTP/1.1"), Asked())[0] == status
+def test_call_has_its_status(line, status):
+    assert calls.respond((*line.split(b" "), b"HTTP/1.1"), StubSender()).status == status
 
 
-def test_the_figures_have_the_pages_names():
-    assert json.loads(calls.answer((b"GET", b"/_vars", b"HTTP/1.1"), Asked())[2]) == {
+def test_metrics_have_the_names_of_the_operators_page():
+    assert json.loads(calls.respond((b"GET", b"/_vars", b"HTTP/1.1"), StubSender()).body) == {
         "replies": {"notice": {"success": 3, "overload": 2, "error": 1}},
         "concurrent": 5,
         "dispatches": 4,
@@ -72,11 +72,11 @@
     return int(message[0].split()[1]), message[2]
 
 
-async def figures(sender):
+async def read_metrics(sender):
     return json.loads((await call(sender, b"GET /_vars"))[1])
 
 
-def test_figures_count_what_became_of_mails_and_silent_callers_hold_nobody_up(tmp_path):
+def test_metrics_count_endings_of_messages_while_silent_callers_are_connected(tmp_path):
     async def scene(outside, sender):
         silent = [await asyncio.open_connection(*sender.console) for _ in range(30)]
         assert (await call(sender, b"GET /_ready"))[0] == 200
@@ -89,21 +89,21 @@
         await sender.hand_in("told", kind="status", left=0.4)
         await until(lambda: len(outside.notices) == 2)
         assert (await sender.hand_in("good"))[0] == 409  # an id that was taken on
-        found = await figures(sender)
+        found = await read_metrics(sender)
         assert found["replies"]["notice"] == {"success": 1, "overload": 0, "error": 1}
         assert found["replies"]["charge"] == {"success": 0, "overload": 0, "error": 1}
         assert found["replies"]["status"] == {"success": 0, "overload": 1, "error": 0}
         assert found["dispatches"] == len(outside.calls) and found["targets"] == 2
         outside.script = lambda call: None
         await sender.hand_in("held", kind="status")
-        assert (await figures(sender))["concurrent"] == 1
+        assert (await read_metrics(sender))["concurrent"] == 1
         for _, writer in silent:
             writer.close()
 
     play(tmp_path, scene, receivers=2)
 
 
-def test_a_detached_receiver_gets_nothing_until_it_is_put_back_whatever_the_list_says_and_over_a_kill(tmp_path):
+def test_detached_receiver_gets_nothing_until_attached_despite_list_changes_and_a_kill(tmp_path):
     async def scene(outside, sender):
         def reached():
             return {call[3] for call in outside.calls}
@@ -118,7 +118,7 @@
         assert (await call(sender, b"POST /_receivers/detach?host=r9"))[0] == 404
         for _ in range(2):  # calls out may be repeated
             assert (await call(sender, b"POST /_receivers/detach?host=r0"))[0] == 200
-        assert (await figures(sender))["targets_disabled"] == 1
+        assert (await read_metrics(sender))["targets_disabled"] == 1
         await hand_in(6)
         assert reached() == {1}
         await until(lambda: outside.watching)
@@ -138,6 +138,6 @@
         await hand_in(9)
         assert reached() == {0}
         assert (await call(sender, b"POST /_receivers/attach?host=r1"))[0] == 200
-        assert (await figures(sender))["targets_disabled"] == 0
+        assert (await read_metrics(sender))["targets_disabled"] == 0
 
     play(tmp_path, scene, receivers=2)
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -15,7 +15,8 @@
 import msgspec
 
 import driver
-from dewpin.console.door import Console
+from dewpin.console.calls import ReceiverChange, SenderMetrics
+from dewpin.console.server import ConsoleServer
 from dewpin.core import model
 from dewpin.daemon import upgrade
 from dewpin.daemon.control_socket import ControlSocket
@@ -402,14 +403,19 @@
         return self.relay.attach(octets(receiver))
 
     def figures(self):
-        operated = OperatorActions()
-        operated.serve(self.relay, SimpleNamespace(sent=0))
-        figures = operated.figures()
+        actions = OperatorActions()
+        actions.serve(self.relay, SimpleNamespace(sent=0))
+        metrics = actions.metrics()
         ends = {
             text(name): {NAMES_OF_ENDINGS[word]: count for word, count in counts.items()}
-            for name, counts in figures["ends"].items()
+            for name, counts in metrics.endings.items()
+        }
+        return {
+            "endings": ends,
+            "owed": metrics.pending,
+            "listed": metrics.listed_receivers,
+            "avoided": metrics.avoided_receivers,
         }
-        return {"endings": ends, "owed": figures["owed"], "listed": figures["listed"], "avoided": figures["avoided"]}
 
     def queues(self):
         """What is believed of each destination, for people."""
@@ -584,27 +590,29 @@
     """Stands for a sender at the operators' console: knows the receiver `a b`."""
 
     def __init__(self, started=True, ready=True):
-        self.started, self.is_ready = started, ready
+        self.started, self.ready = started, ready
 
-    def ready(self):
-        return self.is_ready
+    def is_ready(self):
+        return self.ready
 
-    def figures(self):
+    def metrics(self):
         if not self.started:
             return None
         ends = {ENDINGS["relayed"]: 3, ENDINGS["retryable"]: 2, ENDINGS["failed"]: 1}
-        return {"ends": {b"notice": ends, b"caf\xe9": ends}, "sent": 4, "owed": 5, "listed": 7, "avoided": 6}
+        return SenderMetrics(
+            {b"notice": ends, b"caf\xe9": ends}, sent=4, pending=5, listed_receivers=7, avoided_receivers=6
+        )
 
     def detach(self, ident):
-        return 200 if ident == b"a b" else 404
+        return ReceiverChange.DONE if ident == b"a b" else ReceiverChange.UNKNOWN_RECEIVER
 
     def attach(self, ident):
-        return 200 if ident == b"a b" else 503
+        return ReceiverChange.DONE if ident == b"a b" else ReceiverChange.UNAVAILABLE
 
 
 @asynccontextmanager
 async def operators_console(operations):
-    console = Console(operations)
+    console = ConsoleServer(operations)
     try:
         yield await console.open("127.0.0.1", 0)
     finally:
