--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -13,7 +13,7 @@
 import click
 
 from dewpin.core import model
-from dewpin.core.decide import Dispatcher
+from dewpin.core.dispatcher import Dispatcher
 
 TOOK = 200.0
 
@@ -52,14 +52,14 @@
 
     def send(self, sender, now):
         module, mail = self.made[sender], model.Message(now, self.places[sender], now, now + 16000.0)
-        module.route(mail, now)
-        ms, due = module.wait(now)
-        receiver = module.route(due, now)[0] if due and ms == 0.0 else None
+        module.dispatch(mail, now)
+        ms, due = module.next_due(now)
+        receiver = module.dispatch(due, now).receiver if due and ms == 0.0 else None
         return getattr(receiver, "receiver_id", None), mail
 
     def end(self, sender, mail, now):
         mail.duration_ms = TOOK
-        self.made[sender].settle(mail, model.Outcome.DELIVERED, now)
+        self.made[sender].record_outcome(mail, model.Outcome.DELIVERED, now)
 
 
 class Choice:
--- a/dewpin/core/model.py
+++ b/dewpin/core/model.py
@@ -13,12 +13,22 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    from .destination_limits import DestinationLimits
+    from .destination_queue import DestinationQueue
+    from .message_state import MessageState
+    from .receiver_health import ReceiverHealth
+
+UNSET: Any = None
+"""The value of an attribute of the dispatcher's own until the dispatcher sets it; None, whatever the type says."""
 
 
 class Decision(StrEnum):
-    """What the dispatcher decided on a message that is not sent to a receiver now."""
+    """What the dispatcher decided on a message."""
 
+    SEND = "send"  # to a receiver, now
     NOT_YET = "not yet"  # it stays queued; `Dispatcher.wait` says when to ask again
     RELAYED = "relayed"  # done, by a receiver that took it
     DEFERRED = "deferred"  # given up; the client may safely submit it again
@@ -47,6 +57,12 @@
     GONE = "gone"
 
 
+READY = ReceiverState.READY
+"""Bound once for the busiest loops: a look-up of a member on its class costs ten times as much in Python 3.11."""
+
+NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.DROPPED))
+"""Outcomes that prove that a message was not executed."""
+
 LOAD_REPORT_FIELDS = {"x0": "left", "x1": "limit"}
 """Names of fields as load reports spell them, and the names that the dispatcher knows them by."""
 
@@ -73,13 +89,13 @@
 
     destination_id: the driver's identifier.
     receivers: its endpoints, in the order in which the list first named them.
-    queue, limits: the dispatcher's own.
+    queue, limits: the dispatcher's own, `UNSET` at first.
     """
 
     destination_id: Any
     receivers: list[Receiver] = field(default_factory=list)
-    queue: Any = None
-    limits: Any = None
+    queue: DestinationQueue = UNSET
+    limits: DestinationLimits = UNSET
 
 
 @dataclass(slots=True, eq=False)
@@ -93,7 +109,7 @@
     state: what the list says of it.
     address: where it is reached, for whoever sends; the dispatcher does not read it.
     load_report: its latest load report, by the names in `LOAD_REPORT_FIELDS`.
-    health, limits: the dispatcher's own.
+    health, limits: the dispatcher's own, `UNSET` at first.
     """
 
     receiver_id: Any
@@ -104,8 +120,8 @@
     state: str = ReceiverState.READY
     address: Any = None
     load_report: dict[str, float] = field(default_factory=dict)
-    health: Any = None
-    limits: Any = None
+    health: ReceiverHealth = UNSET
+    limits: DestinationLimits = UNSET
 
     def __post_init__(self) -> None:
         self.destination.receivers.append(self)
@@ -125,7 +141,7 @@
     is_withdrawn: nothing is owed for it any more.
     retry_after_ms: the wait that its latest attempt was answered with; 0 if none.
     duration_ms: how long its latest attempt took.
-    dispatch_state: the dispatcher's own.
+    dispatch_state: the dispatcher's own, `UNSET` at first.
     """
 
     message_id: Any
@@ -139,4 +155,4 @@
     is_withdrawn: bool = False
     retry_after_ms: float = 0.0
     duration_ms: float = 0.0
-    dispatch_state: Any = None
+    dispatch_state: MessageState = UNSET
--- /dev/null
+++ b/dewpin/core/outcome_recorder.py
@@ -0,0 +1,246 @@
+"""What the outcome of an attempt tells of the receiver, its destination and the way there."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .call import Call
+from .circuit_breaker import SHUT_AFTER_MS, CircuitBreaker
+from .destination_limits import DestinationLimits, limits_of
+from .model import READY, Message, Outcome
+from .random_source import RandomSource
+from .rate_control import RateControl
+from .receiver_health import ReceiverHealth, health_of
+from .sender_state import SenderState
+from .settings import DispatcherSettings
+from .slow_start import SlowStart
+
+NO_ANSWER_OUTCOMES = frozenset((Outcome.TIMED_OUT, Outcome.RESET, Outcome.DROPPED, Outcome.CONNECT_FAILED))
+FAILURE_OUTCOMES = NO_ANSWER_OUTCOMES | {Outcome.ERROR}
+
+LONG_FAILURE_MS = 1000.0
+"""A failure that took so long says more than a quick one; no crash is over sooner."""
+LONG_WAIT_MS = 2500.0
+"""No rate limit asks for a longer wait: the destination is shut, and comes back cold."""
+REJECTIONS_OF_SHUT = 3
+"""So many without a good answer, over `SHUT_AFTER_MS`, mean that a destination is shut."""
+FAILURES_DESPITE_LOSS = 3
+"""So many failures in a row are an outage even if calls are lost on the way."""
+FULL_TABLE_SHARE = 0.1
+"""Share of the calls to a kind of receivers that find no connection at once, above which none may rest there for a
+message that has to wait: their connection tables are full."""
+RETRY_AFTER_JITTER_MS = (1.0, 50.0)
+FIRST_GROWTH_JITTER = (0.2, 1.0)
+MOST_TIMEOUT_DOUBLINGS = 2
+
+# Weights of the newest value in moving averages.
+RECOVERY_WEIGHT = 0.2
+FAILED_CONNECTION_WEIGHT = 0.05
+SENDER_CALL_TIME_WEIGHT = 0.05
+CALL_TIME_WEIGHT = 0.1
+FIRST_CALL_TIME_WEIGHT = 0.5
+
+
+@dataclass(slots=True)
+class AttemptResult:
+    """The outcome of a message's attempt with what it is weighed against.
+
+    limits, health: of the receiver that was called.
+    is_connection_refused: no connection was made, and that was answered at once.
+    is_sparse: this sender has less than one message for the destination in an overload window.
+    """
+
+    message: Message
+    call: Call
+    outcome: Outcome
+    limits: DestinationLimits
+    health: ReceiverHealth
+    is_connection_refused: bool
+    is_sparse: bool
+
+
+class OutcomeRecorder:
+    """Updates health, limits and averages, opens and closes circuit breakers, sets rates."""
+
+    def __init__(
+        self,
+        settings: DispatcherSettings,
+        random: RandomSource,
+        sender: SenderState,
+        breaker: CircuitBreaker,
+        rates: RateControl,
+    ) -> None:
+        self.settings = settings
+        self.random = random
+        self.sender = sender
+        self.breaker = breaker
+        self.rates = rates
+
+    def record(self, message: Message, call: Call, outcome: Outcome, now: float) -> None:
+        """Takes the outcome of a message's attempt into account."""
+        health = health_of(call.receiver)
+        arrival_rate = message.destination.queue.arrival_rate(now)
+        result = AttemptResult(
+            message,
+            call,
+            outcome,
+            limits_of(call.receiver, self.settings.kinds_with_own_limits),
+            health,
+            is_connection_refused=outcome == Outcome.CONNECT_FAILED and message.duration_ms < LONG_FAILURE_MS,
+            is_sparse=arrival_rate * self.settings.overload_window_ms < 1000.0,
+        )
+        is_delivered = outcome == Outcome.DELIVERED
+        if call.follows_unanswered and not call.is_failure_counted and (is_delivered or outcome in NO_ANSWER_OUTCOMES):
+            self.sender.recovery_share += RECOVERY_WEIGHT * (is_delivered - self.sender.recovery_share)
+        health.is_unanswered = health.is_unanswered and not (is_delivered or outcome == Outcome.ERROR)
+        if outcome in FAILURE_OUTCOMES:
+            health.failed_at = now
+        if not call.is_failure_counted:
+            self._average_failed_connections(result)
+        if is_delivered:
+            self._record_delivery(result, now)
+        elif outcome == Outcome.REJECTED or result.is_connection_refused:
+            self._record_rejection(result, now)
+        elif outcome in FAILURE_OUTCOMES and not call.is_failure_counted:
+            self._record_failure(result, now)
+
+    def _average_failed_connections(self, result: AttemptResult) -> None:
+        shares, kind = self.sender.failed_connection_shares, result.call.receiver.kind
+        share = shares.get(kind, 0.0)
+        shares[kind] = share + FAILED_CONNECTION_WEIGHT * (result.is_connection_refused - share)
+
+    # -- deliveries ---------------------------------------------------------------------------------------------------
+
+    def _record_delivery(self, result: AttemptResult, now: float) -> None:
+        limits, health, receiver = result.limits, result.health, result.call.receiver
+        limits.good_answers.add(now)
+        limits.timeouts = limits.rejections = 0
+        limits.good_at = now
+        if not health.slow_start and now - health.connect_failed_at < LONG_FAILURE_MS:
+            self.sender.crowded_kinds.add(receiver.kind)  # it had refused a connection: a full table, no crash
+        self._average_call_time(limits, result.message.duration_ms)
+        # a good answer makes up for one failure: a receiver that fails most calls is out, if not all of them
+        health.failures = 0 if self.sender.is_path_lossy else max(0, health.failures - 1)
+        health.good_at = now
+        health.failed_classes.discard(result.message.queue_class)
+        self._let_limiters_grow(limits, health, now)
+        if health.slow_start and self._is_warm(health.slow_start, now):
+            health.slow_start = None
+            self.sender.ejected_receivers.discard(receiver)
+
+    def _is_warm(self, slow_start: SlowStart, now: float) -> bool:
+        """Whether a receiver bears everything again; if the way there loses calls, it never was at fault."""
+        assert slow_start.growing_since is not None  # a good answer came
+        return self.sender.is_path_lossy or now - slow_start.growing_since > self.settings.warm_up_ms
+
+    def _average_call_time(self, limits: DestinationLimits, duration_ms: float) -> None:
+        sender = self.sender
+        if sender.usual_call_ms is None:
+            sender.usual_call_ms = duration_ms
+        else:
+            sender.usual_call_ms += SENDER_CALL_TIME_WEIGHT * (duration_ms - sender.usual_call_ms)
+        usual_ms = limits.usual_call_ms or sender.usual_call_ms
+        weight = CALL_TIME_WEIGHT if limits.usual_call_ms else FIRST_CALL_TIME_WEIGHT
+        limits.usual_call_ms = usual_ms + weight * (duration_ms - usual_ms)
+
+    def _let_limiters_grow(self, limits: DestinationLimits, health: ReceiverHealth, now: float) -> None:
+        """After a good answer. The receiver came back between the latest bad answer and this one."""
+        for limiter in (limits.rate_limiter, health.slow_start):
+            if not limiter:
+                continue
+            limiter.good_answers += 1
+            if limiter.growing_since is None:
+                is_slow_start = limiter is health.slow_start
+                bad_at = max(health.failed_at, health.rejected_at) if is_slow_start else now
+                limiter.growing_since = (max(bad_at, limiter.created_at) + now) / 2.0
+                next_at = limiter.time_after(now, self.random.uniform(*FIRST_GROWTH_JITTER))
+                limiter.next_at = min(limiter.next_at, next_at)
+
+    # -- rejections ---------------------------------------------------------------------------------------------------
+
+    def _record_rejection(self, result: AttemptResult, now: float) -> None:
+        """A rejection, or a connection that was refused at once."""
+        limits, health, receiver = result.limits, result.health, result.call.receiver
+        # nothing good since its last rejection: it speaks for itself, not for its destination
+        is_for_itself = health.good_at <= health.rejected_at
+        health.rejected_at = now
+        is_second_failure = result.is_connection_refused and limits.failed_at > limits.good_at
+        if result.outcome == Outcome.REJECTED:
+            self._slow_down(result, is_for_itself, now)
+        else:
+            health.connect_failed_at = limits.failed_at = now
+            if result.is_sparse:  # this sender hardly sees what follows, and needs no idle connections
+                self.sender.crowded_kinds.add(receiver.kind)
+        if limits.rejections == 0:
+            limits.first_rejected_at = now
+        limits.rejections += 1  # of the destination, whichever receiver spoke for it
+        is_shut = (
+            limits.rejections >= REJECTIONS_OF_SHUT
+            and now - limits.first_rejected_at > SHUT_AFTER_MS
+            or result.message.retry_after_ms > LONG_WAIT_MS
+        )
+        is_down = (
+            is_second_failure
+            and result.is_sparse
+            and self.sender.failed_connection_shares[receiver.kind] < FULL_TABLE_SHARE
+        )
+        if is_shut or is_down:
+            self.breaker.open(receiver, health, now, result.is_sparse)
+        if is_down:
+            self._eject_unconnected(result, now)
+
+    def _slow_down(self, result: AttemptResult, is_for_itself: bool, now: float) -> None:
+        limits, call, wait_ms = result.limits, result.call, result.message.retry_after_ms
+        if wait_ms > 0:
+            wait_until = now + wait_ms + self.random.uniform(*RETRY_AFTER_JITTER_MS)
+            limits.retry_after_until = max(limits.retry_after_until, wait_until)
+        left_before_limiter = limits.rate_limiter is not None and call.sent_at < limits.rate_limiter.created_at
+        if left_before_limiter:
+            return
+        if not is_for_itself or self._all_reject(result, now):
+            self.rates.slow_down(call.receiver, limits, now)
+
+    def _all_reject(self, result: AttemptResult, now: float) -> bool:
+        kinds_with_own_limits = self.settings.kinds_with_own_limits
+        return all(
+            self.breaker.rejects_for_itself(receiver, now)
+            for receiver in result.message.destination.receivers
+            if receiver.state == READY and limits_of(receiver, kinds_with_own_limits) is result.limits
+        )
+
+    def _eject_unconnected(self, result: AttemptResult, now: float) -> None:
+        """Ejects the other receivers of a destination that refused their latest connection as well."""
+        kinds_with_own_limits = self.settings.kinds_with_own_limits
+        for receiver in result.message.destination.receivers:
+            health = receiver.health  # of one not met yet the first look decides
+            if (
+                health
+                and not health.slow_start
+                and health.connect_failed_at > health.good_at
+                and limits_of(receiver, kinds_with_own_limits) is result.limits
+            ):
+                self.breaker.open(receiver, health, now, result.is_sparse)
+
+    # -- failures -----------------------------------------------------------------------------------------------------
+
+    def _record_failure(self, result: AttemptResult, now: float) -> None:
+        limits, call = result.limits, result.call
+        result.health.failed_classes.add(result.message.queue_class)
+        limits.failed_at = now
+        call.is_failure_counted = True
+        is_timeout = result.outcome == Outcome.TIMED_OUT
+        # a destination that answered others since is not slow
+        if is_timeout and call.sent_at >= max(limits.timed_out_at, limits.good_at) and not self.sender.is_path_lossy:
+            limits.timeouts = min(limits.timeouts + 1, MOST_TIMEOUT_DOUBLINGS)
+            limits.timed_out_at = now
+        is_answered = result.outcome == Outcome.ERROR
+        is_long = result.message.duration_ms >= LONG_FAILURE_MS and not is_answered
+        enough = FAILURES_DESPITE_LOSS if self.sender.is_path_lossy else 1 if is_long and result.is_sparse else 2
+        for receiver in result.message.destination.receivers:  # the others share the doubt, less by one
+            health = health_of(receiver)
+            is_called = receiver is call.receiver
+            if health.good_at < call.sent_at and (is_called or is_long):
+                health.failures = min(health.failures + 1, FAILURES_DESPITE_LOSS)
+                health.is_unanswered = not is_answered
+                if health.failures >= enough + (not is_called):
+                    self.breaker.open(receiver, health, now)
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -76,15 +76,15 @@
 def _health_name(health: Any) -> str:
     if not health:
         return "unknown"
-    if health.trickle:
+    if health.slow_start:
         return "set aside"
-    return "failing" if health.fails else "well"
+    return "failing" if health.failures else "well"
 
 
 def _message_counts(application: "SenderApplication") -> dict[str, int]:
     relay, facade = application.relay, application.relay.facade
     return {
-        "held": facade.module.held,
+        "held": facade.module.pending_messages,
         "most": facade.most,
         "owed": len(application.spool.pending),
         "notices": len(relay.notices.owed),
@@ -95,7 +95,7 @@
 def _call_counts(application: "SenderApplication") -> dict[str, int]:
     pool = application.pool
     return {
-        "out": application.relay.facade.module.slots,
+        "out": application.relay.facade.module.calls_in_flight,
         "slots": int(application.configuration.module["FamilyInfo"]["CallSlots"]),
         "opening": len(pool.opening),
         "idle": pool.resting,
--- a/dewpin/relay/facade.py
+++ b/dewpin/relay/facade.py
@@ -4,7 +4,7 @@
 objects and back. Network code asks it and gets plain values; it keeps no timer, opens no socket and decides nothing.
 """
 from ..core import model
-from ..core.decide import PROOF, Dispatcher
+from ..core.dispatcher import Dispatcher
 
 PAST = 200              # so many receivers that are gone are remembered
 
@@ -29,14 +29,18 @@
 
     def tick(self, now):
         """Ms until something is due: 0 if it is now, None if nothing is held."""
-        ms, self.due = self.module.wait(now)
+        ms, self.due = self.module.next_due(now)
         return None if self.due is None else ms
 
     def pick(self, now):
         """What the mail that is due now does: (sheet, receiver, time-out), (sheet, ending, ms), or None."""
         mail = self.due
-        what, ms = self.module.route(mail, now)
-        return None if what == model.Decision.NOT_YET else (mail.message_id, what, ms)
+        result = self.module.dispatch(mail, now)
+        if result.decision == model.Decision.NOT_YET:
+            return None
+        if result.receiver:
+            return mail.message_id, result.receiver, result.timeout_ms
+        return mail.message_id, result.decision, result.retry_after_ms
 
     def report(self, sheet, outcome, told, took, load, over, now):
         """After a connect: its ending or None, the ms to come back after, and whether idle connections go."""
@@ -46,7 +50,7 @@
         if load:
             words = {model.LOAD_REPORT_FIELDS.get(name, name): value for name, value in load.items()}
             mail.dispatch_state.call.receiver.load_report = words
-        what, ms, leaves = self.module.settle(mail, outcome, now)
+        what, ms, leaves = self.module.record_outcome(mail, outcome, now)
         if over:
             what = model.Decision.RELAYED        # nothing is owed
         return None if what == model.Decision.NOT_YET else what, ms, leaves
@@ -54,7 +58,7 @@
     def pause(self, sheet, now):
         """Ms of the pause that a mail is in."""
         message = sheet.message
-        return max(0.0, message.dispatch_state.due - now) if message and message.dispatch_state else 0.0
+        return max(0.0, message.dispatch_state.due_at - now) if message and message.dispatch_state else 0.0
 
     # -- mails and receivers --------------------------------------------------------------------------------
 
@@ -64,14 +68,14 @@
     def full(self, destination, now):
         """Ms to come back after where no more mails may be held, or none for a destination no list names; else None."""
         known = self.destinations.get(int(destination))
-        if known and known.receivers and self.module.held < self.most:
+        if known and known.receivers and self.module.pending_messages < self.most:
             return None
-        return self.module.come_back(known or model.Destination(None), now)
+        return self.module.retry_after_ms(known or model.Destination(None), now)
 
     def bound(self, receiver):
         """The addresses that a wait told by this receiver binds."""
-        gate = self.module.gate(receiver)
-        return [r.address for r in receiver.destination.receivers if r.address and self.module.gate(r) is gate]
+        limits = self.module.limits_of(receiver)
+        return [r.address for r in receiver.destination.receivers if r.address and self.module.limits_of(r) is limits]
 
     def release(self, sheet):
         """Parts an ended mail from its sheet: the module may hold it until its time is up.
@@ -84,14 +88,14 @@
         return self.lifetimes[self.classes[queue_class]]
 
     def first_in(self, queue_class, left, again, now):
-        return self.module.first_in(self.classes[queue_class], left, again, now)
+        return self.module.first_submitted_at(self.classes[queue_class], left, again, now)
 
     def ran(self, outcome):
-        return outcome not in PROOF
+        return outcome not in model.NOT_EXECUTED_OUTCOMES
 
     def leaves(self, sheet, receiver, now):
         """Ms within which the last byte of a mail that was picked may leave; 0: none of it may."""
-        return self.module.leaves(sheet.message, receiver, now)
+        return self.module.last_byte_within_ms(sheet.message, receiver, now)
 
     def adopt(self, sheet, now):
         """A mail whose call is out at the process before this one; gives the receiver."""
@@ -100,7 +104,7 @@
         sheet.attempts -= 1        # the one out is counted when the module takes it over
         self.take(sheet, now)
         sheet.attempts += 1
-        self.module.adopt(sheet.message, receiver, sent, now)
+        self.module.adopt_attempt(sheet.message, receiver, sent, now)
         return receiver
 
     def take(self, sheet, now):
@@ -111,7 +115,7 @@
             sheet, destination, sheet.arrived_at_ms, sheet.expires_at_ms, self.classes[sheet.queue_class],
             self.accounts.get(sheet.account, 0), sheet.ordering_key or 0,
             model.PriorAttempts(sheet.attempts, ran and ran.sent_at_ms, ran_to))
-        self.module.route(sheet.message, now)
+        self.module.dispatch(sheet.message, now)
 
     def learn(self, entries, complete):
         """News of the list; gives the addresses, each with its receiver's id, that nothing new goes to."""
@@ -159,7 +163,8 @@
     def avoided(self):
         """How many listed receivers get nothing or a trickle, by hand or by choice."""
         out = {self.receivers[ident] for ident in self.detached if ident in self.receivers}
-        return sum(1 for receiver in out | self.module.avoided if self._listed(receiver) != model.ReceiverState.GONE)
+        return sum(1 for receiver in out | self.module.ejected_receivers
+                   if self._listed(receiver) != model.ReceiverState.GONE)
 
     def _set(self, receiver, listed):
         receiver.state = listed
@@ -175,42 +180,42 @@
 
     def lines(self):
         """All lines at this moment, to be weighed by `weight` and told of by `line` as far as wanted."""
-        return list(self.module.lines)
+        return list(self.module.queues)
 
     def weight(self, line):
         """Mails of a line that wait for a slot or are out."""
-        return line.waiting + line.out
+        return line.waiting + line.in_flight
 
     def line(self, line, now):
         """One line in plain values: what waits, what is out, and what binds each of its receivers."""
-        return {"destination": line.destination.destination_id, "waiting": line.waiting, "out": line.out,
-                "rate": round(line.rate(now), 3),
+        return {"destination": line.destination.destination_id, "waiting": line.waiting, "out": line.in_flight,
+                "rate": round(line.arrival_rate(now), 3),
                 "receivers": [self._receiver_facts(receiver, now) for receiver in line.destination.receivers]}
 
     def _receiver_facts(self, receiver, now):
-        health, gate = receiver.health, receiver.limits or receiver.destination.limits
+        health, limits = receiver.health, receiver.limits or receiver.destination.limits
         facts = {"receiver": receiver.receiver_id.decode("latin-1"), "state": receiver.state, "health": "unknown",
                  "out": 0, "failures": 0, "usual_ms": None, "wait_ms": 0.0, "pace": None, "trickle": None}
         if health:
-            facts |= {"out": health.out, "failures": health.fails,
-                      "health": "set aside" if health.trickle else "failing" if health.fails else "well",
-                      "trickle": round(health.trickle.now(now), 3) if health.trickle else None}
-        if gate:
-            facts |= {"wait_ms": round(max(0.0, gate.told_until - now), 1),
-                      "usual_ms": None if gate.usual is None else round(gate.usual, 1),
-                      "pace": round(gate.pace.now(now), 3) if gate.pace else None}
+            facts |= {"out": health.in_flight, "failures": health.failures,
+                      "health": "set aside" if health.slow_start else "failing" if health.failures else "well",
+                      "trickle": round(health.slow_start.rate_at(now), 3) if health.slow_start else None}
+        if limits:
+            facts |= {"wait_ms": round(max(0.0, limits.retry_after_until - now), 1),
+                      "usual_ms": None if limits.usual_call_ms is None else round(limits.usual_call_ms, 1),
+                      "pace": round(limits.rate_limiter.rate_at(now), 3) if limits.rate_limiter else None}
         return facts
 
     def _forget(self, receiver):
         """Guards against memory that grows with the receivers, and the destinations, that there once were."""
         destination = receiver.destination
         destination.receivers.remove(receiver)
-        self.module.avoided.discard(receiver)
+        self.module.forget_receiver(receiver)
         line = destination.queue
-        if not destination.receivers and not (line and (line.waiting or line.out)):
+        if not destination.receivers and not (line and (line.waiting or line.in_flight)):
             del self.destinations[destination.destination_id]
             if line:
-                self.module.lines.remove(line)
+                self.module.forget_queue(line)
 
     def destination(self, ident):
         if ident not in self.destinations:
--- a/dewpin/drill/__main__.py
+++ b/dewpin/simulator/__main__.py
@@ -1,4 +1,5 @@
 """Reads batches from standard input and writes replies to standard output until input ends."""
+
 import sys
 
 from . import wire
--- a/dewpin/drill/adapter.py
+++ b/dewpin/simulator/adapter.py
@@ -1,14 +1,22 @@
 """Drives the decision module from the wire. It keeps timers and mails in hand, and decides nothing."""
+
 import json
 
 from ..core import model
-from ..core.decide import Dispatcher
+from ..core.dispatcher import Dispatcher
 from . import wire
 
-ENDINGS = {10: model.Outcome.DELIVERED, 20: model.Outcome.ERROR, 30: model.Outcome.REJECTED,
-           40: model.Outcome.TIMED_OUT, 50: model.Outcome.CONNECT_FAILED,
-           60: model.Outcome.RESET, 70: model.Outcome.CANCELLED, 80: model.Outcome.NOT_SENT}
-REPEAT, INHERITED = 2, 16           # bits of a query: handed in again, from a sender that died
+ENDINGS = {
+    10: model.Outcome.DELIVERED,
+    20: model.Outcome.ERROR,
+    30: model.Outcome.REJECTED,
+    40: model.Outcome.TIMED_OUT,
+    50: model.Outcome.CONNECT_FAILED,
+    60: model.Outcome.RESET,
+    70: model.Outcome.CANCELLED,
+    80: model.Outcome.NOT_SENT,
+}
+REPEAT, INHERITED = 2, 16  # bits of a query: handed in again, from a sender that died
 STATES = {0: model.ReceiverState.GONE, 1: model.ReceiverState.READY, 2: model.ReceiverState.DRAINING}
 
 
@@ -18,17 +26,24 @@
     def __init__(self, number, seed, settings):
         self.number = number
         self.module = Dispatcher(settings, seed)
-        self.fields = [model.LOAD_REPORT_FIELDS.get(name, name)
-                       for name in settings.get("Report", {}).get("Fields", [])]
+        self.fields = [
+            model.LOAD_REPORT_FIELDS.get(name, name) for name in settings.get("Report", {}).get("Fields", [])
+        ]
         self.mails = {}
         self.receivers = {}
         self.destinations = {}
-        self.armed = None           # when the earliest timer that is set will fire
+        self.armed = None  # when the earliest timer that is set will fire
         self.actions = []
         self.handlers = {
-            wire.TARGETS: self.targets, wire.QUERY: self.query, wire.FIRST: self.first,
-            wire.RETURNED: self.returned, wire.VANISHED: self.vanished, wire.WAKEUP: self.wakeup,
-            wire.CHECKED: self.checked, wire.NOTE_FROM: self.note_from}
+            wire.TARGETS: self.targets,
+            wire.QUERY: self.query,
+            wire.FIRST: self.first,
+            wire.RETURNED: self.returned,
+            wire.VANISHED: self.vanished,
+            wire.WAKEUP: self.wakeup,
+            wire.CHECKED: self.checked,
+            wire.NOTE_FROM: self.note_from,
+        }
 
     def destination(self, ident):
         if ident not in self.destinations:
@@ -55,13 +70,13 @@
                     receiver.state = model.ReceiverState.GONE
 
     def query(self, now, ticket, queue_class, account, key, left, _hint, owner, bits):
-        arrived = self.module.first_in(queue_class, left, bits & (REPEAT | INHERITED), now)
+        arrived = self.module.first_submitted_at(queue_class, left, bits & (REPEAT | INHERITED), now)
         mail = model.Message(ticket, self.destination(int(owner)), arrived, now + left, queue_class, account, key)
         self.mails[ticket] = mail
-        self.write(mail, self.module.route(mail, now))
+        self.write(mail, self.module.dispatch(mail, now))
 
     def first(self, now, ticket, n, receiver, delay):
-        pass                        # no queue class here streams
+        pass  # no queue class here streams
 
     def returned(self, now, ticket, _n, receiver, ending, delay, complete, note, gauge):
         self.report(receiver, gauge)
@@ -72,9 +87,9 @@
         mail.retry_after_ms, mail.duration_ms = float(note) if outcome == model.Outcome.REJECTED else 0.0, delay
         if complete and outcome != model.Outcome.DELIVERED:
             mail.is_withdrawn = True
-        *answer, leave = self.module.settle(mail, outcome, now)
-        self.write(mail, answer)
-        if leave:
+        result = self.module.record_outcome(mail, outcome, now)
+        self.write(mail, result)
+        if result.should_close_idle:
             self.actions.append(wire.close_idle(self.number, receiver))
 
     def vanished(self, now, ticket):
@@ -97,14 +112,16 @@
 
     def write(self, mail, answer):
         """Puts an answer of the module about a mail on the wire."""
-        what, ms = answer
-        if isinstance(what, model.Receiver):
-            self.actions.append(wire.attempt(self.number, mail.message_id, what.receiver_id, ms))
+        what = answer.decision
+        if what == model.Decision.SEND:
+            self.actions.append(
+                wire.attempt(self.number, mail.message_id, answer.receiver.receiver_id, answer.timeout_ms)
+            )
             return
         if what == model.Decision.NOT_YET:
             return
         if what == model.Decision.DEFERRED and not mail.is_withdrawn:
-            self.actions.append(wire.not_now(self.number, mail.message_id, ms))
+            self.actions.append(wire.not_now(self.number, mail.message_id, answer.retry_after_ms))
         elif what == model.Decision.BOUNCED and not mail.is_withdrawn:
             self.actions.append(wire.end_failed(self.number, mail.message_id))
         self.mails.pop(mail.message_id, None)
@@ -112,12 +129,12 @@
     def finish(self, now):
         """Asks about every mail that is due, then sets the timer for the next."""
         while True:
-            ms, mail = self.module.wait(now)
+            ms, mail = self.module.next_due(now)
             if mail is None:
                 return
             if ms > 0:
                 break
-            self.write(mail, self.module.route(mail, now))
+            self.write(mail, self.module.dispatch(mail, now))
         if self.armed is None or now + ms < self.armed - 0.001:
             self.armed = now + ms
             self.actions.append(wire.defer(self.number, self.armed, 1))
--- a/dewpin/drill/wire.py
+++ b/dewpin/simulator/wire.py
@@ -1,11 +1,11 @@
 """The framing of marsh-c21d: batches in, replies out. Layouts only, no meaning."""
+
 import struct
 
 HEADER = struct.Struct("<IIId")
 REPLY = struct.Struct("<II")
 
-(PROVISION, TARGETS, QUERY, FIRST, RETURNED, VANISHED, WAKEUP, CHECKED, NOTE_FROM, EXIT,
- CENSUS) = range(10, 120, 10)
+(PROVISION, TARGETS, QUERY, FIRST, RETURNED, VANISHED, WAKEUP, CHECKED, NOTE_FROM, EXIT, CENSUS) = range(10, 120, 10)
 
 # code: (name, fixed fields, what follows: nothing, bytes or entries with a u32 count, f32 with a u8)
 RECORDS = {
@@ -22,8 +22,12 @@
     CENSUS: ("census", struct.Struct("<I"), "entries"),
 }
 ENTRY = struct.Struct("<BfHdHIH")
-COUNTS = {"bytes": struct.Struct("<I"), "entries": struct.Struct("<I"), "floats": struct.Struct("<B"),
-          "text": struct.Struct("<H")}
+COUNTS = {
+    "bytes": struct.Struct("<I"),
+    "entries": struct.Struct("<I"),
+    "floats": struct.Struct("<B"),
+    "text": struct.Struct("<H"),
+}
 
 ATTEMPT = struct.Struct("<BHQId")
 NOT_NOW = struct.Struct("<BHQd")
@@ -103,7 +107,7 @@
             (n,) = COUNTS[tail].unpack_from(body, at)
             at += COUNTS[tail].size
             size = n * {"entries": ENTRY.size, "floats": 4}.get(tail, 1)
-            content = body[at:at + size]
+            content = body[at : at + size]
             if len(content) < size:
                 raise struct.error
             at += size
--- a/tests/core/test_cold_fleet.py
+++ b/tests/core/test_cold_fleet.py
@@ -12,7 +12,7 @@
 import pytest
 
 from dewpin.core import model
-from dewpin.core.decide import Dispatcher
+from dewpin.core.dispatcher import Dispatcher
 from driver import settings
 
 FAILS, RETURNS, ENDS = 12000.0, 22000.0, 34000.0
@@ -56,22 +56,22 @@
 
     def arrives(self, now, sender):
         module, destination = self.modules[sender]
-        if module.held < module.allowed["MaxOpen"]:
-            module.route(model.Message(self.count, destination, now, now + 16000.0), now)
+        if module.pending_messages < module.settings.max_pending:
+            module.dispatch(model.Message(self.count, destination, now, now + 16000.0), now)
         self.ask(now, sender)
 
     def ask(self, now, sender):
         module, _ = self.modules[sender]
         while True:
-            ms, mail = module.wait(now)
+            ms, mail = module.next_due(now)
             if mail is None:
                 return
             if ms > 0.0:
                 return self.later(now + ms, self.ask, sender)
-            where, limit = module.route(mail, now)
-            if isinstance(where, model.Receiver):
+            result = module.dispatch(mail, now)
+            if result.decision == model.Decision.SEND:
                 self.calls.append((now, sender))
-                outcome, took = self.served(now, limit)
+                outcome, took = self.served(now, result.timeout_ms)
                 self.later(now + took, self.ends, sender, mail, outcome, took)
 
     def now_can(self, now):
@@ -97,7 +97,7 @@
         mail.duration_ms, mail.retry_after_ms = took, 0.0
         if outcome != model.Outcome.DELIVERED and FAILS <= now < RETURNS:
             self.told.add(sender)
-        self.modules[sender][0].settle(mail, outcome, now)
+        self.modules[sender][0].record_outcome(mail, outcome, now)
         self.ask(now, sender)
 
     def worst(self):
--- a/tests/core/test_pace.py
+++ b/tests/core/test_pace.py
@@ -5,6 +5,7 @@
 import pytest
 
 from dewpin.core import model
+from dewpin.core.receiver_health import is_on_trial
 from driver import Driver, settings
 
 
@@ -32,7 +33,7 @@
         if refused and at % refused == 0:
             driver.outcome(mail, model.Outcome.CONNECT_FAILED, 2.0)
             driver.run_until(lambda mail=mail: driver.sent(mail), 20000.0)
-        closes = driver.module.settle(mail, model.Outcome.DELIVERED, driver.now)[2]
+        closes = driver.module.record_outcome(mail, model.Outcome.DELIVERED, driver.now).should_close_idle
         del driver.out[mail]
         driver.ended[mail] = model.Decision.RELAYED
         driver.run(100.0)
@@ -55,8 +56,8 @@
         d.run_until(lambda: d.sent(mail), back - d.now)
     d.run_until(lambda: d.sent(mail), 20000.0)
     mail.duration_ms = 50.0
-    *answer, leaves = d.module.settle(mail, model.Outcome.DELIVERED, d.now + 50.0)
-    assert answer[0] == model.Decision.RELAYED and leaves is full
+    result = d.module.record_outcome(mail, model.Outcome.DELIVERED, d.now + 50.0)
+    assert result.decision == model.Decision.RELAYED and result.should_close_idle is full
 
 
 @pytest.mark.parametrize("refused, idle, trials", [(0, 60000.0, True), (2, 60000.0, False), (0, 0.0, False)])
@@ -71,20 +72,20 @@
         assert d.outcome(mail, model.Outcome.CONNECT_FAILED, 2.0) == model.Decision.NOT_YET
     d.run_until(lambda: d.sent(mail), 4000.0)
     assert (d.sent(mail) is None) == trials
-    assert all(d.module._on_trial(one) for one in d.destination.receivers) == trials
+    assert all(is_on_trial(one) for one in d.destination.receivers) == trials
 
 
 def test_a_refused_trial_of_a_sparse_line_is_followed_by_no_shorter_gap_than_a_good_one():
     gaps = []
     for seed in range(20):
         d = Driver(settings(fleet=200), seed=seed)
-        mail, health = d.mail(), d.module.health(d.destination.receivers[0])
+        mail, health = d.mail(), d.module.health_of(d.destination.receivers[0])
         for refusal in range(3):
             d.run_until(lambda d=d, mail=mail: d.sent(mail), 5000.0)
             d.outcome(mail, model.Outcome.CONNECT_FAILED, 2.0)
             if refusal == 1:
-                health.trickle.next_at = d.now  # the first trial is due
-        gaps.append((health.trickle.next_at - d.now) * health.trickle.rate / 1000.0)
+                health.slow_start.next_at = d.now  # the first trial is due
+        gaps.append((health.slow_start.next_at - d.now) * health.slow_start.initial_rate / 1000.0)
     assert 0.8 <= min(gaps) and max(gaps) <= 1.4
 
 
@@ -95,16 +96,17 @@
     refused_and_answered(d, 20, 2)
     first = d.mail()
     d.run_until(lambda: d.sent(first), 20000.0)
-    d.module.gate(d.sent(first)).told_until = d.now + 5000.0
+    d.module.limits_of(d.sent(first)).retry_after_until = d.now + 5000.0
     first.duration_ms, second = 50.0, d.mail()
-    assert not d.sent(second) and d.module.settle(first, model.Outcome.DELIVERED, d.now + 50.0)[2]
+    assert not d.sent(second)
+    assert d.module.record_outcome(first, model.Outcome.DELIVERED, d.now + 50.0).should_close_idle
 
 
 @pytest.mark.parametrize("marked, again, age", [(False, False, 9000.0), (True, True, 9000.0), (True, False, 0.0)])
 def test_a_repeat_counts_from_when_it_was_first_handed_in(marked, again, age):
     module = Driver(settings() | {"Callers": {"MarksRetry": marked}}).module
-    left = module.classes[0]["Deadline"] - 9000.0
-    assert module.first_in(0, left, again, 20000.0) == 20000.0 - age
+    left = module.settings.classes[0].lifetime_ms - 9000.0
+    assert module.first_submitted_at(0, left, again, 20000.0) == 20000.0 - age
 
 
 def test_a_mail_with_little_time_left_goes_before_those_that_came_earlier():
@@ -123,11 +125,11 @@
         d.keep_answering(20000.0, every, 20.0)
         receiver, spans = d.destination.receivers[0], []
         for _ in range(3):
-            gate = d.module.gate(receiver)
-            gate.told_until = d.now + told
-            d.module._slow_down(receiver, gate, d.now)
-            spans.append(gate.pace.doubles)
-            gate.pace.since, gate.pace.goods = d.now, goods
+            limits = d.module.limits_of(receiver)
+            limits.retry_after_until = d.now + told
+            d.module.rates.slow_down(receiver, limits, d.now)
+            spans.append(limits.rate_limiter.growth_ms)
+            limits.rate_limiter.growing_since, limits.rate_limiter.good_answers = d.now, goods
             d.now += grown * spans[-1]
         return spans[2] / spans[0]
 
@@ -150,7 +152,7 @@
                 d.outcome(mail, model.Outcome.DELIVERED, 50.0)
         d.run(100.0)
     refused = sum(receiver is bad for _, _, receiver in d.sends)
-    assert refused < 8 and d.module.gate(bad).pace is None
+    assert refused < 8 and d.module.limits_of(bad).rate_limiter is None
     assert list(d.ended.values()).count(model.Decision.RELAYED) > 35
 
 
@@ -161,7 +163,7 @@
         mail = d.mail()
         d.run_until(lambda: d.sent(mail), 1000.0)
         d.outcome(mail, model.Outcome.REJECTED, 2.0)
-    assert d.module.gate(d.destination.receivers[0]).pace
+    assert d.module.limits_of(d.destination.receivers[0]).rate_limiter
 
 
 def test_a_learned_time_out_follows_the_usual_time_and_a_lone_silent_call_leaves_it_so():
@@ -199,11 +201,11 @@
             place = model.Destination(ident + 2)
             model.Receiver(ident + 2, place)
             d.outcome(d.mail(destination=place), model.Outcome.DELIVERED, 1.0)
-        d.module.slots = d.settings["FamilyInfo"]["CallSlots"]  # none is free: the mail waits
+        d.module.sender.calls_in_flight = d.settings["FamilyInfo"]["CallSlots"]  # none is free: the mail waits
         d.mail(ask=False)
         sys.setprofile(lambda frame, event, _: entered.append(event))
         try:
-            d.module.wait(d.now)
+            d.module.next_due(d.now)
         finally:
             sys.setprofile(None)
         return len(entered)
--- a/tests/core/test_plain.py
+++ b/tests/core/test_plain.py
@@ -5,7 +5,7 @@
 import pytest
 
 from dewpin.core import model
-from dewpin.core.decide import Dispatcher
+from dewpin.core.dispatcher import Dispatcher
 from driver import Driver, settings
 
 
@@ -143,7 +143,7 @@
     d = Driver(settings(bundle=4, slots=4))
     first = [d.mail(ask=False) for _ in range(6)]
     d.ask()
-    assert len(d.out) == 6 and all(d.sent(m) for m in first) and d.module.slots == 2
+    assert len(d.out) == 6 and all(d.sent(m) for m in first) and d.module.calls_in_flight == 2
 
 
 def test_a_hung_destination_leaves_slots_to_the_others():
@@ -248,7 +248,7 @@
             for mail in list(d.out):
                 d.outcome(mail, model.Outcome.DELIVERED, 50.0, run=False)
             d.run(400.0)
-        kept[turned] = not d.module._leaves(d.destination.receivers[0], d.now)
+        kept[turned] = not d.module.should_close_idle(d.destination.receivers[0], d.now)
     assert kept == {False: True, True: False}
 
 
@@ -259,7 +259,11 @@
         d.run(10000.0)
         mail = d.mail()
         mail.duration_ms = 50.0
-        assert d.module.settle(mail, model.Outcome.DELIVERED, d.now + 50.0) == (model.Decision.RELAYED, 0.0, False)
+        assert d.module.record_outcome(mail, model.Outcome.DELIVERED, d.now + 50.0) == (
+            model.Decision.RELAYED,
+            0.0,
+            False,
+        )
         del d.out[mail]
 
 
--- a/tests/core/test_random.py
+++ b/tests/core/test_random.py
@@ -159,11 +159,13 @@
             driver.restart(watch.tries, watch.ran, down)
             watch.told.clear()
         driver.run(dice.choice((5.0, 10.0, 15.0)))
-    while driver.module.held:
+    while driver.module.pending_messages:
         deliver(driver, watch, sick, dice)
         driver.run(15.0)
     lost = [mail for mail in driver.mails if mail not in driver.ended and not mail.is_withdrawn]
-    assert not lost and not driver.module.keys and driver.module.slots == 0 and driver.module.held == 0
+    module = driver.module
+    assert not lost and not module.key_order.messages_by_key
+    assert module.calls_in_flight == 0 and module.pending_messages == 0
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -10,7 +10,7 @@
 from functools import partial
 
 from dewpin.core import model
-from dewpin.core.decide import Dispatcher
+from dewpin.core.dispatcher import Dispatcher
 from dewpin.spool.inspector import JournalInspector
 
 
@@ -41,30 +41,31 @@
         self.count += 1
         mail = model.Message(self.count, destination or self.destination, self.now, self.now + left, **facts)
         self.mails.append(mail)
-        self.note(mail, self.module.route(mail, self.now))
+        self.note(mail, self.module.dispatch(mail, self.now))
         if ask:
             self.ask()
         return mail
 
-    def note(self, mail, answer):
-        what, ms = answer
+    def note(self, mail, result):
+        """Takes a result of the dispatcher in; gives the receiver or the decision."""
+        what = getattr(result, "receiver", None) or result.decision
         if isinstance(what, model.Receiver):
             assert mail not in self.out and mail not in self.ended
-            self.out[mail] = what, self.now, ms
+            self.out[mail] = what, self.now, result.timeout_ms
             self.sends.append((self.now, mail, what))
         elif what != model.Decision.NOT_YET:
             assert mail not in self.ended
-            self.ended[mail], self.ended_at[mail], self.advice[mail] = what, self.now, ms
+            self.ended[mail], self.ended_at[mail], self.advice[mail] = what, self.now, result.retry_after_ms
         self.check(what, mail)
         return what
 
     def ask(self):
         """Asks until nothing is due; returns the time of the next question."""
         for _ in range(10000):
-            ms, mail = self.module.wait(self.now)
+            ms, mail = self.module.next_due(self.now)
             if mail is None or ms > 0:
                 return self.now + ms if mail else None
-            self.note(mail, self.module.route(mail, self.now))
+            self.note(mail, self.module.dispatch(mail, self.now))
         raise AssertionError("the module never settles")
 
     def outcome(self, mail, outcome, took, told=0.0, run=True):
@@ -72,7 +73,7 @@
             self.run(self.out[mail][1] + took - self.now)
         del self.out[mail]
         mail.duration_ms, mail.retry_after_ms = took, told
-        what = self.note(mail, self.module.settle(mail, outcome, self.now)[:2])
+        what = self.note(mail, self.module.record_outcome(mail, outcome, self.now))
         self.ask()
         return what
 
@@ -94,7 +95,7 @@
         for mail in held:
             receiver, sent = ran.get(mail, (None, None))
             mail.dispatch_state, mail.prior_attempts = None, model.PriorAttempts(tries.get(mail, 0), sent, receiver)
-            self.note(mail, self.module.route(mail, self.now))
+            self.note(mail, self.module.dispatch(mail, self.now))
 
     def sent(self, mail):
         return self.out[mail][0] if mail in self.out else None
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -37,7 +37,7 @@
 
 FOLDER = Path(__file__).parent / "sender"
 ROOT = Path(__file__).parents[2]
-SIMULATOR_COMMAND = [sys.executable, "-m", "dewpin.drill"]
+SIMULATOR_COMMAND = [sys.executable, "-m", "dewpin.simulator"]
 
 
 # -- the simulator's wire -----------------------------------------------------------------------------------------
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -5,7 +5,7 @@
 import weakref
 
 from dewpin.core import model
-from dewpin.core.decide import Trickle
+from dewpin.core.slow_start import SlowStart
 from dewpin.relay import learnt
 from dewpin.relay.course import Relay
 from dewpin.relay.facade import Facade
@@ -26,7 +26,7 @@
         facade.take(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
         while facade.tick(1e6) is not None:
             facade.pick(1e6)
-    assert max(map(len, (facade.receivers, facade.destinations, facade.module.lines))) < 300
+    assert max(map(len, (facade.receivers, facade.destinations, facade.module.queues))) < 300
     assert facade.full(b"499", 0.0) is None and facade.full(b"777", 0.0) > 0.0 and 777 not in facade.destinations
 
 
@@ -72,8 +72,8 @@
     for facade in (old, new):
         facade.learn([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
     receiver = old.receivers[b"r"]
-    old.module.began = 0.0
-    old.module.line(old.destination(7))
-    old.module._set_aside(receiver, old.module.health(receiver), 0.0)
+    old.module.sender.started_at = 0.0
+    old.module.queue_of(old.destination(7))
+    old.module.breaker.open(receiver, old.module.health_of(receiver), 0.0)
     learnt.recall(new, learnt.told(old))
-    assert type(new.receivers[b"r"].health.trickle) is Trickle
+    assert type(new.receivers[b"r"].health.slow_start) is SlowStart
--- a/tests/drill/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from dewpin.drill import wire
-from dewpin.drill.adapter import Adapter
+from dewpin.simulator import wire
+from dewpin.simulator.adapter import Adapter
 from driver import settings
 
 QUERY = bytes.fromhex("1e0300c4913a5da92b070000000000640ad2557c3bf0910000000000006e4000000000000028400000644201")
@@ -52,7 +52,7 @@
     sent = play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))[0]
     assert sent[8] == 10 and sent[8 + 11 : 8 + 15].hex() == "074a1203"
     returned = bytes.fromhex("320300c4913a5da92b070000074a12030a000000000000803240010000000000")
-    adapter.instances[3].module.crowded.add(0)  # as one of its kind had a full table
+    adapter.instances[3].module.sender.crowded_kinds.add(0)  # as one of its kind had a full table
     reply = play(adapter, batch(2, 20.0, returned))[0]
     assert reply[8:15].hex() == "460300074a1203"
     assert not adapter.instances[3].mails
@@ -72,7 +72,7 @@
     play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))
     late = bytes.fromhex("320300c4913a5da92b070000074a120328000000000000803240000000000000")
     play(adapter, batch(2, 5.0, bytes.fromhex("640300"), provision(3, settings()), TARGETS, late))
-    assert adapter.instances[3].module.held == 0
+    assert adapter.instances[3].module.pending_messages == 0
 
 
 @pytest.mark.parametrize("key", ["Services", "Rules", "Allowed", "FamilyInfo"])
@@ -95,6 +95,6 @@
     ],
 )
 def test_bad_input_ends_with_one_plain_line(given, words):
-    done = subprocess.run([sys.executable, "-m", "dewpin.drill"], input=given, capture_output=True, timeout=30)
+    done = subprocess.run([sys.executable, "-m", "dewpin.simulator"], input=given, capture_output=True, timeout=30)
     lines = done.stderr.decode().splitlines()
     assert done.returncode and not done.stdout and len(lines) == 1 and words in lines[0]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -18,7 +18,7 @@
     "relay": {"core", "log", "ports", "spool"},
     "console": {"log", "net"},
     "net": {"core", "log", "ports"},
-    "drill": {"core"},
+    "simulator": {"core"},
     "ports": set(),
     "daemon": {"config", "console", "log", "net", "ports", "relay", "spool"},
     "cli": {"config", "daemon", "lab", "log", "spool"},
@@ -158,13 +158,10 @@
     assert all((ROOT / name).exists() for name in deploy["policy"] + deploy["node"])
 
 
-DISPATCHER_MODULE = "decide"
-
-
 def test_other_packages_reach_the_decisions_through_the_dispatcher_alone():
     for path in (ROOT / "dewpin").rglob("*.py"):
         if path.relative_to(ROOT / "dewpin").parts[0] == "core":
             continue
         for name in imports(path):
             if name[:2] == ["dewpin", "core"] and len(name) > 2 and name[2] != "model":
-                assert name[2] == DISPATCHER_MODULE, f"{path}: {'.'.join(name)}"
+                assert name[2] == "dispatcher", f"{path}: {'.'.join(name)}"
