--- a/benchmarks/capacity/roles/sender.py
+++ b/benchmarks/capacity/roles/sender.py
@@ -11,7 +11,7 @@
 SMALL_MESSAGE_BYTES = 300
 AGENT = "`dewpin/dataplane/membership/cluster_agent.py`"
 RPC = "`dewpin/cluster/rpc.py`"
-STREAMS = "`dewpin/dataplane/ingress/server.py`, `streams.py`"
+STREAMS = "`dewpin/dataplane/ingress/server.py`, `routing/event_relay.py`"
 STORE_CLIENT = "`dewpin/dataplane/programs/store_client.py`"
 CHAINS = "`dewpin/dataplane/programs/history_cache.py`"
 
