--- a/dewpin/dataplane/ingress/request_reader.py
+++ b/dewpin/dataplane/ingress/request_reader.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request and its head, which says how the connection goes on."""
+    """A request and its head, which says whether the connection may be kept."""
 
     head: RequestHead
     request: Request
--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -1,6 +1,6 @@
 """Slot allocation: which receiver gets the next call, and which queued request gets the next free slot.
 
-A slot is the right to have one call under way at a receiver. `SlotAllocator` is a state machine without I/O and without
+A slot is the right to have one call in progress at a receiver. `SlotAllocator` is a state machine without I/O and without
 locks; `balancer.Balancer` puts it behind a lock and lets threads wait.
 
 * A receiver has a free slot if its estimated load leaves room in its capacity and in a queue that is as long as the
