--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -16,6 +16,7 @@
 from dewpin.core import model
 from dewpin.daemon.status import collect_status
 from dewpin.relay.facade import Facade
+from dewpin.relay.notice_barrier import NoticeBarrier
 from dewpin.spool.records import MessageRecord
 
 SETTINGS = {
@@ -33,7 +34,7 @@
 
 async def once(destinations, told):
     facade = Facade(SETTINGS, 1)
-    facade.learn(
+    facade.update_endpoints(
         [
             (b"r%d" % at, at, model.ReceiverState.READY, ("127.0.0.1", 9000), None, None, 1.0)
             for at in range(destinations)
@@ -41,16 +42,16 @@
         True,
     )
     for at in range(destinations):
-        facade.take(MessageRecord(b"m%d" % at, b"status", b"", b"", b"%d" % at, b"", b"", 0.0, 16000.0), 0.0)
+        facade.add_message(MessageRecord(b"m%d" % at, b"status", b"", b"", b"%d" % at, b"", b"", 0.0, 16000.0), 0.0)
     application = SimpleNamespace(
         configuration=SimpleNamespace(deployment=Deployment(), module=SETTINGS),
         started_ms=0.0,
         relay=SimpleNamespace(
             facade=facade,
-            clock=SimpleNamespace(now=lambda: 0.0),
-            refusing=False,
-            notices=SimpleNamespace(owed={}),
-            behind={},
+            clock=SimpleNamespace(now_ms=lambda: 0.0),
+            is_draining=False,
+            notices=SimpleNamespace(unacknowledged={}),
+            notice_barrier=NoticeBarrier(),
         ),
         spool=SimpleNamespace(pending={}, size_bytes=0, live_bytes=0, capacity_bytes=1.0),
         server=SimpleNamespace(clients={}, most=1, held=0, memory=1.0),
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -19,10 +19,10 @@
 from ..net.agent import Notices, Watch
 from ..net.inbound import Door
 from ..net.outbound import Pool
-from ..ports import Front, Intake, Outlet, Teller
-from ..relay import learnt
-from ..relay.course import Relay
+from ..ports import Frontend, MessageIntake, NoticePublisher, Transport
+from ..relay import learned_state
 from ..relay.facade import Facade
+from ..relay.message_lifecycle import Relay
 from ..spool.endpoint_cache import EndpointCache
 from ..spool.folder_lock import FolderLock
 from ..spool.handover_log import HandoverLogReader
@@ -38,7 +38,12 @@
 from .upgrade import HandedOverState, TakeoverClaim
 
 if TYPE_CHECKING:  # the parts put together here fit the protocols at which they meet
-    _FITS: tuple[type[Front], type[Intake], type[Outlet], type[Teller]] = (Door, Relay, Pool, Notices)
+    _FITS: tuple[type[Frontend], type[MessageIntake], type[Transport], type[NoticePublisher]] = (
+        Door,
+        Relay,
+        Pool,
+        Notices,
+    )
 
 DEFAULT_CONNECT_TIMEOUT_MS = 1500.0
 
@@ -161,7 +166,7 @@
         self.notices = Notices(parse_address(deployment.agent.address))
         self.relay = Relay(self.loop, self.facade, self.spool, self.pool, self.notices)
         self.server = Door(self.loop, self.relay)
-        self.started_ms = self.relay.clock.now()
+        self.started_ms = self.relay.clock.now_ms()
 
     def _load_endpoints(self, handed_over: HandedOverState | None) -> None:
         """Load the list of receivers from the best source there is, and watch the agent for updates.
@@ -184,7 +189,7 @@
         known_revision = configuration.known.get("revision", 0)
         if handed_over:
             revision = None
-            self._learn_endpoints(learnt.entries(handed_over), True)
+            self._learn_endpoints(learned_state.endpoint_entries(handed_over), True)
         elif cache.is_newer_than(known_revision):
             revision = cache.revision
             self._learn_endpoints(cache.entries(), True)
@@ -197,23 +202,25 @@
 
     def _learn_endpoints(self, entries: Any, complete: bool, revision: int | None = None) -> None:
         """Put an update of the list of receivers in force; with a `revision` it is cached on disk as well."""
-        for address in self.facade.learn(entries, complete):
-            self.pool.recall(address)
+        for address in self.facade.update_endpoints(entries, complete):
+            self.pool.cancel_unsent(address)
             self.pool.close_idle(address)
         if revision is not None:
-            self.endpoint_cache.update(entries, complete, revision, self.relay.clock.now())
+            self.endpoint_cache.update(entries, complete, revision, self.relay.clock.now_ms())
         self.relay.wake()
 
     def _resume_messages(self, handed_over: HandedOverState | None) -> None:
         """Take up the journal's messages, before the server opens: earlier messages come first in their key's order."""
         if handed_over:
             self.relay.resume(self.follower, set(handed_over["out"]))
-            learnt.recall(self.facade, handed_over)
+            learned_state.import_learned_state(self.facade, handed_over)
             name = self.configuration.deployment.sender.name
             log_event(events.TAKEN_OVER, name=name, messages=len(self.spool.pending))
         else:
             self.relay.resume(self.follower if self.follower.exists() else None, None)
-            self.relay.follow(gone=True)  # of an upgrade during which both processes were killed
+            self.relay.consume_handover_log(
+                is_writer_gone=True
+            )  # of an upgrade during which both processes were killed
             self.claim.drop()
 
     # -- service ------------------------------------------------------------------------------------------------------
@@ -274,7 +281,7 @@
         self.console.close()
         self.server.close()
         self.pool.close()
-        journal = self.relay.spool  # after a hand-over the hand-over log in its place
+        journal = self.relay.record_store  # after a hand-over the hand-over log in its place
         name = self.configuration.deployment.sender.name
         log_event(events.SENDER_ENDED, name=name, messages=len(journal.pending))
         journal.close()
--- a/dewpin/daemon/graceful_stop.py
+++ b/dewpin/daemon/graceful_stop.py
@@ -9,7 +9,7 @@
     from ..config.sections import Deployment
     from ..net.agent import Notices
     from ..net.inbound import Door
-    from ..relay.course import Relay
+    from ..relay.message_lifecycle import Relay
 
 CHECK_SECONDS = 0.02
 
@@ -19,11 +19,12 @@
     loop = asyncio.get_running_loop()
     stopped_at = loop.time()
     stop = deployment.stop
-    relay.refusing = True
+    relay.is_draining = True
     server.stop()
     log_event(events.SENDER_STOPPING, name=deployment.sender.name)
     while loop.time() < stopped_at + stop.end_ms / 1000.0:
-        relay.sending = loop.time() < stopped_at + stop.start_attempts_ms / 1000.0
-        if not (relay.sending or relay.out or notices.owed or server.clients or server.queued()):
+        relay.may_start_attempts = loop.time() < stopped_at + stop.start_attempts_ms / 1000.0
+        is_relay_busy = relay.may_start_attempts or relay.attempts_in_flight
+        if not (is_relay_busy or notices.unacknowledged or server.clients or server.queued()):
             break
         await asyncio.sleep(CHECK_SECONDS)
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ..log import events, log_event, log_internal_error
-from ..relay import learnt
+from ..relay import learned_state
 from ..spool.handover_log import HandoverLogWriter
 from . import upgrade
 from .resource_limits import apply_limits
@@ -37,14 +37,14 @@
     relay, follower, claim = application.relay, application.follower, application.claim
     descriptors = follower.descriptors
     while application.folder_lock is None:
-        relay.follow()
+        relay.consume_handover_log()
         if follower.descriptors != descriptors:
             descriptors = follower.descriptors
             apply_limits(application)
         application.folder_lock = claim.try_lock_folder()
         if application.folder_lock:
-            log_event(events.TAKEOVER_FINISHED, messages=len(relay.abroad))
-            relay.follow(gone=True)
+            log_event(events.TAKEOVER_FINISHED, messages=len(relay.attempts_at_previous_process))
+            relay.consume_handover_log(is_writer_gone=True)
             claim.drop()
             follower.descriptors = 0
             apply_limits(application)
@@ -74,7 +74,7 @@
     except TimeoutError:
         pass
     server.shut()
-    while loop.time() < deadline and (application.relay.out or server.clients):
+    while loop.time() < deadline and (application.relay.attempts_in_flight or server.clients):
         tail.report_descriptors(count_descriptors())
         await asyncio.sleep(DRAIN_CHECK_SECONDS)
     return True
@@ -86,7 +86,7 @@
     try:
         application.spool.mark_handover_consumed(0)
         tail = HandoverLogWriter(application.folder, application.spool)
-        state = learnt.told(application.relay.facade) | {
+        state = learned_state.export_learned_state(application.relay.facade) | {
             "out": list(tail.pending),
             "descriptors": count_descriptors() - application.pool.resting,
         }
@@ -102,7 +102,7 @@
 
 def _stop_deciding(application: "SenderApplication", tail: HandoverLogWriter) -> None:
     """Leave journal, endpoint list, notices and idle connections to the next process."""
-    application.relay.part(tail)
+    application.relay.hand_over(tail)
     application.endpoint_cache.stop_writing()
     application.spool.close()
     name = application.configuration.deployment.sender.name
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -6,6 +6,13 @@
 from typing import Any
 
 from ..console.calls import ReceiverChange, SenderMetrics
+from ..relay.message_lifecycle import DetachmentResult
+
+RECEIVER_CHANGES = {
+    DetachmentResult.APPLIED: ReceiverChange.DONE,
+    DetachmentResult.UNKNOWN_RECEIVER: ReceiverChange.UNKNOWN_RECEIVER,
+    DetachmentResult.NOT_RECORDED: ReceiverChange.UNAVAILABLE,
+}
 
 
 class OperatorActions:
@@ -27,7 +34,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this process accepts messages."""
-        return self.relay is not None and not self.relay.refusing and not self.relay.tail
+        return self.relay is not None and not self.relay.is_draining and not self.relay.handover_log
 
     def metrics(self) -> SenderMetrics | None:
         """Return the metrics, or None while the process starts."""
@@ -35,24 +42,17 @@
             return None
         facade = self.relay.facade
         return SenderMetrics(
-            endings=self.relay.ends,
+            endings=self.relay.end_counts,
             sent=self.pool.sent,
-            pending=len(self.relay.spool.pending),
-            listed_receivers=facade.listed,
-            avoided_receivers=facade.avoided(),
+            pending=len(self.relay.record_store.pending),
+            listed_receivers=facade.listed_count,
+            avoided_receivers=facade.avoided_count(),
         )
 
     def detach(self, receiver_id: bytes) -> ReceiverChange:
         """Send nothing more to a receiver."""
-        return _receiver_change(self.relay.detach(receiver_id)) if self.relay else ReceiverChange.UNAVAILABLE
+        return RECEIVER_CHANGES[self.relay.detach(receiver_id)] if self.relay else ReceiverChange.UNAVAILABLE
 
     def attach(self, receiver_id: bytes) -> ReceiverChange:
         """Send to a receiver again."""
-        return _receiver_change(self.relay.attach(receiver_id)) if self.relay else ReceiverChange.UNAVAILABLE
-
-
-def _receiver_change(is_done: bool | None) -> ReceiverChange:
-    """Return what the relay's answer means: done (True), no such receiver (False), could not be recorded (None)."""
-    if is_done is None:
-        return ReceiverChange.UNAVAILABLE
-    return ReceiverChange.DONE if is_done else ReceiverChange.UNKNOWN_RECEIVER
+        return RECEIVER_CHANGES[self.relay.attach(receiver_id)] if self.relay else ReceiverChange.UNAVAILABLE
--- a/dewpin/daemon/reload.py
+++ b/dewpin/daemon/reload.py
@@ -28,7 +28,7 @@
         except Exception:  # whatever a file may hold, the old configuration stays in force
             log_internal_error("reload")
             continue
-        if application.relay.tail:  # meanwhile the folder was handed over, and so were watch and notices
+        if application.relay.handover_log:  # meanwhile the folder was handed over, and so were watch and notices
             continue
         pending_keys = keys_pending_restart(running, new)
         keep_running_values(running, new, pending_keys)
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -25,8 +25,8 @@
     `max_queues`: destinations listed at most; `pause`: gives other tasks their turn.
     """
     relay, facade = application.relay, application.relay.facade
-    now_ms = relay.clock.now()
-    queues = facade.lines()
+    now_ms = relay.clock.now_ms()
+    queues = facade.queues()
     listed_queues = await _largest_queues(facade, queues, max_queues, now_ms, pause)
     receivers = list(facade.receivers.values())
     healths = await _count_healths(receivers, pause)
@@ -34,7 +34,7 @@
         "name": application.configuration.deployment.sender.name,
         "version": __version__,
         "pid": os.getpid(),
-        "state": "stopping" if relay.refusing else "ready",
+        "state": "stopping" if relay.is_draining else "ready",
         "up_ms": round(now_ms - application.started_ms, 1),
         "mails": _message_counts(application),
         "calls": _call_counts(application),
@@ -53,12 +53,12 @@
     """Describe the queues with most messages; of equals the one with the older first message comes first."""
     weights = []
     for position, queue in enumerate(queues):
-        weights.append((facade.weight(queue), -position))
+        weights.append((facade.queue_size(queue), -position))
         if position % SLICE_SIZE == SLICE_SIZE - 1:
             await pause()
     described: list[dict[str, Any]] = []
     for _, negative_position in nlargest(max_queues, weights):
-        described.append(facade.line(queues[-negative_position], now_ms))
+        described.append(facade.describe_queue(queues[-negative_position], now_ms))
         if len(described) % SLICE_SIZE == 0:
             await pause()
     return described
@@ -84,18 +84,18 @@
 def _message_counts(application: "SenderApplication") -> dict[str, int]:
     relay, facade = application.relay, application.relay.facade
     return {
-        "held": facade.module.pending_messages,
-        "most": facade.most,
+        "held": facade.dispatcher.pending_messages,
+        "most": facade.max_messages,
         "owed": len(application.spool.pending),
-        "notices": len(relay.notices.owed),
-        "behind_notice": sum(map(len, relay.behind.values())),
+        "notices": len(relay.notices.unacknowledged),
+        "behind_notice": relay.notice_barrier.postponed_count(),
     }
 
 
 def _call_counts(application: "SenderApplication") -> dict[str, int]:
     pool = application.pool
     return {
-        "out": application.relay.facade.module.calls_in_flight,
+        "out": application.relay.facade.dispatcher.calls_in_flight,
         "slots": int(application.configuration.module["FamilyInfo"]["CallSlots"]),
         "opening": len(pool.opening),
         "idle": pool.resting,
--- a/dewpin/daemon/upgrade.py
+++ b/dewpin/daemon/upgrade.py
@@ -22,7 +22,8 @@
 FOLDER_TIMEOUT_SECONDS = 10.0  # for which a new process waits for the folder
 
 HandedOverState = dict[str, Any]
-"""What `relay.learnt.told` gives, with `out` (serials of messages in flight) and `descriptors` (still held there)."""
+"""What `learned_state.export_learned_state` gives, with `out` (serials of messages in flight)
+and `descriptors` (still held there)."""
 
 
 class TakeoverClaim:
--- a/dewpin/net/agent.py
+++ b/dewpin/net/agent.py
@@ -173,25 +173,25 @@
 class Notices:
     def __init__(self, address):
         self.channel, self.news = Channel(self.run), asyncio.Event()
-        self.owed, self.count = {}, 0   # by the order in which they came
+        self.unacknowledged, self.count = {}, 0   # by the order in which they came
         self.move = self.channel.move
         self.move(address)
 
-    def tell(self, ident, deferred, ms, answered):
+    def publish(self, ident, deferred, ms, answered):
         """Keeps telling that a mail is given up until it is answered; then `answered()`."""
         words = {"message": ident.decode("latin-1"), "outcome": "handed_back" if deferred else "given_up"}
         if deferred and ms > 0.0:
             words["retry_in_ms"] = round(ms, 3)
         self.count += 1
-        self.owed[self.count] = msgspec.json.encode(words), answered
+        self.unacknowledged[self.count] = msgspec.json.encode(words), answered
         self.news.set()
 
     async def run(self):
         most, limit = MOST_NOTICES, NOTICE
         while True:
             await self.news.wait()
-            batch = list(self.owed)[:most]
-            body = b"".join(self.owed[one][0] + b"\n" for one in batch)
+            batch = list(self.unacknowledged)[:most]
+            body = b"".join(self.unacknowledged[one][0] + b"\n" for one in batch)
             answer = await self.channel.ask(
                 b"POST /v1/notices HTTP/1.1\r\nHost: %s\r\nContent-Type: application/json\r\n"
                 b"Content-Length: %d\r\n\r\n" % (self.channel.host, len(body)) + body, limit, limit)
@@ -200,7 +200,7 @@
                 log_event(events.NOTICE_REJECTED, sample=body[:200])
             if 200 <= status < 300 or (status == 400 and len(batch) == 1):
                 for one in batch:
-                    self._answered(self.owed.pop(one)[1])
+                    self._answered(self.unacknowledged.pop(one)[1])
             elif status == 400:
                 most = 1            # one of them is at fault: each by itself until all are told
             else:
@@ -208,7 +208,7 @@
                 limit = min(2.0 * limit, NOTICE_MOST)
                 continue
             limit = NOTICE
-            if not self.owed:
+            if not self.unacknowledged:
                 self.news.clear()
                 most = MOST_NOTICES
 
--- a/dewpin/net/inbound.py
+++ b/dewpin/net/inbound.py
@@ -12,7 +12,7 @@
 from urllib.parse import unquote_to_bytes
 
 from ..log import events, log_event
-from ..ports import Intake
+from ..ports import Accepted, MessageIntake, Rejected, RejectionReason, SubmitRequest
 from .http import Malformed, Reader, Stream, answer, listening
 
 SWEEP = 0.1
@@ -27,6 +27,7 @@
 STEERED_BY, RETURN = 51, 6      # SO_ATTACH_REUSEPORT_CBPF, and the filter's one instruction
 WORD = re.compile(rb"[\x21-\x7e]{1,256}")
 SECONDS = re.compile(rb"\d{1,9}(\.\d{1,9})?")
+REJECTION_STATUSES = {RejectionReason.UNKNOWN_QUEUE_CLASS: 400, RejectionReason.DUPLICATE_MESSAGE_ID: 409}
 
 
 def waits(held, what):
@@ -143,7 +144,7 @@
 
 
 class Door:
-    def __init__(self, loop, relay: Intake):
+    def __init__(self, loop, relay: MessageIntake):
         self.loop, self.relay = loop, relay
         self.most, self.memory = 8, 1e6     # connections, bytes of requests that are not whole
         self.patience = 2.7         # seconds for a request to come whole; for the first one, from connecting on
@@ -311,7 +312,7 @@
                 return 503, b""     # it has given up, after a stall of ours: the mail is handed in elsewhere
             return self._hand_in(message, query)
         if path == b"/-/ready" and method in (b"GET", b"HEAD"):
-            return 503 if self.relay.refusing else 200, b""
+            return 503 if self.relay.is_draining else 200, b""
         return 404, b""
 
     def _hand_in(self, message, query):
@@ -326,17 +327,18 @@
             return 400, b""
         if not destination.isdigit() or len(destination) > 9:
             return 400, b""
-        taken, ms = self.relay.hand_in(
+        result = self.relay.submit(SubmitRequest(
             ident, fields.get(b"req-kind", b""), fields.get(b"req-owner", b""), key, destination,
-            tag, message.body, None if left is None else float(left) * 1000.0, b"req-retry" in fields)
-        if taken:
+            tag, message.body, None if left is None else float(left) * 1000.0, b"req-retry" in fields))
+        if isinstance(result, Accepted):
             return 202, b""
-        log_event(events.MESSAGE_REJECTED, message=ident, status=ms if taken is None else 503,
-                  queue_class=fields.get(b"req-kind"), destination=destination,
-                  retry_after_ms=0.0 if taken is None else ms)
-        if taken is None:
-            return ms, b""
-        return 503, b"Retry-After: %.3f\r\n" % (ms / 1000.0) if ms > 0.0 else b""
+        if isinstance(result, Rejected):
+            status, retry_after_ms = REJECTION_STATUSES[result.reason], 0.0
+        else:
+            status, retry_after_ms = 503, result.retry_after_ms
+        log_event(events.MESSAGE_REJECTED, message=ident, status=status, queue_class=fields.get(b"req-kind"),
+                  destination=destination, retry_after_ms=retry_after_ms)
+        return status, b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0) if retry_after_ms > 0.0 else b""
 
 
 def _named(parts, name):
--- a/dewpin/net/outbound.py
+++ b/dewpin/net/outbound.py
@@ -13,6 +13,7 @@
 
 from ..core import model
 from ..log import events, log_event
+from ..ports import AttemptResult
 from .http import Malformed, Reader, Stream
 
 NEAR = 1000.0           # ms before the other side closes an idle connection in which it is used no more
@@ -190,7 +191,7 @@
         ms = self.leaves()
         if ms <= 0.0:
             self.pool.rest(self.address, link)      # nothing was written on it
-            # not at once: the outcome is never told before `Pool.call` returns
+            # not at once: the outcome is never told before `Pool.send` returns
             self.limit.cancel()
             self.limit = self.pool.loop.call_soon(self.finish, model.Outcome.NOT_SENT)
             return
@@ -238,7 +239,7 @@
                 self.pool.rest(self.address, link)
         took = (self.pool.loop.time() - self.began) * 1000.0
         outcome, told, load = read(outcome, message)
-        done(outcome, told, took, load, message is not None and message.status == 410)
+        done(AttemptResult(outcome, told, took, load, message is not None and message.status == 410))
 
 
 def read(outcome, message):
@@ -278,10 +279,10 @@
         self.sent = 0               # requests that left whole
         self.sweep = None
 
-    def call(self, address, ident, tag, body, limit, leaves, done):
-        """Sends a mail, if `leaves` allows it; `done(outcome, told ms, took ms, load, over)` is told once, never before
-        this returns."""
-        Call(self, address, hook(address, ident, tag, body, limit), limit, leaves, done)
+    def send(self, request):
+        """Makes an attempt, if its send window allows it; its result is reported once, never before this returns."""
+        content = hook(request.address, request.message_id, request.idempotency_key, request.body, request.timeout_ms)
+        Call(self, request.address, content, request.timeout_ms, request.open_send_window, request.on_finished)
 
     def count(self):
         self.sent += 1
@@ -315,7 +316,7 @@
             self._ended(address, link)
             link.close()
 
-    def recall(self, address):
+    def cancel_unsent(self, address):
         """Nothing more may leave for this address: calls that have not left yet are not sent.
 
         Guards against a connection that comes up long after the pick, when a wait was told or a drain listed."""
--- a/dewpin/ports.py
+++ b/dewpin/ports.py
@@ -1,15 +1,61 @@
-"""The narrow places at which fronts and outlets meet the core, as types; docs/architecture.md tells how to use them.
+"""The interfaces between the relay and what carries messages for it, as types. The module holds no state.
 
-It owns no state. A front (HTTP today; SMPP, an RPC plug-in) takes mails from its clients and hands them in at an
-`Intake`; an outlet carries calls to receivers and tells each outcome once; a `Teller` tells the end of a mail that is
-not relayed. The core knows these and no wire; a wire knows these and neither spool nor decisions.
+A frontend (HTTP today) receives messages from clients and submits them to a `MessageIntake`, the relay. A transport
+carries attempts to receivers and reports the result of each once. A notice publisher reports the end of a message that
+was not relayed. The relay knows these interfaces and no wire; what implements them knows neither journal nor decisions.
 """
+
 from collections.abc import Callable, Sequence
+from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
-Address = tuple[str, int, bytes]        # host, port, the receiver's id
-Heard = Callable[[str, float, float, dict[str, float], bool], None]
-"""(outcome of core.model, ms of the wait told, ms it took, load report, whether the mail is over)."""
+Address = tuple[str, int, bytes]
+"""Host, port and the receiver's id: a connection belongs to one receiver."""
+
+
+class SubmitRequest(NamedTuple):
+    """A message that a client submits. Texts are the bytes that came.
+
+    `remaining_ms`: what is left of the message's lifetime, None for that of its queue class. `is_resubmission`: the
+    client has submitted it before, here or elsewhere."""
+
+    message_id: bytes
+    queue_class: bytes
+    account: bytes
+    ordering_key: bytes
+    destination: bytes
+    idempotency_key: bytes
+    body: bytes
+    remaining_ms: float | None
+    is_resubmission: bool = False
+
+
+class RejectionReason(Enum):
+    """Why a message was rejected for good."""
+
+    UNKNOWN_QUEUE_CLASS = "unknown queue class"
+    """The settings do not name its queue class or its account."""
+    DUPLICATE_MESSAGE_ID = "duplicate message id"
+    """A message with this id was accepted before."""
+
+
+class Accepted(NamedTuple):
+    """The message is recorded: it will be relayed, or a notice is published."""
+
+
+class Deferred(NamedTuple):
+    """The message was not accepted; the client may submit it again after `retry_after_ms` (0: no advice)."""
+
+    retry_after_ms: float
+
+
+class Rejected(NamedTuple):
+    """The message was not accepted, and never will be."""
+
+    reason: RejectionReason
+
+
+SubmitResult = Accepted | Deferred | Rejected
 
 
 class AttemptResult(NamedTuple):
@@ -25,6 +71,22 @@
     is_withdrawn: bool
 
 
+class AttemptRequest(NamedTuple):
+    """An attempt that a transport is to make, once.
+
+    `timeout_ms`: for the result. `open_send_window`: asked right before the first byte; the ms within which the last
+    one may leave, 0 if the attempt is not to be made any more. `on_finished`: called once with the result, never
+    before `Transport.send` returns."""
+
+    address: Address
+    message_id: bytes
+    idempotency_key: bytes
+    body: bytes
+    timeout_ms: float
+    open_send_window: Callable[[], float]
+    on_finished: Callable[[AttemptResult], None]
+
+
 class EndpointEntry(NamedTuple):
     """One receiver as an endpoint list has it; `state`: one of core.model, `address`: host and port."""
 
@@ -37,58 +99,56 @@
     weight: float
 
 
-class Intake(Protocol):
-    """Where a front hands mails in: the relay."""
-    refusing: bool
+class MessageIntake(Protocol):
+    """Where a frontend submits messages. `is_draining`: no message is accepted any more."""
 
-    def hand_in(self, ident: bytes, queue_class: bytes, account: bytes, key: bytes, destination: bytes, tag: bytes,
-                body: bytes, left: float | None, again: bool = False) -> tuple[bool | None, float]:
-        """Takes a mail on or not, at once; `left`: ms of its lifetime that are left, None for its class's own; `again`:
-        marked by the client as one that was handed in before.
+    is_draining: bool
 
-        (True, 0): recorded, it is owed an end. (False, ms): refused, harmless to hand in again after so long (0: no
-        advice). (None, status): a fault of its own, never taken on."""
+    def submit(self, request: SubmitRequest) -> SubmitResult:
+        """Accepts the message or not, at once."""
 
 
-class Front(Protocol):
-    """What the process asks of a front."""
-    clients: Any                # sized: connections that are open
+class Frontend(Protocol):
+    """What the process asks of a frontend. `clients`: its open connections, a sized collection."""
+
+    clients: Any
 
     async def open(self, host: str, port: int) -> tuple[str, int]:
-        """Listens, and gives the address."""
+        """Listens; the address that it is bound to."""
 
     def stop(self) -> None:
-        """Refuses from now on; what was begun is answered."""
+        """Rejects new messages from now on; requests that have begun are answered."""
 
     def close(self) -> None:
-        """Gives back the listener and every connection."""
-
+        """Closes the listener and every connection."""
 
-class Outlet(Protocol):
-    """What the relay asks of an outlet."""
 
-    def call(self, address: Address, ident: bytes, tag: bytes, body: bytes, limit: float,
-             leaves: Callable[[], float], done: Heard) -> None:
-        """Sends a mail, once, and waits `limit` ms for its outcome; `done` is told once, never before this returns.
+class Transport(Protocol):
+    """What the relay asks of a transport."""
 
-        `leaves()` is asked right before the first byte: ms within which the last one may leave; 0: it is not sent."""
+    def send(self, request: AttemptRequest) -> None:
+        """Makes an attempt."""
 
-    def recall(self, address: Address) -> None:
-        """Calls to this address that have not left are told as unsent."""
+    def cancel_unsent(self, address: Address) -> None:
+        """Attempts to this address of which no byte has left end as not sent."""
 
     def close_idle(self, address: Address) -> None:
-        """Idle connections to this address close."""
+        """Closes the idle connections to this address."""
+
 
+class NoticePublisher(Protocol):
+    """Where the end of a message that was not relayed is reported. `unacknowledged`: a sized collection."""
 
-class Teller(Protocol):
-    """Where the end of a mail that is not relayed is told."""
-    owed: Any                   # sized: ends that are not answered for yet
+    unacknowledged: Any
 
-    def tell(self, ident: bytes, deferred: bool, ms: float, answered: Callable[[], None]) -> None:
-        """Tells it until it is answered for, then `answered()` once."""
+    def publish(
+        self, message_id: bytes, is_deferred: bool, retry_after_ms: float, on_acknowledged: Callable[[], None]
+    ) -> None:
+        """Reports it until it is acknowledged, then calls `on_acknowledged` once."""
 
 
-class Learner(Protocol):
-    """Where news of the list of receivers go: (receiver, destination, state, address, zone, kind, weight) of each."""
+class EndpointListener(Protocol):
+    """Where updates of the endpoint list go; `is_complete`: the list names all receivers that there are."""
 
-    def __call__(self, entries: Sequence[tuple[Any, ...]], complete: bool) -> None: ...
+    def __call__(self, entries: Sequence[EndpointEntry | tuple[Any, ...]], is_complete: bool) -> None:
+        """Takes an update."""
--- a/dewpin/relay/__init__.py
+++ b/dewpin/relay/__init__.py
@@ -1,5 +1,5 @@
-"""The life of a mail, from the door to its end, and the decision module in blocking style.
+"""The life of a message, from its submission to its end, and the dispatcher as the relay asks it.
 
-It owns the order of the steps (recorded, asked about, sent, reported, ended, told) and the one timer behind them. It
-knows no wire: fronts hand mails in, outlets carry calls, both through `dewpin.ports`.
+The package owns the order of the steps (recorded, dispatched, sent, reported, ended, notified) and the one timer behind
+them. It knows no wire: frontends submit messages and transports carry attempts, both through `dewpin.ports`.
 """
--- /dev/null
+++ b/dewpin/relay/learned_state.py
@@ -0,0 +1,68 @@
+"""What the dispatcher has learned, as plain values, for the process that takes over while this one still runs.
+
+The names in these values stay: processes of two versions exchange them. Attempts in flight and pending messages are not
+among them, they are in the journal.
+"""
+
+from collections.abc import Mapping
+from typing import Any
+
+from ..ports import EndpointEntry
+from ..spool.endpoint_cache import decode_row, encode_row
+from .facade import Facade
+
+LearnedState = dict[str, Any]
+"""A map for JSON."""
+
+
+def export_learned_state(facade: Facade) -> LearnedState:
+    """The endpoint list, and what is learned of the sender, its destinations and their receivers."""
+    dispatcher = facade.dispatcher
+    return {
+        "list": _export_endpoints(facade),
+        **dispatcher.export_sender_state(),
+        "destinations": [
+            [one.destination_id, *dispatcher.export_destination_state(one)] for one in facade.destinations.values()
+        ],
+        "receivers": [
+            [one.receiver_id.decode("latin-1"), *dispatcher.export_receiver_state(one)]
+            for one in facade.receivers.values()
+        ],
+    }
+
+
+def endpoint_entries(state: LearnedState) -> list[EndpointEntry]:
+    """The endpoint list of an exported state."""
+    return [decode_row(row) for row in state["list"]]
+
+
+def import_learned_state(facade: Facade, state: LearnedState) -> None:
+    """Puts an exported state in force, beside the attempts and messages that are there already."""
+    dispatcher = facade.dispatcher
+    dispatcher.restore_sender_state(state)
+    for destination_id, queue, limits in state["destinations"]:
+        dispatcher.restore_destination_state(facade.destination(destination_id), queue, limits)
+    for receiver_id, health, limits in state["receivers"]:
+        if receiver := facade.receivers.get(receiver_id.encode("latin-1")):
+            dispatcher.restore_receiver_state(receiver, health, limits)
+
+
+def _export_endpoints(facade: Facade) -> list[list[Any]]:
+    rows = []
+    for receiver in facade.receivers.values():
+        host, port = (receiver.address or ("", 0))[:2]
+        entry = EndpointEntry(
+            receiver.receiver_id,
+            receiver.destination.destination_id,
+            facade.detached_receivers.get(receiver.receiver_id, receiver.state),
+            (host, port),
+            _name_of_index(facade.zone_indexes, receiver.zone),
+            _name_of_index(facade.kind_indexes, receiver.kind),
+            receiver.weight,
+        )
+        rows.append(encode_row(entry))
+    return rows
+
+
+def _name_of_index(indexes: Mapping[str, int], index: int) -> str | None:
+    return next((name for name, one in indexes.items() if one == index), None)
--- /dev/null
+++ b/dewpin/relay/message_lifecycle.py
@@ -0,0 +1,465 @@
+"""The life of a message from its submission to its end: recorded, dispatched, sent, reported, ended, notified.
+
+The relay owns the order of these steps and the one timer behind them. No message is acknowledged before it is in the
+journal, no byte of an attempt leaves before the attempt is, and the next message of an ordering key waits until the
+notice for an earlier one is acknowledged. The relay knows no wire, and every decision about a message is the
+dispatcher's, asked through the facade.
+"""
+
+import asyncio
+from collections.abc import Callable
+from enum import Enum
+
+from ..core.model import Decision, Outcome, Receiver
+from ..log import events, log_event, log_internal_error
+from ..ports import (
+    Accepted,
+    AttemptRequest,
+    AttemptResult,
+    Deferred,
+    NoticePublisher,
+    Rejected,
+    RejectionReason,
+    SubmitRequest,
+    SubmitResult,
+    Transport,
+)
+from ..spool.handover_log import AcceptedMessage, FinishedAttempt, HandoverLogReader, HandoverLogWriter
+from ..spool.journal import Journal
+from ..spool.records import MessageRecord, PendingNotice
+from .clock import UnixClock
+from .facade import Facade, GiveUp
+from .notice_barrier import NoticeBarrier, PostponedAttempt
+from .recent_message_ids import RecentMessageIds
+
+MAX_POSTPONEMENT_MS = 50.0
+"""For so long an attempt waits for the acknowledgement of an earlier message's notice."""
+MAX_DECISIONS_PER_TURN = 200
+"""Decisions in one turn of the loop, before others have theirs."""
+RETRY_AFTER_FAULT_SECONDS = 0.1
+MIN_TIMEOUT_MS = 1.0
+
+
+class DetachmentResult(Enum):
+    """What came of detaching or attaching a receiver."""
+
+    APPLIED = "applied"
+    UNKNOWN_RECEIVER = "unknown receiver"
+    """No endpoint list ever named it."""
+    NOT_RECORDED = "not recorded"
+    """The journal has no capacity for it, or can't be written."""
+
+
+class Relay:
+    """All messages of a sender.
+
+    `is_draining`: no message is accepted any more. `may_start_attempts`: attempts still start. `attempts_in_flight`:
+    those of which the result is not known, postponed ones and those at the previous process included.
+    `attempts_at_previous_process`: by serial number, the message and the receiver of an attempt that the process before
+    has in flight. `handover_log`: set once the next process has the journal; then what still happens here is written to
+    it. `end_counts`: messages by queue class and the decision that ended them."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        facade: Facade,
+        journal: Journal,
+        transport: Transport,
+        notices: NoticePublisher,
+    ) -> None:
+        self.clock = UnixClock(loop)
+        self.facade = facade
+        self.journal = journal
+        self.transport = transport
+        self.notices = notices
+        self.is_draining = False
+        self.may_start_attempts = True
+        self.attempts_in_flight = 0
+        self.notice_barrier = NoticeBarrier()
+        self.handover_reader: HandoverLogReader | None = None
+        self.handover_log: HandoverLogWriter | None = None
+        self.attempts_at_previous_process: dict[int, tuple[MessageRecord, Receiver]] = {}
+        self.end_counts: dict[bytes, dict[Decision, int]] = {
+            queue_class: dict.fromkeys((Decision.RELAYED, Decision.DEFERRED, Decision.BOUNCED), 0)
+            for queue_class in facade.queue_class_indexes
+        }
+        self._loop = loop
+        self._recent_ids = RecentMessageIds(facade.longest_lifetime_ms)
+        self._timer: asyncio.TimerHandle | None = None
+        self._is_wake_scheduled = False
+
+    @property
+    def record_store(self) -> Journal | HandoverLogWriter:
+        """Where messages are recorded: the journal, or the hand-over log once the next process has the journal."""
+        return self.handover_log or self.journal
+
+    # -- start and submission ---------------------------------------------------------------------------------
+
+    def resume(
+        self, handover_reader: HandoverLogReader | None = None, serials_in_flight: set[int] | None = None
+    ) -> None:
+        """Continues with the messages that an earlier process left in the journal.
+
+        `handover_reader`: the log of a previous process that reports the attempts which are in flight there; without
+        it nobody has them, and they may have been executed. `serials_in_flight`: the messages of those attempts, None
+        where the previous process did not say."""
+        now_ms = self.clock.now_ms()
+        self.handover_reader = handover_reader
+        if not handover_reader:
+            self.journal.assume_attempts_executed()
+        for message_id in self.journal.finished_ids:
+            self._recent_ids.add(message_id, now_ms)
+        for record in list(self.journal.pending.values()):
+            self._recent_ids.add(record.message_id, now_ms)
+            if record.in_flight and serials_in_flight is not None and record.serial not in serials_in_flight:
+                # the journal has no record for the end of an attempt that may have been executed
+                record.finish_attempt(may_have_executed=True)
+            self._resume_message(record, now_ms)
+        self.wake()
+
+    def _resume_message(self, record: MessageRecord, now_ms: float) -> None:
+        if record.pending_notice:
+            self._publish_notice(record, record.pending_notice)
+            return
+        if not self.facade.is_known_class(record.queue_class, record.account):
+            log_event(events.UNKNOWN_QUEUE_CLASS, message=record.message_id, queue_class=record.queue_class)
+            self._give_up(record, Decision.BOUNCED, 0.0)
+            return
+        log_event(
+            events.MESSAGE_RESUMED,
+            message=record.message_id,
+            serial=record.serial,
+            queue_class=record.queue_class,
+            destination=record.destination,
+            key=record.ordering_key,
+            attempt=record.attempts,
+            lifetime_ms=record.expires_at_ms - now_ms,
+        )
+        if record.in_flight:
+            self.attempts_in_flight += 1
+            receiver = self.facade.adopt_attempt(record, now_ms)
+            self.attempts_at_previous_process[record.serial] = record, receiver
+        else:
+            self.facade.add_message(record, now_ms)
+
+    def submit(self, request: SubmitRequest) -> SubmitResult:
+        """Accepts a message or not, at once. Raises what the dispatcher raises; then nothing is owed for it."""
+        if not self.facade.is_known_class(request.queue_class, request.account):
+            return Rejected(RejectionReason.UNKNOWN_QUEUE_CLASS)
+        result = self._try_accept(request)
+        if isinstance(result, Rejected):
+            self.end_counts[request.queue_class][Decision.BOUNCED] += 1
+        elif isinstance(result, Deferred):
+            self.end_counts[request.queue_class][Decision.DEFERRED] += 1
+        return result
+
+    def _try_accept(self, request: SubmitRequest) -> SubmitResult:
+        self.consume_handover_log()  # an earlier message of the key may have been submitted there
+        now_ms = self.clock.now_ms()
+        if self.is_draining:
+            return Deferred(0.0)
+        if request.message_id in self._recent_ids:
+            return Rejected(RejectionReason.DUPLICATE_MESSAGE_ID)
+        if (retry_after_ms := self.facade.overload_retry_after_ms(request.destination, now_ms)) is not None:
+            return Deferred(retry_after_ms)
+        record = self._new_record(request, now_ms)
+        store = self.record_store
+        if not store.accept(record):
+            log_event(events.JOURNAL_FULL, bytes=store.size_bytes, messages=len(store.pending))
+            return Deferred(0.0)
+        if self.handover_log:  # the next process has the message from now on
+            self._recent_ids.add(record.message_id, now_ms)
+            log_event(events.MESSAGE_ACCEPTED_FOR_NEXT, message=record.message_id)
+            return Accepted()
+        try:
+            self.facade.add_message(record, now_ms)
+        except Exception:
+            self.journal.finish(record)  # the client is told of a failure, and nothing is owed
+            raise
+        self._log_accepted(record, now_ms)
+        self._recent_ids.add(record.message_id, now_ms)
+        self.wake()
+        return Accepted()
+
+    def _new_record(self, request: SubmitRequest, now_ms: float) -> MessageRecord:
+        remaining_ms = self.facade.lifetime_ms(request.queue_class)
+        if request.remaining_ms is not None:
+            remaining_ms = min(request.remaining_ms, remaining_ms)
+        first_submitted_at_ms = self.facade.first_submitted_at_ms(
+            request.queue_class, remaining_ms, request.is_resubmission, now_ms
+        )
+        return MessageRecord(
+            request.message_id,
+            request.queue_class,
+            request.account,
+            request.ordering_key,
+            request.destination,
+            request.idempotency_key,
+            request.body,
+            first_submitted_at_ms,
+            now_ms + remaining_ms,
+        )
+
+    @staticmethod
+    def _log_accepted(record: MessageRecord, now_ms: float) -> None:
+        log_event(
+            events.MESSAGE_ACCEPTED,
+            message=record.message_id,
+            serial=record.serial,
+            queue_class=record.queue_class,
+            destination=record.destination,
+            key=record.ordering_key,
+            bytes=len(record.body),
+            lifetime_ms=record.expires_at_ms - now_ms,
+        )
+
+    # -- dispatch and attempts --------------------------------------------------------------------------------
+
+    def wake(self) -> None:
+        """Something has changed: the dispatcher is asked once for all that happens in this turn of the loop."""
+        if not self._is_wake_scheduled:
+            self._is_wake_scheduled = True
+            self._loop.call_soon(self._dispatch_due)
+
+    def _dispatch_due(self) -> None:
+        self._is_wake_scheduled = False
+        if self._timer:
+            self._timer.cancel()
+            self._timer = None
+        now_ms = self.clock.now_ms()
+        try:
+            for _ in range(MAX_DECISIONS_PER_TURN):
+                wait_ms = self.facade.time_until_due_ms(now_ms) if self.may_start_attempts else None
+                if wait_ms is None:
+                    return
+                if wait_ms > 0.0:
+                    self._timer = self._loop.call_later(wait_ms / 1000.0, self.wake)
+                    return
+                decision = self.facade.decide_due(now_ms)
+                if isinstance(decision, GiveUp):
+                    self._give_up(decision.record, decision.ending, decision.retry_after_ms)
+                elif decision:
+                    self._start_attempt(decision.record, decision.receiver, decision.timeout_ms, now_ms)
+            self.wake()  # others have their turn first
+        except Exception:  # a fault must not end the process, nor repeat without a pause
+            log_internal_error("relay")
+            self._timer = self._loop.call_later(RETRY_AFTER_FAULT_SECONDS, self.wake)
+
+    def _start_attempt(self, record: MessageRecord, receiver: Receiver, timeout_ms: float, now_ms: float) -> None:
+        if not self.notice_barrier.blocks(record.ordering_key):
+            self.attempts_in_flight += 1
+            self._send(record, receiver, timeout_ms)
+            return
+        postponement_ms = min(timeout_ms, MAX_POSTPONEMENT_MS)
+        timer = self._loop.call_later(postponement_ms / 1000.0, self._drop_postponed_attempt, record, receiver)
+        self.notice_barrier.postpone(PostponedAttempt(record, receiver, now_ms + timeout_ms, timer))
+        log_event(
+            events.ATTEMPT_POSTPONED,
+            message=record.message_id,
+            receiver=receiver.receiver_id,
+            key=record.ordering_key,
+        )
+        self.attempts_in_flight += 1
+
+    def _send(self, record: MessageRecord, receiver: Receiver, timeout_ms: float) -> None:
+        self.transport.send(
+            AttemptRequest(
+                receiver.address,
+                record.message_id,
+                record.idempotency_key,
+                record.body,
+                timeout_ms,
+                self._send_window_opener(record, receiver, timeout_ms),
+                lambda result: self._handle_result(record, receiver, result),
+            )
+        )
+
+    def _send_window_opener(self, record: MessageRecord, receiver: Receiver, timeout_ms: float) -> Callable[[], float]:
+        """What the transport asks right before an attempt's first byte: the ms within which its last byte may leave, or
+        0 if the attempt is not to be made. It records the attempt.
+
+        Guards against a connection that comes up long after the decision: by then a retry's window may be over, a
+        receiver may have asked to wait, this process may end or the next one may have the message. And against a kill
+        while it comes up: what is recorded counts as possibly executed."""
+
+        def open_send_window() -> float:
+            now_ms = self.clock.now_ms()
+            window_ms = self.facade.send_window_ms(record, receiver, now_ms) if self.may_start_attempts else 0.0
+            if window_ms <= 0.0 or not self.journal.start_attempt(record, receiver.receiver_id, now_ms):
+                return 0.0
+            log_event(
+                events.ATTEMPT_STARTED,
+                message=record.message_id,
+                attempt=record.attempts,
+                receiver=receiver.receiver_id,
+                destination=record.destination,
+                timeout_ms=timeout_ms,
+            )
+            return window_ms
+
+        return open_send_window
+
+    def _drop_postponed_attempt(self, record: MessageRecord, receiver: Receiver) -> None:
+        """The notice of an earlier message of the key is not acknowledged in time: the attempt was never sent."""
+        self.notice_barrier.drop(record)
+        self._handle_result(record, receiver, AttemptResult(Outcome.NOT_SENT, 0.0, 0.0, {}, False))
+
+    def _handle_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
+        self.attempts_in_flight -= 1
+        if self.handover_log:
+            self.handover_log.finish_attempt(record, result)
+            if result.retry_after_ms > 0.0:
+                self._cancel_unsent_under_same_limits(receiver)
+            return
+        try:
+            self._record_result(record, receiver, result)
+            self._continue_after_result(record, receiver, result)
+        except Exception:
+            log_internal_error("outcome", message=record.message_id)
+        self.wake()
+
+    def _record_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
+        may_have_executed = self.facade.may_have_executed(result.outcome)
+        log_event(
+            events.ATTEMPT_FINISHED,
+            message=record.message_id,
+            attempt=record.attempts + (record.in_flight is None),  # one that was not sent is not counted yet
+            receiver=receiver.receiver_id,
+            destination=record.destination,
+            outcome=result.outcome,
+            may_have_executed=may_have_executed,
+            took_ms=result.duration_ms,
+            retry_after_ms=result.retry_after_ms,
+        )
+        self.journal.finish_attempt(record, may_have_executed)
+
+    def _continue_after_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
+        """Ends the message, or leaves it with the dispatcher for a retry."""
+        following = self.facade.report_result(record, result, self.clock.now_ms())
+        if following.ending == Decision.RELAYED:
+            log_event(events.MESSAGE_ENDED, message=record.message_id, ending=following.ending, attempt=record.attempts)
+            # a withdrawn message was not delivered
+            self.end_counts[record.queue_class][Decision.RELAYED] += result.outcome == Outcome.DELIVERED
+            self.journal.finish(record)
+            self.facade.forget_message(record)
+        elif following.ending:
+            self._give_up(record, following.ending, following.retry_after_ms)
+        else:
+            log_event(
+                events.RETRY_SCHEDULED,
+                message=record.message_id,
+                attempt=record.attempts,
+                retry_after_ms=self.facade.backoff_ms(record, self.clock.now_ms()),
+            )
+        if following.closes_idle_connections:
+            self.transport.close_idle(receiver.address)
+        if result.retry_after_ms > 0.0:
+            self._cancel_unsent_under_same_limits(receiver)
+
+    def _cancel_unsent_under_same_limits(self, receiver: Receiver) -> None:
+        for address in self.facade.addresses_under_same_limits(receiver):
+            self.transport.cancel_unsent(address)
+
+    # -- ends and notices -------------------------------------------------------------------------------------
+
+    def _give_up(self, record: MessageRecord, ending: Decision, retry_after_ms: float) -> None:
+        log_event(
+            events.MESSAGE_ENDED,
+            message=record.message_id,
+            ending=ending,
+            attempt=record.attempts,
+            retry_after_ms=retry_after_ms,
+        )
+        if record.queue_class in self.end_counts:
+            self.end_counts[record.queue_class][ending] += 1
+        notice = PendingNotice(ending == Decision.DEFERRED, retry_after_ms)
+        self.journal.give_up(record, notice)
+        self.facade.forget_message(record)
+        self._publish_notice(record, notice)
+
+    def _publish_notice(self, record: MessageRecord, notice: PendingNotice) -> None:
+        self.notice_barrier.add_notice(record.ordering_key)
+        self.notices.publish(
+            record.message_id,
+            notice.is_deferred,
+            notice.retry_after_ms,
+            lambda: self._handle_notice_acknowledged(record),
+        )
+
+    def _handle_notice_acknowledged(self, record: MessageRecord) -> None:
+        log_event(events.NOTICE_ACKNOWLEDGED, message=record.message_id)
+        self.journal.finish(record)
+        now_ms = self.clock.now_ms()
+        for attempt in self.notice_barrier.acknowledge_notice(record.ordering_key):
+            self._send(attempt.record, attempt.receiver, max(MIN_TIMEOUT_MS, attempt.timeout_at_ms - now_ms))
+
+    # -- hand-over between two processes of one sender --------------------------------------------------------
+
+    def hand_over(self, handover_log: HandoverLogWriter) -> None:
+        """From now on the next process has the journal and decides: what still happens here is written to the log."""
+        self.may_start_attempts = False
+        self.attempts_in_flight -= self.notice_barrier.drop_all()  # they were never sent
+        self.handover_log = handover_log
+
+    def consume_handover_log(self, is_writer_gone: bool = False) -> None:
+        """Handles what the previous process has written since the last call.
+
+        `is_writer_gone`: it has ended; attempts of which it did not report the result are lost."""
+        if not self.handover_reader:
+            return
+        for event in self.handover_reader.read_events():
+            if isinstance(event, AcceptedMessage):
+                self._handle_accepted_elsewhere(event.message)
+            elif isinstance(event, FinishedAttempt):
+                self._handle_result_elsewhere(event.serial, event.result)
+            elif event.is_detached:
+                self.detach(event.receiver)
+            else:
+                self.attach(event.receiver)
+        if is_writer_gone:
+            self.handover_reader.close()
+            self.handover_reader = None
+            for serial in list(self.attempts_at_previous_process):
+                self._handle_result_elsewhere(serial, AttemptResult(Outcome.RESET, 0.0, 0.0, {}, False))
+
+    def _handle_accepted_elsewhere(self, record: MessageRecord) -> None:
+        if record.message_id in self._recent_ids:
+            return  # read before a kill, and not marked as consumed
+        now_ms = self.clock.now_ms()
+        self._recent_ids.add(record.message_id, now_ms)
+        self.journal.accept(record, already_accepted=True)
+        self.facade.add_message(record, now_ms)
+        self._log_accepted(record, now_ms)
+        self.wake()
+
+    def _handle_result_elsewhere(self, serial: int, result: AttemptResult) -> None:
+        if attempt := self.attempts_at_previous_process.pop(serial, None):
+            self._handle_result(*attempt, result)
+
+    # -- receivers that operators detach ----------------------------------------------------------------------
+
+    def detach(self, receiver_id: bytes) -> DetachmentResult:
+        """No attempt starts to this receiver, whatever the endpoint list says, until it is attached again."""
+        if not self.facade.is_known_receiver(receiver_id):
+            return DetachmentResult.UNKNOWN_RECEIVER
+        if not self.record_store.set_detached(receiver_id, True):
+            return DetachmentResult.NOT_RECORDED
+        if receiver_id not in self.facade.detached_receivers:
+            log_event(events.RECEIVER_DETACHED, receiver=receiver_id)
+        if address := self.facade.detach(receiver_id):
+            self.transport.cancel_unsent(address)
+            self.transport.close_idle(address)
+        self.wake()
+        return DetachmentResult.APPLIED
+
+    def attach(self, receiver_id: bytes) -> DetachmentResult:
+        """What the endpoint list says of this receiver holds again."""
+        if not self.facade.is_known_receiver(receiver_id):
+            return DetachmentResult.UNKNOWN_RECEIVER
+        if not self.record_store.set_detached(receiver_id, False):
+            return DetachmentResult.NOT_RECORDED
+        if receiver_id in self.facade.detached_receivers:
+            log_event(events.RECEIVER_ATTACHED, receiver=receiver_id)
+            self.facade.attach(receiver_id)
+        self.wake()
+        return DetachmentResult.APPLIED
--- /dev/null
+++ b/dewpin/relay/recent_message_ids.py
@@ -0,0 +1,26 @@
+"""The ids of messages that were accepted lately."""
+
+MAX_IDS_PER_GENERATION = 20_000
+
+
+class RecentMessageIds:
+    """Remembers ids for at least `lifetime_ms`, the longest that a message may last, in two generations.
+
+    Guards against an id that comes again, from whomever: its message would be delivered twice, or after its end. The
+    memory is bounded: with more ids than a generation holds, they are forgotten earlier."""
+
+    def __init__(self, lifetime_ms: float) -> None:
+        self._lifetime_ms = lifetime_ms
+        self._current: set[bytes] = set()
+        self._previous: set[bytes] = set()
+        self._next_generation_at_ms = 0.0
+
+    def __contains__(self, message_id: bytes) -> bool:
+        return message_id in self._current or message_id in self._previous
+
+    def add(self, message_id: bytes, now_ms: float) -> None:
+        """Remembers an id."""
+        if now_ms > self._next_generation_at_ms or len(self._current) >= MAX_IDS_PER_GENERATION:
+            self._current, self._previous = set(), self._current
+            self._next_generation_at_ms = now_ms + self._lifetime_ms
+        self._current.add(message_id)
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -25,10 +25,18 @@
 from dewpin.net.http import Malformed, Reader
 from dewpin.net.inbound import Door
 from dewpin.net.outbound import Pool
-from dewpin.ports import AttemptResult
-from dewpin.relay import learnt
-from dewpin.relay.course import Relay
+from dewpin.ports import (
+    Accepted,
+    AttemptRequest,
+    AttemptResult,
+    Deferred,
+    Rejected,
+    RejectionReason,
+    SubmitRequest,
+)
+from dewpin.relay import learned_state
 from dewpin.relay.facade import Facade
+from dewpin.relay.message_lifecycle import DetachmentResult, Relay
 from dewpin.spool.endpoint_cache import EndpointCache
 from dewpin.spool.handover_log import AcceptedMessage, FinishedAttempt, HandoverLogReader, HandoverLogWriter
 from dewpin.spool.inspector import JournalInspector, describe_state
@@ -332,6 +340,29 @@
 
 # -- a sender's process without its sockets -----------------------------------------------------------------------
 
+REJECTION_STATUSES = {RejectionReason.UNKNOWN_QUEUE_CLASS: 400, RejectionReason.DUPLICATE_MESSAGE_ID: 409}
+REJECTION_REASONS = {status: reason for reason, status in REJECTION_STATUSES.items()}
+PLAIN_DETACHMENTS = {
+    DetachmentResult.APPLIED: True,
+    DetachmentResult.UNKNOWN_RECEIVER: False,
+    DetachmentResult.NOT_RECORDED: None,
+}
+
+
+def plain_submit_result(result):
+    """(accepted, ms to come back after), or (None, status)."""
+    if isinstance(result, Accepted):
+        return True, 0.0
+    if isinstance(result, Deferred):
+        return False, result.retry_after_ms
+    return None, REJECTION_STATUSES[result.reason]
+
+
+def submit_result(accepted, number):
+    if accepted is None:
+        return Rejected(REJECTION_REASONS[number])
+    return Accepted() if accepted else Deferred(number)
+
 
 class SenderProcess:
     """Journal, decisions and the life of messages, put together as in a process, on a clock and wires of the test.
@@ -344,8 +375,8 @@
         self.folder = str(folder)
         self.spool = SpoolJournal(self.folder, 3_000_000)
         self.facade = Facade(settings, seed)
-        self.relay = Relay(loop, self.facade, self.spool, Outlet(calls), Teller(notices))
-        self.relay.clock.offset = 0.0
+        self.relay = Relay(loop, self.facade, self.spool, Transport(calls), NoticePublisher(notices))
+        self.relay.clock.offset_seconds = 0.0
         for ident in self.spool.detached_receivers:
             self.facade.detach(ident)
         self.follower = HandoverLogReader(self.folder, self.spool)
@@ -358,49 +389,53 @@
         """What another process handed on; gives it as it was read."""
         content = Path(self.folder, "handed").read_bytes()
         handed = json.loads(content)
-        self.learn_entries(learnt.entries(handed), True)
+        self.learn_entries(learned_state.endpoint_entries(handed), True)
         self.relay.resume(self.follower, set(handed["out"]))
-        learnt.recall(self.facade, handed)
+        learned_state.import_learned_state(self.facade, handed)
         return handed
 
     def follow(self, gone=False):
-        self.relay.follow(gone)
+        self.relay.consume_handover_log(gone)
 
     def hand_on(self):
         """The folder is the next process's from now on; gives what was handed on as bytes."""
         self.spool.mark_handover_consumed(0)
         tail = HandoverLogWriter(self.folder, self.spool)
-        upgrade.hand_over_folder(self.folder, learnt.told(self.facade) | {"out": list(tail.pending), "descriptors": 17})
-        self.relay.part(tail)
+        upgrade.hand_over_folder(
+            self.folder,
+            learned_state.export_learned_state(self.facade) | {"out": list(tail.pending), "descriptors": 17},
+        )
+        self.relay.hand_over(tail)
         self.spool.close()
         return Path(self.folder, "handed").read_bytes()
 
     def handed_again(self):
         """What this process would hand on now, as plain values."""
-        return json.loads(msgspec.json.encode(learnt.told(self.facade)))
+        return json.loads(msgspec.json.encode(learned_state.export_learned_state(self.facade)))
 
     def close(self):
-        self.relay.spool.close()
+        self.relay.record_store.close()
 
     def learn(self, receivers, complete):
         self.learn_entries([receiver_entry(one) for one in receivers], complete)
 
     def learn_entries(self, entries, complete):
-        for address in self.facade.learn(entries, complete):
-            self.relay.pool.recall(address)
-            self.relay.pool.close_idle(address)
+        for address in self.facade.update_endpoints(entries, complete):
+            self.relay.transport.cancel_unsent(address)
+            self.relay.transport.close_idle(address)
         self.relay.wake()
 
     def hand_in(self, facts, left_ms, repeated):
         """(accepted, ms to come back after), or (None, status)."""
         names = ("id", "queue_class", "tenant", "ordering_key", "destination", "idempotency_key", "body")
-        return self.relay.hand_in(*(octets(facts[name]) for name in names), left_ms, repeated)
+        request = SubmitRequest(*(octets(facts[name]) for name in names), left_ms, repeated)
+        return plain_submit_result(self.relay.submit(request))
 
     def detach(self, receiver):
-        return self.relay.detach(octets(receiver))
+        return PLAIN_DETACHMENTS[self.relay.detach(octets(receiver))]
 
     def attach(self, receiver):
-        return self.relay.attach(octets(receiver))
+        return PLAIN_DETACHMENTS[self.relay.attach(octets(receiver))]
 
     def figures(self):
         actions = OperatorActions()
@@ -419,34 +454,42 @@
 
     def queues(self):
         """What is believed of each destination, for people."""
-        now = self.relay.clock.now()
-        return [self.facade.line(line, now) for line in self.facade.lines()]
+        now = self.relay.clock.now_ms()
+        return [self.facade.describe_queue(queue, now) for queue in self.facade.queues()]
 
 
-class Outlet:
+class Transport:
     """The calls to receivers in plain values."""
 
     def __init__(self, calls):
         self.calls = calls
 
-    def call(self, address, ident, tag, body, limit, leaves, done):
+    def send(self, request):
         def ended(outcome, wait_ms, took_ms, load, over):
-            done(OUTCOMES[outcome], wait_ms, took_ms, load, over)
-
-        self.calls.call(plain_address(address), text(ident), text(tag), text(body), limit, leaves, ended)
+            request.on_finished(AttemptResult(OUTCOMES[outcome], wait_ms, took_ms, load, over))
+
+        self.calls.call(
+            plain_address(request.address),
+            text(request.message_id),
+            text(request.idempotency_key),
+            text(request.body),
+            request.timeout_ms,
+            request.open_send_window,
+            ended,
+        )
 
-    def recall(self, address):
+    def cancel_unsent(self, address):
         self.calls.recall(plain_address(address))
 
     def close_idle(self, address):
         self.calls.close_idle(plain_address(address))
 
 
-class Teller:
+class NoticePublisher:
     def __init__(self, notices):
-        self.notices, self.owed = notices, ()
+        self.notices, self.unacknowledged = notices, ()
 
-    def tell(self, ident, deferred, ms, answered):
+    def publish(self, ident, deferred, ms, answered):
         self.notices.tell(text(ident), deferred, ms, answered)
 
 
@@ -485,25 +528,25 @@
     """Stands for the life of messages at the clients' listener: notes what is handed in, and answers by a script."""
 
     def __init__(self, answer, stopping=False):
-        self.answer_given, self.refusing, self.calls = answer, stopping, []
+        self.answer_given, self.is_draining, self.calls = answer, stopping, []
 
-    def hand_in(self, ident, queue_class, account, key, destination, tag, body, left, again=False):
+    def submit(self, request):
         self.calls.append(
             {
-                "id": text(ident),
-                "queue_class": text(queue_class),
-                "tenant": text(account),
-                "ordering_key": text(key),
-                "destination": text(destination),
-                "idempotency_key": text(tag),
-                "body": text(body),
-                "left_ms": left,
-                "repeated": again,
+                "id": text(request.message_id),
+                "queue_class": text(request.queue_class),
+                "tenant": text(request.account),
+                "ordering_key": text(request.ordering_key),
+                "destination": text(request.destination),
+                "idempotency_key": text(request.idempotency_key),
+                "body": text(request.body),
+                "left_ms": request.remaining_ms,
+                "repeated": request.is_resubmission,
             }
         )
         if isinstance(self.answer_given, Exception):
             raise self.answer_given
-        return self.answer_given
+        return submit_result(*self.answer_given)
 
 
 @asynccontextmanager
@@ -524,14 +567,16 @@
 
     async def call(host, port, ident, idempotency_key, body, limit_ms, may_leave_ms=5000.0):
         heard = loop.create_future()
-        pool.call(
-            (host, port, b"r1"),
-            octets(ident),
-            octets(idempotency_key),
-            body,
-            limit_ms,
-            lambda: may_leave_ms,
-            lambda *facts: heard.set_result(facts),
+        pool.send(
+            AttemptRequest(
+                (host, port, b"r1"),
+                octets(ident),
+                octets(idempotency_key),
+                body,
+                limit_ms,
+                lambda: may_leave_ms,
+                heard.set_result,
+            )
         )
         outcome, wait_ms, _took_ms, load, over = await heard
         return {"outcome": NAMES_OF_OUTCOMES[outcome], "wait_ms": wait_ms, "load": load, "over": over}
@@ -568,7 +613,7 @@
     notices = Notices(address)
 
     def tell(ident, retryable, retry_after_ms, answered):
-        notices.tell(octets(ident), retryable, retry_after_ms, answered)
+        notices.publish(octets(ident), retryable, retry_after_ms, answered)
 
     try:
         yield tell
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -16,8 +16,9 @@
 """
 DEAF = """
 from dewpin.relay.facade import Facade
-report = Facade.report
-Facade.report = lambda self, sheet, outcome, told, *more: report(self, sheet, outcome, 0.0, *more)
+report_result = Facade.report_result
+Facade.report_result = lambda self, record, result, now_ms: report_result(
+    self, record, result._replace(retry_after_ms=0.0), now_ms)
 """
 FORGETS = """
 from dewpin.spool.journal import Journal
--- a/tests/net/test_calls.py
+++ b/tests/net/test_calls.py
@@ -10,6 +10,7 @@
 from dewpin.core import model
 from dewpin.net import outbound
 from dewpin.net.outbound import Pool
+from dewpin.ports import AttemptRequest
 from driver import reply, until
 
 OK = reply(200)
@@ -51,7 +52,7 @@
         heard = []
 
         def call(limit=5000.0, body=b"body"):
-            pool.call(far.address, b"m", b"", body, limit, lambda: 5000.0, lambda *what: heard.append(what))
+            pool.send(AttemptRequest(far.address, b"m", b"", body, limit, lambda: 5000.0, heard.append))
 
         try:
             await asyncio.wait_for(scene(far, pool, call, heard), 30.0)
--- a/tests/net/test_closing.py
+++ b/tests/net/test_closing.py
@@ -12,6 +12,7 @@
 from dewpin.net import inbound
 from dewpin.net.inbound import Door
 from dewpin.net.outbound import Link
+from dewpin.ports import Accepted, Deferred
 from driver import play, read_message, until
 
 HEAD = (
@@ -23,17 +24,17 @@
 class Taker:
     """Stands for the relay: takes everything on; `between` happens while it does."""
 
-    refusing = False
+    is_draining = False
 
     def __init__(self):
         self.taken, self.between = [], lambda: None
 
-    def hand_in(self, ident, *rest):
-        if self.refusing:
-            return False, 0.0
-        self.taken.append(ident)
+    def submit(self, request):
+        if self.is_draining:
+            return Deferred(0.0)
+        self.taken.append(request.message_id)
         self.between()
-        return True, 0.0
+        return Accepted()
 
 
 class Caller:
@@ -110,7 +111,7 @@
     async def scene(door, taker, connect):
         one, other = await rested(connect), await rested(connect, b"b")
         one.write(HEAD % b"crosses")  # it waits unread
-        taker.refusing = True
+        taker.is_draining = True
         door.stop()
         answer = await one.read()
         assert answer.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer
@@ -198,7 +199,7 @@
         at = caller = None
 
         @property
-        def owed(self):
+        def unacknowledged(self):
             if not self.caller:
                 self.caller = socket.create_connection(self.at)
                 self.caller.sendall(HEAD % b"a")
@@ -207,7 +208,7 @@
     async def scene(door, taker, connect):
         notices = Notices()
         notices.at = door.listener.getsockname()
-        taker.out, deployment = (
+        taker.attempts_in_flight, deployment = (
             0,
             SimpleNamespace(
                 stop=SimpleNamespace(start_attempts_ms=0.0, end_ms=10000.0), sender=SimpleNamespace(name="n0")
--- a/tests/net/test_parts.py
+++ b/tests/net/test_parts.py
@@ -10,6 +10,7 @@
 from dewpin.net.agent import ANSWER, FRESH, NOTICE, NOTICE_MOST, PAUSE, REFUSED, WATCH, Notices, Turns
 from dewpin.net.http import Malformed, Reader, answer
 from dewpin.net.outbound import Pool
+from dewpin.ports import AttemptRequest
 from driver import Outside, read_message, reply, until
 
 
@@ -77,15 +78,8 @@
         outside, heard = await Outside().open(), []
         outside.early = True
         pool = Pool(asyncio.get_running_loop(), 300.0, 15000.0)
-        pool.call(
-            outside.servers[0].sockets[0].getsockname(),
-            b"m",
-            b"",
-            b"x",
-            5000.0,
-            lambda: 5000.0,
-            lambda *what: heard.append(what),
-        )
+        address = outside.servers[0].sockets[0].getsockname()
+        pool.send(AttemptRequest(address, b"m", b"", b"x", 5000.0, lambda: 5000.0, heard.append))
         await until(lambda: heard)
         assert heard[0][0] == model.Outcome.DROPPED and heard[0][2] < 1900.0 and not outside.calls
         for one in (outside.agent, *outside.servers, *(c.transport for c in outside.connections)):
@@ -107,9 +101,10 @@
             one.connect_ex(shut.getsockname())
 
         def call(name, address, limit=5000.0):
-            pool.call(
-                address, name.encode(), b"", b"x", limit, lambda: 5000.0, lambda *what: heard.setdefault(name, what)
-            )
+            def finish(result):
+                heard.setdefault(name, result)
+
+            pool.send(AttemptRequest(address, name.encode(), b"", b"x", limit, lambda: 5000.0, finish))
 
         async def reset(*_):
             raise ConnectionResetError(104, "Connect call failed")
@@ -121,8 +116,8 @@
         assert heard["late"][0] == model.Outcome.CONNECT_FAILED and heard["late"][2] >= 299.0
         call("recalled", shut.getsockname())
         await until(lambda: outside.idents() == [b"out"])
-        pool.recall(shut.getsockname())
-        pool.recall(live)
+        pool.cancel_unsent(shut.getsockname())
+        pool.cancel_unsent(live)
         assert heard["recalled"][0] == model.Outcome.NOT_SENT and "out" not in heard
         create, loop.create_connection = loop.create_connection, reset
         call("reset", shut.getsockname())
@@ -200,11 +195,11 @@
 
         monkeypatch.setattr(notices.channel, "ask", asked)
         monkeypatch.setattr("dewpin.net.agent.asyncio.sleep", slept)
-        notices.tell(b"m", False, 0.0, lambda: told.append(b"m"))
+        notices.publish(b"m", False, 0.0, lambda: told.append(b"m"))
         while not told:
             await sleep(0.005)
-        assert len(set(heard)) == 1 and not notices.owed
-        notices.tell(b"n", False, 0.0, lambda: told.append(b"n"))
+        assert len(set(heard)) == 1 and not notices.unacknowledged
+        notices.publish(b"n", False, 0.0, lambda: told.append(b"n"))
         while len(told) < 2:
             await sleep(0.005)
         notices.channel.stop()
--- a/tests/relay/test_late_repeats.py
+++ b/tests/relay/test_late_repeats.py
@@ -8,8 +8,9 @@
 from dewpin.lab.loop import SimLoop
 from dewpin.lab.network import Network, Way
 from dewpin.net.outbound import HELD, Link, Pool
-from dewpin.relay.course import Relay
+from dewpin.ports import Accepted, SubmitRequest
 from dewpin.relay.facade import Facade
+from dewpin.relay.message_lifecycle import Relay
 from dewpin.spool.journal import Journal
 from driver import settings
 
@@ -52,11 +53,11 @@
     """Answers each notice at once."""
 
     def __init__(self):
-        self.told = []
+        self.published = []
 
-    def tell(self, ident, deferred, ms, answered):
-        self.told.append((ident, deferred))
-        answered()
+    def publish(self, message_id, is_deferred, retry_after_ms, on_acknowledged):
+        self.published.append((message_id, is_deferred))
+        on_acknowledged()
 
 
 class Connections:
@@ -92,31 +93,32 @@
     facade = Facade(told, 1)
 
     async def scene():
-        facade.learn([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
+        facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
         relay = Relay(loop, facade, Journal(folder, 1e6), Pool(loop, 1500.0, 0.0), notices)
-        assert relay.hand_in(b"m", b"notice", b"", b"", b"7", b"tag", b"body", 10_000.0) == (True, 0.0)
+        request = SubmitRequest(b"m", b"notice", b"", b"", b"7", b"tag", b"body", 10_000.0)
+        assert isinstance(relay.submit(request), Accepted)
         await asyncio.sleep(3.0)
 
     loop.run(scene())
     loop.close()
     assert len(connections.began_s) == 2 and loop.faults == []
-    return [at_s - connections.began_s[0] for at_s in receiver.calls], receiver.received, notices.told
+    return [at_s - connections.began_s[0] for at_s in receiver.calls], receiver.received, notices.published
 
 
 @pytest.mark.parametrize("comes_up_s", [WINDOW_S - MARGIN_S + 0.001, WINDOW_S, WINDOW_S + 0.1, WINDOW_S + 0.5])
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_sent(tmp_path, monkeypatch, comes_up_s):
+def test_retry_is_not_sent_when_its_connection_comes_up_after_its_window(tmp_path, monkeypatch, comes_up_s):
     calls, received, notices = play(tmp_path, monkeypatch, comes_up_s)
     assert len(calls) == 1 and received[1] == b""
     assert notices == [(b"m", False)]
 
 
-def test_the_last_byte_of_a_repeat_does_not_leave_after_its_window(tmp_path, monkeypatch):
+def test_last_byte_of_a_retry_does_not_leave_after_its_window(tmp_path, monkeypatch):
     calls, received, notices = play(tmp_path, monkeypatch, LAST_S + 0.001)
     assert len(calls) == 1 and received[1].endswith(b"\r\n\r\nbod")
     assert notices == [(b"m", False)]
 
 
-def test_a_repeat_whose_connection_comes_up_in_the_last_moment_of_its_window_is_sent(tmp_path, monkeypatch):
+def test_retry_is_sent_when_its_connection_comes_up_in_the_last_moment_of_its_window(tmp_path, monkeypatch):
     calls, received, _ = play(tmp_path, monkeypatch, LAST_S - 0.001)
     assert len(calls) == 2 and received[1].endswith(b"\r\n\r\nbody")
     assert calls[1] < WINDOW_S
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -6,56 +6,65 @@
 
 from dewpin.core import model
 from dewpin.core.slow_start import SlowStart
-from dewpin.relay import learnt
-from dewpin.relay.course import Relay
+from dewpin.ports import Accepted, AttemptResult, SubmitRequest
+from dewpin.relay import learned_state
 from dewpin.relay.facade import Facade
+from dewpin.relay.message_lifecycle import Relay
 from dewpin.spool.journal import Journal
 from dewpin.spool.records import MessageRecord
 from driver import settings, until
 
 
-def test_a_list_that_changes_for_ever_and_clients_that_name_anything_are_held_in_bounds():
+def test_facade_is_bounded_under_changing_lists_and_arbitrary_destinations():
     services = settings(effects=("safe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     services["Services"][0]["Name"] = "status"
     facade, spots = Facade(services, 1), [("127.0.0.1", 9000), ("127.0.0.1", 9001)]
     for at in range(1000):  # each takes over the address of the last but one, in a destination of its own
         ident = b"r%d" % at
-        left = facade.learn([(ident, at // 2, model.ReceiverState.READY, spots[at % 2], "a", "k", 1.0)], True)
+        left = facade.update_endpoints(
+            [(ident, at // 2, model.ReceiverState.READY, spots[at % 2], "a", "k", 1.0)], True
+        )
         assert (*spots[at % 2], ident) not in left
         assert at < 2 or (*spots[at % 2], b"r%d" % (at - 2)) in left
-        facade.take(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
-        while facade.tick(1e6) is not None:
-            facade.pick(1e6)
-    assert max(map(len, (facade.receivers, facade.destinations, facade.module.queues))) < 300
-    assert facade.full(b"499", 0.0) is None and facade.full(b"777", 0.0) > 0.0 and 777 not in facade.destinations
+        facade.add_message(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
+        while facade.time_until_due_ms(1e6) is not None:
+            facade.decide_due(1e6)
+    assert max(map(len, (facade.receivers, facade.destinations, facade.dispatcher.queues))) < 300
+    assert (
+        facade.overload_retry_after_ms(b"499", 0.0) is None
+        and facade.overload_retry_after_ms(b"777", 0.0) > 0.0
+        and 777 not in facade.destinations
+    )
 
 
-def test_an_ended_mail_leaves_nothing_for_the_collector(tmp_path, monkeypatch):
+def test_ended_message_is_freed_without_garbage_collection(tmp_path, monkeypatch):
     class Watched(MessageRecord):
         __slots__ = ("__weakref__",)
 
     class Outward:
-        def call(self, address, ident, tag, body, limit, leaves, done):
-            assert leaves() > 0.0
-            loop.call_soon(done, model.Outcome.DELIVERED if ident < b"m5" else model.Outcome.ERROR, 0.0, 5.0, {}, False)
+        def send(self, request):
+            assert request.open_send_window() > 0.0
+            outcome = model.Outcome.DELIVERED if request.message_id < b"m5" else model.Outcome.ERROR
+            loop.call_soon(request.on_finished, AttemptResult(outcome, 0.0, 5.0, {}, False))
 
-        def tell(self, ident, deferred, ms, answered):
-            loop.call_soon(answered)
+        def publish(self, message_id, is_deferred, retry_after_ms, on_acknowledged):
+            loop.call_soon(on_acknowledged)
 
     async def scene():
         facade, outward, kept = Facade(told, 1), Outward(), []
-        facade.learn([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
+        facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
         relay = Relay(loop, facade, Journal(tmp_path, 1e6), outward, outward)
         for at in range(10):
-            assert relay.hand_in(b"m%d" % at, b"charge", b"", b"", b"7", b"", b"body", 5000.0) == (True, 0.0)
-        assert len(relay.spool.pending) == 10
-        kept = [weakref.ref(one) for one in relay.spool.pending.values()]
-        await until(lambda: not relay.spool.pending)
+            request = SubmitRequest(b"m%d" % at, b"charge", b"", b"", b"7", b"", b"body", 5000.0)
+            assert isinstance(relay.submit(request), Accepted)
+        assert len(relay.journal.pending) == 10
+        kept = [weakref.ref(one) for one in relay.journal.pending.values()]
+        await until(lambda: not relay.journal.pending)
         await until(lambda: not any(one() for one in kept), 1.0)
 
     told = settings(effects=("unsafe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     told["Services"][0]["Name"] = "charge"
-    monkeypatch.setattr("dewpin.relay.course.MessageRecord", Watched)
+    monkeypatch.setattr("dewpin.relay.message_lifecycle.MessageRecord", Watched)
     loop = asyncio.new_event_loop()
     gc.disable()
     try:
@@ -65,15 +74,15 @@
         loop.close()
 
 
-def test_a_trickle_handed_over_rises_as_it_did():
+def test_slow_start_handed_over_goes_on_as_slow_start():
     services = settings(effects=("safe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     services["Services"][0]["Name"] = "status"
     old, new = Facade(services, 1), Facade(services, 2)
     for facade in (old, new):
-        facade.learn([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
+        facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
     receiver = old.receivers[b"r"]
-    old.module.sender.started_at = 0.0
-    old.module.queue_of(old.destination(7))
-    old.module.breaker.open(receiver, old.module.health_of(receiver), 0.0)
-    learnt.recall(new, learnt.told(old))
+    old.dispatcher.sender.started_at = 0.0
+    old.dispatcher.queue_of(old.destination(7))
+    old.dispatcher.breaker.open(receiver, old.dispatcher.health_of(receiver), 0.0)
+    learned_state.import_learned_state(new, learned_state.export_learned_state(old))
     assert type(new.receivers[b"r"].health.slow_start) is SlowStart
