--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -11,7 +11,7 @@
 from dewpin.controlplane.register.system_state import MOST_REMEMBERED_CONFIGURATIONS
 from dewpin.controlplane.storage import MAX_JOBS_IN_COMMIT
 from dewpin.dataplane.membership.cluster_agent import RENEWALS_IN_BOUND
-from dewpin.dataplane.programs.history_cache import DEFAULT_BYTES as CHAIN_CACHE_BYTES
+from dewpin.dataplane.programs.history_cache import DEFAULT_MAX_BYTES as CHAIN_CACHE_BYTES
 
 __all__ = [
     "CHAIN_CACHE_BYTES",
--- a/benchmarks/store_copy.py
+++ b/benchmarks/store_copy.py
@@ -221,7 +221,7 @@
     async def append(self, number):
         began_s = time.monotonic()
         turn = Turn(f"new-{number}", f"new-{number % 50}", None, b"x" * 500, b"y" * 800, 3600.0)
-        await self.client.append(turn, 10.0)
+        await self.client.store_turn(turn, 10.0)
         self.took_s.append(time.monotonic() - began_s)
 
     def worst_ms(self):
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -123,7 +123,7 @@
 
     async def _wind_up(self) -> None:
         """Releases the lease and settles the last turns, whose programs would else keep the most of them reserved."""
-        settled = self._store_client.settled() if self._store_client is not None else asyncio.sleep(0)
+        settled = self._store_client.wait_until_settled() if self._store_client is not None else asyncio.sleep(0)
         stopped = self.agent.stop() if self.agent is not None else asyncio.sleep(0)
         await asyncio.gather(stopped, settled)
 
--- a/dewpin/dataplane/membership/cluster_agent.py
+++ b/dewpin/dataplane/membership/cluster_agent.py
@@ -33,7 +33,7 @@
 from dewpin.cluster.settings_watch import reloaded
 from dewpin.dataplane.membership.body_fetch import BodyFetch
 from dewpin.dataplane.membership.control_server_list import ControlServerList
-from dewpin.dataplane.membership.local_system_state import HeldState
+from dewpin.dataplane.membership.local_system_state import LocalSystemState
 from dewpin.dataplane.membership.receiver_list import ReceiverList
 from dewpin.dataplane.membership.sender_count import SenderCount
 from dewpin.dataplane.membership.state_confirmation import StateConfirmation
@@ -71,7 +71,7 @@
         self.settings = settings
         self.address = data_plane_address(settings.ip, settings.port_range)
         self.sender = f"{settings.node_name}/{rng.getrandbits(48):012x}"
-        self.states = HeldState()
+        self.states = LocalSystemState()
         self._list = ReceiverList(platform or ThreadedPlatformReader(), rng, on_receivers, clock)
         self.directory = self._list.directory
         self.confirmation = StateConfirmation(clock())
--- a/dewpin/dataplane/membership/cluster_state.py
+++ b/dewpin/dataplane/membership/cluster_state.py
@@ -9,7 +9,7 @@
 
 from dewpin.cluster.configuration import Configuration
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.programs.program_store import StoreView
+from dewpin.cluster.store_view import StoreView
 
 _NO_RECEIVERS: Mapping[str, tuple[Receiver, ...]] = MappingProxyType({})
 
--- a/dewpin/dataplane/membership/local_system_state.py
+++ b/dewpin/dataplane/membership/local_system_state.py
@@ -6,7 +6,7 @@
 from dewpin.dataplane.membership.body_fetch import BodyName
 
 
-class HeldState:
+class LocalSystemState:
     """`whole`: the newest state whose configuration is here with its body; `told`: the newest state told of, which is
     the same one unless its body is lacking."""
 
--- a/dewpin/dataplane/programs/history_cache.py
+++ b/dewpin/dataplane/programs/history_cache.py
@@ -1,4 +1,4 @@
-"""Links of chains that are known to be durable, bounded by bytes and time; used from all threads of a sender."""
+"""A cache of turns that are known to be durable, limited by size and age; all threads of a sender use it."""
 
 from __future__ import annotations
 
@@ -8,63 +8,71 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-DEFAULT_BYTES = 8 * 1024 * 1024
+DEFAULT_MAX_BYTES = 8 * 1024 * 1024
 _ENTRY_OVERHEAD_BYTES = 300
+"""Approximate memory of an entry besides its content."""
 
 
 @dataclass(frozen=True, slots=True)
-class Link:
-    """One turn of a chain: its input and output joined, and the turn before it. Immutable, as turns are."""
+class CachedTurn:
+    """One turn of a conversation. It never becomes outdated, since turns are immutable.
 
-    previous: str | None
-    body: bytes
+    previous_id: the turn that it continues, None for the first of a conversation.
+    content: input and output joined.
+    """
 
+    previous_id: str | None
+    content: bytes
 
-class ChainCache:
-    """The links used last, by program and turn."""
 
-    def __init__(self, most_bytes: int = DEFAULT_BYTES, clock_s: Callable[[], float] = time.monotonic) -> None:
-        self._most_bytes = most_bytes
+class HistoryCache:
+    """The most recently used turns, by program and turn id.
+
+    Invariant: `_size_bytes` is the sum over all entries of content and `_ENTRY_OVERHEAD_BYTES`.
+    """
+
+    def __init__(self, max_bytes: int = DEFAULT_MAX_BYTES, clock_s: Callable[[], float] = time.monotonic) -> None:
+        self._max_bytes = max_bytes
         self._clock_s = clock_s
-        self._bytes = 0
-        self._links: OrderedDict[tuple[str, str], tuple[Link, float]] = OrderedDict()
+        self._size_bytes = 0
+        self._entries: OrderedDict[tuple[str, str], tuple[CachedTurn, float]] = OrderedDict()
         self._lock = threading.Lock()
 
-    def put(self, program: str, turn: str, link: Link, keep_s: float) -> None:
-        """Keep a link that a majority of the program's replicas holds, for `keep_s` at the longest."""
+    def put(self, program: str, turn_id: str, turn: CachedTurn, max_age_s: float) -> None:
+        """Add a turn that a majority of the program's replicas has stored, for at most `max_age_s`."""
         with self._lock:
-            self._drop((program, turn))
-            self._links[(program, turn)] = (link, self._clock_s() + keep_s)
-            self._bytes += len(link.body) + _ENTRY_OVERHEAD_BYTES
-            while self._bytes > self._most_bytes:
-                self._drop(next(iter(self._links)))
+            self._remove((program, turn_id))
+            self._entries[(program, turn_id)] = (turn, self._clock_s() + max_age_s)
+            self._size_bytes += len(turn.content) + _ENTRY_OVERHEAD_BYTES
+            while self._size_bytes > self._max_bytes:
+                self._remove(next(iter(self._entries)))
 
-    def get(self, program: str, turn: str) -> Link | None:
-        """Return a link, or None where it is not here or too old."""
+    def get(self, program: str, turn_id: str) -> CachedTurn | None:
+        """Return a turn, or None where it is not cached or has expired."""
         with self._lock:
-            found = self._links.get((program, turn))
-            if found is None:
+            entry = self._entries.get((program, turn_id))
+            if entry is None:
                 return None
-            link, until_s = found
-            if until_s <= self._clock_s():
-                self._drop((program, turn))
+            turn, expires_at_s = entry
+            if expires_at_s <= self._clock_s():
+                self._remove((program, turn_id))
                 return None
-            self._links.move_to_end((program, turn))
-            return link
+            self._entries.move_to_end((program, turn_id))
+            return turn
 
-    def whole_chain(self, program: str, last: str) -> bytes | None:
-        """Return the bytes of the chain that ends with turn `last`, oldest first; None if a link is not here."""
-        bodies: list[bytes] = []
-        turn: str | None = last
-        while turn is not None:
-            link = self.get(program, turn)
-            if link is None:
+    def complete_history(self, program: str, last_turn_id: str) -> bytes | None:
+        """Return the conversation that ends with a turn, oldest turn first; None if any turn of it is not cached."""
+        contents: list[bytes] = []
+        turn_id: str | None = last_turn_id
+        while turn_id is not None:
+            turn = self.get(program, turn_id)
+            if turn is None:
                 return None
-            bodies.append(link.body)
-            turn = link.previous
-        return b"".join(reversed(bodies))
+            contents.append(turn.content)
+            turn_id = turn.previous_id
+        return b"".join(reversed(contents))
 
-    def _drop(self, key: tuple[str, str]) -> None:
-        found = self._links.pop(key, None)
-        if found is not None:
-            self._bytes -= len(found[0].body) + _ENTRY_OVERHEAD_BYTES
+    def _remove(self, key: tuple[str, str]) -> None:
+        entry = self._entries.pop(key, None)
+        if entry is not None:
+            self._size_bytes -= len(entry[0].content) + _ENTRY_OVERHEAD_BYTES
--- a/dewpin/dataplane/programs/ledger.py
+++ b/dewpin/dataplane/programs/ledger.py
@@ -1,6 +1,6 @@
-"""The budget ledger of a program: the value of its register, and the changes made to it, as pure functions.
+"""The budget ledger of a program: the value of its register, and the changes to it, as pure functions.
 
-The turn's id makes each change idempotent: made again after an unclear outcome, it finds itself done.
+The turn's id makes each change idempotent: made again after an unclear outcome, it finds that it is made already.
 """
 
 from __future__ import annotations
@@ -8,63 +8,67 @@
 from collections.abc import Callable, Mapping
 from typing import TypedDict
 
-from dewpin.dataplane.programs.program_store import BudgetSpent
+from dewpin.dataplane.programs.errors import BudgetExceededError
 
 
 class Ledger(TypedDict):
-    """Tokens spent by settled turns, and the most of each turn that is not settled."""
+    """A program's tokens. The keys are those of the messages to the stores and of their database.
+
+    spent: tokens used by settled turns.
+    open: the reserved tokens of each turn that is not settled, by turn id.
+    """
 
     spent: int
     open: dict[str, int]
 
 
 Change = Callable[[Ledger | None], Ledger | None]
-"""Takes the present value (None before the first change); returns the next one, or the same object."""
+"""Maps the current value (None before the first change) to the next one; the same object stands for no change."""
 
 
-def committed(ledger: Ledger | None) -> int:
+def committed_tokens(ledger: Ledger | None) -> int:
     """Return the tokens that are spent or may yet be."""
     return 0 if ledger is None else ledger["spent"] + sum(ledger["open"].values())
 
 
-def fits(ledger: Ledger | None, turn: str, most: int, budget: int) -> bool:
-    """Tell whether the budget holds `most` tokens more, or already holds them for `turn`."""
-    if ledger is not None and turn in ledger["open"]:
+def can_reserve(ledger: Ledger | None, turn_id: str, max_tokens: int, budget: int) -> bool:
+    """Return whether the budget has room for `max_tokens` more, or they are reserved for the turn already."""
+    if ledger is not None and turn_id in ledger["open"]:
         return True
-    return committed(ledger) + most <= budget
+    return committed_tokens(ledger) + max_tokens <= budget
 
 
-def reserve(turn: str, most: int, budget: int) -> Change:
-    """Return the change that keeps `most` tokens for `turn`; it raises BudgetSpent."""
+def reserve(turn_id: str, max_tokens: int, budget: int) -> Change:
+    """Return the change that reserves `max_tokens` for a turn; it raises BudgetExceededError."""
 
     def change(ledger: Ledger | None) -> Ledger | None:
-        if ledger is not None and turn in ledger["open"]:
+        if ledger is not None and turn_id in ledger["open"]:
             return ledger
-        if not fits(ledger, turn, most, budget):
-            raise BudgetSpent(
-                f"{committed(ledger)} of {budget} tokens are spent or reserved, {most} more are asked for"
+        if not can_reserve(ledger, turn_id, max_tokens, budget):
+            raise BudgetExceededError(
+                f"{committed_tokens(ledger)} of {budget} tokens are spent or reserved, {max_tokens} more are asked for"
             )
         spent, reserved = (0, {}) if ledger is None else (ledger["spent"], ledger["open"])
-        return Ledger(spent=spent, open={**reserved, turn: most})
+        return Ledger(spent=spent, open={**reserved, turn_id: max_tokens})
 
     return change
 
 
-def settle(turn: str, used: int) -> Change:
-    """Return the change that replaces the reservation of `turn` by the tokens that it used."""
+def settle(turn_id: str, used_tokens: int) -> Change:
+    """Return the change that replaces the reservation of a turn by the tokens that it used."""
 
     def change(ledger: Ledger | None) -> Ledger | None:
-        if ledger is None or turn not in ledger["open"]:
+        if ledger is None or turn_id not in ledger["open"]:
             return ledger
-        still_open = {other: most for other, most in ledger["open"].items() if other != turn}
-        return Ledger(spent=ledger["spent"] + used, open=still_open)
+        still_open = {other: reserved for other, reserved in ledger["open"].items() if other != turn_id}
+        return Ledger(spent=ledger["spent"] + used_tokens, open=still_open)
 
     return change
 
 
-def after_settlements(used_by_turn: Mapping[str, int], change: Change) -> Change:
-    """Return the change that first settles some turns and then makes `change`."""
-    settlements = [settle(turn, used) for turn, used in used_by_turn.items()]
+def settle_then(used_by_turn: Mapping[str, int], change: Change) -> Change:
+    """Return the change that first settles the given turns and then makes `change`."""
+    settlements = [settle(turn_id, used_tokens) for turn_id, used_tokens in used_by_turn.items()]
 
     def combined(ledger: Ledger | None) -> Ledger | None:
         for settlement in settlements:
@@ -75,5 +79,5 @@
 
 
 def read(ledger: Ledger | None) -> Ledger | None:
-    """Change nothing: a read, which finishes what another sender left half done."""
+    """Change nothing: a read, which completes a change that another sender left unfinished."""
     return ledger
--- a/dewpin/dataplane/programs/ledger_client.py
+++ b/dewpin/dataplane/programs/ledger_client.py
@@ -1,4 +1,4 @@
-"""A sender's part in the budget ledgers: a compare-and-swap register for each program, over the program's replicas."""
+"""A sender's access to budget ledgers: a compare-and-swap register for each program, over the program's replicas."""
 
 from __future__ import annotations
 
@@ -7,155 +7,162 @@
 import logging
 import random
 from collections.abc import AsyncIterator, Callable, Iterable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Outcome, Result
 from dewpin.dataplane.programs import ledger
-from dewpin.dataplane.programs.background import BackgroundTasks, in_time
+from dewpin.dataplane.programs.background import BackgroundTasks, run_with_timeout
+from dewpin.dataplane.programs.errors import BudgetExceededError, StaleViewError, StoreUnavailableError
 from dewpin.dataplane.programs.ledger import Ledger
-from dewpin.dataplane.programs.ledger_ballot import CarriedBallot, LedgerBallot, LedgerBallots, ledger_reply
-from dewpin.dataplane.programs.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable
+from dewpin.dataplane.programs.ledger_ballot import LedgerBallot, LedgerProposer, PiggybackedBallot, ledger_reply
+from dewpin.dataplane.programs.program_store import Reservation, Settlement
 from dewpin.dataplane.programs.quorum_round import QuorumRound
-from dewpin.dataplane.programs.replica_calls import ReplicaCalls, Round, ViewHolder, ViewMoved
+from dewpin.dataplane.programs.replica_calls import ReplicaCalls
+from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
 
-SETTLE_FOR_S = 60.0
-"""For how long a settlement is tried; after that the reservation counts at its most for good."""
+SETTLEMENT_TIMEOUT_S = 60.0
+"""For how long a settlement is retried; after that the whole reservation counts as used for good."""
 FIRST_BACKOFF_S = 0.005
-MOST_BACKOFF_S = 0.1
-_KNOWN_OUTCOMES = (Outcome.CHOSEN, Outcome.UNCHANGED)
-"""The ledger's value is known, the change being made."""
+MAX_BACKOFF_S = 0.1
+_OUTCOMES_WITH_CHANGE_MADE = (Outcome.CHOSEN, Outcome.UNCHANGED)
+"""The change is made, and the ledger's value is known."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class _ProgramLock:
-    """Makes the changes of one program's ledger at this sender one after the other."""
+    """Serializes the changes that this sender makes to one program's ledger; dropped once it has no users."""
 
-    lock: asyncio.Lock
-    users: int
-
-    def __init__(self) -> None:
-        self.lock = asyncio.Lock()
-        self.users = 0
+    lock: asyncio.Lock = field(default_factory=asyncio.Lock)
+    users: int = 0
 
 
 class LedgerClient:
-    """Makes the changes of ledgers, under ballots of one sender (`proposer`)."""
+    """Changes ledgers, under ballots of one sender (`proposer_id`); each program lives on `replica_count` stores.
+
+    `_pending_settlements` has the tokens used by each turn that is not settled yet, by program and turn id. The next
+    change of the program settles all of them, whichever change that is.
+    """
 
     def __init__(
         self,
         calls: ReplicaCalls,
-        views: ViewHolder,
+        views: StoreViewTracker,
         replica_count: int,
-        proposer: str,
+        proposer_id: str,
         rng: random.Random,
         wall_clock_ms: Callable[[], int],
         background: BackgroundTasks,
     ) -> None:
         self._calls = calls
         self._views = views
-        self._ballots = LedgerBallots(replica_count, proposer, wall_clock_ms)
+        self._proposer = LedgerProposer(replica_count, proposer_id, wall_clock_ms)
         self._rng = rng
         self._background = background
         self._locks: dict[str, _ProgramLock] = {}
-        self._unsettled: dict[str, dict[str, int]] = {}
+        self._pending_settlements: dict[str, dict[str, int]] = {}
 
-    async def reserve(self, program: str, turn: str, most: int, budget: int, timeout_s: float) -> Reservation:
-        """Keep `most` tokens of the program's budget for a turn. Raises BudgetSpent, StoreUnavailable."""
-        reservation = Reservation(program, turn, most)
+    async def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
+        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError, StoreUnavailableError."""
+        reservation = Reservation(program, turn_id, max_tokens)
         try:
-            await in_time(self._reserve(program, turn, most, budget), timeout_s)
-        except BudgetSpent:
+            await run_with_timeout(self._reserve(program, turn_id, max_tokens, budget), timeout_s)
+        except BudgetExceededError:
             raise
-        except BaseException:  # the reservation may have been made: nothing runs under it, so it is taken back
+        except BaseException:  # the reservation may have been made, but its turn does not run: give it back
             self.settle(reservation, 0)
             raise
         return reservation
 
-    def settle(self, reservation: Reservation, used: int) -> None:
-        """Replace a reservation by the tokens that were handed out, behind or with the program's next change."""
-        self._unsettled.setdefault(reservation.program, {})[reservation.turn] = used
+    def settle(self, reservation: Reservation, used_tokens: int) -> None:
+        """Replace a reservation by the tokens that were used, in the background or with the program's next change."""
+        self._pending_settlements.setdefault(reservation.program, {})[reservation.turn_id] = used_tokens
         self._background.start(self._settle(reservation))
 
     @contextlib.asynccontextmanager
-    async def settling_beside(self, settlement: Settlement | None) -> AsyncIterator[CarriedBallot | None]:
-        """Give a ballot that settles, for a write to the program's replicas to carry, or None where none can be
-        carried. What is not settled at the end is settled behind."""
+    async def piggybacked_settlement(self, settlement: Settlement | None) -> AsyncIterator[PiggybackedBallot | None]:
+        """Provide a ballot that settles, to be sent along with a write to the program's replicas.
+
+        None where there is nothing to settle or the ballot cannot be sent along. What is not settled when the block
+        ends is settled in the background.
+        """
         if settlement is None:
             yield None
             return
         reservation = settlement.reservation
-        self._unsettled.setdefault(reservation.program, {})[reservation.turn] = settlement.used
+        self._pending_settlements.setdefault(reservation.program, {})[reservation.turn_id] = settlement.used_tokens
         try:
-            async with self._ballot_beside(reservation.program) as ballot:
+            async with self._piggybacked_ballot(reservation.program) as ballot:
                 yield ballot
         finally:
-            if reservation.turn in self._unsettled.get(reservation.program, {}):
+            if reservation.turn_id in self._pending_settlements.get(reservation.program, {}):
                 self._background.start(self._settle(reservation))
 
     @contextlib.asynccontextmanager
-    async def _ballot_beside(self, program: str) -> AsyncIterator[CarriedBallot | None]:
-        """Give a ballot that begins with its second round; None without a promise, or beside another change."""
-        view = self._views.view
-        if view is None or program in self._locks or not self._ballots.has_promise(program, view):
+    async def _piggybacked_ballot(self, program: str) -> AsyncIterator[PiggybackedBallot | None]:
+        """Provide a ballot that begins with its accept phase; None without a promise, or during another change."""
+        view = self._views.newest
+        if view is None or program in self._locks or not self._proposer.has_promise(program, view):
             yield None
             return
         async with self._locked(program):
-            settlements = dict(self._unsettled.get(program, {}))
-            ballot = self._ballots.begin(program, view, ledger.after_settlements(settlements, ledger.read))
+            settlements = dict(self._pending_settlements.get(program, {}))
+            ballot = self._proposer.begin_ballot(program, view, ledger.settle_then(settlements, ledger.read))
             try:
-                yield CarriedBallot(ballot)
+                yield PiggybackedBallot(ballot)
             finally:
-                result = self._ballots.end(ballot)
-                if result is not None and result.outcome in _KNOWN_OUTCOMES:
-                    self._forget_settled(program, settlements)
+                result = self._proposer.end_ballot(ballot)
+                if result is not None and result.outcome in _OUTCOMES_WITH_CHANGE_MADE:
+                    self._forget_settlements(program, settlements)
 
     async def read(self, program: str) -> Ledger | None:
-        """Return the ledger as a majority has it; what another sender left half done is finished."""
+        """Return the ledger as a majority has it; a change that another sender left unfinished is completed."""
         return await self.change(program, ledger.read)
 
-    async def _reserve(self, program: str, turn: str, most: int, budget: int) -> None:
+    async def _reserve(self, program: str, turn_id: str, max_tokens: int, budget: int) -> None:
         while True:
             try:
-                await self.change(program, ledger.reserve(turn, most, budget))
+                await self.change(program, ledger.reserve(turn_id, max_tokens, budget))
                 return
-            except BudgetSpent:
-                self._ballots.forget_promise(program)
-                proved = await self.change(program, ledger.read)
-                if not ledger.fits(proved, turn, most, budget):
+            except BudgetExceededError:  # the value may be one that was never chosen: only a read proves it
+                self._proposer.forget_promise(program)
+                proven = await self.change(program, ledger.read)
+                if not ledger.can_reserve(proven, turn_id, max_tokens, budget):
                     raise
 
     async def _settle(self, reservation: Reservation) -> None:
-        program, turn = reservation.program, reservation.turn
+        program, turn_id = reservation.program, reservation.turn_id
         try:
-            await in_time(self.change(program, ledger.read, only_if_unsettled=turn), SETTLE_FOR_S)
-        except StoreUnavailable:
-            log.warning("store_client.not_settled", extra={"program": program, "turn": turn})
-            self._forget_settled(program, [turn])
-
-    def _forget_settled(self, program: str, turns: Iterable[str]) -> None:
-        """Note that settlements are made, or given up."""
-        unsettled = self._unsettled.get(program, {})
-        for turn in turns:
-            unsettled.pop(turn, None)
-        if not unsettled:
-            self._unsettled.pop(program, None)
+            change = self.change(program, ledger.read, only_if_unsettled=turn_id)
+            await run_with_timeout(change, SETTLEMENT_TIMEOUT_S)
+        except StoreUnavailableError:
+            log.warning("store_client.not_settled", extra={"program": program, "turn": turn_id})
+            self._forget_settlements(program, [turn_id])
+
+    def _forget_settlements(self, program: str, turn_ids: Iterable[str]) -> None:
+        """Remove settlements that are made, or given up."""
+        pending = self._pending_settlements.get(program, {})
+        for turn_id in turn_ids:
+            pending.pop(turn_id, None)
+        if not pending:
+            self._pending_settlements.pop(program, None)
 
     async def change(self, program: str, change: ledger.Change, only_if_unsettled: str | None = None) -> Ledger | None:
         """Make a change of the program's ledger, in as many ballots as it takes; return the chosen value.
 
-        With `only_if_unsettled`, nothing is done if an earlier change has settled that turn.
+        With `only_if_unsettled`, a turn id, nothing is done if an earlier change has settled that turn.
         """
         async with self._locked(program):
-            if only_if_unsettled is not None and only_if_unsettled not in self._unsettled.get(program, {}):
+            pending = self._pending_settlements.get(program, {})
+            if only_if_unsettled is not None and only_if_unsettled not in pending:
                 return None
             return await self._change_locked(program, change)
 
     @contextlib.asynccontextmanager
     async def _locked(self, program: str) -> AsyncIterator[None]:
-        """Keep the other changes of a program's ledger at this sender waiting."""
+        """Keep the other changes that this sender makes to a program's ledger waiting."""
         lock = self._locks.setdefault(program, _ProgramLock())
         lock.users += 1
         try:
@@ -169,37 +176,36 @@
     async def _change_locked(self, program: str, change: ledger.Change) -> Ledger | None:
         backoff_s = FIRST_BACKOFF_S
         while True:
-            view = await self._views.current()
-            settlements = dict(self._unsettled.get(program, {}))
-            had_promise = self._ballots.has_promise(program, view)
+            view = await self._views.wait_for_view()
+            settlements = dict(self._pending_settlements.get(program, {}))
+            had_promise = self._proposer.has_promise(program, view)
             try:
-                result = await self._one_ballot(program, view, ledger.after_settlements(settlements, change))
-            except ViewMoved:
+                result = await self._run_ballot(program, view, ledger.settle_then(settlements, change))
+            except StaleViewError:
                 continue
-            if result is not None and result.outcome in _KNOWN_OUTCOMES:
-                self._forget_settled(program, settlements)
+            if result is not None and result.outcome in _OUTCOMES_WITH_CHANGE_MADE:
+                self._forget_settlements(program, settlements)
                 value: Ledger | None = result.value
                 return value
             if result is not None and result.outcome is Outcome.CONFIRMED:
                 continue
-            if result is not None and had_promise:  # another sender has used the ledger since: no race with it yet
+            if result is not None and had_promise:  # another sender changed the ledger since: no reason to back off yet
                 continue
             await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
-            backoff_s = min(2 * backoff_s, MOST_BACKOFF_S)
-
-    async def _one_ballot(self, program: str, view: StoreView, change: ledger.Change) -> Result | None:
-        """Run one ballot; None if nobody knows how it ended."""
-        ballot = self._ballots.begin(program, view, change)
-        await self._drive(ballot)
-        return self._ballots.end(ballot)
-
-    async def _drive(self, ballot: LedgerBallot) -> None:
-        """Send the ballot's requests and feed it the replies, until it ends or nobody is left to answer."""
-        until_s = asyncio.get_running_loop().time() + SETTLE_FOR_S
-        with Round(self._calls, ballot.view, ledger_reply) as task_round:
-            quorum_round = QuorumRound(self._calls, task_round, ballot.sets, until_s)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
+
+    async def _run_ballot(self, program: str, view: StoreView, change: ledger.Change) -> Result | None:
+        """Run one ballot; None if its outcome is unknown."""
+        ballot = self._proposer.begin_ballot(program, view, change)
+        await self._exchange_messages(ballot)
+        return self._proposer.end_ballot(ballot)
+
+    async def _exchange_messages(self, ballot: LedgerBallot) -> None:
+        """Send the ballot's requests and pass the replies to it, until it ends or no further reply can come."""
+        until_s = asyncio.get_running_loop().time() + SETTLEMENT_TIMEOUT_S
+        with QuorumRound(self._calls, ballot.view, ledger_reply, ballot.quorum_sets, until_s) as quorum_round:
             quorum_round.ask(ballot.start())
-            while not ballot.has_ended and quorum_round.may_answer:
-                answer = await quorum_round.next_answer()
-                if answer.content is not None:
-                    quorum_round.ask(ballot.receive(answer.member, answer.content))
+            while not ballot.has_ended and quorum_round.may_get_replies:
+                reply = await quorum_round.next_reply()
+                if reply.content is not None:
+                    quorum_round.ask(ballot.receive(reply.member, reply.content))
--- a/dewpin/dataplane/programs/program_store.py
+++ b/dewpin/dataplane/programs/program_store.py
@@ -1,102 +1,96 @@
-"""What the request path asks of the stores: budgets and turns of agent programs.
+"""What the request path needs of the stores: budgets and turns of agent programs.
 
-`ProgramStore` is a blocking facade that request threads call. Its errors are `TierError`s, so that they reach the
-client through the one table of answers in `dewpin.cluster.errors`.
+`ProgramStore` is a blocking interface that request threads call. Its errors are those of
+`dewpin.dataplane.programs.errors`.
 """
 
 from dataclasses import dataclass
 from typing import Protocol
 
-from dewpin.cluster.errors import ErrorKind, TierError
-from dewpin.cluster.store_view import Member, StoreView
-
-__all__ = [
-    "BegunTurn",
-    "BudgetSpent",
-    "Member",
-    "ProgramStore",
-    "Reservation",
-    "Settlement",
-    "StoreUnavailable",
-    "StoreView",
-    "Turn",
-    "TurnUnknown",
-]
-
-
-class BudgetSpent(TierError):
-    """The budget of the program does not hold the most that this turn may generate."""
-
-    def __init__(self, detail: str = "") -> None:
-        super().__init__(ErrorKind.BUDGET_SPENT, detail)
-
-
-class TurnUnknown(TierError):
-    """There surely is no such turn."""
-
-    def __init__(self, detail: str = "") -> None:
-        super().__init__(ErrorKind.TURN_UNKNOWN, detail)
-
-
-class StoreUnavailable(TierError):
-    """Too few stores answered in time; whether the operation took effect is unknown."""
-
-    def __init__(self, detail: str = "") -> None:
-        super().__init__(ErrorKind.STORE_UNAVAILABLE, detail)
-
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Tokens set aside for one turn out of its program's budget."""
+    """Tokens that are reserved for one turn in its program's budget.
+
+    program: id of the agent program.
+    turn_id: id of the turn, which makes reserving and settling idempotent.
+    max_tokens: the most tokens that the turn may generate.
+    """
 
     program: str
-    turn: str
-    most: int
+    turn_id: str
+    max_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
 class Settlement:
-    """The end of a reservation: how many of its tokens were handed out."""
+    """The end of a reservation: how many of its tokens the client received."""
 
     reservation: Reservation
-    used: int
+    used_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class BegunTurn:
-    """What a turn that goes on from another one needs before it is sent; `chain` as `ProgramStore.chain` returns it."""
+class TurnStart:
+    """What a turn that continues a conversation needs before it is forwarded.
+
+    history: the conversation so far, as `ProgramStore.read_history` returns it.
+    """
 
     reservation: Reservation
-    chain: bytes
+    history: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """A turn that ended whole. `output` is the data of each event with a line feed behind it."""
+    """A turn that is complete.
+
+    previous_id: the turn that this one continues, None for the first of a conversation.
+    output: the data of each event, each followed by a line feed.
+    retain_s: for how long the stores have to keep the turn.
+    """
 
     id: str
     program: str
-    previous: str | None
+    previous_id: str | None
     input: bytes
     output: bytes
     retain_s: float
 
 
 class ProgramStore(Protocol):
-    """Budgets and turns; every method may be called from any thread."""
+    """Budgets and turns. Every method may be called from any thread.
+
+    Budgets and numbers of tokens are whole tokens. `timeout_s` limits how long a method waits for the stores.
+    """
+
+    def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
+        """Reserve the most tokens that a turn may generate, before it is forwarded.
+
+        Raises BudgetExceededError or StoreUnavailableError.
+        """
+
+    def settle(self, reservation: Reservation, used_tokens: int) -> None:
+        """Replace a reservation by the tokens that the client received.
+
+        Returns at once; retried in the background."""
+
+    def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
+        """Return input and output of each turn up to `previous_id`, oldest first.
 
-    def reserve(self, program: str, turn: str, most: int, budget: int, timeout_s: float) -> Reservation:
-        """Set the most of a turn aside before it is sent; raises BudgetSpent or StoreUnavailable."""
+        Raises TurnNotFoundError or StoreUnavailableError.
+        """
 
-    def settle(self, reservation: Reservation, used: int) -> None:
-        """Tell how many tokens were handed out; returns at once, is repeated in the background."""
+    def begin_turn(
+        self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
+    ) -> TurnStart:
+        """Reserve and read the conversation history concurrently.
 
-    def chain(self, program: str, previous: str, timeout_s: float) -> bytes:
-        """Return input and output of each turn up to `previous`, oldest first; raises TurnUnknown, StoreUnavailable."""
+        Raises what either of them raises; the reservation is given back then.
+        """
 
-    def begin(self, program: str, turn: str, most: int, budget: int, previous: str, timeout_s: float) -> BegunTurn:
-        """Reserve and read the chain side by side; raises what either raises, and then keeps no reservation."""
+    def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
+        """Store a turn, which is durable when this returns; raises StoreUnavailableError.
 
-    def append(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Keep a turn; it is durable when this returns; raises StoreUnavailable. A settlement goes along with it and is
-        repeated in the background, whether the turn is kept or not."""
+        The settlement is sent along and retried in the background, whether the turn is stored or not.
+        """
--- a/dewpin/dataplane/programs/quorum_round.py
+++ b/dewpin/dataplane/programs/quorum_round.py
@@ -1,98 +1,122 @@
-"""A round of calls that asks no more replicas than are needed, and the others once that takes too long.
+"""A round of calls that asks no more replicas than a quorum needs, and the others once that takes too long.
 
-Of each replica set the nearest majority is asked first, and beside it whoever has to prove now that it answers. The
-others are asked as soon as one of the first fails or takes longer than the slowest of them usually does. To the
-replicas a request that is never made is one that was lost on its way, so what holds for a round that asks all of them
-holds for this one.
+Of each replica set the nearest majority is asked first, and beside it the replicas that are due for a probe. The others
+are asked (hedged requests) as soon as one of the first fails or takes longer than the slowest of them usually does. To
+the protocol, a request that is never made is like one that the network lost, so what holds for a round that asks all
+replicas holds for this one.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Collection, Mapping, Sequence
+from collections.abc import Callable, Collection, Mapping, Sequence
 from typing import Generic, TypeVar
 
 from dewpin.cluster.placement import majority
+from dewpin.cluster.rpc import Message
 from dewpin.cluster.store_requests import SenderRequest
-from dewpin.dataplane.programs.replica_calls import Answer, ReplicaCalls, Round
+from dewpin.cluster.store_view import StoreView
+from dewpin.dataplane.programs.replica_calls import ReplicaCalls, ReplicaReply, ReplicaRound
 
-HEDGE_TIMES = 3.0
-"""The others are asked after so many usual times of the slowest replica that was asked."""
-LEAST_HEDGE_S = 0.02
-MOST_HEDGE_S = 0.2
+HEDGE_LATENCY_FACTOR = 3.0
+"""The others are asked after so many times the latency of the slowest replica that was asked."""
+MIN_HEDGE_DELAY_S = 0.02
+MAX_HEDGE_DELAY_S = 0.2
 
 Content = TypeVar("Content")
 ReplicaSet = frozenset[str]
 
 
 class QuorumRound(Generic[Content]):
-    """Asks the nearest majorities of `sets` in a round, and then the other members."""
+    """Asks the nearest majorities of the quorum sets, and then the other members; a context manager.
+
+    calls, view, decode, continues_after_end: as of `ReplicaRound`.
+    quorum_sets: the replica sets of which a majority each is wanted.
+    until_s: end of all retries, by the loop's clock.
+    replica_round: the calls themselves; it ends with the block.
+
+    Invariant: `_deferred` holds the requests of the last `ask` that were not sent to anybody yet.
+    """
 
     def __init__(
-        self, calls: ReplicaCalls, task_round: Round[Content], sets: Sequence[ReplicaSet], until_s: float
+        self,
+        calls: ReplicaCalls,
+        view: StoreView,
+        decode: Callable[[Message], Content],
+        quorum_sets: Sequence[ReplicaSet],
+        until_s: float,
+        continues_after_end: bool = False,
     ) -> None:
+        self.replica_round = ReplicaRound(calls, view, decode, self._ask_deferred, continues_after_end)
         self._health = calls.health
-        self._round = task_round
-        self._sets = sets
-        self._members = frozenset().union(*sets)
+        self._quorum_sets = quorum_sets
+        self._members: frozenset[str] = frozenset().union(*quorum_sets)
         self._until_s = until_s
-        self._held_back: Mapping[str, SenderRequest] = {}
-        self._unanswered: set[str] = set()
+        self._deferred: Mapping[str, SenderRequest] = {}
+        self._awaited: set[str] = set()
         self._hedge_at_s = 0.0
-        task_round.on_failure = self._ask_the_others
+
+    def __enter__(self) -> QuorumRound[Content]:
+        self.replica_round.__enter__()
+        return self
+
+    def __exit__(self, *details: object) -> None:
+        self.replica_round.__exit__(*details)
 
     @property
-    def may_answer(self) -> bool:
-        """Tell whether an answer may still come."""
-        return bool(self._round.unanswered or self._held_back)
+    def may_get_replies(self) -> bool:
+        """Whether a further reply may come."""
+        return bool(self.replica_round.unanswered or self._deferred)
 
     def ask(self, requests: Mapping[str, SenderRequest]) -> None:
-        """Ask the nearest members, by id; what was held back of the requests before is asked of nobody any more."""
+        """Send requests, by member id, to the nearest members; the deferred ones of the last call are dropped."""
         if not requests:
             return
         now_s = asyncio.get_running_loop().time()
-        ranked = self._health.nearest_first(self._round.view, self._members, now_s)
-        nearest = nearest_majorities(self._sets, ranked)
-        probed = self._health.take_due_probes(requests.keys() - nearest, now_s)
+        ranked = self._health.nearest_first(self.replica_round.view, self._members, now_s)
+        nearest = nearest_majorities(self._quorum_sets, ranked)
+        probed = self._health.claim_due_probes(requests.keys() - nearest, now_s)
         first = {member: request for member, request in requests.items() if member in nearest or member in probed}
-        self._held_back = {member: request for member, request in requests.items() if member not in first}
-        usual_s = max((self._health.usual_s(member, now_s) for member in nearest), default=0.0)
-        self._hedge_at_s = now_s + min(MOST_HEDGE_S, max(LEAST_HEDGE_S, HEDGE_TIMES * usual_s))
-        self._unanswered = set(nearest)
-        self._ask_now(first)
-
-    async def next_answer(self) -> Answer[Content]:
-        """Return the next answer. Raises ViewMoved once any member is known to be of a newer view."""
-        if self._held_back and self._round.unanswered:
+        self._deferred = {member: request for member, request in requests.items() if member not in first}
+        latency_s = max((self._health.expected_latency_s(member, now_s) for member in nearest), default=0.0)
+        delay_s = min(MAX_HEDGE_DELAY_S, max(MIN_HEDGE_DELAY_S, HEDGE_LATENCY_FACTOR * latency_s))
+        self._hedge_at_s = now_s + delay_s
+        self._awaited = set(nearest)
+        self._send(first)
+
+    async def next_reply(self) -> ReplicaReply[Content]:
+        """Return the next reply. Raises StaleViewError once any member is known to have a newer view."""
+        if self._deferred and self.replica_round.unanswered:
             try:
                 async with asyncio.timeout_at(self._hedge_at_s):
-                    return self._looked_at(await self._round.next_answer())
+                    return self._checked(await self.replica_round.next_reply())
             except TimeoutError:
-                for member in self._unanswered:
-                    self._health.note_failure(member, self._hedge_at_s)
-        self._ask_the_others()
-        return self._looked_at(await self._round.next_answer())
-
-    def _looked_at(self, answer: Answer[Content]) -> Answer[Content]:
-        self._unanswered.discard(answer.member)
-        if answer.content is None:
-            self._ask_the_others()
-        return answer
-
-    def _ask_the_others(self) -> None:
-        held_back, self._held_back = self._held_back, {}
-        if not self._round.finished:
-            self._ask_now(held_back)
-
-    def _ask_now(self, requests: Mapping[str, SenderRequest]) -> None:
+                for member in self._awaited:
+                    self._health.record_failure(member, self._hedge_at_s)
+        self._ask_deferred()
+        return self._checked(await self.replica_round.next_reply())
+
+    def _checked(self, reply: ReplicaReply[Content]) -> ReplicaReply[Content]:
+        """Return the reply, after asking the other members if it stands for a failure."""
+        self._awaited.discard(reply.member)
+        if reply.content is None:
+            self._ask_deferred()
+        return reply
+
+    def _ask_deferred(self) -> None:
+        deferred, self._deferred = self._deferred, {}
+        if not self.replica_round.has_ended:
+            self._send(deferred)
+
+    def _send(self, requests: Mapping[str, SenderRequest]) -> None:
         for member, request in requests.items():
-            self._round.ask([member], request, self._until_s)
+            self.replica_round.ask([member], request, self._until_s)
 
 
-def nearest_majorities(sets: Sequence[ReplicaSet], ranked: Sequence[str]) -> Collection[str]:
-    """Return members that make a majority of each set, by their rank; the sets share as many as they have to."""
+def nearest_majorities(quorum_sets: Sequence[ReplicaSet], ranked: Sequence[str]) -> Collection[str]:
+    """Return members that make a majority of each set, chosen by their rank; the sets share as many as they can."""
     chosen: set[str] = set()
-    for members in sets:
+    for members in quorum_sets:
         missing = majority(len(members)) - len(chosen & members)
         candidates = [member for member in ranked if member in members and member not in chosen]
         chosen.update(candidates[: max(0, missing)])
--- a/dewpin/dataplane/programs/replica_calls.py
+++ b/dewpin/dataplane/programs/replica_calls.py
@@ -1,8 +1,8 @@
-"""Calls of a sender to the replicas of a key: many at once, each repeated while it is of use.
+"""Calls of a sender to the replicas of a program: concurrent, each retried while its reply is of use.
 
-Whoever owns a `Round` chooses whom to ask (`quorum_round`) and when it has enough. The round hands out the answers as
-they come; with `hand_off`, what is still unanswered then goes on in the background, so that a slow replica neither
-holds the owner up nor misses the record.
+The owner of a `ReplicaRound` chooses which members to ask (see `quorum_round`) and when it has enough replies. The
+round delivers replies as they arrive. With `continues_after_end`, the calls that are unanswered when the owner is done
+continue in the background, so that a slow replica neither delays the owner nor misses the record.
 """
 
 from __future__ import annotations
@@ -20,201 +20,210 @@
 from dewpin.cluster.running_tasks import forget_current_task
 from dewpin.cluster.store_requests import RequestHeader, SenderRequest
 from dewpin.cluster.store_view import StoreView
+from dewpin.dataplane.programs.errors import StaleViewError
 from dewpin.dataplane.programs.replica_health import ReplicaHealth
+from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
 
 ATTEMPT_TIMEOUT_S = 0.6
-FIRST_PAUSE_S = 0.03
-MOST_PAUSE_S = 1.0
-MALFORMED_ANSWER = "malformed_answer"
-"""The kind of the error that stands for an answer which is none to its question."""
+FIRST_BACKOFF_S = 0.03
+MAX_BACKOFF_S = 1.0
+MALFORMED_REPLY = "malformed_answer"
+"""Kind of the RpcError that stands for a reply that cannot be decoded."""
 
 log = logging.getLogger(__name__)
 Content = TypeVar("Content")
-"""What an answer says."""
+"""What the decoded reply of a round is."""
 
 
-class Calls(Protocol):
+class RpcCaller(Protocol):
     """The part of an RpcClient that is needed here."""
 
     async def call(self, address: str, message: Message, timeout_s: float) -> Message:
-        """Return the answer; raises RpcError."""
-
-
-class ViewMoved(Exception):
-    """A newer view of the stores is known: what was begun under the old one begins anew."""
+        """Return the reply; raises RpcError."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer(Generic[Content]):
-    """What came of one member: what its answer says, or None when it failed for good; `moved` for a newer view."""
+class ReplicaReply(Generic[Content]):
+    """How the call to one member ended.
+
+    content: the decoded reply, None if the call failed for good.
+    has_newer_view: whether it failed because a newer store view is known.
+    """
 
     member: str
     content: Content | None
-    moved: bool = False
+    has_newer_view: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class _EncodedRequest:
-    """A request's type and fields, made once for all members that are asked."""
+    """A request's type and fields, encoded once for all members that are asked."""
 
     kind: str
     fields: Message
 
-    def to_member(self, view: StoreView, member: str, tells_view: bool) -> Message:
-        """The message for one member; with the view itself where the member is behind."""
-        return RequestHeader(view.epoch, member, view if tells_view else None).encode(self.kind, self.fields)
-
-
-class ViewHolder:
-    """The newest view that this sender knows."""
-
-    def __init__(self) -> None:
-        self.view: StoreView | None = None
-        self._known = asyncio.Event()
-
-    def adopt(self, view: StoreView) -> None:
-        """Take a view if it is newer."""
-        if self.view is None or view.epoch > self.view.epoch:
-            self.view = view
-            self._known.set()
-
-    async def current(self) -> StoreView:
-        """Return the newest view, once there is one with members."""
-        await self._known.wait()
-        assert self.view is not None
-        return self.view
+    def for_member(self, view: StoreView, member: str, includes_view: bool) -> Message:
+        """Return the message for one member, with the view itself where the member's view is older."""
+        return RequestHeader(view.epoch, member, view if includes_view else None).encode(self.kind, self.fields)
 
 
 class ReplicaCalls:
-    """Makes the calls, and remembers how long each member takes."""
+    """Makes the calls of a process at `location`, and measures how long each member takes (`health`)."""
 
-    def __init__(self, calls: Calls, views: ViewHolder, rng: random.Random, location: str = "") -> None:
-        """Make them for a process at `location`."""
-        self._calls = calls
+    def __init__(self, rpc: RpcCaller, views: StoreViewTracker, rng: random.Random, location: str = "") -> None:
+        self._rpc = rpc
         self._views = views
         self._rng = rng
         self.health = ReplicaHealth(location, rng)
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, task_round: Round[Content], member: str, request: _EncodedRequest, until_s: float) -> None:
-        """Ask one member, again and again until `until_s` of the loop's clock; the round gets one answer."""
-        self._tasks.add(asyncio.ensure_future(self._run(task_round, member, request, until_s)))
+    def start(
+        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, until_s: float
+    ) -> None:
+        """Call one member, with retries until `until_s` of the loop's clock; the round gets exactly one reply."""
+        self._tasks.add(asyncio.ensure_future(self._run(replica_round, member, request, until_s)))
 
     def close(self) -> None:
-        """Give all calls up."""
+        """Cancel all calls."""
         for task in self._tasks:
             task.cancel()
 
-    async def _run(self, task_round: Round[Content], member: str, request: _EncodedRequest, until_s: float) -> None:
-        answer: Answer[Content] = Answer(member, None)
+    async def _run(
+        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, until_s: float
+    ) -> None:
+        reply: ReplicaReply[Content] = ReplicaReply(member, None)
         try:
-            content = await self._ask(task_round, member, request, until_s)
-            answer = Answer(member, content)
-        except ViewMoved:
-            answer = Answer(member, None, moved=True)
+            content = await self._call_with_retries(replica_round, member, request, until_s)
+            reply = ReplicaReply(member, content)
+        except StaleViewError:
+            reply = ReplicaReply(member, None, has_newer_view=True)
         except RpcError:
-            pass  # the silence of one replica is no event: the owner of the round counts the others
-        except Exception as fault:
-            log.exception("replica_calls.fault", extra={"member": member, "why": repr(fault)})
+            pass  # one replica without a reply is normal: the owner of the round counts the others
+        except Exception as error:
+            log.exception("replica_calls.fault", extra={"member": member, "why": repr(error)})
         finally:
-            task_round.answers.put_nowait(answer)
+            replica_round.replies.put_nowait(reply)
             forget_current_task(self._tasks)
 
-    async def _ask(self, task_round: Round[Content], member: str, request: _EncodedRequest, until_s: float) -> Content:
-        """Return what the member answers. Raises ViewMoved, or RpcError when the time is over, nobody waits, or the
-        member takes the request for malformed."""
+    async def _call_with_retries(
+        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, until_s: float
+    ) -> Content:
+        """Return the member's decoded reply.
+
+        Raises StaleViewError, or RpcError when the time is over, the round has ended or the member rejects the request
+        as malformed.
+        """
         loop = asyncio.get_running_loop()
-        view = task_round.view
-        pause_s = FIRST_PAUSE_S
-        tells_view = False
+        backoff_s = FIRST_BACKOFF_S
+        includes_view = False
         while True:
-            self._check_epoch(view)
-            begun_s = loop.time()
-            timeout_s = min(ATTEMPT_TIMEOUT_S, until_s - begun_s)
+            self._check_epoch(replica_round.view)
+            started_s = loop.time()
+            timeout_s = min(ATTEMPT_TIMEOUT_S, until_s - started_s)
             if timeout_s <= 0:
                 raise RpcError("timeout", member)
-            message = request.to_member(view, member, tells_view)
             try:
-                answer = await self._calls.call(view.members[member].address, message, timeout_s)
-                content = _content_of(answer, task_round.decode, member)
-            except RpcError as failure:
-                self.health.note_failure(member, loop.time())
-                task_round.on_failure()
-                if failure.kind == wire.MALFORMED:
-                    log.error("replica_calls.refused", extra={"member": member, "why": failure.detail})
+                content = await self._call_once(replica_round, member, request, includes_view, timeout_s)
+            except RpcError as error:
+                self.health.record_failure(member, loop.time())
+                replica_round.on_failure()
+                if error.kind == wire.MALFORMED:
+                    log.error("replica_calls.refused", extra={"member": member, "why": error.detail})
                     raise
-                if failure.kind == wire.STALE_EPOCH:
-                    self._learn_view(failure)
-                    self._check_epoch(view)
-                    if not tells_view:  # the store is behind: it takes the view from the next request
-                        tells_view = True
+                if error.kind == wire.STALE_EPOCH:
+                    self._adopt_view_of(error)
+                    self._check_epoch(replica_round.view)
+                    if not includes_view:  # the store's view is older: it takes the newer one from the next request
+                        includes_view = True
                         continue
-                if task_round.finished and not task_round.hand_off:
+                if replica_round.has_ended and not replica_round.continues_after_end:
                     raise
-                await asyncio.sleep(pause_s * (0.5 + self._rng.random()))
-                pause_s = min(2 * pause_s, MOST_PAUSE_S)
+                await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
                 continue
-            self.health.note_answer(member, loop.time() - begun_s, loop.time())
+            self.health.record_reply(member, loop.time() - started_s, loop.time())
             return content
 
+    async def _call_once(
+        self,
+        replica_round: ReplicaRound[Content],
+        member: str,
+        request: _EncodedRequest,
+        includes_view: bool,
+        timeout_s: float,
+    ) -> Content:
+        """Return the decoded reply to one attempt; raises RpcError, also for a reply that cannot be decoded."""
+        view = replica_round.view
+        message = request.for_member(view, member, includes_view)
+        reply = await self._rpc.call(view.members[member].address, message, timeout_s)
+        try:
+            return replica_round.decode(reply)
+        except MalformedMessageError as error:
+            log.error("replica_calls.malformed_answer", extra={"member": member, "why": str(error)})
+            raise RpcError(MALFORMED_REPLY, str(error)) from error
+
     def _check_epoch(self, view: StoreView) -> None:
-        newest = self._views.view
+        newest = self._views.newest
         if newest is not None and newest.epoch > view.epoch:
-            raise ViewMoved
+            raise StaleViewError
 
-    def _learn_view(self, failure: RpcError) -> None:
-        """Take the view that a store told when it refused an epoch."""
-        told = failure.message.get("view")
-        if told is not None:
-            self._views.adopt(StoreView.from_json(told))
+    def _adopt_view_of(self, error: RpcError) -> None:
+        """Adopt the view that a store sent when it rejected an epoch."""
+        view = error.message.get("view")
+        if view is not None:
+            self._views.adopt(StoreView.from_json(view))
 
 
-class Round(Generic[Content]):
-    """The answers of several members to one question under one view; `decode` reads an answer and raises
-    MalformedMessageError if it is none.
+def _do_nothing() -> None:
+    """Ignore a failed attempt."""
 
-    With `hand_off`, members that have not answered are asked on after the owner has enough.
+
+class ReplicaRound(Generic[Content]):
+    """The replies of several members to one question under one view; a context manager that ends with its block.
+
+    view: the store view under which members are asked.
+    decode: makes a reply's content of its message; raises MalformedMessageError.
+    on_failure: called when an attempt at a member fails, although it is retried.
+    continues_after_end: whether members that have not replied are asked on after the round has ended.
+    replies: each member that was asked appears in it exactly once.
+    unanswered: number of members that were asked and whose reply was not taken by `next_reply`.
+    has_ended: whether the owner has left the block.
     """
 
     def __init__(
-        self, calls: ReplicaCalls, view: StoreView, decode: Callable[[Message], Content], hand_off: bool = False
+        self,
+        calls: ReplicaCalls,
+        view: StoreView,
+        decode: Callable[[Message], Content],
+        on_failure: Callable[[], None] = _do_nothing,
+        continues_after_end: bool = False,
     ) -> None:
         self.view = view
         self.decode = decode
-        self.hand_off = hand_off
-        self.finished = False
-        self.on_failure: Callable[[], None] = lambda: None
-        """Called when a member gives no answer to an attempt, although it is asked again."""
-        self.answers: asyncio.Queue[Answer[Content]] = asyncio.Queue()
+        self.on_failure = on_failure
+        self.continues_after_end = continues_after_end
+        self.has_ended = False
+        self.replies: asyncio.Queue[ReplicaReply[Content]] = asyncio.Queue()
         self.unanswered = 0
         self._calls = calls
 
     def ask(self, members: Iterable[str], request: SenderRequest, until_s: float) -> None:
-        """Ask some members more."""
+        """Ask further members, with retries until `until_s` of the loop's clock."""
         encoded = _EncodedRequest(request.kind, request.fields())
         for member in members:
             self.unanswered += 1
             self._calls.start(self, member, encoded, until_s)
 
-    async def next_answer(self) -> Answer[Content]:
-        """Return the next answer. Raises ViewMoved once any member is known to be of a newer view."""
-        answer = await self.answers.get()
+    async def next_reply(self) -> ReplicaReply[Content]:
+        """Return the next reply. Raises StaleViewError once any member is known to have a newer view."""
+        reply = await self.replies.get()
         self.unanswered -= 1
-        if answer.moved:
-            raise ViewMoved
-        return answer
+        if reply.has_newer_view:
+            raise StaleViewError
+        return reply
 
-    def __enter__(self) -> Round[Content]:
+    def __enter__(self) -> ReplicaRound[Content]:
         return self
 
     def __exit__(self, *details: object) -> None:
-        self.finished = True
-
-
-def _content_of(answer: Message, decode: Callable[[Message], Content], member: str) -> Content:
-    """Return what an answer says; RpcError for one that is malformed, which counts as none."""
-    try:
-        return decode(answer)
-    except MalformedMessageError as fault:
-        log.error("replica_calls.malformed_answer", extra={"member": member, "why": str(fault)})
-        raise RpcError(MALFORMED_ANSWER, str(fault)) from fault
+        self.has_ended = True
--- a/dewpin/dataplane/programs/store_client.py
+++ b/dewpin/dataplane/programs/store_client.py
@@ -1,6 +1,6 @@
 """A sender's client of the stores: budget ledgers and turns over the replicas of each program.
 
-All of it runs on one event loop; `BlockingStoreClient` is its face towards the threads of requests.
+All of it runs on one event loop; `BlockingStoreClient` makes it available to the threads of requests.
 """
 
 from __future__ import annotations
@@ -15,144 +15,153 @@
 
 from dewpin.cluster.store_messages import TurnRecord
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.programs.background import BackgroundTasks, in_time
-from dewpin.dataplane.programs.history_cache import ChainCache, Link
+from dewpin.dataplane.programs.background import BackgroundTasks, run_with_timeout
+from dewpin.dataplane.programs.errors import StoreUnavailableError
+from dewpin.dataplane.programs.history_cache import CachedTurn, HistoryCache
 from dewpin.dataplane.programs.ledger import Ledger
 from dewpin.dataplane.programs.ledger_client import LedgerClient
-from dewpin.dataplane.programs.program_store import BegunTurn, Reservation, Settlement, StoreUnavailable, Turn
-from dewpin.dataplane.programs.replica_calls import Calls, ReplicaCalls, ViewHolder
+from dewpin.dataplane.programs.program_store import Reservation, Settlement, Turn, TurnStart
+from dewpin.dataplane.programs.replica_calls import ReplicaCalls, RpcCaller
+from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
 from dewpin.dataplane.programs.turn_client import TurnClient
 
-FACADE_SLACK_S = 0.25
-_PROPOSER_BYTES = 6
+THREAD_WAIT_MARGIN_S = 0.25
+"""How much longer than its time-out a request thread waits for the loop before it takes the loop for blocked."""
+_PROPOSER_ID_BYTES = 6
 
-T = TypeVar("T")
+Result = TypeVar("Result")
 
 
 class StoreClient:
-    """The calls of one sender; see `dewpin.dataplane.programs.program_store.ProgramStore` for what each does."""
+    """The calls of one sender to the stores; the methods do what those of `program_store.ProgramStore` do."""
 
     def __init__(
         self,
-        calls: Calls,
+        rpc: RpcCaller,
         replica_count: int,
         rng: random.Random | None = None,
-        cache: ChainCache | None = None,
-        proposer: str | None = None,
+        cache: HistoryCache | None = None,
+        proposer_id: str | None = None,
         wall_clock_ms: Callable[[], int] = lambda: int(time.time() * 1000),
         location: str = "",
     ) -> None:
-        """Make the client of a process at `location`, on a running loop; each program lives on `replica_count` stores
-        (2 f + 1)."""
+        """Make the client of a process at `location`, on a running loop.
+
+        Each program lives on `replica_count` stores (2 f + 1).
+        """
         rng = rng or random.Random()
-        proposer = proposer or secrets.token_hex(_PROPOSER_BYTES)
-        self.cache = cache or ChainCache()
-        self._views = ViewHolder()
-        self._calls = ReplicaCalls(calls, self._views, rng, location)
+        proposer_id = proposer_id or secrets.token_hex(_PROPOSER_ID_BYTES)
+        self.cache = cache or HistoryCache()
+        self._views = StoreViewTracker()
+        self._calls = ReplicaCalls(rpc, self._views, rng, location)
         self._background = BackgroundTasks()
         self._ledgers = LedgerClient(
-            self._calls, self._views, replica_count, proposer, rng, wall_clock_ms, self._background
+            self._calls, self._views, replica_count, proposer_id, rng, wall_clock_ms, self._background
         )
         self._turns = TurnClient(self._calls, self._views, replica_count, self.cache, self._background)
 
     def adopt(self, view: StoreView) -> None:
-        """Use `view` from now on, if it is newer."""
+        """Use `view` from now on, if it is newer and has members."""
         if view.stable:
             self._views.adopt(view)
-            self._calls.health.forget_all_but(view.members.keys())
+            self._calls.health.retain_only(view.members.keys())
 
     def close(self) -> None:
-        """Give up all that runs behind."""
+        """Cancel all calls and background tasks."""
         self._background.cancel()
         self._calls.close()
 
-    async def reserve(self, program: str, turn: str, most: int, budget: int, timeout_s: float) -> Reservation:
-        """Keep `most` tokens of the program's budget for a turn. Raises BudgetSpent, StoreUnavailable."""
-        return await self._ledgers.reserve(program, turn, most, budget, timeout_s)
+    async def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
+        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError, StoreUnavailableError."""
+        return await self._ledgers.reserve(program, turn_id, max_tokens, budget, timeout_s)
 
-    def settle(self, reservation: Reservation, used: int) -> None:
-        """Replace a reservation by the tokens that were handed out, behind or with the program's next change."""
-        self._ledgers.settle(reservation, used)
+    def settle(self, reservation: Reservation, used_tokens: int) -> None:
+        """Replace a reservation by the tokens that were used, in the background or with the program's next change."""
+        self._ledgers.settle(reservation, used_tokens)
 
     async def read_ledger(self, program: str) -> Ledger | None:
         """Return the program's ledger as a majority has it, however long that takes."""
         return await self._ledgers.read(program)
 
-    async def chain(self, program: str, previous: str, timeout_s: float) -> bytes:
-        """Return the bytes of the chain that ends with `previous`. Raises TurnUnknown, StoreUnavailable."""
-        return await in_time(self._turns.chain(program, previous), timeout_s)
+    async def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
+        """Return the conversation up to turn `previous_id`. Raises TurnNotFoundError, StoreUnavailableError."""
+        return await run_with_timeout(self._turns.read_history(program, previous_id), timeout_s)
 
-    async def begin(
-        self, program: str, turn: str, most: int, budget: int, previous: str, timeout_s: float
-    ) -> BegunTurn:
-        """Reserve and read the chain side by side. Raises what either raises, and then keeps no reservation."""
-        reading = asyncio.ensure_future(self.chain(program, previous, timeout_s))
+    async def begin_turn(
+        self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
+    ) -> TurnStart:
+        """Reserve and read the history concurrently. Raises what either raises; the reservation is given back then."""
+        reading = asyncio.ensure_future(self.read_history(program, previous_id, timeout_s))
         try:
-            reservation = await self.reserve(program, turn, most, budget, timeout_s)
+            reservation = await self.reserve(program, turn_id, max_tokens, budget, timeout_s)
         except BaseException:
             reading.cancel()
             await asyncio.gather(reading, return_exceptions=True)
             raise
         try:
-            return BegunTurn(reservation, await reading)
+            return TurnStart(reservation, await reading)
         except BaseException:
             self.settle(reservation, 0)
             raise
 
-    async def append(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Make a turn durable, and settle its reservation beside or behind. Raises StoreUnavailable."""
-        record = TurnRecord(turn.id, turn.program, turn.previous, int(turn.retain_s * 1000), turn.input, turn.output)
-        async with self._ledgers.settling_beside(settlement) as ballot:
-            await in_time(self._turns.put(turn.program, [record], ballot), timeout_s)
-        self.cache.put(turn.program, turn.id, Link(turn.previous, turn.input + turn.output), turn.retain_s)
+    async def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
+        """Make a turn durable, and settle its reservation with it or later. Raises StoreUnavailableError."""
+        retain_ms = int(turn.retain_s * 1000)
+        record = TurnRecord(turn.id, turn.program, turn.previous_id, retain_ms, turn.input, turn.output)
+        async with self._ledgers.piggybacked_settlement(settlement) as ballot:
+            await run_with_timeout(self._turns.put(turn.program, [record], ballot), timeout_s)
+        self.cache.put(turn.program, turn.id, CachedTurn(turn.previous_id, turn.input + turn.output), turn.retain_s)
 
-    async def settled(self) -> None:
-        """Return once nothing runs behind any more."""
-        await self._background.finished()
+    async def wait_until_settled(self) -> None:
+        """Return once no settlement and no other background task is pending."""
+        await self._background.wait_until_done()
 
 
 class BlockingStoreClient:
-    """The ProgramStore of request threads: hands each call to the loop on which `client` lives, and waits."""
+    """The `ProgramStore` of request threads: passes each call to the loop on which `client` runs, and waits."""
 
     def __init__(self, client: StoreClient, loop: asyncio.AbstractEventLoop) -> None:
         self._client = client
         self._loop = loop
 
-    def reserve(self, program: str, turn: str, most: int, budget: int, timeout_s: float) -> Reservation:
-        """Keep `most` tokens of the program's budget for a turn. Raises BudgetSpent, StoreUnavailable."""
-        return self._wait(self._client.reserve(program, turn, most, budget, timeout_s), timeout_s)
+    def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
+        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError, StoreUnavailableError."""
+        return self._wait_for(self._client.reserve(program, turn_id, max_tokens, budget, timeout_s), timeout_s)
 
-    def settle(self, reservation: Reservation, used: int) -> None:
-        """Replace a reservation by the tokens that were handed out; returns at once."""
-        self._loop.call_soon_threadsafe(self._client.settle, reservation, used)
+    def settle(self, reservation: Reservation, used_tokens: int) -> None:
+        """Replace a reservation by the tokens that were used; returns at once."""
+        self._loop.call_soon_threadsafe(self._client.settle, reservation, used_tokens)
 
-    def chain(self, program: str, previous: str, timeout_s: float) -> bytes:
-        """Return the bytes of the chain that ends with `previous`. Raises TurnUnknown, StoreUnavailable."""
-        cached = self._client.cache.whole_chain(program, previous)
+    def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
+        """Return the conversation up to turn `previous_id`. Raises TurnNotFoundError, StoreUnavailableError."""
+        cached = self._client.cache.complete_history(program, previous_id)
         if cached is not None:
             return cached
-        return self._wait(self._client.chain(program, previous, timeout_s), timeout_s)
+        return self._wait_for(self._client.read_history(program, previous_id, timeout_s), timeout_s)
 
-    def begin(self, program: str, turn: str, most: int, budget: int, previous: str, timeout_s: float) -> BegunTurn:
-        """Reserve and read the chain side by side. Raises what either raises, and then keeps no reservation."""
-        cached = self._client.cache.whole_chain(program, previous)
+    def begin_turn(
+        self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
+    ) -> TurnStart:
+        """Reserve and read the history concurrently. Raises what either raises; the reservation is given back then."""
+        cached = self._client.cache.complete_history(program, previous_id)
         if cached is not None:
-            return BegunTurn(self.reserve(program, turn, most, budget, timeout_s), cached)
-        return self._wait(self._client.begin(program, turn, most, budget, previous, timeout_s), timeout_s)
+            return TurnStart(self.reserve(program, turn_id, max_tokens, budget, timeout_s), cached)
+        beginning = self._client.begin_turn(program, turn_id, max_tokens, budget, previous_id, timeout_s)
+        return self._wait_for(beginning, timeout_s)
 
-    def append(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Make a turn durable, and settle its reservation beside or behind. Raises StoreUnavailable."""
+    def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
+        """Make a turn durable, and settle its reservation with it or later. Raises StoreUnavailableError."""
         try:
-            self._wait(self._client.append(turn, timeout_s, settlement), timeout_s)
-        except StoreUnavailable:
-            if settlement is not None:  # the loop may be held up so long that it never began
-                self.settle(settlement.reservation, settlement.used)
+            self._wait_for(self._client.store_turn(turn, timeout_s, settlement), timeout_s)
+        except StoreUnavailableError:
+            if settlement is not None:  # a loop that is blocked for long may not have started the call
+                self.settle(settlement.reservation, settlement.used_tokens)
             raise
 
-    def _wait(self, work: Coroutine[Any, Any, T], timeout_s: float) -> T:
+    def _wait_for(self, work: Coroutine[Any, Any, Result], timeout_s: float) -> Result:
         future = asyncio.run_coroutine_threadsafe(work, self._loop)
         try:
-            return future.result(timeout_s + FACADE_SLACK_S)
+            return future.result(timeout_s + THREAD_WAIT_MARGIN_S)
         except concurrent.futures.TimeoutError:
             future.cancel()
-            raise StoreUnavailable("the loop of the store client is held up") from None
+            raise StoreUnavailableError("the loop of the store client is held up") from None
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -1,4 +1,4 @@
-"""A sender's part in the turns: they are written to a majority of the program's replicas, and chains are read back."""
+"""A sender's access to stored turns: turns are written to a majority of the program's replicas, histories read back."""
 
 from __future__ import annotations
 
@@ -14,181 +14,207 @@
 from dewpin.consensus import Reply
 from dewpin.consensus.proposal import has_majorities
 from dewpin.dataplane.programs.background import BackgroundTasks
-from dewpin.dataplane.programs.history_cache import ChainCache, Link
-from dewpin.dataplane.programs.ledger_ballot import CarriedBallot, ledger_reply
-from dewpin.dataplane.programs.program_store import StoreUnavailable, TurnUnknown
+from dewpin.dataplane.programs.errors import StaleViewError, StoreUnavailableError, TurnNotFoundError
+from dewpin.dataplane.programs.history_cache import CachedTurn, HistoryCache
+from dewpin.dataplane.programs.ledger_ballot import PiggybackedBallot, ledger_reply
 from dewpin.dataplane.programs.quorum_round import QuorumRound
-from dewpin.dataplane.programs.replica_calls import ReplicaCalls, Round, ViewHolder, ViewMoved
-
-HEDGE_S = 0.06
-"""A read that has no answer for this long is asked of further stores."""
-HAND_OFF_S = 10.0
-"""For how long a turn is offered to replicas that did not answer."""
-MOST_HAND_OFF_BYTES = 8 * 1024 * 1024
-READ_FOR_S = 60.0
-"""For how long one store is asked; whoever wants the chain gives up before."""
+from dewpin.dataplane.programs.replica_calls import ReplicaCalls, ReplicaRound
+from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
+
+READ_HEDGE_DELAY_S = 0.06
+"""A read without a reply for so long is sent to further stores."""
+BACKGROUND_WRITE_S = 10.0
+"""For how long a turn is offered to replicas that have not replied."""
+MAX_BACKGROUND_WRITE_BYTES = 8 * 1024 * 1024
+"""Once so many bytes wait for replicas that have not replied, further turns are not offered after their majority."""
+READ_RETRY_S = 60.0
+"""For how long one store is asked; the caller of a read gives up earlier."""
 READ_CACHE_S = 10.0
+"""For how long turns that were read are cached; the time that they are retained for is not known here."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Stored:
-    """A replica holds the turns; `reply`: its reply to the ballot that they carried."""
+class _StoredReply:
+    """A replica has stored the turns. `ledger_reply`: its reply to the ballot that was sent along, if any."""
 
-    reply: Reply | None
+    ledger_reply: Reply | None
 
 
-def _stored(message: Message) -> _Stored:
-    """Return what a store's answer to turns tells. MalformedMessageError if it tells nothing of them."""
-    told = PutTurnsReply.decode(message)
-    return _Stored(None if told.reply is None else ledger_reply(told.reply))
+def _decode_stored_reply(message: Message) -> _StoredReply:
+    """Return a store's reply to a write of turns; raises MalformedMessageError."""
+    stored = PutTurnsReply.decode(message)
+    return _StoredReply(None if stored.reply is None else ledger_reply(stored.reply))
 
 
 class TurnClient:
-    """Writes turns and reads chains."""
+    """Writes turns and reads conversation histories; each program lives on `replica_count` stores."""
 
     def __init__(
         self,
         calls: ReplicaCalls,
-        views: ViewHolder,
+        views: StoreViewTracker,
         replica_count: int,
-        cache: ChainCache,
+        cache: HistoryCache,
         background: BackgroundTasks,
     ) -> None:
         self.cache = cache
         self._calls = calls
         self._views = views
-        self._count = replica_count
+        self._replica_count = replica_count
         self._background = background
-        self._hand_off_bytes = 0
+        self._background_write_bytes = 0
 
-    async def put(self, program: str, records: Sequence[TurnRecord], carried: CarriedBallot | None = None) -> None:
-        """Return once majorities of the program's replicas hold the turns; a ballot that they carry may not have ended
-        by then."""
+    async def put(self, program: str, records: Sequence[TurnRecord], ballot: PiggybackedBallot | None = None) -> None:
+        """Return once majorities of the program's replicas have stored the turns.
+
+        A ballot that is sent along need not have ended by then. Raises StoreUnavailableError.
+        """
         while True:
-            view = await self._views.current()
+            view = await self._views.wait_for_view()
             try:
-                await self._put_under(view, program, records, carried)
+                await self._put_under_view(view, program, records, ballot)
                 return
-            except ViewMoved:
+            except StaleViewError:
                 continue
 
-    async def _put_under(
-        self, view: StoreView, program: str, records: Sequence[TurnRecord], carried: CarriedBallot | None
+    async def _put_under_view(
+        self, view: StoreView, program: str, records: Sequence[TurnRecord], ballot: PiggybackedBallot | None
     ) -> None:
-        sets = view.write_sets(program, self._count)
+        quorum_sets = view.write_sets(program, self._replica_count)
         turns = tuple(records)
         requests = {
-            member: PutTurnsRequest(turns, None if carried is None else carried.accept_for(member, view))
-            for member in sorted(frozenset().union(*sets))
+            member: PutTurnsRequest(turns, None if ballot is None else ballot.accept_for(member, view))
+            for member in sorted(frozenset().union(*quorum_sets))
         }
-        size = sum(len(record.input) + len(record.output) for record in records)
-        until_s = asyncio.get_running_loop().time() + HAND_OFF_S
+        size_bytes = sum(len(record.input) + len(record.output) for record in records)
+        until_s = asyncio.get_running_loop().time() + BACKGROUND_WRITE_S
         stored: set[str] = set()
-        hands_off = self._hand_off_bytes < MOST_HAND_OFF_BYTES
-        with Round(self._calls, view, _stored, hands_off) as task_round:
-            quorum_round = QuorumRound(self._calls, task_round, sets, until_s)
+        continues = self._background_write_bytes < MAX_BACKGROUND_WRITE_BYTES
+        with QuorumRound(self._calls, view, _decode_stored_reply, quorum_sets, until_s, continues) as quorum_round:
             quorum_round.ask(requests)
-            while not has_majorities(sets, stored):
-                if not quorum_round.may_answer:
-                    raise StoreUnavailable("too few replicas took the turn")
-                answer = await quorum_round.next_answer()
-                if answer.content is None:
+            while not has_majorities(quorum_sets, stored):
+                if not quorum_round.may_get_replies:
+                    raise StoreUnavailableError("too few replicas took the turn")
+                reply = await quorum_round.next_reply()
+                if reply.content is None:
                     continue
-                stored.add(answer.member)
-                if carried is not None and answer.content.reply is not None:
-                    carried.receive(answer.member, answer.content.reply)
-        if task_round.unanswered:
-            self._background.start(self._count_hand_off(task_round, size))
-
-    async def _count_hand_off(self, task_round: Round[_Stored], size: int) -> None:
-        """Count the bytes that wait for replicas which have not answered yet."""
-        self._hand_off_bytes += size
+                stored.add(reply.member)
+                if ballot is not None and reply.content.ledger_reply is not None:
+                    ballot.receive(reply.member, reply.content.ledger_reply)
+        if quorum_round.replica_round.unanswered:
+            self._background.start(self._track_background_write(quorum_round.replica_round, size_bytes))
+
+    async def _track_background_write(self, replica_round: ReplicaRound[_StoredReply], size_bytes: int) -> None:
+        """Count the bytes of a write as waiting until all replicas have replied."""
+        self._background_write_bytes += size_bytes
         try:
-            while task_round.unanswered:
-                await task_round.next_answer()
-        except ViewMoved:
+            while replica_round.unanswered:
+                await replica_round.next_reply()
+        except StaleViewError:
             pass
         finally:
-            self._hand_off_bytes -= size
+            self._background_write_bytes -= size_bytes
+
+    async def read_history(self, program: str, previous_id: str) -> bytes:
+        """Return input and output of each turn up to `previous_id`, oldest first.
 
-    async def chain(self, program: str, previous: str) -> bytes:
-        """Return the bytes of the chain that ends with `previous`. Raises TurnUnknown, StoreUnavailable."""
-        links: list[TurnRecord] = []
+        Turns of another program, which this one continues, are first stored as turns of this program. Raises
+        TurnNotFoundError, StoreUnavailableError.
+        """
+        records: list[TurnRecord] = []
         copies: list[TurnRecord] = []
-        bodies: list[bytes] = []
-        following: str | None = previous
-        while following is not None:
-            cached = self.cache.get(program, following)
+        contents: list[bytes] = []
+        next_id: str | None = previous_id
+        while next_id is not None:
+            cached = self.cache.get(program, next_id)
             if cached is not None:
-                bodies.append(cached.body)
-                following = cached.previous
+                contents.append(cached.content)
+                next_id = cached.previous_id
                 continue
             try:
-                found = await self._read_links(program, following)
-            except TurnUnknown:
-                if not bodies:
+                found = await self._read_turns(program, next_id)
+            except TurnNotFoundError:
+                if not contents:
                     raise
-                raise StoreUnavailable(f"a link of the chain is gone: {following}") from None
-            links += found.links
-            bodies += [link.input + link.output for link in found.links]
-            copies += [_copy_for(program, link) for link in found.links if link.turn in found.foreign]
-            following = found.following
+                raise StoreUnavailableError(f"a link of the chain is gone: {next_id}") from None
+            records += found.links
+            contents += [record.input + record.output for record in found.links]
+            copies += [_copy_for(program, record) for record in found.links if record.turn in found.foreign]
+            next_id = found.following
         if copies:
             await self.put(program, copies)
-        for link in links:
-            self.cache.put(program, link.turn, Link(link.previous, link.input + link.output), READ_CACHE_S)
-        return b"".join(reversed(bodies))
+        for record in records:
+            turn = CachedTurn(record.previous, record.input + record.output)
+            self.cache.put(program, record.turn, turn, READ_CACHE_S)
+        return b"".join(reversed(contents))
 
-    async def _read_links(self, program: str, last: str) -> HistoryPage:
-        """Return the links that end with turn `last`, from whichever store has them."""
+    async def _read_turns(self, program: str, last_id: str) -> HistoryPage:
+        """Return turns that end with `last_id`, newest first, from whichever store has them."""
         while True:
-            view = await self._views.current()
+            view = await self._views.wait_for_view()
             try:
-                return await self._read_links_under(view, program, last)
-            except ViewMoved:
+                return await _HistoryRead(self._calls, view, self._replica_count, program, last_id).run()
+            except StaleViewError:
                 continue
 
-    async def _read_links_under(self, view: StoreView, program: str, last: str) -> HistoryPage:
-        until_s = asyncio.get_running_loop().time() + READ_FOR_S
-        request = HistoryRequest(program, last)
-        stages = self._reading_stages(view, program)
-        absent: set[str] = set()
-        with Round(self._calls, view, HistoryPage.from_json) as task_round:
-
-            def ask_next_stage() -> None:
-                if stages and not task_round.finished:
-                    task_round.ask(stages.pop(0), request, until_s)
-
-            task_round.on_failure = ask_next_stage
-            while len(view.stable) - len(absent) > view.max_unreachable(self._count):
-                if not task_round.unanswered:
-                    if not stages:
-                        raise StoreUnavailable("too few stores could tell of the turn")
-                    ask_next_stage()
+
+class _HistoryRead:
+    """One read of turns under one view, which asks further stores while nobody replies.
+
+    Invariant: `_remaining_groups` holds the groups of members that were not asked yet, in the order to ask them.
+    """
+
+    def __init__(self, calls: ReplicaCalls, view: StoreView, replica_count: int, program: str, last_id: str) -> None:
+        self._view = view
+        self._replica_count = replica_count
+        self._last_id = last_id
+        self._until_s = asyncio.get_running_loop().time() + READ_RETRY_S
+        self._request = HistoryRequest(program, last_id)
+        self._remaining_groups = _groups_to_ask(calls, view, program, replica_count)
+        self._round = ReplicaRound(calls, view, HistoryPage.from_json, self._ask_next_group)
+
+    async def run(self) -> HistoryPage:
+        """Return the turns. Raises TurnNotFoundError, StoreUnavailableError, StaleViewError."""
+        without_turn: set[str] = set()
+        with self._round as replica_round:
+            while len(self._view.stable) - len(without_turn) > self._view.max_unreachable(self._replica_count):
+                if not replica_round.unanswered:
+                    if not self._remaining_groups:
+                        raise StoreUnavailableError("too few stores could tell of the turn")
+                    self._ask_next_group()
                 try:
-                    answer = await asyncio.wait_for(task_round.next_answer(), HEDGE_S if stages else None)
+                    hedge_delay_s = READ_HEDGE_DELAY_S if self._remaining_groups else None
+                    reply = await asyncio.wait_for(replica_round.next_reply(), hedge_delay_s)
                 except TimeoutError:
-                    ask_next_stage()
+                    self._ask_next_group()
                     continue
-                found = answer.content
+                found = reply.content
                 if found is None:
                     continue
                 if found.links:
                     return found
-                absent.add(answer.member)
-        raise TurnUnknown(last)
-
-    def _reading_stages(self, view: StoreView, program: str) -> list[list[str]]:
-        """Return whom to ask, one group after the other: so many replicas, one by one and the nearest first, that one
-        of them holds what a majority holds, then the other replicas, then all other stores."""
-        now_s = asyncio.get_running_loop().time()
-        replicas = self._calls.health.nearest_first(view, view.stable_replicas(program, self._count), now_s)
-        one_by_one = majority(len(replicas))
-        others = [member for member in view.stable_ids if member not in replicas]
-        stages = [[member] for member in replicas[:one_by_one]]
-        return [group for group in (*stages, replicas[one_by_one:], others) if group]
-
-
-def _copy_for(program: str, link: TurnRecord) -> TurnRecord:
-    """Return a turn of another program, to be kept for `program`, which goes on from it."""
-    return TurnRecord(link.turn, program, link.previous, link.retain_ms, link.input, link.output)
+                without_turn.add(reply.member)
+        raise TurnNotFoundError(self._last_id)
+
+    def _ask_next_group(self) -> None:
+        if self._remaining_groups and not self._round.has_ended:
+            self._round.ask(self._remaining_groups.pop(0), self._request, self._until_s)
+
+
+def _groups_to_ask(calls: ReplicaCalls, view: StoreView, program: str, replica_count: int) -> list[list[str]]:
+    """Return which members to ask, one group after the other.
+
+    First single replicas, nearest first, so many that one of them has what a majority has; then the other replicas;
+    then all other stores.
+    """
+    now_s = asyncio.get_running_loop().time()
+    replicas = calls.health.nearest_first(view, view.stable_replicas(program, replica_count), now_s)
+    single_count = majority(len(replicas))
+    others = [member for member in view.stable_ids if member not in replicas]
+    groups = [[member] for member in replicas[:single_count]]
+    return [group for group in (*groups, replicas[single_count:], others) if group]
+
+
+def _copy_for(program: str, record: TurnRecord) -> TurnRecord:
+    """Return a turn of another program as a turn of `program`, which continues it."""
+    return TurnRecord(record.turn, program, record.previous, record.retain_ms, record.input, record.output)
--- a/dewpin/dataplane/routing/event_relay.py
+++ b/dewpin/dataplane/routing/event_relay.py
@@ -84,7 +84,7 @@
                 yield events
                 events = self._next_events()
             if self._turn is not None:
-                self._turn.keep(self._time_left_s())
+                self._turn.store(self._time_left_s())
             self._is_complete = True
         except (IncompleteResponseError, TierError) as error:
             raise IncompleteBodyError(str(error)) from error
@@ -141,7 +141,7 @@
         if event.id is not None:
             self._last_event_id = event.id
         if self._turn is not None and event.data is not None:
-            self._turn.count_event(event)
+            self._turn.record_event(event)
         return event.raw
 
     def _resume(self, error: IncompleteResponseError) -> None:
--- a/dewpin/dataplane/routing/request_handler.py
+++ b/dewpin/dataplane/routing/request_handler.py
@@ -88,7 +88,7 @@
 
     def _run_turn(self, turn: OpenTurn, routed: RoutedRequest) -> Response:
         """Open the turn and run its request; the turn is settled here unless a stream in the response does it later."""
-        turn.open(lambda: routed.deadline - self._clock(), self._state.is_cut_off())
+        turn.begin(lambda: routed.deadline - self._clock(), self._state.is_cut_off())
         response = None
         try:
             response = RequestAttempts(self._shared, routed).run()
--- a/tests/controlplane/test_ledger_losses.py
+++ b/tests/controlplane/test_ledger_losses.py
@@ -9,7 +9,7 @@
 from scripted.stores import World
 
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.programs.program_store import BudgetSpent, StoreUnavailable
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError
 
 PROGRAM = "p"
 BUDGET = 100
@@ -24,7 +24,7 @@
     world.cuts |= {("writer", name) for name in world.machines if name not in voters}
     await writer.reserve(PROGRAM, "before", 50, BUDGET, 1.0)
     writer.settle(await writer.reserve(PROGRAM, "before", 50, BUDGET, 1.0), 40)
-    await writer.settled()
+    await writer.wait_until_settled()
     await writer.reserve(PROGRAM, "running", 30, BUDGET, 1.0)
     writer.close()
     deliver_to_all(world, voters)
@@ -70,10 +70,10 @@
     """A sender that knows nothing reads what was spent and reserved, gets what is left and not a token more."""
     reader = world.client(name)
     assert await asyncio.wait_for(reader.read_ledger(PROGRAM), READ_WITHIN_S) == HELD
-    with pytest.raises(BudgetSpent):
+    with pytest.raises(BudgetExceededError):
         await reader.reserve(PROGRAM, name, LEFT + 1, BUDGET, READ_WITHIN_S)
     reader.settle(await reader.reserve(PROGRAM, name, LEFT, BUDGET, READ_WITHIN_S), 0)
-    await reader.settled()
+    await reader.wait_until_settled()
     reader.close()
 
 
@@ -149,7 +149,7 @@
         await asyncio.sleep(30.0)
         assert all(2 not in machine.synced for machine in world.machines.values()), "no majority to copy from is left"
         reader = world.client("reader")
-        with pytest.raises(StoreUnavailable):
+        with pytest.raises(StoreUnavailableError):
             await reader.reserve(PROGRAM, "new", 1, BUDGET, READ_WITHIN_S)
 
     run(scene())
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -14,7 +14,7 @@
 from dewpin.controlplane.store import ledger_replica, ledger_retention
 from dewpin.controlplane.store.ledger_retention import LEAST_MS, MOST_MS, LedgerRetention
 from dewpin.controlplane.store.store import PURGE_EVERY_S, RETAIN_MARGIN_MS
-from dewpin.dataplane.programs.program_store import BudgetSpent
+from dewpin.dataplane.programs.errors import BudgetExceededError
 
 HOUR_MS = 3_600_000
 BUDGET = 100
@@ -33,7 +33,7 @@
 async def spend(world):
     writer = world.client("writer")
     writer.settle(await writer.reserve("p", "t", BUDGET, BUDGET, 1.0), BUDGET)
-    await writer.settled()
+    await writer.wait_until_settled()
 
 
 async def is_stopped_by_its_budget(world):
@@ -41,7 +41,7 @@
     reader = world.client("reader")
     try:
         await reader.reserve("p", "again", 1, BUDGET, 1.0)
-    except BudgetSpent:
+    except BudgetExceededError:
         return True
     return False
 
--- a/tests/controlplane/test_malformed_requests.py
+++ b/tests/controlplane/test_malformed_requests.py
@@ -17,7 +17,7 @@
     PutTurnsRequest,
     RequestHeader,
 )
-from dewpin.dataplane.programs.program_store import StoreUnavailable
+from dewpin.dataplane.programs.errors import StoreUnavailableError
 
 VALUE = {"spent": 1, "open": {}}
 REQUESTS = [
@@ -81,12 +81,12 @@
         refused = RpcError(wire.MALFORMED, "turns: expected a list of objects")
         heard = answering(world.machines["a"], wire.TURN_PUT, refused)
         client = world.client()
-        await client.append(turn("t"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("t"), 1.0)
+        await client.wait_until_settled()
         assert len(heard) == 1
         answering(world.machines["b"], wire.TURN_PUT, refused)
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("u"), 5.0)
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("u"), 5.0)
 
     run(scene())
 
@@ -104,19 +104,19 @@
 def test_an_answer_that_is_malformed_counts_as_none(answer):
     async def scene():
         world = World()
-        await world.client("first").append(turn("t"), 1.0)
+        await world.client("first").store_turn(turn("t"), 1.0)
         held = await world.client("second").reserve("p", "t", 5, 10, 1.0)
         for kind in (wire.TURN_PUT, wire.TURN_HISTORY, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
             answering(world.machines["c"], kind, answer)
         client = world.client("third")
-        assert await client.chain("p", "t", 1.0) == b"<t>"
-        await client.append(turn("u", "t"), 1.0)
-        assert await asyncio.wait_for(client.read_ledger("p"), 5.0) == {"spent": 0, "open": {"t": held.most}}
+        assert await client.read_history("p", "t", 1.0) == b"<t>"
+        await client.store_turn(turn("u", "t"), 1.0)
+        assert await asyncio.wait_for(client.read_ledger("p"), 5.0) == {"spent": 0, "open": {"t": held.max_tokens}}
         for kind in (wire.TURN_PUT, wire.TURN_HISTORY, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
             answering(world.machines["b"], kind, answer)
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("v", "u"), 1.0)
-        with pytest.raises(StoreUnavailable):
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("v", "u"), 1.0)
+        with pytest.raises(StoreUnavailableError):
             await client.reserve("p", "v", 1, 10, 1.0)
         client.close()
 
@@ -136,8 +136,8 @@
 
         machine.store.handlers[wire.TURN_PUT] = handler
         client = world.client()
-        await client.append(turn("t"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("t"), 1.0)
+        await client.wait_until_settled()
         assert machine.disk.connection.execute("SELECT turn FROM turns").fetchall() == [("t",)]
 
     run(scene())
--- a/tests/controlplane/test_repeated_requests.py
+++ b/tests/controlplane/test_repeated_requests.py
@@ -15,7 +15,8 @@
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.register.register import RegisterUnavailable
-from dewpin.dataplane.programs.program_store import BudgetSpent, Turn
+from dewpin.dataplane.programs.errors import BudgetExceededError
+from dewpin.dataplane.programs.program_store import Turn
 
 LATE_S = (0.02, 1.5)
 """A repeat comes so much later, drawn anew for each request."""
@@ -121,17 +122,17 @@
         first = await one.reserve("p", "t1", 40, 100, 10.0)
         second = await two.reserve("p", "t2", 40, 100, 10.0)
         await one.reserve("p", "t1", 40, 100, 10.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await two.reserve("p", "t3", 30, 100, 10.0)
         one.settle(first, 33)
         one.settle(first, 33)
-        await one.append(turn("t1"), 10.0)
-        await one.append(turn("t1"), 10.0)
-        await two.append(turn("t2", "t1"), 10.0)
-        await one.settled()
+        await one.store_turn(turn("t1"), 10.0)
+        await one.store_turn(turn("t1"), 10.0)
+        await two.store_turn(turn("t2", "t1"), 10.0)
+        await one.wait_until_settled()
         two.settle(second, 7)
-        await two.settled()
-        chain = await world.client("three", seed + 2).chain("p", "t2", 10.0)
+        await two.wait_until_settled()
+        chain = await world.client("three", seed + 2).read_history("p", "t2", 10.0)
         await repeats.done()
         final = await world.client("four", seed + 3).read_ledger("p")
         rows = {
@@ -157,9 +158,9 @@
         client = world.client("one", seed)
         held = await client.reserve("p", "t1", 40, 100, 10.0)
         for number in range(1, 6):
-            await client.append(turn(f"t{number}", f"t{number - 1}" if number > 1 else None), 10.0)
+            await client.store_turn(turn(f"t{number}", f"t{number - 1}" if number > 1 else None), 10.0)
         client.settle(held, 33)
-        await client.settled()
+        await client.wait_until_settled()
         monkeypatch.setattr(stores.Link, "_call", repeats.around(stores.Link._call))
         view = type(world.view)(2, world.view.stable, world.members("bcd"))
         world.tell(view)
@@ -168,7 +169,7 @@
         world.machines["a"].up = False
         other = world.client("two", seed + 1)
         other.adopt(world.view)
-        chain = await other.chain("p", "t5", 10.0)
+        chain = await other.read_history("p", "t5", 10.0)
         final = await other.read_ledger("p")
         await repeats.done()
         return chain, final
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -15,7 +15,7 @@
 from dewpin.controlplane.store import ledger_replica, turn_table
 from dewpin.controlplane.store.store import RETAIN_MARGIN_MS
 from dewpin.controlplane.store.transfer_messages import TurnsAnswer
-from dewpin.dataplane.programs.program_store import BudgetSpent, TurnUnknown
+from dewpin.dataplane.programs.errors import BudgetExceededError, TurnNotFoundError
 
 
 def record(name, previous=None, program="p", retain_ms=60_000):
@@ -114,9 +114,9 @@
         client = world.client("one")
         previous = None
         for number in range(9):
-            await client.append(turn(f"t{number}", previous), 1.0)
+            await client.store_turn(turn(f"t{number}", previous), 1.0)
             previous = f"t{number}"
-        return await world.client("two").chain("p", previous, 1.0)
+        return await world.client("two").read_history("p", previous, 1.0)
 
     assert run(scene()) == b"".join(b"<t%d>" % number for number in range(9))
 
@@ -126,19 +126,19 @@
         world = World(names="a", losses=0)
         store = world.machines["a"].store
         client = world.client()
-        await client.append(turn("t1", retain_s=10.0), 1.0)
+        await client.store_turn(turn("t1", retain_s=10.0), 1.0)
         world.clock_ms += 9_000
-        await client.append(turn("t2", "t1", retain_s=10.0), 1.0)
+        await client.store_turn(turn("t2", "t1", retain_s=10.0), 1.0)
         world.clock_ms += 9_000 + RETAIN_MARGIN_MS
         await store.purge_step()
-        assert await world.client("other").chain("p", "t2", 1.0) == b"<t1><t2>"
+        assert await world.client("other").read_history("p", "t2", 1.0) == b"<t1><t2>"
         world.clock_ms += 2_000
         steps = [await store.purge_step() for _ in range(3)]
         assert turns_of(world.machines["a"]) == set()
         assert steps == [1, 1, 0]
         assert world.machines["a"].disk.connection.execute("SELECT count(*) FROM turn_bodies").fetchone() == (0,)
-        with pytest.raises(TurnUnknown):
-            await world.client("third").chain("p", "t2", 1.0)
+        with pytest.raises(TurnNotFoundError):
+            await world.client("third").read_history("p", "t2", 1.0)
 
     run(scene())
 
@@ -209,8 +209,8 @@
         client = world.client()
         for number in range(30):
             program = f"p{number}"
-            await client.append(turn("a" + program, program=program), 1.0)
-            await client.append(turn("b" + program, "a" + program, program=program), 1.0)
+            await client.store_turn(turn("a" + program, program=program), 1.0)
+            await client.store_turn(turn("b" + program, "a" + program, program=program), 1.0)
             await client.reserve(program, "t", 60, 100, 1.0)
         await change_view(world, "def")
         for name in "abc":
@@ -219,8 +219,8 @@
         for number in range(30):
             program = f"p{number}"
             expected = f"<a{program}><b{program}>".encode()
-            assert await other.chain(program, "b" + program, 1.0) == expected
-            with pytest.raises(BudgetSpent):
+            assert await other.read_history(program, "b" + program, 1.0) == expected
+            with pytest.raises(BudgetExceededError):
                 await other.reserve(program, "u", 60, 100, 1.0)
             await other.reserve(program, "u", 40, 100, 1.0)
 
@@ -232,14 +232,14 @@
         world = World()
         world.machines["b"].refuses = {"turn.put"}
         client = world.client()
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         client.close()
         world.machines["a"].start_empty()
         world.machines["b"].refuses = set()
         await change_view(world, "abc")
         assert [turns_of(machine) for machine in world.machines.values()] == [{"t1"}] * 3
         world.machines["c"].up = False
-        assert await world.client("other").chain("p", "t1", 1.0) == b"<t1>"
+        assert await world.client("other").read_history("p", "t1", 1.0) == b"<t1>"
 
     run(scene())
 
@@ -248,7 +248,7 @@
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         for name in "bc":
             world.machines[name].up = False
         world.tell(StoreView(2, world.members("abc"), world.members("abd")))
@@ -266,7 +266,7 @@
         world = World(names="abcd", in_view="abc")
         client = world.client()
         for number in range(50):
-            await client.append(turn(f"t{number}", program=f"p{number}"), 1.0)
+            await client.store_turn(turn(f"t{number}", program=f"p{number}"), 1.0)
         world.tell(StoreView(2, world.members("abc"), world.members("bcd")))
         world.machines["a"].frozen = True
         await world.until(lambda: 2 in world.machines["d"].synced, timeout_s=3.0)
@@ -314,17 +314,17 @@
             while not stop.is_set():
                 name = f"{program}.{step}"
                 step += 1
-                await client.append(turn(name, previous, program), 5.0)
+                await client.store_turn(turn(name, previous, program), 5.0)
                 kept.append((program, name))
                 previous = name
                 try:
                     held = await client.reserve("shared", f"{name}.r", 7, 700, 5.0)
-                except BudgetSpent:
+                except BudgetExceededError:
                     continue
-                granted[held.turn] = 7
+                granted[held.turn_id] = 7
                 if step % 3 == 0:
                     client.settle(held, 3)
-                    granted[held.turn] = 3
+                    granted[held.turn_id] = 3
 
         writers = [asyncio.ensure_future(write(client, number)) for number, client in enumerate(clients)]
         await asyncio.sleep(0.05 + 0.01 * seed)
@@ -334,19 +334,19 @@
         stop.set()
         await asyncio.gather(*writers)
         for client in clients:
-            await client.settled()
+            await client.wait_until_settled()
         for name in "bcf":
             world.machines[name].up = False
         world.machines["ade"[seed % 3]].up = False
         reader = world.client("reader", seed=seed)
         for program, name in kept:
-            assert (await reader.chain(program, name, 2.0)).endswith(f"<{name}>".encode())
+            assert (await reader.read_history(program, name, 2.0)).endswith(f"<{name}>".encode())
         spent = sum(granted.values())
         assert spent <= 700
         room = 700 - spent
         if room:
             await reader.reserve("shared", "last", room, 700, 2.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await reader.reserve("shared", "over", 1, 700, 2.0)
         assert len(kept) > 10
 
@@ -358,7 +358,7 @@
         world = World()
         world.machines["c"].refuses = {"turn.put"}
         client = world.client()
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         client.close()
         world.machines["c"].refuses = set()
         await change_view(world, "bc")
@@ -370,7 +370,7 @@
 def test_a_change_under_way_gives_way_to_a_newer_one():
     async def scene():
         world = World(names="abcde", in_view="abc")
-        await world.client().append(turn("t1"), 1.0)
+        await world.client().store_turn(turn("t1"), 1.0)
         world.machines["a"].up = world.machines["b"].up = False
         world.tell(StoreView(2, world.members("abc"), world.members("bcd")))
         await asyncio.sleep(1.0)
@@ -393,7 +393,7 @@
         world = World(names="abcd", in_view="abc")
         client = world.client()
         for number in range(40):
-            await client.append(turn(f"t{number}", program=f"p{number}"), 1.0)
+            await client.store_turn(turn(f"t{number}", program=f"p{number}"), 1.0)
         await world.hold_everywhere()
         fetched = []
         for name in "abc":
--- a/tests/controlplane/test_store_copy.py
+++ b/tests/controlplane/test_store_copy.py
@@ -21,8 +21,8 @@
     world = World(names="abcd", in_view="abc")
     client = world.client()
     for number in range(turns):
-        await client.append(turn(f"t{number:04}", program=f"p{number}", body=body), 1.0)
-    await client.settled()
+        await client.store_turn(turn(f"t{number:04}", program=f"p{number}", body=body), 1.0)
+    await client.wait_until_settled()
     client.close()
     await world.hold_everywhere()
     return world
--- a/tests/controlplane/test_store_faults.py
+++ b/tests/controlplane/test_store_faults.py
@@ -9,7 +9,8 @@
 
 from dewpin.cluster.store_view import StoreView
 from dewpin.dataplane.programs import ledger
-from dewpin.dataplane.programs.program_store import BudgetSpent, StoreUnavailable, Turn
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError
+from dewpin.dataplane.programs.program_store import Turn
 
 BUDGET = 900
 MOST = 9
@@ -39,13 +40,13 @@
                 used = rng.randrange(MOST + 1)
                 tally.granted[name] = used
                 client.settle(held, used)
-        except BudgetSpent:
+        except BudgetExceededError:
             await asyncio.sleep(0.02)
-        except StoreUnavailable:
+        except StoreUnavailableError:
             tally.unavailable += 1
         try:
-            await client.append(Turn(name, program, previous, name.encode(), b";", 60.0), 0.5)
-        except StoreUnavailable:
+            await client.store_turn(Turn(name, program, previous, name.encode(), b";", 60.0), 0.5)
+        except StoreUnavailableError:
             tally.unavailable += 1
             continue
         tally.kept.append((program, name, previous))
@@ -115,7 +116,7 @@
         stop.set()
         await asyncio.gather(*senders)
         for client in clients:
-            await client.settled()
+            await client.wait_until_settled()
             client.close()
         await check(world, tally, rng)
 
@@ -130,7 +131,7 @@
     for program, name, previous in tally.kept:
         bodies[name] = bodies[previous] + name.encode() + b";"
     for program, name, _ in tally.kept[-40:] + tally.kept[::10]:
-        assert await reader.chain(program, name, 2.0) == bodies[name]
+        assert await reader.read_history(program, name, 2.0) == bodies[name]
     value = await reader.read_ledger("shared")
-    assert sum(tally.granted.values()) <= ledger.committed(value) <= BUDGET
+    assert sum(tally.granted.values()) <= ledger.committed_tokens(value) <= BUDGET
     assert len(tally.kept) > 20
--- a/tests/controlplane/test_store_leaving.py
+++ b/tests/controlplane/test_store_leaving.py
@@ -9,7 +9,8 @@
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
 from dewpin.dataplane.programs import ledger
-from dewpin.dataplane.programs.program_store import StoreUnavailable, Turn, TurnUnknown
+from dewpin.dataplane.programs.errors import StoreUnavailableError, TurnNotFoundError
+from dewpin.dataplane.programs.program_store import Turn
 
 PROGRAMS = [f"p{number}" for number in range(12)]
 
@@ -22,7 +23,7 @@
     """Let exactly these stores hold a turn: a majority of its replicas, or its sender was told nothing."""
     client = world.client("writer")
     world.cuts |= {("writer", other) for other in world.machines if other not in machines}
-    await client.append(Turn(name, program, None, b"<" + name.encode(), b">", 60.0), 1.0)
+    await client.store_turn(Turn(name, program, None, b"<" + name.encode(), b">", 60.0), 1.0)
     client.close()
     world.cuts = {cut for cut in world.cuts if cut[0] != "writer"}
 
@@ -49,8 +50,8 @@
 async def readable(world, program, name):
     reader = world.client("reader")
     try:
-        return await reader.chain(program, name, 2.0) == f"<{name}>".encode()
-    except (TurnUnknown, StoreUnavailable):
+        return await reader.read_history(program, name, 2.0) == f"<{name}>".encode()
+    except (TurnNotFoundError, StoreUnavailableError):
         return False
     finally:
         reader.close()
@@ -119,7 +120,7 @@
 def test_a_next_store_that_restarts_in_the_midst_of_its_copy_says_nothing_before_it_has_copied():
     async def scene():
         world = World(names="abcd", in_view="abc")
-        await world.client().append(Turn("t1", "p", None, b"<t1", b">", 60.0), 1.0)
+        await world.client().store_turn(Turn("t1", "p", None, b"<t1", b">", 60.0), 1.0)
         newcomer = world.machines["d"]
         world.cuts |= {("d", "a"), ("d", "b")}
         await lead(world, "bcd")
@@ -168,7 +169,7 @@
         others = [name for name in replicas_of(world, program) if name != "d"]
         client = world.client()
         await client.reserve(program, "t1", 10, 100, 1.0)
-        await client.settled()
+        await client.wait_until_settled()
         world.machines["d"].up = False
         await lead(world, "abc")
         await finish(world)
@@ -191,4 +192,4 @@
     value = await asyncio.wait_for(reader.read_ledger(program), 5.0)
     reader.close()
     world.machines[away].up = True
-    return ledger.committed(value)
+    return ledger.committed_tokens(value)
--- a/tests/dataplane/peers.py
+++ b/tests/dataplane/peers.py
@@ -13,14 +13,12 @@
 from dewpin.cluster.configuration import Configuration, parse_configuration
 from dewpin.cluster.receivers import Receiver
 from dewpin.dataplane.http11.messages import Client, Headers, Request
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError, TurnNotFoundError
 from dewpin.dataplane.programs.program_store import (
-    BegunTurn,
-    BudgetSpent,
     Reservation,
     Settlement,
-    StoreUnavailable,
     Turn,
-    TurnUnknown,
+    TurnStart,
 )
 
 PATIENCE_S = 10.0
@@ -296,43 +294,45 @@
         self.reserved: list[tuple[str, str, int, int]] = []
         self.settled: list[tuple[str, int]] = []
         self.spent: dict[str, int] = {}
-        self.on_append: Callable[[Turn], None] = lambda turn: None
+        self.on_store_turn: Callable[[Turn], None] = lambda turn: None
 
-    def reserve(self, program: str, turn: str, most: int, budget: int, timeout_s: float) -> Reservation:
+    def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
         self._check("reserve")
-        if self.spent.get(program, 0) + most > budget:
-            raise BudgetSpent
-        self.spent[program] = self.spent.get(program, 0) + most
-        self.reserved.append((program, turn, most, budget))
-        return Reservation(program, turn, most)
-
-    def settle(self, reservation: Reservation, used: int) -> None:
-        self.spent[reservation.program] += used - reservation.most
-        self.settled.append((reservation.turn, used))
-
-    def chain(self, program: str, previous: str, timeout_s: float) -> bytes:
-        self._check("chain")
-        turn = self.turns.get(previous)
+        if self.spent.get(program, 0) + max_tokens > budget:
+            raise BudgetExceededError
+        self.spent[program] = self.spent.get(program, 0) + max_tokens
+        self.reserved.append((program, turn_id, max_tokens, budget))
+        return Reservation(program, turn_id, max_tokens)
+
+    def settle(self, reservation: Reservation, used_tokens: int) -> None:
+        self.spent[reservation.program] += used_tokens - reservation.max_tokens
+        self.settled.append((reservation.turn_id, used_tokens))
+
+    def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
+        self._check("read_history")
+        turn = self.turns.get(previous_id)
         if turn is None or turn.program != program:
-            raise TurnUnknown
-        before = self.chain(program, turn.previous, timeout_s) if turn.previous is not None else b""
+            raise TurnNotFoundError
+        before = self.read_history(program, turn.previous_id, timeout_s) if turn.previous_id is not None else b""
         return before + turn.input + turn.output
 
-    def begin(self, program: str, turn: str, most: int, budget: int, previous: str, timeout_s: float) -> BegunTurn:
-        reservation = self.reserve(program, turn, most, budget, timeout_s)
+    def begin_turn(
+        self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
+    ) -> TurnStart:
+        reservation = self.reserve(program, turn_id, max_tokens, budget, timeout_s)
         try:
-            return BegunTurn(reservation, self.chain(program, previous, timeout_s))
+            return TurnStart(reservation, self.read_history(program, previous_id, timeout_s))
         except BaseException:
             self.settle(reservation, 0)
             raise
 
-    def append(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
+    def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
         if settlement is not None:
-            self.settle(settlement.reservation, settlement.used)
-        self._check("append")
-        self.on_append(turn)
+            self.settle(settlement.reservation, settlement.used_tokens)
+        self._check("store_turn")
+        self.on_store_turn(turn)
         self.turns[turn.id] = turn
 
     def _check(self, operation: str) -> None:
         if operation in self.fails:
-            raise StoreUnavailable
+            raise StoreUnavailableError
--- a/tests/dataplane/test_event_relay.py
+++ b/tests/dataplane/test_event_relay.py
@@ -147,14 +147,14 @@
     asked = request(*fields)
     plan = plan_turn(asked, given.routes[0], next(iter(given.services.values())))
     turn = OpenTurn(store, plan, asked)
-    turn.open(lambda: 1.0)
+    turn.begin(lambda: 1.0)
     return turn
 
 
 def test_turn_is_stored_before_end_is_forwarded():
     store = MemoryStore()
     steps = []
-    store.on_append = lambda turn: steps.append("stored")
+    store.on_store_turn = lambda turn: steps.append("stored")
     made = relay(ScriptedSource(event(1, "a"), event(2, "b")), turn=open_turn(store))
     for part in made:
         steps.append(part)
@@ -165,7 +165,7 @@
 
 
 def test_body_is_incomplete_if_turn_cannot_be_stored():
-    store = MemoryStore(fails=["append"])
+    store = MemoryStore(fails=["store_turn"])
     made = relay(ScriptedSource(event(1)), turn=open_turn(store))
     assert forwarded(made) == ([event(1)], True)
     assert store.settled == [("r-1", 10)]
--- a/tests/dataplane/test_graceful_shutdown.py
+++ b/tests/dataplane/test_graceful_shutdown.py
@@ -31,7 +31,7 @@
         self.dark = dark
         self.is_settled = False
 
-    async def settled(self):
+    async def wait_until_settled(self):
         for _ in range(50):
             await asyncio.sleep(0)
         if self.dark:
--- a/tests/dataplane/test_programs_that_come_back.py
+++ b/tests/dataplane/test_programs_that_come_back.py
@@ -6,7 +6,8 @@
 from scripted.clock import run
 from scripted.stores import World
 
-from dewpin.dataplane.programs.program_store import BudgetSpent, Turn
+from dewpin.dataplane.programs.errors import BudgetExceededError
+from dewpin.dataplane.programs.program_store import Turn
 
 BUDGET, MOST, TOKENS_PER_EVENT = 100, 40, 10
 
@@ -19,9 +20,9 @@
         before = world.client("before")
         for name, previous, used in (("t1", None, 30), ("t2", "t1", 20)):
             held = await before.reserve("p", name, MOST, BUDGET, 1.0)
-            await before.append(Turn(name, "p", previous, f"<{name}".encode(), b">", 60.0), 1.0)
+            await before.store_turn(Turn(name, "p", previous, f"<{name}".encode(), b">", 60.0), 1.0)
             before.settle(held, used)
-        await before.settled()
+        await before.wait_until_settled()
         await before.reserve("p", "t3", 10, BUDGET, 1.0)
         world.clock_ms += 59_000
         for machine in world.machines.values():
@@ -30,12 +31,12 @@
         for machine in world.machines.values():
             await machine.store.purge_step()
         after = world.client("after")
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await after.reserve("p", "t4", 41, BUDGET, 1.0)
         await after.reserve("p", "t4", 40, BUDGET, 1.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await after.reserve("p", "t5", 1, BUDGET, 1.0)
-        return await after.chain("p", "t2", 1.0)
+        return await after.read_history("p", "t2", 1.0)
 
     assert run(scene()) == b"<t1><t2>"
 
--- a/tests/dataplane/test_quorum_round.py
+++ b/tests/dataplane/test_quorum_round.py
@@ -9,7 +9,7 @@
 
 from dewpin.cluster.placement import majority
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.programs.quorum_round import LEAST_HEDGE_S, MOST_HEDGE_S, nearest_majorities
+from dewpin.dataplane.programs.quorum_round import MAX_HEDGE_DELAY_S, MIN_HEDGE_DELAY_S, nearest_majorities
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5])
@@ -39,18 +39,18 @@
         world = World(names="abcde", losses=2)
         world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
         client = world.client(location="r/near")
-        await client.append(turn("before"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("before"), 1.0)
+        await client.wait_until_settled()
         for machine in world.machines.values():
             del machine.seen[:]
         world.machines["a"].frozen = world.machines["b"].frozen = True
         began_s = asyncio.get_running_loop().time()
-        await client.append(turn("t"), 1.0)
+        await client.store_turn(turn("t"), 1.0)
         return asked(world), asyncio.get_running_loop().time() - began_s
 
     names, took_s = run(scene())
     assert names == ["c", "d", "e"]
-    assert LEAST_HEDGE_S <= took_s < LEAST_HEDGE_S + 0.01
+    assert MIN_HEDGE_DELAY_S <= took_s < MIN_HEDGE_DELAY_S + 0.01
 
 
 def test_the_others_are_asked_at_once_where_a_first_one_refuses_for_good():
@@ -64,10 +64,10 @@
         client = world.client()
         began_s = asyncio.get_running_loop().time()
         await client.reserve("p", "t", 5, 10, 1.0)
-        await client.append(turn("t"), 1.0)
+        await client.store_turn(turn("t"), 1.0)
         return asyncio.get_running_loop().time() - began_s
 
-    assert run(scene()) < MOST_HEDGE_S
+    assert run(scene()) < MAX_HEDGE_DELAY_S
 
 
 def test_slow_replicas_are_given_a_few_of_their_usual_times():
@@ -77,8 +77,8 @@
         world = World(names="abcde", losses=2, delay_s=0.03)
         client = world.client()
         for number in range(10):
-            await client.append(turn(f"t{number}"), 1.0)
-        await client.settled()
+            await client.store_turn(turn(f"t{number}"), 1.0)
+        await client.wait_until_settled()
         return {name: machine.seen.count("turn.put") for name, machine in world.machines.items()}
 
     counts = run(scene())
@@ -98,11 +98,11 @@
             try:
                 held = await client.reserve("p", f"t{number}", 10, 100, 1.0)
             except Exception as refusal:
-                assert type(refusal).__name__ == "BudgetSpent"
+                assert type(refusal).__name__ == "BudgetExceededError"
                 continue
             taken += 10
             client.settle(held, 5)
-            await client.settled()
+            await client.wait_until_settled()
             taken -= 5
         ledger = await clients[0].read_ledger("p")
         return taken, ledger
@@ -116,57 +116,57 @@
     async def scene():
         world = World()
         client = world.client()
-        await client.append(turn("before"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("before"), 1.0)
+        await client.wait_until_settled()
         world.machines["a"].frozen = True
         longest_s = 0.0
         for number in range(30):
             began_s = asyncio.get_running_loop().time()
-            await client.append(turn(f"t{number}"), 1.0)
+            await client.store_turn(turn(f"t{number}"), 1.0)
             if number > 1:
                 longest_s = max(longest_s, asyncio.get_running_loop().time() - began_s)
             await asyncio.sleep(0.5)
         world.machines["a"].frozen = False
         for number in range(30, 40):
-            await client.append(turn(f"t{number}"), 1.0)
+            await client.store_turn(turn(f"t{number}"), 1.0)
             await asyncio.sleep(0.5)
         world.machines["b"].up = False
         began_s = asyncio.get_running_loop().time()
-        await client.append(turn("last"), 1.0)
+        await client.store_turn(turn("last"), 1.0)
         return longest_s, asyncio.get_running_loop().time() - began_s
 
     longest_s, last_s = run(scene())
-    assert longest_s < LEAST_HEDGE_S
-    assert last_s < LEAST_HEDGE_S
+    assert longest_s < MIN_HEDGE_DELAY_S
+    assert last_s < MIN_HEDGE_DELAY_S
 
 
 def test_a_new_replica_is_relied_on_only_once_it_has_answered():
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
-        await client.append(turn("before"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("before"), 1.0)
+        await client.wait_until_settled()
         world.machines["d"].frozen = True
         view = StoreView(2, world.members("abd"))
         world.tell(view)
         client.adopt(view)
         began_s = asyncio.get_running_loop().time()
-        await client.append(turn("t"), 1.0)
+        await client.store_turn(turn("t"), 1.0)
         return asyncio.get_running_loop().time() - began_s
 
-    assert run(scene()) < LEAST_HEDGE_S
+    assert run(scene()) < MIN_HEDGE_DELAY_S
 
 
 def test_what_is_known_of_a_replica_goes_with_its_membership():
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
-        await client.append(turn("t1"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("t1"), 1.0)
+        await client.wait_until_settled()
         health = client._calls.health
-        assert health.usual_s(world.machines["a"].member.id, 0.0) > 0
+        assert health.expected_latency_s(world.machines["a"].member.id, 0.0) > 0
         client.adopt(StoreView(world.view.epoch + 1, world.members("bcd"), None))
-        return set(health._replicas) <= {member.id for member in world.members("bcd")}
+        return set(health._records) <= {member.id for member in world.members("bcd")}
 
     assert run(scene())
 
@@ -177,11 +177,11 @@
         world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
         client = world.client(location="r/near")
         for number in range(10):
-            await client.append(turn(f"t{number}"), 1.0)
-        await client.settled()
+            await client.store_turn(turn(f"t{number}"), 1.0)
+        await client.wait_until_settled()
         world.machines["a"].up = False
         began_s = asyncio.get_running_loop().time()
-        await client.append(turn("t"), 1.0)
+        await client.store_turn(turn("t"), 1.0)
         return asyncio.get_running_loop().time() - began_s
 
     refused_s, answered_s = 0.05, 0.05
--- a/tests/dataplane/test_request_handler.py
+++ b/tests/dataplane/test_request_handler.py
@@ -264,7 +264,7 @@
         (70, [], None, 402),
         (0, ["reserve"], None, 503),
         (0, [], "t-9", 404),
-        (0, ["chain"], "t-9", 503),
+        (0, ["read_history"], "t-9", 503),
     ],
 )
 def test_turn_that_cannot_be_opened_is_not_sent(spent, fails, previous, status):
@@ -288,7 +288,7 @@
 
 
 def test_turn_that_cannot_be_stored_ends_incomplete():
-    store = MemoryStore(["append"])
+    store = MemoryStore(["store_turn"])
     with receivers(ScriptedReceiver(stream(event(1)))) as listed:
         assert read(RequestHandlerHarness(listed, store, kind="stream", retained=True)(*TURN)) == (event(1), True)
     assert store.settled == [("r-1", 10)]
--- a/tests/dataplane/test_request_timeout.py
+++ b/tests/dataplane/test_request_timeout.py
@@ -136,10 +136,10 @@
         self._takes_s = takes_s
         self.given_s = []
 
-    def begin(self, program, turn, most, budget, previous, timeout_s):
+    def begin_turn(self, program, turn_id, max_tokens, budget, previous_id, timeout_s):
         self.given_s.append(timeout_s)
         self._clock.now_s += self._takes_s
-        return super().begin(program, turn, most, budget, previous, timeout_s)
+        return super().begin_turn(program, turn_id, max_tokens, budget, previous_id, timeout_s)
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
--- a/tests/dataplane/test_store_client.py
+++ b/tests/dataplane/test_store_client.py
@@ -9,9 +9,10 @@
 
 from dewpin.cluster.store_view import StoreView
 from dewpin.dataplane.programs import store_client
-from dewpin.dataplane.programs.history_cache import ChainCache
-from dewpin.dataplane.programs.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable, TurnUnknown
-from dewpin.dataplane.programs.quorum_round import LEAST_HEDGE_S
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError, TurnNotFoundError
+from dewpin.dataplane.programs.history_cache import CachedTurn, HistoryCache
+from dewpin.dataplane.programs.program_store import Reservation, Settlement
+from dewpin.dataplane.programs.quorum_round import MIN_HEDGE_DELAY_S
 from dewpin.dataplane.programs.store_client import BlockingStoreClient, StoreClient
 
 
@@ -26,10 +27,10 @@
     async def scene():
         world = World()
         first, second = world.client("one"), world.client("two")
-        await first.append(turn("t1", body=bytes(range(256))), 1.0)
-        await second.append(turn("t2", "t1"), 1.0)
-        await first.append(turn("t3", "t2"), 1.0)
-        return await second.chain("p", "t3", 1.0)
+        await first.store_turn(turn("t1", body=bytes(range(256))), 1.0)
+        await second.store_turn(turn("t2", "t1"), 1.0)
+        await first.store_turn(turn("t3", "t2"), 1.0)
+        return await second.read_history("p", "t3", 1.0)
 
     assert run(scene()) == b"<t1" + bytes(range(256)) + b"><t2><t3>"
 
@@ -38,9 +39,9 @@
     async def scene():
         world = World()
         client = world.client()
-        await client.append(turn("t1"), 1.0)
-        await client.append(turn("t2", "t1"), 1.0)
-        chain = await client.chain("p", "t2", 1.0)
+        await client.store_turn(turn("t1"), 1.0)
+        await client.store_turn(turn("t2", "t1"), 1.0)
+        chain = await client.read_history("p", "t2", 1.0)
         return chain, [kind for machine in world.machines.values() for kind in machine.seen]
 
     chain, seen = run(scene())
@@ -52,10 +53,10 @@
     async def scene():
         world = World()
         client, other = world.client("one"), world.client("two")
-        await client.append(turn("t1"), 1.0)
-        await client.append(turn("left", "t1"), 1.0)
-        await client.append(turn("right", "t1"), 1.0)
-        return await other.chain("p", "left", 1.0), await other.chain("p", "right", 1.0)
+        await client.store_turn(turn("t1"), 1.0)
+        await client.store_turn(turn("left", "t1"), 1.0)
+        await client.store_turn(turn("right", "t1"), 1.0)
+        return await other.read_history("p", "left", 1.0), await other.read_history("p", "right", 1.0)
 
     assert run(scene()) == (b"<t1><left>", b"<t1><right>")
 
@@ -68,14 +69,14 @@
         client, reader = world.client("one"), world.client("two")
         begun = now_s()
         await client.reserve("p", "t1", 10, 100, 1.0)
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         written = now_s() - begun
         begun = now_s()
-        assert await reader.chain("p", "t1", 1.0) == b"<t1>"
+        assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
         return written, now_s() - begun
 
     written, read = run(scene())
-    assert written < 0.02 + (0.0 if trouble == "up" else LEAST_HEDGE_S)
+    assert written < 0.02 + (0.0 if trouble == "up" else MIN_HEDGE_DELAY_S)
     assert read < (0.02 if trouble == "up" else 0.1)
 
 
@@ -84,12 +85,12 @@
     async def scene():
         world = World()
         client = world.client("one")
-        await client.append(turn("before"), 1.0)
+        await client.store_turn(turn("before"), 1.0)
         setattr(world.machines["a"], trouble, trouble != "up")
-        await client.append(turn("meets"), 1.0)
+        await client.store_turn(turn("meets"), 1.0)
         begun = now_s()
         await client.reserve("p", "t1", 10, 100, 1.0)
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         return now_s() - begun
 
     assert run(scene()) < 0.02
@@ -100,15 +101,15 @@
         world = World()
         client = world.client("one")
         world.machines["a"].frozen = True
-        await client.append(turn("t0"), 1.0)
+        await client.store_turn(turn("t0"), 1.0)
         world.machines["a"].frozen = False
         await asyncio.sleep(15.0)
         for number in range(1, 6):
-            await client.append(turn(f"t{number}"), 1.0)
+            await client.store_turn(turn(f"t{number}"), 1.0)
             await asyncio.sleep(1.0)
         world.machines["b"].up = False
         begun = now_s()
-        await client.append(turn("last"), 1.0)
+        await client.store_turn(turn("last"), 1.0)
         return now_s() - begun
 
     assert run(scene()) < 0.02
@@ -120,13 +121,13 @@
         locations = {"a": "r/far", "b": "r/near", "c": "r/far", "d": "r/near", "e": "r/near"}
         world.tell_locations(locations)
         client = world.client("one", location="r/near")
-        await client.append(turn("first"), 1.0)
-        await client.settled()
+        await client.store_turn(turn("first"), 1.0)
+        await client.wait_until_settled()
         for machine in world.machines.values():
             del machine.seen[:]
         for number in range(20):
-            await client.append(turn(f"t{number}"), 1.0)
-            await client.settled()
+            await client.store_turn(turn(f"t{number}"), 1.0)
+            await client.wait_until_settled()
         return {name: machine.seen.count("turn.put") for name, machine in world.machines.items()}
 
     assert run(scene()) == {"a": 0, "b": 20, "c": 0, "d": 20, "e": 20}
@@ -136,8 +137,8 @@
     async def scene():
         world = World(names="abcde", losses=2)
         writer, reader = world.client("one"), world.client("two")
-        await writer.append(turn("t1"), 1.0)
-        assert await reader.chain("p", "t1", 1.0) == b"<t1>"
+        await writer.store_turn(turn("t1"), 1.0)
+        assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
         return sum(machine.seen.count("turn.chain") for machine in world.machines.values())
 
     assert run(scene()) == 1
@@ -149,8 +150,8 @@
         client = world.client()
         for name in "bc":
             world.machines[name].up = False
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("t1"), 0.5)
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("t1"), 0.5)
         return client.cache.get("p", "t1")
 
     assert run(scene()) is None
@@ -160,8 +161,8 @@
     async def scene():
         world = World()
         world.machines["a"].refuses = {"turn.put"}
-        await world.client("one").append(turn("t1"), 1.0)
-        chains = {await world.client("two", seed).chain("p", "t1", 1.0) for seed in range(10)}
+        await world.client("one").store_turn(turn("t1"), 1.0)
+        chains = {await world.client("two", seed).read_history("p", "t1", 1.0) for seed in range(10)}
         return chains, "turn.chain" in world.machines["a"].seen
 
     assert run(scene()) == ({b"<t1>"}, True)
@@ -171,12 +172,12 @@
     async def scene():
         world = World()
         writer = world.client("one")
-        await writer.append(turn("t1"), 1.0)
+        await writer.store_turn(turn("t1"), 1.0)
         world.machines["a"].refuses = {"turn.put"}
-        await writer.append(turn("t2", "t1"), 1.0)
+        await writer.store_turn(turn("t2", "t1"), 1.0)
         world.machines["a"].refuses = set()
-        await writer.append(turn("t3", "t2"), 1.0)
-        return await world.client("two").chain("p", "t3", 1.0)
+        await writer.store_turn(turn("t3", "t2"), 1.0)
+        return await world.client("two").read_history("p", "t3", 1.0)
 
     assert run(scene()) == b"<t1><t2><t3>"
 
@@ -185,7 +186,7 @@
     async def scene():
         world = World()
         world.machines["a"].up = False
-        await world.client().append(turn("t1"), 1.0)
+        await world.client().store_turn(turn("t1"), 1.0)
         await asyncio.sleep(2.0)
         world.machines["a"].up = True
         await asyncio.sleep(2.0)
@@ -198,13 +199,13 @@
     async def scene():
         world = World()
         client = world.client()
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         world.machines["a"].up = False
-        with pytest.raises(TurnUnknown):
-            await client.chain("p", "never", 1.0)
+        with pytest.raises(TurnNotFoundError):
+            await client.read_history("p", "never", 1.0)
         world.machines["b"].up = False
-        with pytest.raises(StoreUnavailable):
-            await client.chain("p", "never", 1.0)
+        with pytest.raises(StoreUnavailableError):
+            await client.read_history("p", "never", 1.0)
 
     run(scene())
 
@@ -221,8 +222,8 @@
                 if not world.view.stable_replicas(f"p{n}", 3) & world.view.stable_replicas("p0", 3)
             ),
         )
-        await writer.append(turn("t1", program=old), 1.0)
-        chain = await reader.chain(new, "t1", 1.0)
+        await writer.store_turn(turn("t1", program=old), 1.0)
+        chain = await reader.read_history(new, "t1", 1.0)
         held = [
             machine.store.member_id
             for machine in world.machines.values()
@@ -242,11 +243,11 @@
         world = World(names="abcdefg")
         client = world.client()
         world.machines["g"].up = False
-        with pytest.raises(TurnUnknown):
-            await client.chain("p", "never", 1.0)
+        with pytest.raises(TurnNotFoundError):
+            await client.read_history("p", "never", 1.0)
         world.machines["f"].up = False
-        with pytest.raises(StoreUnavailable):
-            await client.chain("p", "never", 1.0)
+        with pytest.raises(StoreUnavailableError):
+            await client.read_history("p", "never", 1.0)
 
     run(scene())
 
@@ -256,8 +257,8 @@
         world = World()
         client = StoreClient(world.link("x"), 3)
         begun = now_s()
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("t1"), 0.5)
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("t1"), 0.5)
         return now_s() - begun
 
     assert run(scene()) == pytest.approx(0.5)
@@ -271,8 +272,8 @@
         world = World(syncs=False)
         client = world.client()
         world.tell(StoreView(2, world.view.stable))
-        await client.append(turn("t1"), 1.0)
-        return await client.chain("p", "t1", 1.0)
+        await client.store_turn(turn("t1"), 1.0)
+        return await client.read_history("p", "t1", 1.0)
 
     assert run(scene()) == b"<t1>"
 
@@ -282,11 +283,11 @@
         world = World(syncs=False)
         world.tell(StoreView(2, world.view.stable), names="a")
         client = world.client()
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         await asyncio.sleep(1.0)
         asked = {machine.store.view.epoch for machine in world.machines.values() if "turn.put" in machine.seen}
         world.machines["b"].up = False
-        await client.append(turn("t2"), 1.0)
+        await client.store_turn(turn("t2"), 1.0)
         await asyncio.sleep(1.0)
         return asked, {machine.store.view.epoch for machine in world.machines.values()}
 
@@ -298,14 +299,14 @@
         world = World()
         writer = world.client("one")
         world.machines["a"].refuses = {"turn.put"}
-        await writer.append(turn("t1"), 1.0)
+        await writer.store_turn(turn("t1"), 1.0)
         world.machines["b"].start_empty()
         world.machines["b"].store.adopt(world.view)
         world.machines["c"].frozen = True
-        with pytest.raises(StoreUnavailable):
-            await world.client("two").chain("p", "t1", 1.0)
+        with pytest.raises(StoreUnavailableError):
+            await world.client("two").read_history("p", "t1", 1.0)
         world.machines["c"].frozen = False
-        return await world.client("two").chain("p", "t1", 1.0)
+        return await world.client("two").read_history("p", "t1", 1.0)
 
     assert run(scene()) == b"<t1>"
 
@@ -317,12 +318,12 @@
         for name in "ef":
             world.machines[name].up = False
         client = world.client()
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("t1"), 0.5)
-        with pytest.raises(StoreUnavailable):
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("t1"), 0.5)
+        with pytest.raises(StoreUnavailableError):
             await client.reserve("p", "t1", 10, 100, 0.5)
         world.machines["e"].up = True
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         await client.reserve("p", "t2", 10, 100, 1.0)
 
     run(scene())
@@ -343,14 +344,14 @@
         client = asyncio.run_coroutine_threadsafe(make(), loop).result(5)
         store = BlockingStoreClient(client, loop)
         reservation = store.reserve("p", "t1", 10, 10, 5.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             store.reserve("p", "t2", 1, 10, 5.0)
-        store.append(turn("t1"), 5.0)
+        store.store_turn(turn("t1"), 5.0)
         store.settle(reservation, 5)
-        assert store.chain("p", "t1", 5.0) == b"<t1>"
-        with pytest.raises(TurnUnknown):
-            store.chain("p", "never", 5.0)
-        assert store.reserve("p", "t3", 5, 10, 5.0).most == 5
+        assert store.read_history("p", "t1", 5.0) == b"<t1>"
+        with pytest.raises(TurnNotFoundError):
+            store.read_history("p", "never", 5.0)
+        assert store.reserve("p", "t3", 5, 10, 5.0).max_tokens == 5
     finally:
         loop.call_soon_threadsafe(loop.stop)
         thread.join()
@@ -359,13 +360,11 @@
 
 def test_the_cache_is_bounded_in_bytes_and_time():
     clock = [0.0]
-    cache = ChainCache(most_bytes=3000, clock_s=lambda: clock[0])
-    from dewpin.dataplane.programs.history_cache import Link
-
+    cache = HistoryCache(max_bytes=3000, clock_s=lambda: clock[0])
     for number in range(10):
-        cache.put("p", f"t{number}", Link(None, b"x" * 500), 10.0)
+        cache.put("p", f"t{number}", CachedTurn(None, b"x" * 500), 10.0)
     assert cache.get("p", "t0") is None
-    assert cache.whole_chain("p", "t9") == b"x" * 500
+    assert cache.complete_history("p", "t9") == b"x" * 500
     clock[0] = 10.0
     assert cache.get("p", "t9") is None
 
@@ -376,28 +375,30 @@
 def test_budget_and_chain_are_asked_for_side_by_side():
     async def scene():
         world = World(delay_s=0.02)
-        await world.client("one").append(turn("t1"), 1.0)
+        await world.client("one").store_turn(turn("t1"), 1.0)
         client = world.client("two")
         began_s = now_s()
-        begun = await client.begin("p", "t2", 10, 100, "t1", 1.0)
+        start = await client.begin_turn("p", "t2", 10, 100, "t1", 1.0)
         took_s = now_s() - began_s
         began_s = now_s()
         await world.client("three").reserve("q", "t", 10, 100, 1.0)
-        return begun.chain, begun.reservation.most, took_s, now_s() - began_s
+        return start.history, start.reservation.max_tokens, took_s, now_s() - began_s
 
     chain, most, both_s, reserve_s = run(scene())
     assert (chain, most) == (b"<t1>", 10)
     assert both_s < reserve_s + 0.005
 
 
-@pytest.mark.parametrize(("previous", "budget", "error"), [("never", 100, TurnUnknown), ("t1", 5, BudgetSpent)])
+@pytest.mark.parametrize(
+    ("previous", "budget", "error"), [("never", 100, TurnNotFoundError), ("t1", 5, BudgetExceededError)]
+)
 def test_a_turn_that_cannot_begin_keeps_nothing_of_the_budget(previous, budget, error):
     async def scene():
         world = World()
         client = world.client("one")
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         with pytest.raises(error):
-            await world.client("two").begin("p", "t2", 10, budget, previous, 1.0)
+            await world.client("two").begin_turn("p", "t2", 10, budget, previous, 1.0)
         await asyncio.sleep(1.0)
         return await client.read_ledger("p")
 
@@ -408,35 +409,40 @@
 def test_a_turn_that_is_told_to_wait_no_longer_keeps_nothing_of_the_budget():
     async def scene():
         world = World()
-        await world.client("one").append(turn("t1"), 1.0)
+        await world.client("one").store_turn(turn("t1"), 1.0)
         for machine in world.machines.values():
             machine.refuses = {"turn.chain"}
         client = world.client("two")
-        with pytest.raises(StoreUnavailable):
-            await client.begin("p", "t2", 10, 100, "t1", 0.3)
-        await client.settled()
+        with pytest.raises(StoreUnavailableError):
+            await client.begin_turn("p", "t2", 10, 100, "t1", 0.3)
+        await client.wait_until_settled()
         return await client.read_ledger("p")
 
     assert run(scene()) == {"spent": 0, "open": {}}
 
 
+@pytest.mark.filterwarnings("error")
 def test_a_settlement_that_the_loop_never_began_to_carry_is_made_later(monkeypatch):
     """Its turn may not be durable, but what it used has to be counted."""
-    monkeypatch.setattr(store_client, "FACADE_SLACK_S", 0.0)
+    monkeypatch.setattr(store_client, "THREAD_WAIT_MARGIN_S", 0.0)
     settled = []
 
     class Client:
-        async def append(self, turn, timeout_s, settlement):
-            raise AssertionError("it was given up before it began")
+        async def store_turn(self, turn, timeout_s, settlement):
+            await asyncio.sleep(0)
+            raise AssertionError("the call goes on after its thread gave it up")
 
-        def settle(self, reservation, used):
-            settled.append((reservation.turn, used))
+        def settle(self, reservation, used_tokens):
+            settled.append((reservation.turn_id, used_tokens))
 
     loop = asyncio.new_event_loop()
     reservation = Reservation("p", "t", 10)
-    with pytest.raises(StoreUnavailable):
-        store_client.BlockingStoreClient(Client(), loop).append(turn("t"), 0.0, Settlement(reservation, 7))
+    with pytest.raises(StoreUnavailableError):
+        store_client.BlockingStoreClient(Client(), loop).store_turn(turn("t"), 0.0, Settlement(reservation, 7))
     loop.call_soon(loop.stop)
     loop.run_forever()
+    calls = asyncio.all_tasks(loop)
+    loop.run_until_complete(asyncio.wait(calls))
     loop.close()
+    assert [call.cancelled() for call in calls] == [True]
     assert settled == [("t", 7)]
--- a/tests/dataplane/test_store_client_budgets.py
+++ b/tests/dataplane/test_store_client_budgets.py
@@ -8,7 +8,8 @@
 from scripted.stores import World, turn
 
 from dewpin.cluster.store_view import StoreView
-from dewpin.dataplane.programs.program_store import BudgetSpent, Reservation, Settlement, StoreUnavailable
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError
+from dewpin.dataplane.programs.program_store import Reservation, Settlement
 
 
 def test_a_budget_is_exact_at_its_edge():
@@ -16,11 +17,11 @@
         client = World().client()
         held = await client.reserve("p", "t1", 60, 100, 1.0)
         await client.reserve("p", "t2", 40, 100, 1.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t3", 1, 100, 1.0)
         client.settle(held, 59)
         await client.reserve("p", "t3", 1, 100, 1.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t4", 1, 100, 1.0)
 
     run(scene())
@@ -31,11 +32,11 @@
         world = World()
         client = world.client()
         client.settle(await client.reserve("p", "t1", 10, 100, 1.0), 10)
-        await client.settled()
+        await client.wait_until_settled()
         for machine in world.machines.values():
             machine.seen.clear()
         client.settle(await client.reserve("p", "t2", 10, 100, 1.0), 10)
-        await client.settled()
+        await client.wait_until_settled()
         return sorted(machine.seen for machine in world.machines.values())
 
     assert run(scene()) == [[], ["ledger.accept", "ledger.accept"], ["ledger.accept", "ledger.accept"]]
@@ -51,7 +52,7 @@
         )
         return sorted(type(result).__name__ for result in results)
 
-    assert run(scene()) == ["BudgetSpent"] * 10 + ["Reservation"] * 10
+    assert run(scene()) == ["BudgetExceededError"] * 10 + ["Reservation"] * 10
 
 
 def test_a_refused_turn_gives_its_tokens_back():
@@ -67,7 +68,7 @@
     async def scene():
         world = World()
         await world.client("dead").reserve("p", "t1", 60, 100, 1.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await world.client("alive").reserve("p", "t2", 60, 100, 1.0)
 
     run(scene())
@@ -78,13 +79,13 @@
         world = World()
         one, two = world.client("one"), world.client("two")
         held = await one.reserve("p", "t1", 100, 100, 1.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await two.reserve("p", "t2", 100, 100, 1.0)
         one.settle(held, 0)
-        await one.settled()
+        await one.wait_until_settled()
         return await two.reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()).turn == "t2"
+    assert run(scene()).turn_id == "t2"
 
 
 def test_a_reservation_with_an_unclear_end_is_taken_back():
@@ -93,14 +94,14 @@
         client = world.client()
         for machine in world.machines.values():
             machine.loses_answers = True
-        with pytest.raises(StoreUnavailable):
+        with pytest.raises(StoreUnavailableError):
             await client.reserve("p", "t1", 100, 100, 0.5)
         for machine in world.machines.values():
             machine.loses_answers = False
-        await client.settled()
+        await client.wait_until_settled()
         return await world.client("other").reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()).turn == "t2"
+    assert run(scene()).turn_id == "t2"
 
 
 def test_a_sender_that_dies_between_the_rounds_blocks_nobody():
@@ -109,14 +110,14 @@
         for machine in world.machines.values():
             machine.refuses = {"ledger.accept"}
         dying = world.client("dying")
-        with pytest.raises(StoreUnavailable):
+        with pytest.raises(StoreUnavailableError):
             await dying.reserve("p", "t1", 10, 100, 0.2)
         dying.close()
         for machine in world.machines.values():
             machine.refuses = set()
         return await world.client("alive").reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()).turn == "t2"
+    assert run(scene()).turn_id == "t2"
 
 
 async def accepted_by_one(world, name):
@@ -125,7 +126,7 @@
     for machine in others:
         machine.refuses = {"ledger.accept"}
     dying = world.client("dying")
-    with pytest.raises(StoreUnavailable):
+    with pytest.raises(StoreUnavailableError):
         await dying.reserve("p", "t1", 60, 100, 0.2)
     dying.close()
     assert "ledger.accept" in world.machines[name].seen
@@ -138,11 +139,11 @@
         world = World()
         await accepted_by_one(world, "a")
         world.machines["b"].up = False
-        with pytest.raises(BudgetSpent):  # what `a` accepted was met, finished, and counts from now on
+        with pytest.raises(BudgetExceededError):  # what `a` accepted was met, finished, and counts from now on
             await world.client("alive", seed=2).reserve("p", "t2", 60, 100, 1.0)
         world.machines["b"].up = True
         world.machines["a"].up = False
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await world.client("third", seed=3).reserve("p", "t3", 60, 100, 1.0)
 
     run(scene())
@@ -159,7 +160,7 @@
             world.machines[absent].up = False
             third = world.client("third", seed=3)
             assert await third.read_ledger("p") == {"spent": 0, "open": {"t2": 60}}
-            with pytest.raises(BudgetSpent):
+            with pytest.raises(BudgetExceededError):
                 await third.reserve("p", "t3", 60, 100, 1.0)
             world.machines[absent].up = True
 
@@ -172,17 +173,17 @@
         client = world.client()
         world.machines["a"].disk.full = True
         await client.reserve("p", "t1", 60, 100, 1.0)
-        await client.append(turn("t1"), 1.0)
+        await client.store_turn(turn("t1"), 1.0)
         world.machines["b"].disk.full = True
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("t2", "t1"), 0.5)
-        with pytest.raises(StoreUnavailable):
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("t2", "t1"), 0.5)
+        with pytest.raises(StoreUnavailableError):
             await client.reserve("p", "t2", 60, 100, 0.5)
         for machine in world.machines.values():
             machine.disk.full = False
-        await client.settled()
+        await client.wait_until_settled()
         await client.reserve("p", "t3", 40, 100, 1.0)
-        with pytest.raises(BudgetSpent):
+        with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t4", 1, 100, 1.0)
 
     run(scene())
@@ -191,7 +192,7 @@
 async def kept_with_its_settlement(client, name, previous=None, most=60, used=7, budget=100):
     """Let a turn be reserved, kept and settled at once."""
     held = await client.reserve("p", name, most, budget, 1.0)
-    await client.append(turn(name, previous), 1.0, Settlement(held, used))
+    await client.store_turn(turn(name, previous), 1.0, Settlement(held, used))
 
 
 def test_a_turn_that_is_kept_carries_its_settlement():
@@ -201,8 +202,8 @@
         held = await client.reserve("p", "t1", 60, 100, 1.0)
         for machine in world.machines.values():
             machine.seen.clear()
-        await client.append(turn("t1"), 1.0, Settlement(held, 7))
-        await client.settled()
+        await client.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await client.wait_until_settled()
         seen = sorted(machine.seen for machine in world.machines.values())
         assert seen == [[], ["turn.put"], ["turn.put"]]
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
@@ -219,7 +220,7 @@
         for machine in world.machines.values():
             machine.seen.clear()
         await kept_with_its_settlement(client, "t2", "t1")
-        await client.settled()
+        await client.wait_until_settled()
         return sorted(machine.seen for machine in world.machines.values())
 
     assert run(scene()) == [[], ["ledger.accept", "turn.put"], ["ledger.accept", "turn.put"]]
@@ -231,8 +232,8 @@
         one, two = world.client("one"), world.client("two")
         held = await one.reserve("p", "t1", 60, 100, 1.0)
         await two.reserve("p", "t2", 20, 100, 1.0)
-        await one.append(turn("t1"), 1.0, Settlement(held, 7))
-        await one.settled()
+        await one.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await one.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": 20}}
 
     run(scene())
@@ -245,9 +246,9 @@
         held = await client.reserve("p", "t1", 60, 100, 1.0)
         for machine in world.machines.values():
             machine.refuses = {"turn.put"}
-        with pytest.raises(StoreUnavailable):
-            await client.append(turn("t1"), 0.3, Settlement(held, 7))
-        await client.settled()
+        with pytest.raises(StoreUnavailableError):
+            await client.store_turn(turn("t1"), 0.3, Settlement(held, 7))
+        await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
         client.close()
 
@@ -267,10 +268,10 @@
             world.network.handlers[machine.address] = machine.store.handlers
         client = world.client()
         await kept_with_its_settlement(client, "t1")
-        await client.settled()
+        await client.wait_until_settled()
         reader = world.client("reader")
         assert await reader.read_ledger("p") == {"spent": 7, "open": {}}
-        assert await reader.chain("p", "t1", 1.0) == b"<t1>"
+        assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
 
     run(scene())
 
@@ -281,10 +282,10 @@
         client = world.client()
         held = await client.reserve("p", "t1", 60, 100, 1.0)
         _, other = await asyncio.gather(
-            client.append(turn("t1"), 1.0, Settlement(held, 7)), client.reserve("p", "t2", 50, 100, 1.0)
+            client.store_turn(turn("t1"), 1.0, Settlement(held, 7)), client.reserve("p", "t2", 50, 100, 1.0)
         )
-        await client.settled()
-        assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": other.most}}
+        await client.wait_until_settled()
+        assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": other.max_tokens}}
 
     run(scene())
 
@@ -296,8 +297,8 @@
         held = await client.reserve("p", "t1", 60, 100, 1.0)
         changing = StoreView(2, world.view.stable, world.members("abd"))
         world.tell(changing)
-        await client.append(turn("t1"), 1.0, Settlement(held, 7))
-        await client.settled()
+        await client.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
 
     run(scene())
@@ -314,11 +315,11 @@
             client = rng.choice(clients)
             held = await client.reserve("p", f"t{number}", 10, 1000, 5.0)
             await asyncio.sleep(rng.random() * 0.01)
-            await client.append(turn(f"t{number}"), 5.0, Settlement(held, number))
+            await client.store_turn(turn(f"t{number}"), 5.0, Settlement(held, number))
 
         await asyncio.gather(*(one_turn(number) for number in range(20)))
         for client in clients:
-            await client.settled()
+            await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": sum(range(20)), "open": {}}
 
     run(scene())
@@ -341,8 +342,8 @@
                 return put(message)
 
             world.network.handlers[machine.address] = {**machine.store.handlers, "turn.put": noted}
-        await client.append(turn("t1"), 1.0, Settlement(held, 7))
-        await client.settled()
+        await client.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await client.wait_until_settled()
         return set(carried)
 
     assert run(scene()) == {(1, True), (2, False)}
--- a/tests/dataplane/test_turns.py
+++ b/tests/dataplane/test_turns.py
@@ -5,8 +5,9 @@
 
 from dewpin.cluster.errors import ErrorKind, TierError
 from dewpin.dataplane.http11.event_splitter import parse_event
-from dewpin.dataplane.programs.program_store import BudgetSpent, StoreUnavailable, Turn, TurnUnknown
-from dewpin.dataplane.programs.turns import CUT_OFF_OPEN_TIMEOUT_S, OPEN_TIMEOUT_S, OpenTurn, plan_turn
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError, TurnNotFoundError
+from dewpin.dataplane.programs.program_store import Turn
+from dewpin.dataplane.programs.turns import BEGIN_TIMEOUT_S, CUT_OFF_BEGIN_TIMEOUT_S, OpenTurn, plan_turn
 
 USAGE = ("X-Dewpin-Token-Usage", "1840,290")
 BUDGET = ("Budget", "2320")
@@ -20,7 +21,7 @@
 
 def opened(store, *fields, **route):
     turn = OpenTurn(store, plan(*fields, **route), request(*fields))
-    turn.open(lambda: 1.0)
+    turn.begin(lambda: 1.0)
     return turn
 
 
@@ -31,9 +32,9 @@
 
 def test_a_turn_with_a_budget():
     planned = plan(BUDGET, USAGE, PROGRAM)
-    assert (planned.program, planned.turn_id, planned.budget, planned.most) == ("3fa81c", "r-1", 2320, 290)
+    assert (planned.program, planned.turn_id, planned.budget, planned.max_tokens) == ("3fa81c", "r-1", 2320, 290)
     assert planned.tokens_per_event == 10
-    assert not planned.retained
+    assert not planned.is_retained
 
 
 def test_a_turn_without_a_program_is_one_of_its_own():
@@ -60,8 +61,8 @@
     store = MemoryStore()
     turn = opened(store, BUDGET, USAGE, PROGRAM)
     assert store.reserved == [("3fa81c", "r-1", 290, 2320)]
-    turn.count_event(parse_event(b"data: a\n\n"))
-    turn.count_event(parse_event(b"data: b\n\n"))
+    turn.record_event(parse_event(b"data: a\n\n"))
+    turn.record_event(parse_event(b"data: b\n\n"))
     turn.settle()
     turn.settle()
     assert store.settled == [("r-1", 20)]
@@ -76,7 +77,7 @@
 def test_a_spent_budget_is_told():
     store = MemoryStore()
     store.spent["3fa81c"] = 2100
-    with pytest.raises(BudgetSpent):
+    with pytest.raises(BudgetExceededError):
         opened(store, BUDGET, USAGE, PROGRAM)
     assert store.settled == []
 
@@ -99,7 +100,7 @@
     assert opened(MemoryStore(), PROGRAM, retained=True).body == b"input"
 
 
-@pytest.mark.parametrize(("fails", "error"), [([], TurnUnknown), (["chain"], StoreUnavailable)])
+@pytest.mark.parametrize(("fails", "error"), [([], TurnNotFoundError), (["read_history"], StoreUnavailableError)])
 def test_a_chain_that_cannot_be_had_gives_the_reservation_back(fails, error):
     store = MemoryStore(fails)
     with pytest.raises(error):
@@ -111,8 +112,8 @@
     store = MemoryStore()
     turn = opened(store, PROGRAM, retained=True, retain_s=45.0)
     for raw in (b"id: 1\ndata: a\n\n", b"versions: 2\nid: 2\ndata: b c\n\n", b"id: 3\ndata: d\ndata: e\n\n"):
-        turn.count_event(parse_event(raw))
-    turn.keep(1.0)
+        turn.record_event(parse_event(raw))
+    turn.store(1.0)
     assert store.turns["r-1"] == Turn("r-1", "3fa81c", None, b"input", b"a\nb c\nd\ne\n", 45.0)
 
 
@@ -120,14 +121,14 @@
     store = MemoryStore()
     store.turns["t-1"] = Turn("t-1", "3fa81c", None, b"in", b"out\n", 60.0)
     turn = opened(store, PROGRAM, ("Previous", "t-1"), retained=True)
-    turn.keep(1.0)
-    assert store.turns["r-1"].previous == "t-1"
+    turn.store(1.0)
+    assert store.turns["r-1"].previous_id == "t-1"
     assert store.turns["r-1"].input == b"input"
 
 
 def test_a_turn_of_a_route_that_does_not_retain_is_not_kept():
     store = MemoryStore()
-    opened(store, BUDGET, USAGE).keep(1.0)
+    opened(store, BUDGET, USAGE).store(1.0)
     assert store.turns == {}
 
 
@@ -135,12 +136,12 @@
     waited = []
 
     class Store:
-        def reserve(self, program, turn, most, budget, timeout_s):
+        def reserve(self, program, turn_id, max_tokens, budget, timeout_s):
             waited.append(timeout_s)
-            raise StoreUnavailable("nobody answers")
+            raise StoreUnavailableError("nobody answers")
 
     fields = [BUDGET, USAGE, PROGRAM]
     for cut_off in (False, True):
-        with pytest.raises(StoreUnavailable):
-            OpenTurn(Store(), plan(*fields), request(*fields)).open(lambda: 10.0, cut_off)
-    assert waited == [OPEN_TIMEOUT_S, CUT_OFF_OPEN_TIMEOUT_S]
+        with pytest.raises(StoreUnavailableError):
+            OpenTurn(Store(), plan(*fields), request(*fields)).begin(lambda: 10.0, cut_off)
+    assert waited == [BEGIN_TIMEOUT_S, CUT_OFF_BEGIN_TIMEOUT_S]
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -80,7 +80,8 @@
 from dewpin.dataplane.ingress.server import IngressServer
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 from dewpin.dataplane.membership.cluster_state import ClusterState
-from dewpin.dataplane.programs.program_store import BudgetSpent, Settlement, StoreUnavailable, Turn, TurnUnknown
+from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError, TurnNotFoundError
+from dewpin.dataplane.programs.program_store import Settlement, Turn
 from dewpin.dataplane.programs.store_client import StoreClient
 from dewpin.dataplane.routing.affinity import share_of_key
 from dewpin.dataplane.routing.request_handler import RequestHandler
@@ -856,7 +857,7 @@
         server.stop()
 
 
-STORE_FAULTS = {"budget": BudgetSpent, "turn": TurnUnknown, "store": StoreUnavailable}
+STORE_FAULTS = {"budget": BudgetExceededError, "turn": TurnNotFoundError, "store": StoreUnavailableError}
 
 
 class _FailingStore:
@@ -1029,11 +1030,11 @@
         result: Any = None
         try:
             result = await work
-        except (BudgetSpent, TurnUnknown) as refusal:
+        except (BudgetExceededError, TurnNotFoundError) as refusal:
             found[name] = {"calls": list(store.calls), "refused": str(refusal)}
         else:
-            await first.settled()
-            await second.settled()
+            await first.wait_until_settled()
+            await second.wait_until_settled()
             found[name] = {"calls": list(store.calls)}
         return result
 
@@ -1041,14 +1042,14 @@
         return Turn(name, "p-1", previous, f"{name} \u00ff".encode("latin-1"), b"out\n", 60.5)
 
     reserved = await step("reserve", first.reserve("p-1", "t-1", 20, 100, PATIENCE_S))
-    await step("append and settle", first.append(turn("t-1", None), PATIENCE_S, Settlement(reserved, 15)))
-    begun = await step("begin at another sender", second.begin("p-1", "t-2", 30, 100, "t-1", PATIENCE_S))
+    await step("append and settle", first.store_turn(turn("t-1", None), PATIENCE_S, Settlement(reserved, 15)))
+    begun = await step("begin at another sender", second.begin_turn("p-1", "t-2", 30, 100, "t-1", PATIENCE_S))
     reservation, chain = (getattr(begun, field.name) for field in fields(begun))
     found["begin at another sender"]["chain"] = chain.decode("latin-1")
-    await step("append", second.append(turn("t-2", "t-1"), PATIENCE_S))
+    await step("append", second.store_turn(turn("t-2", "t-1"), PATIENCE_S))
     await step("reserve too much", first.reserve("p-1", "t-3", 90, 100, PATIENCE_S))
-    await step("chain of unknown turn", first.chain("p-1", "t-9", PATIENCE_S))
-    chain = await step("chain", _store_client(store, "sender-c").chain("p-1", "t-2", PATIENCE_S))
+    await step("chain of unknown turn", first.read_history("p-1", "t-9", PATIENCE_S))
+    chain = await step("chain", _store_client(store, "sender-c").read_history("p-1", "t-2", PATIENCE_S))
     found["chain"]["chain"] = chain.decode("latin-1")
     await step("settle behind", _settle(second, reservation))
     ledger = await step("read of the ledger", first.read_ledger("p-1"))
@@ -1059,7 +1060,7 @@
 
 
 def _store_client(store: _RecordedStore, proposer: str) -> StoreClient:
-    client = StoreClient(store, 1, random.Random(1), proposer=proposer, wall_clock_ms=lambda: START_MS)
+    client = StoreClient(store, 1, random.Random(1), proposer_id=proposer, wall_clock_ms=lambda: START_MS)
     client.adopt(StoreView.from_json(ONE_STORE))
     return client
 
--- a/tests/model/ledger_parts.py
+++ b/tests/model/ledger_parts.py
@@ -1,7 +1,7 @@
 """A store and a sender as parts of the ledger model: the real `Store` and `LedgerClient`, unmodified.
 
 Only what surrounds them is the model's: the disk is sqlite in memory, and a ballot's requests wait in its network
-instead of a `Round`.
+instead of a `QuorumRound`.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from dewpin.controlplane.store.store import Store
 from dewpin.dataplane.programs import ledger
 from dewpin.dataplane.programs.background import BackgroundTasks
+from dewpin.dataplane.programs.errors import BudgetExceededError, StaleViewError
 from dewpin.dataplane.programs.ledger_ballot import LedgerBallot
 from dewpin.dataplane.programs.ledger_client import LedgerClient
-from dewpin.dataplane.programs.program_store import BudgetSpent
-from dewpin.dataplane.programs.replica_calls import ViewHolder, ViewMoved
+from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
 from tests.model.component import Event, freeze, freeze_proposal, position
 
 PROGRAM = "program"
@@ -150,7 +150,7 @@
     ballot: LedgerBallot | None = None
     ballots = 0
 
-    async def _drive(self, ballot: LedgerBallot) -> None:
+    async def _exchange_messages(self, ballot: LedgerBallot) -> None:
         self.ballots += 1
         self.ballot = ballot
         self.waiting = ballot.start()
@@ -167,7 +167,7 @@
         self._views = views
         self._operations = operations
         self._budget = budget
-        holder = ViewHolder()
+        holder = StoreViewTracker()
         holder.adopt(views[1])
         background = BackgroundTasks()
         self._client = _ModelClient(None, holder, REPLICA_COUNT, name, _NoPauses(), lambda: clock_ms, background)
@@ -185,7 +185,7 @@
             return self._resume()
         if kind == "move":
             self._client._views.adopt(self._views[rest[0]])
-            return self._resume(ViewMoved())
+            return self._resume(StaleViewError())
         if kind == "give_up":
             return self._resume()
         member, answer = rest
@@ -193,7 +193,7 @@
         assert ballot is not None
         try:
             requests = ballot.receive(member, decode_reply(json.loads(answer)))
-        except BudgetSpent as spent:  # it rises through the driver of the ballot
+        except BudgetExceededError as spent:  # it rises through the driver of the ballot
             return self._resume(spent)
         if not ballot.has_ended:
             return self._texts(requests), None
@@ -204,7 +204,7 @@
         if kind == "reserve":
             return self._client._reserve(PROGRAM, turn, tokens, self._budget)
         if kind == "settle":
-            self._client._unsettled.setdefault(PROGRAM, {})[turn] = tokens
+            self._client._pending_settlements.setdefault(PROGRAM, {})[turn] = tokens
             return self._client.change(PROGRAM, ledger.read, only_if_unsettled=turn)
         return self._client.change(PROGRAM, ledger.read)
 
@@ -218,11 +218,11 @@
                 else:
                     thrown, failure = failure, None
                     self._running.throw(thrown)
-                if position(self._running)[-1][0] == "_drive":
+                if position(self._running)[-1][0] == "_exchange_messages":
                     break
         except StopIteration:
             ended = "made"
-        except BudgetSpent:
+        except BudgetExceededError:
             ended = "spent"
         if ended is None:
             return self._texts(self._client.waiting), None
@@ -243,11 +243,11 @@
 
     def fingerprint(self) -> SenderFingerprint:
         """Where the sender stands, and all that it keeps."""
-        client, ballots = self._client, self._client._ballots
+        client, proposer = self._client, self._client._proposer
         proposal = None if client.ballot is None else client.ballot.proposal
-        view = client._views.view
+        view = client._views.newest
         assert view is not None
-        kept = (ballots._counter, freeze(dict(ballots._prepared)), freeze(client._unsettled))
+        kept = (proposer._counter, freeze(dict(proposer._promises)), freeze(client._pending_settlements))
         return SenderFingerprint(
             view.epoch,
             self._done,
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -23,8 +23,8 @@
 from dewpin.controlplane.store.store import Store
 from dewpin.dataplane.membership.state_confirmation import StateConfirmation
 from dewpin.dataplane.programs import ledger, ledger_ballot, ledger_client
+from dewpin.dataplane.programs.errors import StaleViewError
 from dewpin.dataplane.programs.ledger_client import LedgerClient
-from dewpin.dataplane.programs.replica_calls import ViewMoved
 from dewpin.dataplane.routing.request_handler import RequestHandler
 from dewpin.dataplane.routing.retry import RetryStateMachine
 from dewpin.dataplane.upstream import receiver_client
@@ -177,12 +177,12 @@
 
 
 def settle_twice(patch: Patch) -> None:
-    def settle(turn: str, used: int) -> ledger.Change:
+    def settle(turn_id: str, used_tokens: int) -> ledger.Change:
         def change(value: Any) -> Any:
             if value is None:
                 return value
-            still_open = {other: most for other, most in value["open"].items() if other != turn}
-            return ledger.Ledger(spent=value["spent"] + used, open=still_open)
+            still_open = {other: most for other, most in value["open"].items() if other != turn_id}
+            return ledger.Ledger(spent=value["spent"] + used_tokens, open=still_open)
 
         return change
 
@@ -190,11 +190,11 @@
 
 
 def lose_a_settlement(patch: Patch) -> None:
-    patch.setattr(ledger, "settle", lambda turn, used: lambda value: value)
+    patch.setattr(ledger, "settle", lambda turn_id, used_tokens: lambda value: value)
 
 
 def reserve_over_the_budget(patch: Patch) -> None:
-    patch.setattr(ledger, "fits", lambda value, turn, most, budget: True)
+    patch.setattr(ledger, "can_reserve", lambda value, turn_id, max_tokens, budget: True)
 
 
 def renew_without_a_majority(patch: Patch) -> None:
@@ -239,20 +239,20 @@
 
 
 def forget_settlements_as_the_view_moves(patch: Patch) -> None:
-    original = LedgerClient._one_ballot
+    original = LedgerClient._run_ballot
 
-    async def one_ballot(self: LedgerClient, program: str, *rest: Any) -> Any:
+    async def run_ballot(self: LedgerClient, program: str, *rest: Any) -> Any:
         try:
             return await original(self, program, *rest)
-        except ViewMoved:
-            self._forget_settled(program, list(self._unsettled.get(program, {})))
+        except StaleViewError:
+            self._forget_settlements(program, list(self._pending_settlements.get(program, {})))
             raise
 
-    patch.setattr(LedgerClient, "_one_ballot", one_ballot)
+    patch.setattr(LedgerClient, "_run_ballot", run_ballot)
 
 
 def take_a_conflict_for_a_settlement(patch: Patch) -> None:
-    patch.setattr(ledger_client, "_KNOWN_OUTCOMES", tuple(proposal.Outcome))
+    patch.setattr(ledger_client, "_OUTCOMES_WITH_CHANGE_MADE", tuple(proposal.Outcome))
 
 
 def take_whatever_ballot_is_copied(patch: Patch) -> None:
@@ -280,8 +280,8 @@
         def __ne__(self, other: object) -> bool:
             return False
 
-    original = ledger_ballot._Prepared
-    patch.setattr(ledger_ballot, "_Prepared", lambda epoch, *rest: original(AnyEpoch(epoch), *rest))
+    original = ledger_ballot._Promise
+    patch.setattr(ledger_ballot, "_Promise", lambda epoch, *rest: original(AnyEpoch(epoch), *rest))
 
 
 def take_an_answer_without_its_id(patch: Patch) -> None:
--- a/tests/scripted/stores.py
+++ b/tests/scripted/stores.py
@@ -140,7 +140,7 @@
             self.link(name),
             self.count,
             random.Random(seed),
-            proposer=name,
+            proposer_id=name,
             wall_clock_ms=lambda: self.clock_ms,
             location=location,
         )
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from dewpin.cluster.errors import TierError
-from dewpin.dataplane.programs.history_cache import ChainCache
+from dewpin.dataplane.programs.history_cache import HistoryCache
 from dewpin.dataplane.programs.program_store import Settlement, Turn
 
 from .oracle import Served
@@ -141,22 +141,22 @@
             said, answer = f"[{turn}?]".encode(), f"[{turn}!{'y' * used}]".encode()
             kept = Turn(turn, program.name, previous, said, answer, RETAIN_S)
             settlement, carried = None, Settlement(reservation, used)
-            await store.append(kept, KEEP_TIMEOUT_S, carried)
+            await store.store_turn(kept, KEEP_TIMEOUT_S, carried)
         except TierError as error:
             return error.kind.value, used, b""
         finally:
             if settlement is not None:
-                store.settle(settlement.reservation, settlement.used)
+                store.settle(settlement.reservation, settlement.used_tokens)
         return "done", used, said + answer
 
     async def _begin(self, store, program, turn, previous, open_s):
         """The turn's reservation, once the chain that it goes on from is read."""
-        cached = b"" if previous is None else store.cache.whole_chain(program.name, previous)
+        cached = b"" if previous is None else store.cache.complete_history(program.name, previous)
         if cached is not None:
             reservation, chain = await store.reserve(program.name, turn, program.most, program.budget, open_s), cached
         else:
-            begun = await store.begin(program.name, turn, program.most, program.budget, previous, open_s)
-            reservation, chain = begun.reservation, begun.chain
+            start = await store.begin_turn(program.name, turn, program.most, program.budget, previous, open_s)
+            reservation, chain = start.reservation, start.history
         if previous is not None:
             self.oracle.chain_read(program, previous, chain)
         return reservation
@@ -165,7 +165,7 @@
 
     async def read_everything(self, front, until_s):
         """Read every chain that has to be there, from the stores alone, until it comes or the time is over."""
-        front.store_client.cache = ChainCache(clock_s=self.world.loop.time)
+        front.store_client.cache = HistoryCache(clock_s=self.world.loop.time)
         for program in self.programs:
             kept = [turn for turn, (_, _, at_s) in program.turns.items() if self.world.loop.now - at_s < RETAIN_S]
             if kept:
@@ -173,7 +173,7 @@
 
     async def _read(self, front, program, turn, until_s):
         while True:
-            task = front.machine.start(front.store_client.chain(program.name, turn, OPEN_TIMEOUT_S))
+            task = front.machine.start(front.store_client.read_history(program.name, turn, OPEN_TIMEOUT_S))
             await asyncio.wait({task})
             error = task.exception()
             if error is None:
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -10,7 +10,7 @@
 from dewpin.controlplane.operator_api import OperatorApi
 from dewpin.dataplane.__main__ import Sender
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
-from dewpin.dataplane.programs.history_cache import ChainCache
+from dewpin.dataplane.programs.history_cache import HistoryCache
 from dewpin.dataplane.programs.store_client import StoreClient
 from dewpin.lab.loop import Machine
 
@@ -161,7 +161,7 @@
             client,
             settings.fault_tolerance.replica_count,
             self.random("stores"),
-            ChainCache(clock_s=loop.time),
+            HistoryCache(clock_s=loop.time),
             f"{self.random('proposer').getrandbits(48):012x}",
             self.time_of_day_ms,
         )
