--- a/dewpin/simulator/__init__.py
+++ b/dewpin/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the bench's wire, marsh-c21d."""
+"""The dispatcher on the wire of the simulator, marsh-c21d."""
--- a/dewpin/simulator/__main__.py
+++ b/dewpin/simulator/__main__.py
@@ -6,14 +6,15 @@
 from .adapter import Adapter
 
 
-def main():
+def main() -> int:
+    """Answers every batch; gives the exit code: 1 after input that is not of this wire."""
     adapter = Adapter()
     read, write = sys.stdin.buffer, sys.stdout.buffer
     try:
         while (batch := wire.read_batch(read)) is not None:
-            write.write(adapter.answer(*batch))
+            write.write(adapter.answer(batch))
             write.flush()
-    except wire.Malformed as error:
+    except wire.WireFormatError as error:
         print(f"dewpin: {error}", file=sys.stderr)
         return 1
     return 0
--- a/dewpin/simulator/adapter.py
+++ b/dewpin/simulator/adapter.py
@@ -1,12 +1,16 @@
-"""Drives the decision module from the wire. It keeps timers and mails in hand, and decides nothing."""
+"""Drives dispatchers from the simulator's wire. It keeps timers and pending messages, and decides nothing."""
+
+from __future__ import annotations
 
 import json
+from collections.abc import Callable, Sequence
+from typing import Any
 
 from ..core import model
-from ..core.dispatcher import Dispatcher
-from . import wire
+from ..core.dispatcher import Dispatcher, DispatchResult, OutcomeResult
+from . import events, wire
 
-ENDINGS = {
+OUTCOMES = {
     10: model.Outcome.DELIVERED,
     20: model.Outcome.ERROR,
     30: model.Outcome.REJECTED,
@@ -16,200 +20,277 @@
     70: model.Outcome.CANCELLED,
     80: model.Outcome.NOT_SENT,
 }
-REPEAT, INHERITED = 2, 16  # bits of a query: handed in again, from a sender that died
-STATES = {0: model.ReceiverState.GONE, 1: model.ReceiverState.READY, 2: model.ReceiverState.DRAINING}
+GONE = 0
+RECEIVER_STATES = {
+    GONE: model.ReceiverState.GONE,
+    1: model.ReceiverState.READY,
+    2: model.ReceiverState.DRAINING,
+}
+TIMER_HANDLE = 1  # a sender has one timer
+TIMER_TOLERANCE_MS = 0.001
+
 
+class SimulatedSender:
+    """One sender.
 
-class Instance:
-    """One sender: its module, the mails in hand, the receivers that its lists have named, and its timer."""
+    number: which one it is on the wire.
+    dispatcher: its decisions.
+    messages: the pending ones, by their ids.
+    receivers, destinations: those that its lists have named.
+    timer_at: when the earliest timer that is set will fire; None: none is set.
+    actions: encoded, for the reply.
+    """
 
-    def __init__(self, number, seed, settings):
+    def __init__(self, number: int, seed: int, settings: dict[str, Any]) -> None:
         self.number = number
-        self.module = Dispatcher(settings, seed)
-        self.fields = [
+        self.dispatcher = Dispatcher(settings, seed)
+        self.load_report_fields = [
             model.LOAD_REPORT_FIELDS.get(name, name) for name in settings.get("Report", {}).get("Fields", [])
         ]
-        self.mails = {}
-        self.receivers = {}
-        self.destinations = {}
-        self.armed = None  # when the earliest timer that is set will fire
-        self.actions = []
-        self.handlers = {
-            wire.TARGETS: self.targets,
-            wire.QUERY: self.query,
-            wire.FIRST: self.first,
-            wire.RETURNED: self.returned,
-            wire.VANISHED: self.vanished,
-            wire.WAKEUP: self.wakeup,
-            wire.CHECKED: self.checked,
-            wire.NOTE_FROM: self.note_from,
+        self.messages: dict[int, model.Message] = {}
+        self.receivers: dict[int, model.Receiver] = {}
+        self.destinations: dict[int, model.Destination] = {}
+        self.timer_at: float | None = None
+        self.actions: list[bytes] = []
+        self.handlers: dict[type[Any], Callable[[float, Any], None]] = {
+            events.Query: self.submit,
+            events.First: self.ignore,  # no queue class here streams
+            events.Returned: self.record_outcome,
+            events.Vanished: self.withdraw,
+            events.Wakeup: self.clear_timer,
+            events.Checked: self.take_load_report,
+            events.NoteFrom: self.ignore,
         }
 
-    def destination(self, ident):
-        if ident not in self.destinations:
-            self.destinations[ident] = model.Destination(ident)
-        return self.destinations[ident]
+    def handle(self, now: float, event: events.SenderEvent) -> None:
+        """Takes in an event that is not an update of the receiver list."""
+        self.handlers[type(event)](now, event)
 
-    def targets(self, now, version, kind, entries):
-        if kind == 3:
+    def update_receivers(self, kind: int, entries: Sequence[events.ReceiverEntry]) -> None:
+        """Takes in an update of the receiver list."""
+        if kind == events.TargetsKind.FAILED:
             return
-        named = set()
-        for state, weight, zone, _since, shape, ident, owner in entries:
-            named.add(ident)
-            receiver = self.receivers.get(ident)
-            if receiver is None:
-                if state == 0:
-                    continue
-                receiver = self.receivers[ident] = model.Receiver(ident, self.destination(owner))
-            receiver.state = STATES.get(state, model.ReceiverState.GONE)
-            if state:
-                receiver.kind, receiver.zone, receiver.weight = shape, zone, weight
-        if kind:
-            for ident, receiver in self.receivers.items():
-                if ident not in named:
+        for entry in entries:
+            self._update_receiver(entry)
+        if kind != events.TargetsKind.CHANGES:
+            named = {entry.receiver_id for entry in entries}
+            for receiver_id, receiver in self.receivers.items():
+                if receiver_id not in named:
                     receiver.state = model.ReceiverState.GONE
 
-    def query(self, now, ticket, queue_class, account, key, left, _hint, owner, bits):
-        arrived = self.module.first_submitted_at(queue_class, left, bits & (REPEAT | INHERITED), now)
-        mail = model.Message(ticket, self.destination(int(owner)), arrived, now + left, queue_class, account, key)
-        self.mails[ticket] = mail
-        self.write(mail, self.module.dispatch(mail, now))
+    def submit(self, now: float, query: events.Query) -> None:
+        """Takes in a message."""
+        is_resubmitted = bool(query.flags & (events.QueryFlag.RESUBMITTED | events.QueryFlag.INHERITED))
+        arrived_at = self.dispatcher.first_submitted_at(query.queue_class, query.time_left_ms, is_resubmitted, now)
+        message = model.Message(
+            query.message_id,
+            self._destination(int(query.destination_id)),
+            arrived_at,
+            now + query.time_left_ms,
+            query.queue_class,
+            query.account,
+            query.ordering_key,
+        )
+        self.messages[query.message_id] = message
+        self._act(message, self.dispatcher.dispatch(message, now))
 
-    def first(self, now, ticket, n, receiver, delay):
-        pass  # no queue class here streams
-
-    def returned(self, now, ticket, _n, receiver, ending, delay, complete, note, gauge):
-        self.report(receiver, gauge)
-        mail = self.mails.get(ticket)
-        if mail is None:
+    def record_outcome(self, now: float, returned: events.Returned) -> None:
+        """Takes in how an attempt ended."""
+        self._set_load_report(returned.receiver_id, returned.load_report)
+        message = self.messages.get(returned.message_id)
+        if message is None:
             return
-        outcome = ENDINGS.get(ending, model.Outcome.ERROR)
-        mail.retry_after_ms, mail.duration_ms = float(note) if outcome == model.Outcome.REJECTED else 0.0, delay
-        if complete and outcome != model.Outcome.DELIVERED:
-            mail.is_withdrawn = True
-        result = self.module.record_outcome(mail, outcome, now)
-        self.write(mail, result)
+        outcome = OUTCOMES.get(returned.outcome, model.Outcome.ERROR)
+        message.retry_after_ms = float(returned.detail) if outcome == model.Outcome.REJECTED else 0.0
+        message.duration_ms = returned.duration_ms
+        if returned.is_complete and outcome != model.Outcome.DELIVERED:
+            message.is_withdrawn = True
+        result = self.dispatcher.record_outcome(message, outcome, now)
+        self._act(message, result)
         if result.should_close_idle:
-            self.actions.append(wire.close_idle(self.number, receiver))
+            self.actions.append(wire.encode_close_idle(self.number, returned.receiver_id))
 
-    def vanished(self, now, ticket):
-        if ticket in self.mails:
-            self.mails[ticket].is_withdrawn = True
+    def withdraw(self, now: float, vanished: events.Vanished) -> None:
+        """Takes in that nothing is owed any more for a message."""
+        if vanished.message_id in self.messages:
+            self.messages[vanished.message_id].is_withdrawn = True
 
-    def wakeup(self, now, handle):
-        if self.armed is not None and self.armed <= now + 0.001:
-            self.armed = None
+    def clear_timer(self, now: float, wakeup: events.Wakeup) -> None:
+        """Takes in that a timer fired."""
+        if self.timer_at is not None and self.timer_at <= now + TIMER_TOLERANCE_MS:
+            self.timer_at = None
 
-    def checked(self, now, receiver, delay, ending, gauge):
-        self.report(receiver, gauge)
+    def take_load_report(self, now: float, checked: events.Checked) -> None:
+        """Takes in a load report that came by itself."""
+        self._set_load_report(checked.receiver_id, checked.load_report)
 
-    def note_from(self, now, sender, words):
-        pass
+    def ignore(self, now: float, event: events.First | events.NoteFrom) -> None:
+        """Takes in an event that tells this program nothing."""
 
-    def report(self, ident, gauge):
-        if gauge and ident in self.receivers:
-            self.receivers[ident].load_report = dict(zip(self.fields, gauge, strict=False))
+    def finish(self, now: float) -> None:
+        """Dispatches every message that is due, then sets the timer for the next one."""
+        while True:
+            delay_ms, message = self.dispatcher.next_due(now)
+            if message is None:
+                return
+            if delay_ms > 0:
+                break
+            self._act(message, self.dispatcher.dispatch(message, now))
+        if self.timer_at is None or now + delay_ms < self.timer_at - TIMER_TOLERANCE_MS:
+            self.timer_at = now + delay_ms
+            self.actions.append(wire.encode_defer(self.number, self.timer_at, TIMER_HANDLE))
 
-    def write(self, mail, answer):
-        """Puts an answer of the module about a mail on the wire."""
-        what = answer.decision
-        if what == model.Decision.SEND:
-            self.actions.append(
-                wire.attempt(self.number, mail.message_id, answer.receiver.receiver_id, answer.timeout_ms)
+    def _act(self, message: model.Message, result: DispatchResult | OutcomeResult) -> None:
+        """Puts a decision on the wire."""
+        decision = result.decision
+        if isinstance(result, DispatchResult) and result.receiver:
+            attempt = wire.encode_attempt(
+                self.number, message.message_id, result.receiver.receiver_id, result.timeout_ms
             )
+            self.actions.append(attempt)
             return
-        if what == model.Decision.NOT_YET:
+        if decision == model.Decision.NOT_YET:
             return
-        if what == model.Decision.DEFERRED and not mail.is_withdrawn:
-            self.actions.append(wire.not_now(self.number, mail.message_id, answer.retry_after_ms))
-        elif what == model.Decision.BOUNCED and not mail.is_withdrawn:
-            self.actions.append(wire.end_failed(self.number, mail.message_id))
-        self.mails.pop(mail.message_id, None)
-
-    def finish(self, now):
-        """Asks about every mail that is due, then sets the timer for the next."""
-        while True:
-            ms, mail = self.module.next_due(now)
-            if mail is None:
+        if decision == model.Decision.DEFERRED and not message.is_withdrawn:
+            self.actions.append(wire.encode_not_now(self.number, message.message_id, result.retry_after_ms))
+        elif decision == model.Decision.BOUNCED and not message.is_withdrawn:
+            self.actions.append(wire.encode_end_failed(self.number, message.message_id))
+        self.messages.pop(message.message_id, None)
+
+    def _update_receiver(self, entry: events.ReceiverEntry) -> None:
+        receiver = self.receivers.get(entry.receiver_id)
+        if receiver is None:
+            if entry.state == GONE:
                 return
-            if ms > 0:
-                break
-            self.write(mail, self.module.dispatch(mail, now))
-        if self.armed is None or now + ms < self.armed - 0.001:
-            self.armed = now + ms
-            self.actions.append(wire.defer(self.number, self.armed, 1))
+            receiver = model.Receiver(entry.receiver_id, self._destination(entry.destination_id))
+            self.receivers[entry.receiver_id] = receiver
+        receiver.state = RECEIVER_STATES.get(entry.state, model.ReceiverState.GONE)
+        if entry.state != GONE:
+            receiver.kind, receiver.zone, receiver.weight = entry.kind, entry.zone, entry.weight
+
+    def _destination(self, destination_id: int) -> model.Destination:
+        if destination_id not in self.destinations:
+            self.destinations[destination_id] = model.Destination(destination_id)
+        return self.destinations[destination_id]
+
+    def _set_load_report(self, receiver_id: int, values: tuple[float, ...]) -> None:
+        if values and receiver_id in self.receivers:
+            self.receivers[receiver_id].load_report = dict(zip(self.load_report_fields, values, strict=False))
 
 
 class Adapter:
-    """All instances of one process, with the census lists that they share on the wire."""
-
-    def __init__(self):
-        self.instances = {}
-        self.lists = {}
-
-    def answer(self, number, now, records):
-        """The reply to a batch."""
-        actions, touched, dead = [], {}, set()
-        for index, (code, *fields) in enumerate(records):
-            if code == wire.CENSUS:
-                self.lists[fields[0]] = fields[1]
-                continue
-            sender, *fields = fields
-            where = f"batch {number}, record {index}"
-            if code == wire.PROVISION:
-                self.instances.pop(sender, None)
-                touched.pop(sender, None)
-                dead.discard(sender)
-            elif code == wire.EXIT:
-                self.instances.pop(sender, None)
-                touched.pop(sender, None)
-                continue
-            elif sender in dead:
-                continue
-            elif sender not in self.instances:
-                name = wire.RECORDS[code][0]
-                raise wire.Malformed(f"{where}: expected an instance that runs for {name}, got {sender}")
-            if code == wire.TARGETS:
-                version, kind, bank = fields
-                if kind != 3 and bank not in self.lists:
-                    raise wire.Malformed(f"{where}: expected a census under {bank} before targets")
-                fields = version, kind, self.lists.get(bank, ())
-            try:
-                if code == wire.PROVISION:
-                    seed, text = fields
-                    touched[sender] = Instance(sender, seed, self.settings(text, where))
-                    self.instances[sender] = touched[sender]
-                else:
-                    touched[sender] = self.instances[sender]
-                    self.instances[sender].handlers[code](now, *fields)
-            except wire.Malformed:
-                raise
-            except Exception as error:
-                actions.append(self.lost(sender, error))
-                dead.add(sender)
-                touched.pop(sender, None)
-        for sender, instance in touched.items():
+    """All senders of one process.
+
+    senders: those that run, by their numbers.
+    receiver_lists: the lists that their updates refer to.
+    """
+
+    def __init__(self) -> None:
+        self.senders: dict[int, SimulatedSender] = {}
+        self.receiver_lists: dict[int, list[events.ReceiverEntry]] = {}
+
+    def answer(self, batch: events.Batch) -> bytes:
+        """The reply to a batch.
+
+        A sender that fails is given up, and the others go on. Raises WireFormatError for an event that cannot be.
+        """
+        reply = BatchReply(self, batch)
+        for index, event in enumerate(batch.events):
+            if isinstance(event, events.Census):
+                self.receiver_lists[event.census] = event.entries
+            else:
+                reply.take(event, f"batch {batch.number}, record {index}")
+        return reply.finish()
+
+
+class BatchReply:
+    """The work on one batch.
+
+    actions: encoded, of senders that failed and, at the end, of the others.
+    touched: senders that had an event and run on, in the order of the first one.
+    failed: senders that were given up in this batch.
+    """
+
+    def __init__(self, adapter: Adapter, batch: events.Batch) -> None:
+        self.senders = adapter.senders
+        self.receiver_lists = adapter.receiver_lists
+        self.batch = batch
+        self.actions: list[bytes] = []
+        self.touched: dict[int, SimulatedSender] = {}
+        self.failed: set[int] = set()
+
+    def take(self, event: events.SenderEvent, where: str) -> None:
+        """Takes in an event of a sender; `where` names it in errors."""
+        number = event.sender
+        if isinstance(event, events.Provision):
+            self._stop(number)
+            self.failed.discard(number)
+        elif isinstance(event, events.Exit):
+            self._stop(number)
+            return
+        elif number in self.failed:
+            return
+        elif number not in self.senders:
+            name = wire.EVENT_NAMES[type(event)]
+            raise wire.WireFormatError(f"{where}: expected an instance that runs for {name}, got {number}")
+        if isinstance(event, events.Targets):
+            self._check_list_is_known(event, where)
+        try:
+            self._pass_on(event, where)
+        except wire.WireFormatError:
+            raise
+        except Exception as error:
+            self._give_up(number, error)
+            self.failed.add(number)
+            self.touched.pop(number, None)
+
+    def finish(self) -> bytes:
+        """Lets every sender that had an event dispatch what is due; gives the whole reply."""
+        for number, sender in self.touched.items():
             try:
-                instance.finish(now)
+                sender.finish(self.batch.now)
             except Exception as error:
-                actions.append(self.lost(sender, error))
+                self._give_up(number, error)
                 continue
-            actions += instance.actions
-            instance.actions = []
-        return wire.reply(number, actions)
+            self.actions += sender.actions
+            sender.actions = []
+        return wire.encode_reply(self.batch.number, self.actions)
 
-    def settings(self, text, where):
-        try:
-            settings = json.loads(text)
-        except ValueError:
-            settings = None
-        if not isinstance(settings, dict):
-            raise wire.Malformed(f"{where}: expected settings as a JSON object")
-        return settings
-
-    def lost(self, sender, error):
-        self.instances.pop(sender, None)
-        words = f"{type(error).__name__}: {error}"
+    def _pass_on(self, event: events.SenderEvent, where: str) -> None:
+        number = event.sender
+        if isinstance(event, events.Provision):
+            settings = _decode_settings(event.settings_text, where)
+            self.touched[number] = SimulatedSender(number, event.seed, settings)
+            self.senders[number] = self.touched[number]
+            return
+        sender = self.touched[number] = self.senders[number]
+        if isinstance(event, events.Targets):
+            sender.update_receivers(event.kind, self.receiver_lists.get(event.census, ()))
+        else:
+            sender.handle(self.batch.now, event)
+
+    def _check_list_is_known(self, targets: events.Targets, where: str) -> None:
+        if targets.kind != events.TargetsKind.FAILED and targets.census not in self.receiver_lists:
+            raise wire.WireFormatError(f"{where}: expected a census under {targets.census} before targets")
+
+    def _stop(self, number: int) -> None:
+        self.senders.pop(number, None)
+        self.touched.pop(number, None)
+
+    def _give_up(self, number: int, error: Exception) -> None:
+        """Ends a sender after a fault of its own and tells the simulator why."""
+        self.senders.pop(number, None)
+        reason = f"{type(error).__name__}: {error}"
         if isinstance(error, KeyError):
-            words = f"settings lack {error}"
-        return wire.die(sender, words)
+            reason = f"settings lack {error}"
+        self.actions.append(wire.encode_die(number, reason))
+
+
+def _decode_settings(text: bytes, where: str) -> dict[str, Any]:
+    try:
+        settings = json.loads(text)
+    except ValueError:
+        settings = None
+    if not isinstance(settings, dict):
+        raise wire.WireFormatError(f"{where}: expected settings as a JSON object")
+    return settings
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dewpin.simulator import wire
+from dewpin.simulator import events, wire
 from dewpin.simulator.adapter import Adapter
 from driver import settings
 
@@ -27,7 +27,7 @@
 
 def play(adapter, *batches):
     stream = io.BytesIO(b"".join(batches))
-    return [adapter.answer(*one) for one in iter(lambda: wire.read_batch(stream), None)]
+    return [adapter.answer(one) for one in iter(lambda: wire.read_batch(stream), None)]
 
 
 CENSUS = bytes.fromhex("6e0000000001000000010000803f000000000000000000000000074a12033900")
@@ -40,11 +40,17 @@
 
 
 def test_the_worked_examples_are_read_and_written_to_the_byte():
-    _, _, records = wire.read_batch(io.BytesIO(batch(12, 8412.25, QUERY, bytes.fromhex("4603004d000000"))))
-    assert records[0] == (30, 3, 0x72BA95D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240.0, 12.0, 57.0, 1)
-    assert records[1] == (70, 3, 0x4D)
-    assert wire.attempt(3, 0x72BA95D3A91C4, 0x03124A07, 80.0).hex() == "0a0300c4913a5da92b0700074a12030000000000005440"
-    assert wire.defer(3, 8912.25, 0x4D)[:3].hex() == "320300"
+    given = wire.read_batch(io.BytesIO(batch(12, 8412.25, QUERY, bytes.fromhex("4603004d000000"))))
+    query, wakeup = given.events
+    assert type(query) is events.Query and type(wakeup) is events.Wakeup
+    assert query == (3, 0x72BA95D3A91C4, 0, 0, 0x91F03B7C55D20A64, 240.0, 12.0, 57.0, 1)
+    assert wakeup == (3, 0x4D)
+    assert (given.number, given.now) == (12, 8412.25)
+    assert (
+        wire.encode_attempt(3, 0x72BA95D3A91C4, 0x03124A07, 80.0).hex()
+        == "0a0300c4913a5da92b0700074a12030000000000005440"
+    )
+    assert wire.encode_defer(3, 8912.25, 0x4D)[:3].hex() == "320300"
 
 
 def test_a_mail_goes_out_and_its_outcome_ends_it():
@@ -52,10 +58,10 @@
     sent = play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))[0]
     assert sent[8] == 10 and sent[8 + 11 : 8 + 15].hex() == "074a1203"
     returned = bytes.fromhex("320300c4913a5da92b070000074a12030a000000000000803240010000000000")
-    adapter.instances[3].module.sender.crowded_kinds.add(0)  # as one of its kind had a full table
+    adapter.senders[3].dispatcher.sender.crowded_kinds.add(0)  # as one of its kind had a full table
     reply = play(adapter, batch(2, 20.0, returned))[0]
     assert reply[8:15].hex() == "460300074a1203"
-    assert not adapter.instances[3].mails
+    assert not adapter.senders[3].messages
 
 
 @pytest.mark.parametrize(
@@ -64,7 +70,7 @@
 def test_a_repeat_is_told_by_its_mark_or_where_none_is_made_by_its_time_left(marks, bits, age):
     adapter, told = Adapter(), settings() | {"Callers": {"MarksRetry": marks}}
     play(adapter, batch(1, 20000.0, provision(3, told), CENSUS, TARGETS, QUERY[:-1] + bytes([bits])))
-    assert [20000.0 - mail.arrived_at for mail in adapter.instances[3].mails.values()] == [age]
+    assert [20000.0 - message.arrived_at for message in adapter.senders[3].messages.values()] == [age]
 
 
 def test_a_restart_in_one_batch_starts_clean_and_late_news_is_ignored():
@@ -72,7 +78,7 @@
     play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))
     late = bytes.fromhex("320300c4913a5da92b070000074a120328000000000000803240000000000000")
     play(adapter, batch(2, 5.0, bytes.fromhex("640300"), provision(3, settings()), TARGETS, late))
-    assert adapter.instances[3].module.pending_messages == 0
+    assert adapter.senders[3].dispatcher.pending_messages == 0
 
 
 @pytest.mark.parametrize("key", ["Services", "Rules", "Allowed", "FamilyInfo"])
