--- a/dewpin/config/loading.py
+++ b/dewpin/config/loading.py
@@ -24,6 +24,9 @@
 OPERATOR_FILE_VARIABLE = "DEWPIN_CONFIG"
 PLATFORM_FILE_KEY = "platform.file"
 PLATFORM_FILE_VARIABLE = "LB_CONFIG"
+NO_PLATFORM_FILE = (
+    "expected the path of the platform's JSON file in LB_CONFIG, --platform or the operator's file; none names one"
+)
 
 
 class Configuration(msgspec.Struct):
@@ -60,12 +63,9 @@
     """
     issues: Issues = []
     flag_layer = _flag_layer(flags, issues)
-    operator_path = operator_path or environment.get(OPERATOR_FILE_VARIABLE)
-    operator_layer, has_end = Layer(), False
-    if operator_path:
-        from .operator_file import read_operator_file
-
-        operator_layer, has_end = read_operator_file(operator_path, issues, must_end)
+    operator_layer, has_end = _operator_layer(
+        operator_path or environment.get(OPERATOR_FILE_VARIABLE), issues, must_end
+    )
     platform_path = (
         flag_layer.values.get(PLATFORM_FILE_KEY)
         or environment.get(PLATFORM_FILE_VARIABLE)
@@ -77,11 +77,7 @@
         document = read_platform_file(platform_path, issues)
         layers.append(platform_layer(document, os.path.basename(platform_path), issues))
     else:
-        message = (
-            "expected the path of the platform's JSON file in LB_CONFIG, --platform or the operator's file; none names "
-            "one"
-        )
-        issues.append(ConfigurationIssue(PLATFORM_FILE_KEY, "", message))
+        issues.append(ConfigurationIssue(PLATFORM_FILE_KEY, "", NO_PLATFORM_FILE))
     layers += [_variable_layer(environment, issues), operator_layer]
     deployment, origins = _merge(layers)
     if platform_path:
@@ -94,6 +90,15 @@
     return Configuration(deployment, document.get("known", {}), module, origins, warnings, has_end)
 
 
+def _operator_layer(path: str | None, issues: Issues, must_end: bool) -> tuple[Layer, bool]:
+    """Return the layer of the operator's file, if there is one, and whether `[end]` closes it."""
+    if not path:
+        return Layer(), False
+    from .operator_file import read_operator_file  # loads the TOML parser, which most senders do not need
+
+    return read_operator_file(path, issues, must_end)
+
+
 def _check_document(document: dict[str, Any], file: str, issues: Issues) -> None:
     is_readable = not any(issue.file == file and not issue.key for issue in issues)
     if is_readable:
--- a/dewpin/console/calls.py
+++ b/dewpin/console/calls.py
@@ -6,9 +6,8 @@
 
 import re
 from collections.abc import Mapping
-from dataclasses import dataclass
 from enum import Enum
-from typing import Any, NamedTuple, Protocol
+from typing import Any, Protocol
 from urllib.parse import unquote_to_bytes
 
 import msgspec
@@ -26,7 +25,7 @@
 METHODS = {READY_PATH: b"GET", METRICS_PATH: b"GET", DETACH_PATH: b"POST", ATTACH_PATH: b"POST"}
 
 
-class Response(NamedTuple):
+class Response(msgspec.Struct, frozen=True):
     """A response: status, further header lines, body."""
 
     status: int
@@ -42,8 +41,7 @@
     UNAVAILABLE = 503  # the journal can't record it, or the process still starts
 
 
-@dataclass(slots=True, frozen=True)
-class SenderMetrics:
+class SenderMetrics(msgspec.Struct, frozen=True):
     """Metrics of a sender since the start of its process.
 
     Attributes:
--- a/dewpin/console/server.py
+++ b/dewpin/console/server.py
@@ -42,7 +42,8 @@
     def arrived(self) -> None:
         """Respond once the request is complete. What follows it is dropped."""
         if self.is_answered:
-            return self.reader.drop()
+            self.reader.drop()
+            return
         response = calls.Response(500)
         try:
             message = self.reader.take()
--- a/dewpin/daemon/control_socket.py
+++ b/dewpin/daemon/control_socket.py
@@ -69,7 +69,8 @@
         """Answer once the question is complete; disconnect a caller that sends more than one line or one too long."""
         self.size += nbytes
         if self.answering:
-            return self.transport.abort()
+            self.transport.abort()
+            return
         end = self.buffer.find(b"\n", 0, self.size)
         if end >= 0:
             line = bytes(self.buffer[:end])
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -37,7 +37,7 @@
     return path
 
 
-def test_check_show_explain_schema_and_init(run, platform, tmp_path):
+def test_config_check_show_explain_schema_and_init(run, platform, tmp_path):
     file = tmp_path / "dewpin.toml"
     assert run("config", "init", file) == (0, "", "")
     assert stat.S_IMODE(file.stat().st_mode) == 0o600
@@ -93,7 +93,7 @@
     assert run()[0] == 2
 
 
-def test_a_live_sender_is_looked_at_and_asked_without_noticing(run, tmp_path):
+def test_spool_and_status_of_a_live_sender_change_nothing(run, tmp_path):
     async def command(*arguments):
         return await asyncio.to_thread(run, *arguments)
 
@@ -154,7 +154,7 @@
     play(tmp_path, scene, start=False)
 
 
-def test_bad_callers_at_the_control_socket_are_closed_and_a_dead_ones_file_is_taken_over(tmp_path):
+def test_control_socket_disconnects_misbehaving_callers_and_replaces_a_stale_socket_file(tmp_path):
     path = str(tmp_path / "control")
 
     async def ask(line):
--- a/tests/daemon/test_agent_list.py
+++ b/tests/daemon/test_agent_list.py
@@ -1,11 +1,11 @@
-"""The list of receivers that a sender follows at its agent: restarts, moves, faulty configurations."""
+"""The agent's list of receivers as a sender watches it: restarts, moves, invalid configurations."""
 
 import json
 
 from driver import address, play, until
 
 
-def test_the_watch_is_followed_and_begins_anew_when_it_breaks(tmp_path):
+def test_watch_receives_updates_and_reconnects_when_it_breaks(tmp_path):
     async def scene(outside, sender):
         await until(lambda: outside.watching)
         assert outside.asked == ["/api/targets?index=1&wait=1500"]
@@ -26,7 +26,7 @@
     play(tmp_path, scene, receivers=2)
 
 
-def test_a_restart_goes_on_from_the_list_last_heard_while_nobody_is_answered(tmp_path):
+def test_restart_continues_with_the_cached_list_while_the_agent_does_not_answer(tmp_path):
     async def scene(outside, sender):
         await until(lambda: outside.watching)
         outside.change(0, "leaving")
@@ -61,7 +61,7 @@
     play(tmp_path, scene, receivers=2)
 
 
-def test_a_new_configuration_moves_the_watch_and_owed_notices_and_a_faulty_one_changes_nothing(tmp_path):
+def test_valid_reload_moves_watch_and_pending_notices_and_an_invalid_one_changes_nothing(tmp_path):
     async def scene(outside, sender):
         await until(lambda: outside.watching)
         outside.script, outside.notice_status = lambda call: "reset", None  # a notice stays owed
@@ -86,7 +86,7 @@
     play(tmp_path, scene, log=False)
 
 
-def test_a_watch_that_moves_before_its_first_answer_learns_the_new_agent_s_list(tmp_path):
+def test_watch_moved_before_its_first_response_learns_the_new_agents_list(tmp_path):
     async def scene(outside, sender):
         await until(lambda: outside.watching)
         await outside.move_agent()
--- a/tests/daemon/test_bounds.py
+++ b/tests/daemon/test_bounds.py
@@ -1,4 +1,4 @@
-"""What a sender bounds: mails, connections, memory, and clients that come back too soon."""
+"""Limits of a sender: messages, connections, memory, and clients that retry too soon."""
 
 import asyncio
 import re
@@ -8,7 +8,7 @@
 from driver import play, until
 
 
-def test_an_id_that_was_taken_on_is_not_taken_on_again_not_even_after_its_end_or_a_kill(tmp_path):
+def test_accepted_id_is_rejected_as_duplicate_even_after_its_end_or_a_kill(tmp_path):
     async def scene(outside, sender):
         assert (await sender.hand_in("m"))[0] == 202
         assert (await sender.hand_in("m"))[0] == 409
@@ -23,7 +23,7 @@
     play(tmp_path, scene)
 
 
-def test_a_client_that_asks_again_as_soon_as_it_is_turned_away_is_slowed_down(tmp_path):
+def test_client_that_retries_at_once_after_rejections_is_slowed_down(tmp_path):
     async def scene(outside, sender):
         kept, began, heard = await sender.connect(), time.monotonic(), 0
         while time.monotonic() < began + 1.0:
@@ -36,7 +36,7 @@
     play(tmp_path, scene)
 
 
-def test_full_of_mails_it_refuses_and_tells_when_to_come_back(tmp_path):
+def test_full_sender_rejects_messages_with_retry_after(tmp_path):
     async def scene(outside, sender):
         sender.told["settings"]["Allowed"]["MaxOpen"] = 3
         sender.told["settings"]["FamilyInfo"]["CallSlots"] = 1
@@ -49,7 +49,7 @@
     play(tmp_path, scene, start=False)
 
 
-def test_connections_over_the_bound_take_the_place_of_idle_ones_or_hear_503(tmp_path):
+def test_connections_over_the_limit_replace_idle_ones_or_get_503(tmp_path):
     async def scene(outside, sender):
         first = await sender.connect()
         await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", first)
@@ -76,7 +76,7 @@
     play(tmp_path, scene, sockets=128)
 
 
-def test_silent_connections_keep_no_client_out(tmp_path):
+def test_silent_connections_do_not_keep_clients_out(tmp_path):
     async def scene(outside, sender):
         silent = [await sender.connect() for _ in range(300)]  # more than there are places
         last = time.monotonic()
@@ -89,7 +89,7 @@
     play(tmp_path, scene, sockets=256)
 
 
-def test_with_many_connections_open_answers_end_theirs(tmp_path):
+def test_responses_close_their_connections_while_many_are_open(tmp_path):
     async def scene(outside, sender):
         held, ended = [], 0
         for at in range(60):  # each asks once and holds on
@@ -102,7 +102,7 @@
     play(tmp_path, scene, sockets=128)
 
 
-def test_a_mail_whose_client_gave_up_while_the_process_stood_still_is_not_taken_on(tmp_path):
+def test_message_is_not_accepted_after_its_client_gave_up_during_a_stall(tmp_path):
     async def scene(outside, sender):
         sender.process.send_signal(signal.SIGSTOP)
         reader, writer = await sender.connect()
@@ -119,7 +119,7 @@
     play(tmp_path, scene)
 
 
-def test_many_at_once_all_come_through_within_the_limits(tmp_path):
+def test_many_concurrent_messages_are_delivered_within_the_limits(tmp_path):
     async def scene(outside, sender):
         async def client(number):
             connection = await sender.connect()
@@ -135,7 +135,7 @@
     play(tmp_path, scene)
 
 
-def test_memory_is_flat_while_mails_and_connections_come_and_go(tmp_path):
+def test_memory_stays_constant_while_messages_and_connections_come_and_go(tmp_path):
     async def scene(outside, sender):
         def resident():
             return int(re.search(r"RssAnon:\s+(\d+)", open(f"/proc/{sender.process.pid}/status").read())[1])
@@ -150,7 +150,7 @@
     play(tmp_path, scene, memory_mb=64)
 
 
-def test_bodies_that_never_come_whole_are_held_in_bounds(tmp_path):
+def test_incomplete_bodies_are_held_within_a_limit(tmp_path):
     async def scene(outside, sender):
         plain = b"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"
         chunked = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nea60\r\n"
--- a/tests/daemon/test_late_connections.py
+++ b/tests/daemon/test_late_connections.py
@@ -76,7 +76,7 @@
     return full
 
 
-def test_a_mail_whose_connection_came_up_when_the_process_was_killed_has_not_run(tmp_path):
+def test_message_was_not_executed_if_killed_while_its_connection_was_made(tmp_path):
     async def scene(outside, sender):
         full = await on_its_way(outside, sender)
         await sender.end()
@@ -89,7 +89,7 @@
     play(tmp_path, scene, start=False)
 
 
-def test_what_comes_up_once_connects_start_no_more_is_left_to_the_next_start(tmp_path):
+def test_connection_made_after_the_last_attempt_may_start_is_left_to_the_next_start(tmp_path):
     async def scene(outside, sender):
         sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 10000.0}
         full = await on_its_way(outside, sender)
@@ -107,7 +107,7 @@
     play(tmp_path, scene, start=False)
 
 
-def test_what_comes_up_once_the_folder_is_handed_on_is_the_next_process_s_to_send(tmp_path):
+def test_connection_made_after_the_hand_over_is_left_to_the_next_process(tmp_path):
     async def scene(outside, sender):
         full = await on_its_way(outside, sender)
         sender.told["listen"] = "%s:%d" % sender.address
--- a/tests/daemon/test_malformed_messages.py
+++ b/tests/daemon/test_malformed_messages.py
@@ -22,7 +22,7 @@
         (b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1ffff\r\n", 413),
     ],
 )
-def test_what_is_no_request_is_refused_and_the_connection_ends(tmp_path, raw, status):
+def test_malformed_request_is_rejected_and_its_connection_closed(tmp_path, raw, status):
     async def scene(outside, sender):
         reader, writer = await sender.connect()
         writer.write(raw)
@@ -33,7 +33,7 @@
     play(tmp_path, scene)
 
 
-def test_requests_that_mean_nothing_are_answered_and_the_connection_goes_on(tmp_path):
+def test_well_formed_but_invalid_requests_are_answered_and_the_connection_stays_open(tmp_path):
     async def scene(outside, sender):
         kept = await sender.connect()
         assert (await sender.ask(b"GET /nowhere HTTP/1.1\r\n\r\n", kept))[0] == 404
@@ -72,7 +72,7 @@
 ]
 
 
-def test_a_spoilt_answer_is_a_call_that_may_have_run_and_a_first_line_with_200_is_true(tmp_path):
+def test_malformed_response_may_have_executed_and_a_200_status_line_counts_as_delivered(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: (BAD + TRUE)[int(call[0][1:])] if call[0][:1] == b"m" else OK
         for at in range(len(BAD + TRUE)):
@@ -115,7 +115,7 @@
         HEAD + b"x: " + b"y" * 9000000,
     ],
 )
-def test_bad_clients_get_an_error_or_a_close_in_time_and_nothing_of_theirs_goes_on(tmp_path, raw):
+def test_misbehaving_client_gets_an_error_or_close_in_time_and_nothing_is_forwarded(tmp_path, raw):
     async def scene(outside, sender):
         began, (reader, writer) = time.monotonic(), await sender.connect()
         usual = await sender.connect()
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP with an operator's file, and a log that nobody reads: the sender goes on."""
+"""Reload at SIGHUP with an operator's file, stops, and a log that nobody reads."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from driver import play, reply, until
 
 
-def log_of(sender):
+def collect_log_lines(sender):
     """Reads the sender's log as it comes; gives the growing list of lines."""
     lines = []
 
@@ -26,7 +26,7 @@
     return lines
 
 
-def test_a_file_is_swapped_whole_or_not_at_all_also_when_sighup_comes_while_it_is_written(tmp_path):
+def test_file_is_swapped_completely_or_not_at_all_when_sighup_comes_while_it_is_written(tmp_path):
     file = tmp_path / "dewpin.toml"
     whole = example_file().replace("rate = 5", "rate = 50").replace('level = "info"', 'level = "debug"')
 
@@ -34,7 +34,7 @@
         file.write_text(example_file())
         sender.arguments = ["--config", str(file)]
         await sender.start()
-        lines = log_of(sender)
+        lines = collect_log_lines(sender)
 
         def kept():
             return [line for line in lines if " configuration.rejected: " in line]
@@ -65,9 +65,9 @@
     play(tmp_path, scene, start=False, log=False)
 
 
-def test_what_waits_for_the_next_start_is_named_and_stays_and_limits_swap_at_once(tmp_path):
+def test_reload_keeps_and_logs_keys_pending_restart_and_swaps_limits_at_once(tmp_path):
     async def scene(outside, sender):
-        lines = log_of(sender)
+        lines = collect_log_lines(sender)
         sender.told["name"], sender.told["settings"]["Allowed"]["MaxOpen"] = "other", 1
         sender.told["limits"]["disk_mb"] = 0.5
         sender.reload()
@@ -84,7 +84,7 @@
     play(tmp_path, scene, log=False)
 
 
-def test_a_reader_that_stops_reading_the_log_changes_neither_answers_nor_memory(tmp_path):
+def test_blocked_log_reader_affects_neither_responses_nor_memory(tmp_path):
     async def scene(outside, sender):
         sender.arguments = ["--set", "log.level=debug", "--set", "log.format=json"]
         sender.pipe = 0
@@ -125,11 +125,11 @@
     play(tmp_path, scene, start=False, log=False)
 
 
-def test_a_mails_whole_course_can_be_followed_by_its_id(tmp_path):
+def test_all_events_of_a_message_can_be_followed_by_its_id(tmp_path):
     async def scene(outside, sender):
         sender.arguments = ["--set", "log.level=debug", "--set", "log.format=json"]
         await sender.start()
-        lines = log_of(sender)
+        lines = collect_log_lines(sender)
         answers = [reply(503), "reset", reply(200)]
         outside.script = lambda call: answers[outside.idents().count(call[0]) - 1]
         await sender.hand_in("m", left=15.0, key="", tag=b"t")
@@ -164,7 +164,7 @@
     play(tmp_path, scene, start=False, log=False)
 
 
-def test_senders_with_one_configured_seed_do_not_choose_alike():
+def test_senders_with_the_same_configured_seed_get_different_dispatcher_seeds():
     def made(name):
         return dispatcher_seed(SimpleNamespace(name=name, seed="1f"))
 
@@ -179,7 +179,7 @@
         (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM),
     ],
 )
-def test_a_stop_and_a_reload_that_come_together_end_the_process_and_lose_nothing(tmp_path, order):
+def test_simultaneous_stop_and_reload_end_the_process_and_lose_nothing(tmp_path, order):
     async def scene(outside, sender):
         sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 300.0}
         await sender.start()
@@ -204,7 +204,7 @@
     play(tmp_path, scene, start=False)
 
 
-def files(pid):
+def open_file_names(pid):
     """The names of the files that a process holds open."""
     found = []
     for name in os.listdir(f"/proc/{pid}/fd"):
@@ -215,7 +215,7 @@
     return found
 
 
-def test_a_stop_before_the_sender_is_ready_leaves_all_to_the_next_start(tmp_path):
+def test_stop_before_readiness_leaves_all_messages_to_the_next_start(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: None
         taken = [f"m{at}" for at in range(40)]
@@ -227,7 +227,7 @@
         for opened in ("", "journal"):  # in its first moment, in its replay
             early = asyncio.create_task(sender.start())
             await until(lambda: sender.process.returncode is None)
-            await until(lambda: opened in " ".join(files(sender.process.pid)))
+            await until(lambda: opened in " ".join(open_file_names(sender.process.pid)))
             sender.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(sender.process.wait(), 10.0) in (0, -signal.SIGTERM)
             await asyncio.gather(early, return_exceptions=True)
--- a/tests/daemon/test_sender.py
+++ b/tests/daemon/test_sender.py
@@ -11,7 +11,7 @@
 from driver import play, reply, until
 
 
-def test_a_mail_goes_on_as_the_bytes_that_came_and_the_connection_is_used_again(tmp_path):
+def test_message_is_forwarded_byte_for_byte_and_the_connection_is_reused(tmp_path):
     async def scene(outside, sender):
         body = bytes(range(256)) * 8 + b"\r\n\r\nPOST"
         for ident in ("a1", "a2"):
@@ -26,7 +26,7 @@
     play(tmp_path, scene)
 
 
-def test_a_once_only_mail_is_given_up_when_its_effect_is_unknown_and_a_tagged_one_goes_again(tmp_path):
+def test_non_idempotent_message_is_given_up_when_its_effect_is_unknown_and_a_keyed_one_retried(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: "reset"
         await sender.hand_in("once", kind="charge")
@@ -43,7 +43,7 @@
     play(tmp_path, scene)
 
 
-def test_a_mail_that_never_ran_is_handed_back_with_a_time_to_come_again(tmp_path):
+def test_message_that_was_never_executed_is_deferred_with_retry_after(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: reply(429, b"Retry-After: 0.9")
         began = time.monotonic()
@@ -59,7 +59,7 @@
     play(tmp_path, scene)
 
 
-def test_no_connection_is_proof_that_nothing_ran(tmp_path):
+def test_failed_connect_proves_that_nothing_was_executed(tmp_path):
     async def scene(outside, sender):
         outside.servers[0].close()
         await sender.hand_in("m", kind="charge")
@@ -71,7 +71,7 @@
     play(tmp_path, scene)
 
 
-def test_a_connection_that_ended_while_idle_is_not_used_again(tmp_path):
+def test_connection_closed_while_idle_is_not_reused(tmp_path):
     async def scene(outside, sender):
         await sender.hand_in("a", kind="charge")
         await until(lambda: outside.connections and outside.calls)
@@ -85,7 +85,7 @@
     play(tmp_path, scene)
 
 
-def test_what_was_out_when_the_process_was_killed_may_have_run(tmp_path):
+def test_attempt_in_flight_at_a_kill_may_have_been_executed(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: None
         await sender.hand_in("once", kind="charge", key="k")
@@ -111,7 +111,7 @@
     play(tmp_path, scene)
 
 
-def test_attempts_and_deadlines_survive_a_kill(tmp_path):
+def test_attempt_counts_and_deadlines_survive_a_kill(tmp_path):
     async def scene(outside, sender):
         sender.told["settings"]["Allowed"]["MaxAttempts"] = 2
         await sender.start()
@@ -130,7 +130,7 @@
     play(tmp_path, scene, start=False)
 
 
-def test_a_notice_is_told_until_it_is_answered_and_holds_the_next_mail_of_its_key(tmp_path):
+def test_notice_is_resent_until_acknowledged_and_blocks_the_next_message_of_its_key(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: "reset"
         outside.notice_status = None
@@ -151,7 +151,7 @@
     play(tmp_path, scene)
 
 
-def test_a_stop_refuses_new_mails_finishes_what_is_out_and_leaves_the_rest_in_the_spool(tmp_path):
+def test_stop_rejects_new_messages_finishes_attempts_in_flight_and_keeps_the_rest_in_the_journal(tmp_path):
     async def scene(outside, sender):
         sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 5000.0}
         sender.told["settings"]["FamilyInfo"]["CallSlots"] = 1
@@ -186,7 +186,7 @@
     play(tmp_path, scene, start=False)
 
 
-def test_limits_under_the_least_figure_keep_no_sender_from_starting(tmp_path):
+def test_sender_starts_with_limits_below_the_minimum(tmp_path):
     async def scene(outside, sender):
         for at in range(20):
             assert (await sender.hand_in(f"m{at}"))[0] == 202
@@ -195,7 +195,7 @@
     play(tmp_path, scene, memory_mb=24, sockets=80, disk_mb=0.2)
 
 
-def test_a_faulty_start_names_the_key(tmp_path):
+def test_start_with_an_invalid_configuration_names_the_key(tmp_path):
     async def scene(outside, sender):
         for part, value, key in (
             ("discovery", "nowhere", "json: discovery"),
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_rules_hold_over_kills_and_troubles(tmp_path, seed):
+def test_delivery_rules_hold_over_kills_and_faults(tmp_path, seed):
     dice, taken, kills = random.Random(seed), {}, []
 
     async def scene(outside, sender):
--- a/tests/daemon/test_silent_lists.py
+++ b/tests/daemon/test_silent_lists.py
@@ -1,4 +1,4 @@
-"""Calls for the list that go wrong: whatever becomes of one, the next answer comes before its news count as told."""
+"""Failed calls for the list: each is retried before its updates count as known."""
 
 import time
 
@@ -14,7 +14,7 @@
     assert {call[3] for call in outside.calls[began:]} == {1}
 
 
-def test_a_watch_that_falls_silent_in_the_first_second_is_opened_anew(tmp_path):
+def test_watch_silent_in_its_first_second_is_reopened(tmp_path):
     async def scene(outside, sender):
         outside.silent = True
         await sender.start()
@@ -30,7 +30,7 @@
     play(tmp_path, scene, receivers=2, start=False)
 
 
-def test_a_watch_that_falls_silent_later_on_is_opened_anew(tmp_path):
+def test_watch_silent_later_on_is_reopened(tmp_path):
     async def scene(outside, sender):
         asked = 0
         for _ in range(2):  # it was answered twice, with news
@@ -50,7 +50,7 @@
     play(tmp_path, scene, receivers=2)
 
 
-def test_a_call_that_discovery_turns_away_again_and_again_comes_again_in_time(tmp_path):
+def test_list_call_rejected_repeatedly_is_retried_in_time(tmp_path):
     async def scene(outside, sender):
         outside.list_status = 503
         sender.told["settings"]["FleetSize"] = 300
@@ -68,7 +68,7 @@
     play(tmp_path, scene, receivers=2, start=False)
 
 
-def test_a_new_configuration_s_agent_is_asked_at_once_though_the_old_one_is_silent(tmp_path):
+def test_new_agent_of_a_reload_is_asked_at_once_while_the_old_one_is_silent(tmp_path):
     async def scene(outside, sender):
         sender.told["settings"]["FleetSize"] = 300
         await sender.start()
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A process takes over from another that still serves, over sockets, with the world around both."""
+"""Upgrade: a process takes over from another that still serves, over sockets."""
 
 import asyncio
 import fcntl
@@ -13,7 +13,7 @@
 from driver import Sender, play, reply, until
 
 
-async def beside(outside, sender):
+async def start_next_process(outside, sender):
     """Starts the next process of the same sender."""
     sender.told["listen"] = "%s:%d" % sender.address
     again = Sender(outside, sender.folder)
@@ -21,7 +21,7 @@
     return await again.start()
 
 
-def slowly(outside, started):
+def hold_responses(outside, started):
     """Receivers that answer once they are told to."""
     go = asyncio.Event()
 
@@ -34,14 +34,14 @@
     return go
 
 
-def test_the_next_process_takes_over_what_waits_and_what_is_out_and_the_old_one_ends_by_itself(tmp_path):
+def test_next_process_takes_over_pending_and_in_flight_messages_and_the_old_one_ends(tmp_path):
     async def scene(outside, sender):
         started, held = [], await sender.connect()
-        go = slowly(outside, started)
+        go = hold_responses(outside, started)
         await sender.hand_in("a1", kind="charge", key="k", connection=held)
         await sender.hand_in("a2", kind="charge", key="k", connection=held)
         await until(lambda: started == [b"a1"])
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         # on a connection that stood open at the old process: taken on there, for the next one
         status, fields = await sender.hand_in("a3", kind="charge", key="k", connection=held)
         assert status == 202 and fields[b"connection"] == b"close"
@@ -53,7 +53,7 @@
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         await until(lambda: not again.owed())
         assert sorted(path.name for path in (tmp_path / "state").iterdir()) == ["journal", "list"]
-        third = await beside(outside, again)  # and once more
+        third = await start_next_process(outside, again)  # and once more
         await third.hand_in("a5")
         await until(lambda: b"a5" in outside.idents())
         assert await asyncio.wait_for(again.process.wait(), 10.0) == 0
@@ -62,13 +62,13 @@
     play(tmp_path, scene)
 
 
-def test_a_call_that_ended_with_an_error_is_not_taken_for_one_that_is_out(tmp_path):
+def test_attempt_that_ended_with_an_error_is_not_taken_over_as_in_flight(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: reply(500)
         for at in range(4):
             await sender.hand_in(f"e{at}", kind="status")
         await until(lambda: len(outside.calls) > 1)
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         outside.script = lambda call: reply(200)
         await until(lambda: not again.owed(), 20.0)
@@ -78,7 +78,7 @@
     play(tmp_path, scene)
 
 
-def test_waits_and_detached_receivers_hold_over_an_upgrade(tmp_path):
+def test_retry_after_and_detached_receivers_hold_over_an_upgrade(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: reply(429, b"Retry-After: 2.5")
         await sender.hand_in("w", kind="status")
@@ -88,7 +88,7 @@
         writer.write(b"POST /_receivers/detach?host=r%d HTTP/1.1\r\n\r\n" % (1 - outside.calls[0][3]))
         assert b" 200 " in await reader.read()
         outside.script = lambda call: reply(200)
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         await again.hand_in("x", kind="status")
         await until(lambda: len(outside.calls) == 3)
         assert min(call[5] for call in outside.calls[1:]) - told_at >= 2.5
@@ -99,15 +99,15 @@
 
 
 @pytest.mark.parametrize("both", [False, True])
-def test_an_old_process_that_is_killed_leaves_calls_that_may_have_run(tmp_path, both):
+def test_attempts_of_a_killed_old_process_may_have_been_executed(tmp_path, both):
     async def scene(outside, sender):
         started = []
-        slowly(outside, started)
+        hold_responses(outside, started)
         await sender.hand_in("once", kind="charge")
         await sender.hand_in("safe", kind="status")
         await until(lambda: len(started) == 2)
         held = await sender.connect()
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         assert (await sender.hand_in("late", connection=held))[0] == 202
         outside.script = lambda call: reply(200)
         await sender.end(signal.SIGKILL)
@@ -123,7 +123,7 @@
     play(tmp_path, scene)
 
 
-def test_no_mail_and_no_connection_is_lost_under_load(tmp_path):
+def test_upgrade_under_load_loses_no_message_and_no_connection(tmp_path):
     async def scene(outside, sender):
         taken, came, stop = [], set(), asyncio.Event()
 
@@ -149,7 +149,7 @@
 
         clients = [asyncio.create_task(client(number)) for number in range(6)]
         await until(lambda: len(taken) > 50)
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         sender.process.send_signal(signal.SIGTERM)
         await sender.process.wait()
         count = len(taken)
@@ -163,7 +163,7 @@
     play(tmp_path, scene, receivers=3)
 
 
-def test_a_process_that_dies_while_it_waits_for_the_folder_leaves_the_old_one_as_it_was(tmp_path):
+def test_old_process_is_unaffected_when_the_next_one_dies_waiting_for_the_folder(tmp_path):
     async def scene(outside, sender):
         (tmp_path / "state" / "next").write_bytes(b"")  # what a killed one leaves
         for at in range(3):
@@ -171,13 +171,13 @@
             await until(lambda: len(outside.calls) > at)
         assert sender.process.returncode is None
         assert json.loads((tmp_path / "config.json").read_text())["name"] == "n0"
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         await again.end()
 
     play(tmp_path, scene)
 
 
-def test_a_look_at_the_claim_does_not_turn_it_away(tmp_path):
+def test_checking_for_a_claim_does_not_make_it_fail(tmp_path):
     async def scene():
         mark = FolderLock.acquire(tmp_path)
         (tmp_path / "next").touch()
@@ -195,7 +195,7 @@
     asyncio.run(scene())
 
 
-def test_a_folder_that_refuses_the_change_leaves_the_old_process_as_it_was(tmp_path):
+def test_old_process_is_unaffected_when_the_folder_refuses_the_hand_over(tmp_path):
     async def scene(outside, sender):
         (tmp_path / "state" / "handed.new").mkdir()
         with open(tmp_path / "state" / "next", "w") as claim:
@@ -211,12 +211,12 @@
     play(tmp_path, scene)
 
 
-def test_a_reload_that_comes_once_the_folder_is_handed_on_starts_nothing_anew(tmp_path):
+def test_reload_after_the_hand_over_restarts_nothing(tmp_path):
     async def scene(outside, sender):
         outside.script = lambda call: None  # a call that stays out keeps the old process
         await sender.hand_in("m")
         await until(lambda: outside.calls)
-        again = await beside(outside, sender)
+        again = await start_next_process(outside, sender)
         sender.reload()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         log = (await sender.log).decode()
