--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -9,9 +9,9 @@
 from dewpin.lab.fleet import places, run, scenario
 
 FIRST = """
-from dewpin.core import decide
-decide.Dispatcher._receiver = lambda self, line, mail, now: min(
-    (r for r in line.destination.receivers if self._receiver_at(line, r, mail, now) <= now),
+from dewpin.core.receiver_selection import ReceiverSelector
+ReceiverSelector.select = lambda self, queue, message, now: min(
+    (r for r in queue.destination.receivers if self.available_at(r, message, now) <= now),
     key=lambda r: r.receiver_id, default=None)
 """
 DEAF = """
