--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -1,7 +1,7 @@
 """Slot allocation: which receiver gets the next call, and which queued request gets the next free slot.
 
-A slot is the right to have one call in progress at a receiver. `SlotAllocator` is a state machine without I/O and locks;
-`balancer.Balancer` puts it behind a lock and lets threads wait.
+A slot is the right to have one call in progress at a receiver. `SlotAllocator` is a state machine without I/O or
+locks, which `balancer.Balancer` puts behind a lock so that threads can wait.
 
 * A receiver has a free slot if its estimated load leaves room in its capacity and in a queue that is as long as the
   request's latency target bears, and if this sender's share of the receiver's connections is not used up.
