--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -54,8 +54,12 @@
             notice_barrier=NoticeBarrier(),
         ),
         spool=SimpleNamespace(pending={}, size_bytes=0, live_bytes=0, capacity_bytes=1.0),
-        server=SimpleNamespace(clients={}, most=1, held=0, memory=1.0),
-        pool=SimpleNamespace(opening=set(), resting=0, most_idle=1),
+        server=SimpleNamespace(
+            clients={},
+            limits=SimpleNamespace(max_connections=1, max_buffered_bytes=1.0),
+            connections=SimpleNamespace(buffered_bytes=0),
+        ),
+        pool=SimpleNamespace(connecting_calls=set(), idle_count=0, max_idle=1),
     )
     stretches, began = [], time.perf_counter()
 
--- a/dewpin/console/server.py
+++ b/dewpin/console/server.py
@@ -7,7 +7,11 @@
 from typing import Any
 
 from ..log import events, log_event, log_internal_error
-from ..net.http import Malformed, Reader, Stream, answer, listening
+from ..net.errors import MalformedMessageError
+from ..net.http_messages import format_response
+from ..net.http_parser import RequestParser
+from ..net.http_protocol import HttpProtocol
+from ..net.sockets import create_listening_socket
 from . import calls
 
 MAX_CALLERS = 8
@@ -18,7 +22,7 @@
 MAX_DESCRIPTORS = MAX_CALLERS + 2 * MAX_ACCEPTED_AT_ONCE + 1
 
 
-class Caller(Stream):
+class Caller(HttpProtocol[RequestParser]):
     """One connection to the console.
 
     Attributes:
@@ -28,7 +32,7 @@
     """
 
     def __init__(self, console: "ConsoleServer") -> None:
-        super().__init__(Reader(most_body=MAX_BODY_BYTES))
+        super().__init__(RequestParser(MAX_BODY_BYTES))
         self.console = console
         self.is_answered = False
         self.timeout: asyncio.TimerHandle | None = None
@@ -39,24 +43,24 @@
         self.timeout = asyncio.get_running_loop().call_later(CALL_TIMEOUT_SECONDS, transport.abort)
         self.console.add_caller(self)
 
-    def arrived(self) -> None:
+    def bytes_received(self) -> None:
         """Respond once the request is complete. What follows it is dropped."""
         if self.is_answered:
-            self.reader.drop()
+            self.parser.discard()
             return
         response = calls.Response(500)
         try:
-            message = self.reader.take()
-            if message is None:
+            request = self.parser.next_message()
+            if request is None:
                 return
-            response = calls.respond(message.first, self.console.sender)
-        except Malformed as malformed:
+            response = calls.respond((request.method, request.target, request.version), self.console.sender)
+        except MalformedMessageError as malformed:
             response = calls.Response(malformed.status)
         except Exception:  # an error of our own costs this call, not the process
             log_internal_error("console")
         self.is_answered = True
-        self.reader.drop()
-        self.transport.write(answer(response.status, True, response.header_lines, response.body))
+        self.parser.discard()
+        self.transport.write(format_response(response.status, True, response.header_lines, response.body))
         self.transport.write_eof()  # the caller's own end, or the time-out, closes the connection
 
     def eof_received(self) -> bool:
@@ -86,7 +90,7 @@
 
     async def open(self, host: str, port: int) -> tuple[str, int]:
         """Listen; return the address. Raises OSError where that fails."""
-        listener = listening(host, port)
+        listener = create_listening_socket(host, port)
         self.server = await asyncio.get_running_loop().create_server(
             lambda: Caller(self), sock=listener, backlog=MAX_ACCEPTED_AT_ONCE
         )
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -15,10 +15,12 @@
 from ..config.values import parse_address
 from ..console.server import ConsoleServer
 from ..log import events, log_event
-from ..net import agent
-from ..net.agent import Notices, Watch
-from ..net.inbound import Door
-from ..net.outbound import Pool
+from ..net.connection_pool import ConnectionPool
+from ..net.endpoint_list import parse_endpoints
+from ..net.endpoint_watch import EndpointWatch
+from ..net.notice_publisher import AgentNoticePublisher
+from ..net.server import HttpServer
+from ..net.watch_schedule import WatchSchedule
 from ..ports import Frontend, MessageIntake, NoticePublisher, Transport
 from ..relay import learned_state
 from ..relay.facade import Facade
@@ -39,10 +41,10 @@
 
 if TYPE_CHECKING:  # the parts put together here fit the protocols at which they meet
     _FITS: tuple[type[Frontend], type[MessageIntake], type[Transport], type[NoticePublisher]] = (
-        Door,
+        HttpServer,
         Relay,
-        Pool,
-        Notices,
+        ConnectionPool,
+        AgentNoticePublisher,
     )
 
 DEFAULT_CONNECT_TIMEOUT_MS = 1500.0
@@ -76,18 +78,18 @@
 
     operator_actions: OperatorActions
     console: ConsoleServer
-    pool: Pool
+    pool: ConnectionPool
     facade: Facade
     claim: TakeoverClaim
     folder_lock: FolderLock | None
     spool: Journal
     follower: HandoverLogReader
-    notices: Notices
+    notices: AgentNoticePublisher
     relay: Relay
-    server: Door
+    server: HttpServer
     started_ms: float
     endpoint_cache: EndpointCache
-    watch: Watch
+    watch: EndpointWatch
     control_socket: ControlSocket
 
     def __init__(self, configuration: Configuration, source: ConfigurationSource) -> None:
@@ -137,7 +139,7 @@
         host, port = await self.server.open(*parse_address(deployment.sender.listen_address))
         self.operator_actions.serve(self.relay, self.pool)
         if handed_over:
-            self.server.steer()
+            self.server.steer_connections_here()
             self.claim.mark_ready()
         self.control_socket = ControlSocket(lambda lines: collect_status(self, lines, lambda: asyncio.sleep(0)))
         await self._move_control_socket()
@@ -156,16 +158,16 @@
     def _make_dispatching(self) -> None:
         allowed = self.configuration.module["Allowed"]
         connect_timeout_ms = allowed.get("ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MS)
-        self.pool = Pool(self.loop, connect_timeout_ms, allowed.get("IdleClose", 0.0))
+        self.pool = ConnectionPool(self.loop, connect_timeout_ms, allowed.get("IdleClose", 0.0))
         self.facade = Facade(self.configuration.module, dispatcher_seed(self.configuration.deployment.sender))
 
     def _make_message_parts(self) -> None:
         deployment = self.configuration.deployment
         self.spool = Journal(self.folder, deployment.limits.disk_bytes)
         self.follower = HandoverLogReader(self.folder, self.spool)
-        self.notices = Notices(parse_address(deployment.agent.address))
+        self.notices = AgentNoticePublisher(parse_address(deployment.agent.address))
         self.relay = Relay(self.loop, self.facade, self.spool, self.pool, self.notices)
-        self.server = Door(self.loop, self.relay)
+        self.server = HttpServer(self.loop, self.relay)
         self.started_ms = self.relay.clock.now_ms()
 
     def _load_endpoints(self, handed_over: HandedOverState | None) -> None:
@@ -178,7 +180,7 @@
         deployment = configuration.deployment
         for ident in self.spool.detached_receivers:
             self.facade.detach(ident)
-        turns = agent.Turns(
+        schedule = WatchSchedule(
             configuration.module["FleetSize"],
             configuration.module["Rules"]["DrainGrace"],
             dispatcher_seed(deployment.sender),
@@ -195,10 +197,10 @@
             self._learn_endpoints(cache.entries(), True)
         else:
             revision, ended = known_revision, cache.unavailable_at_other_agent()
-            self._learn_endpoints(agent.entries(configuration.known.get("members", ())), True, revision)
+            self._learn_endpoints(parse_endpoints(configuration.known.get("members", ())), True, revision)
             self._learn_endpoints(ended, False)
         agent_address = parse_address(deployment.agent.address)
-        self.watch = Watch(agent_address, revision, self._learn_endpoints, turns, is_first_process)
+        self.watch = EndpointWatch(agent_address, revision, self._learn_endpoints, schedule, is_first_process)
 
     def _learn_endpoints(self, entries: Any, complete: bool, revision: int | None = None) -> None:
         """Put an update of the list of receivers in force; with a `revision` it is cached on disk as well."""
@@ -275,8 +277,8 @@
 
     def _close(self) -> None:
         """Close all parts: first what brings in work, then what does it, last what records it."""
-        self.watch.channel.stop()
-        self.notices.channel.stop()
+        self.watch.stop()
+        self.notices.stop()
         self.control_socket.close()
         self.console.close()
         self.server.close()
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -66,14 +66,14 @@
         return False
     _stop_deciding(application, tail)
     server = application.server
-    server.part()
+    server.drain()
     try:
         async with asyncio.timeout_at(deadline):
             await upgrade.wait_until_taken_over(application.folder)
             await asyncio.sleep(ACCEPT_QUEUE_SECONDS)
     except TimeoutError:
         pass
-    server.shut()
+    server.stop_listening()
     while loop.time() < deadline and (application.relay.attempts_in_flight or server.clients):
         tail.report_descriptors(count_descriptors())
         await asyncio.sleep(DRAIN_CHECK_SECONDS)
@@ -88,7 +88,7 @@
         tail = HandoverLogWriter(application.folder, application.spool)
         state = learned_state.export_learned_state(application.relay.facade) | {
             "out": list(tail.pending),
-            "descriptors": count_descriptors() - application.pool.resting,
+            "descriptors": count_descriptors() - application.pool.idle_count,
         }
         upgrade.hand_over_folder(application.folder, state)
     except OSError:
@@ -107,8 +107,8 @@
     application.spool.close()
     name = application.configuration.deployment.sender.name
     log_event(events.HANDED_OVER, name=name, messages=len(application.spool.pending))
-    application.notices.channel.stop()
-    application.pool.most_idle = 0
+    application.notices.stop()
+    application.pool.max_idle = 0
     application.pool.close()
 
 
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -43,7 +43,7 @@
         facade = self.relay.facade
         return SenderMetrics(
             endings=self.relay.end_counts,
-            sent=self.pool.sent,
+            sent=self.pool.sent_requests,
             pending=len(self.relay.record_store.pending),
             listed_receivers=facade.listed_count,
             avoided_receivers=facade.avoided_count(),
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from ..console.server import MAX_DESCRIPTORS as CONSOLE_DESCRIPTORS
-from ..net.inbound import AT_ONCE, SPARE
+from ..net.connection_table import MAX_ACCEPTED_AT_ONCE, MAX_REJECTED_CONNECTIONS, ServerLimits
 
 if TYPE_CHECKING:
     from .application import SenderApplication
@@ -20,26 +20,30 @@
     deployment = application.configuration.deployment
     pool, server, follower = application.pool, application.server, application.follower
     limits, door = deployment.limits, deployment.door
-    pool.most_idle = deployment.calls.max_idle_connections or max(
+    pool.max_idle = deployment.calls.max_idle_connections or max(
         MIN_IDLE_CONNECTIONS, min(MAX_DEFAULT_IDLE_CONNECTIONS, limits.max_descriptors // 8)
     )
     if follower.descriptors:  # the previous process still holds some
-        pool.most_idle = max(MIN_IDLE_CONNECTIONS, pool.most_idle // 4)
+        pool.max_idle = max(MIN_IDLE_CONNECTIONS, pool.max_idle // 4)
     call_slots = int(application.configuration.module["FamilyInfo"]["CallSlots"])
     other_descriptors = OTHER_DESCRIPTORS + (CONSOLE_DESCRIPTORS if deployment.console.address else 0)
     max_clients = max(
         MIN_CLIENT_CONNECTIONS,
         limits.max_descriptors
         - 2 * call_slots
-        - pool.most_idle
-        - SPARE
-        - 3 * AT_ONCE
+        - pool.max_idle
+        - MAX_REJECTED_CONNECTIONS
+        - 3 * MAX_ACCEPTED_AT_ONCE
         - other_descriptors
         - follower.descriptors,
     )
-    server.most = min(max_clients, door.max_connections) if door.max_connections else max_clients
-    server.memory = limits.memory_bytes / REQUEST_MEMORY_SHARE
-    server.patience = door.request_timeout_ms / 1000.0
-    server.rest = door.min_idle_ms / 1000.0
-    server.idle = door.max_idle_ms / 1000.0
+    server.set_limits(
+        ServerLimits(
+            max_connections=min(max_clients, door.max_connections) if door.max_connections else max_clients,
+            max_buffered_bytes=limits.memory_bytes / REQUEST_MEMORY_SHARE,
+            read_timeout_seconds=door.request_timeout_ms / 1000.0,
+            min_idle_seconds=door.min_idle_ms / 1000.0,
+            keep_alive_timeout_seconds=door.max_idle_ms / 1000.0,
+        )
+    )
     application.spool.set_disk_limit(limits.disk_bytes)
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -97,9 +97,9 @@
     return {
         "out": application.relay.facade.dispatcher.calls_in_flight,
         "slots": int(application.configuration.module["FamilyInfo"]["CallSlots"]),
-        "opening": len(pool.opening),
-        "idle": pool.resting,
-        "most_idle": pool.most_idle,
+        "opening": len(pool.connecting_calls),
+        "idle": pool.idle_count,
+        "most_idle": pool.max_idle,
     }
 
 
@@ -107,9 +107,9 @@
     server = application.server
     return {
         "open": len(server.clients),
-        "most": server.most,
-        "bytes": server.held,
-        "most_bytes": int(server.memory),
+        "most": server.limits.max_connections,
+        "bytes": server.connections.buffered_bytes,
+        "most_bytes": int(server.limits.max_buffered_bytes),
     }
 
 
--- /dev/null
+++ b/dewpin/net/endpoint_watch.py
@@ -0,0 +1,109 @@
+"""The watch on the platform agent's endpoint list.
+
+It repeats its request by itself until it is answered. After a failed exchange it requests the whole list; while
+discovery rejects it, or nobody answers, the last list stays in force.
+"""
+
+import asyncio
+from collections.abc import Callable
+
+import msgspec
+
+from ..log import events, log_event
+from ..ports import EndpointEntry
+from .agent_connection import AgentConnection
+from .endpoint_list import parse_endpoints
+from .http_messages import Response
+from .watch_schedule import RESPONSE_TIMEOUT_SECONDS, WATCH_SECONDS, WatchSchedule
+
+OnUpdate = Callable[[list[EndpointEntry], bool, int], None]
+"""Called with: entries, whether they are the whole list, its revision."""
+
+
+class EndpointWatch:
+    """Watches the list and reports its updates.
+
+    Attributes:
+        revision: of the list that is known; None for none.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        revision: int | None,
+        on_update: OnUpdate,
+        schedule: WatchSchedule,
+        is_first_process: bool = False,
+    ) -> None:
+        """Start to watch.
+
+        Args:
+            address: of the agent.
+            revision: of the list that is known; None for none, the whole list is requested then.
+            on_update: called with each update.
+            schedule: the pauses between requests.
+            is_first_process: no process before this one can know an update.
+        """
+        self.revision = revision
+        self._on_update = on_update
+        self._schedule = schedule
+        self._is_first_process = is_first_process
+        self._may_be_renumbered = revision is not None  # whether the agent still counts on from there is not known
+        self._connection = AgentConnection(self._run)
+        self._connection.move(address)
+
+    def move(self, address: tuple[str, int]) -> None:
+        """Watch at this address: another agent may number its lists differently, so its whole list comes first."""
+        self.revision = None
+        self._may_be_renumbered = False
+        self._is_first_process = False
+        self._connection.move(address)
+
+    def stop(self) -> None:
+        """End the watch."""
+        self._connection.stop()
+
+    async def _run(self) -> None:
+        needs_whole_list = self.revision is None
+        await asyncio.sleep(self._schedule.first_pause_seconds(self._is_first_process))
+        while True:
+            timeout_seconds = RESPONSE_TIMEOUT_SECONDS if needs_whole_list else WATCH_SECONDS + RESPONSE_TIMEOUT_SECONDS
+            response = await self._connection.exchange(self._format_request(needs_whole_list), timeout_seconds)
+            if response is not None and response.status == 503:
+                await asyncio.sleep(self._schedule.rejected_pause_seconds())
+                continue
+            needs_whole_list = not self._take_response(response)
+            if needs_whole_list:
+                await asyncio.sleep(self._schedule.retry_pause_seconds())
+            else:
+                self._schedule.reset_backoff()
+
+    def _format_request(self, needs_whole_list: bool) -> bytes:
+        query = b""
+        if not needs_whole_list:
+            assert self.revision is not None
+            query = b"?index=%d&wait=%d" % (self.revision, WATCH_SECONDS * 1000.0)
+        return b"GET /api/targets%s HTTP/1.1\r\nHost: %s\r\n\r\n" % (query, self._connection.host_field)
+
+    def _take_response(self, response: Response | None) -> bool:
+        """Report a response's update, if it has one; return whether the watch can go on from it."""
+        if response is None or response.status != 200:
+            return False
+        try:
+            return self._take_update(response.body)
+        except Exception as error:
+            log_event(events.WATCH_FAILED, why=f"{type(error).__name__}: {error}")
+            return False
+
+    def _take_update(self, body: bytes) -> bool:
+        update = msgspec.json.decode(body)
+        revision, is_complete = int(update["revision"]), bool(update["complete"])
+        if self._may_be_renumbered and self.revision is not None and revision < self.revision:
+            self.revision = None  # the cached list is from an agent that numbers differently
+        self._may_be_renumbered = False
+        if self.revision is None and not is_complete:
+            return False
+        if self.revision is None or revision > self.revision or (is_complete and revision == self.revision):
+            self._on_update(parse_endpoints(update["members"]), is_complete, revision)
+            self.revision = revision
+        return True
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -21,10 +21,14 @@
 from dewpin.daemon import upgrade
 from dewpin.daemon.control_socket import ControlSocket
 from dewpin.daemon.operator_actions import OperatorActions
-from dewpin.net.agent import Notices, Turns, Watch
-from dewpin.net.http import Malformed, Reader
-from dewpin.net.inbound import Door
-from dewpin.net.outbound import Pool
+from dewpin.net.connection_pool import ConnectionPool
+from dewpin.net.endpoint_watch import EndpointWatch
+from dewpin.net.errors import MalformedMessageError
+from dewpin.net.http_messages import Request
+from dewpin.net.http_parser import RequestParser, ResponseParser
+from dewpin.net.notice_publisher import AgentNoticePublisher
+from dewpin.net.server import HttpServer
+from dewpin.net.watch_schedule import WatchSchedule
 from dewpin.ports import (
     Accepted,
     AttemptRequest,
@@ -439,7 +443,7 @@
 
     def figures(self):
         actions = OperatorActions()
-        actions.serve(self.relay, SimpleNamespace(sent=0))
+        actions.serve(self.relay, SimpleNamespace(sent_requests=0))
         metrics = actions.metrics()
         ends = {
             text(name): {NAMES_OF_ENDINGS[word]: count for word, count in counts.items()}
@@ -503,27 +507,35 @@
 
 def read_messages(pieces, answers=False):
     """What the reader of HTTP makes of bytes that come in these pieces: (messages, status of its refusal or None)."""
-    reader, messages, status = Reader(answers=answers), [], None
+    parser, messages, status = ResponseParser() if answers else RequestParser(), [], None
     try:
         for piece in pieces:
-            reader.feed(piece)
-            while message := reader.take():
+            parser.feed(piece)
+            while message := parser.next_message():
                 messages.append(message)
-        if answers and (message := reader.ended()):
+        if answers and (message := parser.end_of_input()):
             messages.append(message)
-    except Malformed as fault:
+    except MalformedMessageError as fault:
         status = fault.status
     return [
         {
-            "first_line": [text(part) for part in message.first],
+            "first_line": first_line_of(message),
             "headers": {text(name): text(value) for name, value in message.fields.items()},
             "body": text(message.body),
-            "connection_ends": message.last,
+            "connection_ends": message.closes_connection,
         }
         for message in messages
     ], status
 
 
+def first_line_of(message):
+    if isinstance(message, Request):
+        parts = message.method, message.target, message.version
+    else:
+        parts = message.version, b"%d" % message.status, message.reason
+    return [text(part) for part in parts]
+
+
 class Intake:
     """Stands for the life of messages at the clients' listener: notes what is handed in, and answers by a script."""
 
@@ -552,18 +564,18 @@
 @asynccontextmanager
 async def client_listener(intake):
     """The listener for clients; gives its address."""
-    door = Door(asyncio.get_running_loop(), intake)
+    server = HttpServer(asyncio.get_running_loop(), intake)
     try:
-        yield await door.open("127.0.0.1", 0)
+        yield await server.open("127.0.0.1", 0)
     finally:
-        door.close()
+        server.close()
 
 
 @asynccontextmanager
 async def receiver_calls():
     """Calls to receivers: gives `call(host, port, id, idempotency key, body, limit ms)`, which gives its outcome."""
     loop = asyncio.get_running_loop()
-    pool = Pool(loop, 3000.0, 15000.0)
+    pool = ConnectionPool(loop, 3000.0, 15000.0)
 
     async def call(host, port, ident, idempotency_key, body, limit_ms, may_leave_ms=5000.0):
         heard = loop.create_future()
@@ -600,17 +612,17 @@
             }
         )
 
-    watch = Watch(address, revision, learn, Turns(1, 1000.0, 5))
+    watch = EndpointWatch(address, revision, learn, WatchSchedule(1, 1000.0, 5))
     try:
         yield watch
     finally:
-        watch.channel.stop()
+        watch.stop()
 
 
 @asynccontextmanager
 async def agent_notices(address):
     """Gives `tell(id, retryable, retry after ms, answered)`."""
-    notices = Notices(address)
+    notices = AgentNoticePublisher(address)
 
     def tell(ident, retryable, retry_after_ms, answered):
         notices.publish(octets(ident), retryable, retry_after_ms, answered)
@@ -618,7 +630,7 @@
     try:
         yield tell
     finally:
-        notices.channel.stop()
+        notices.stop()
 
 
 @asynccontextmanager
--- /dev/null
+++ b/tests/net/test_connection_pool.py
@@ -0,0 +1,81 @@
+"""Calls of the pool whose connection is reset, comes up late or never."""
+
+import asyncio
+import socket
+
+from dewpin.core.model import Outcome
+from dewpin.net.connection_pool import ConnectionPool
+from dewpin.ports import AttemptRequest
+from driver import Outside, until
+
+
+def test_a_connection_that_is_reset_while_the_call_arrives_proves_that_nothing_was_executed(monkeypatch):
+    monkeypatch.setattr("dewpin.net.call.LAST_BYTE_HOLD_SECONDS", 2.0)  # the receiver has all the time
+
+    async def scene():
+        outside, results = await Outside().open(), []
+        outside.early = True
+        pool = ConnectionPool(asyncio.get_running_loop(), 300.0, 15000.0)
+        address = outside.servers[0].sockets[0].getsockname()
+        pool.send(AttemptRequest(address, b"m", b"", b"x", 5000.0, lambda: 5000.0, results.append))
+        await until(lambda: results)
+        assert results[0].outcome == Outcome.DROPPED and results[0].duration_ms < 1900.0 and not outside.calls
+        for server in (outside.agent, *outside.servers, *(c.transport for c in outside.connections)):
+            server.close()
+
+    asyncio.run(scene())
+
+
+def test_a_call_that_has_not_left_is_recalled_or_unreached_and_one_that_has_left_is_not_touched():
+    async def scene():
+        outside, results = await Outside().open(), {}
+        outside.script = lambda call: None
+        loop = asyncio.get_running_loop()
+        pool = ConnectionPool(loop, 300.0, 15000.0)
+        full_server = socket.create_server(("127.0.0.1", 0), backlog=0)  # its queue fills, and nobody accepts
+        fillers = [socket.socket() for _ in range(4)]
+        for filler in fillers:
+            filler.setblocking(False)
+            filler.connect_ex(full_server.getsockname())
+
+        def call(name, address, timeout_ms=5000.0):
+            def finish(result):
+                results.setdefault(name, result)
+
+            pool.send(AttemptRequest(address, name.encode(), b"", b"x", timeout_ms, lambda: 5000.0, finish))
+
+        async def reset(*_):
+            raise ConnectionResetError(104, "Connect call failed")
+
+        full, live = full_server.getsockname(), outside.servers[0].sockets[0].getsockname()
+        call("late", full)
+        call("out", live)
+        await until(lambda: "late" in results)
+        assert results["late"].outcome == Outcome.CONNECT_FAILED and results["late"].duration_ms >= 299.0
+        call("recalled", full)
+        await until(lambda: outside.idents() == [b"out"])
+        pool.cancel_unsent(full)
+        pool.cancel_unsent(live)
+        assert results["recalled"].outcome == Outcome.NOT_SENT and "out" not in results
+        create, loop.create_connection = loop.create_connection, reset
+        call("reset", full)
+        await until(lambda: "reset" in results)
+        assert results["reset"].outcome == Outcome.DROPPED  # while it was made: no crash, and no full queue
+        loop.create_connection = create
+        call("timed out", live, 100.0)
+        await until(lambda: "timed out" in results)
+        assert results["timed out"].outcome == Outcome.TIMED_OUT
+        outside.script = lambda call: b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf"
+        call("half", live, 100.0)
+        await until(lambda: "half" in results)  # the status line counts
+        assert results["half"].outcome == Outcome.DELIVERED and pool.idle_count == 0 and not pool.connecting_calls
+        for opened in (
+            full_server,
+            *fillers,
+            outside.agent,
+            *outside.servers,
+            *(c.transport for c in outside.connections),
+        ):
+            opened.close()
+
+    asyncio.run(scene())
--- a/tests/relay/test_late_repeats.py
+++ b/tests/relay/test_late_repeats.py
@@ -7,7 +7,9 @@
 from dewpin.core import model
 from dewpin.lab.loop import SimLoop
 from dewpin.lab.network import Network, Way
-from dewpin.net.outbound import HELD, Link, Pool
+from dewpin.net.call import LAST_BYTE_HOLD_SECONDS
+from dewpin.net.connection import Connection
+from dewpin.net.connection_pool import ConnectionPool
 from dewpin.ports import Accepted, SubmitRequest
 from dewpin.relay.facade import Facade
 from dewpin.relay.message_lifecycle import Relay
@@ -19,7 +21,7 @@
 WINDOW_S = 0.9
 MARGIN_S = 0.02
 """What the dispatcher keeps of a window for its tick and the answer, with ticks of 5 ms."""
-LAST_S = WINDOW_S - MARGIN_S - HELD
+LAST_S = WINDOW_S - MARGIN_S - LAST_BYTE_HOLD_SECONDS
 """When a connection must be up for the last byte of a call, which is held back for a moment, to leave in time."""
 
 
@@ -83,7 +85,9 @@
 def play(folder, monkeypatch, comes_up_s):
     """The times of the calls that came whole, counted from the choice of the first, what came on each connection, and
     the notices."""
-    monkeypatch.setattr(Link, "heard_from", lambda link: False)  # looks at a socket, and there is none
+    monkeypatch.setattr(
+        Connection, "has_pending_input", lambda connection: False
+    )  # looks at a socket, and there is none
     loop = SimLoop()
     receiver, notices, connections = Receiver(loop), Notices(), Connections(loop, comes_up_s)
     connections.network.listen(RECEIVER, lambda: receiver)
@@ -94,7 +98,7 @@
 
     async def scene():
         facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
-        relay = Relay(loop, facade, Journal(folder, 1e6), Pool(loop, 1500.0, 0.0), notices)
+        relay = Relay(loop, facade, Journal(folder, 1e6), ConnectionPool(loop, 1500.0, 0.0), notices)
         request = SubmitRequest(b"m", b"notice", b"", b"", b"7", b"tag", b"body", 10_000.0)
         assert isinstance(relay.submit(request), Accepted)
         await asyncio.sleep(3.0)
