--- a/benchmarks/capacity/coverage.py
+++ b/benchmarks/capacity/coverage.py
@@ -143,7 +143,7 @@
         ),
         Entry(
             f"{target.failures_a_day} failures, {target.restarts_a_day} restarts a day",
-            "leases, drain at SIGTERM, `dewpin/controlplane/membership/reconfiguration.py`, `sync.py`",
+            "leases, drain at SIGTERM, `dewpin/controlplane/membership/reconfiguration.py`, `replica_sync.py`",
             (),
             "rows under failures; a day with that many: not measured",
         ),
--- a/benchmarks/capacity/measures/storage.py
+++ b/benchmarks/capacity/measures/storage.py
@@ -218,7 +218,7 @@
             used = time.process_time()
             while time.perf_counter() < end:
                 links = await storage.transact(
-                    lambda connection: turn_table.chain(connection, "a" * 6, last, ENOUGH_BYTES)
+                    lambda connection: turn_table.read_history(connection, "a" * 6, last, ENOUGH_BYTES)
                 )
                 encode(links.to_json())
                 reads += 1
@@ -249,7 +249,7 @@
         used = time.process_time()
         while time.perf_counter() < end:
             found = HistoryPage.from_json(Decoder().feed(frame)[0])
-            b"".join(link.input + link.output for link in reversed(found.links))
+            b"".join(link.input + link.output for link in reversed(found.turns))
             reads += 1
         return (time.process_time() - used) * MICROSECONDS / reads
 
@@ -296,7 +296,9 @@
             pages = 0
             used = time.process_time()
             while time.perf_counter() < end:
-                page = await storage.transact(lambda connection: turn_table.index_page(connection, ("", ""), rows, 0))
+                page = await storage.transact(
+                    lambda connection: turn_table.read_index_page(connection, ("", ""), rows, 0)
+                )
                 for entry in page:
                     view.next_replicas(entry.program, REPLICAS)
                 pages += 1
--- a/benchmarks/store_copy.py
+++ b/benchmarks/store_copy.py
@@ -79,10 +79,9 @@
     async def serve():
         storage = Storage(folder)
         client = RpcClient()
-        store = Store(storage, storage.incarnation, count)
+        store = Store(storage, storage.incarnation, count, on_view=lambda view: sync.start(view))
         synced = []
         sync = StoreSync(store, client, synced.append)
-        store._on_view = sync.start
 
         async def on_adopt(message):
             store.adopt(StoreView.from_json(message["view"]))
--- a/dewpin/cluster/message_fields.py
+++ b/dewpin/cluster/message_fields.py
@@ -32,7 +32,7 @@
     return None if _present(message, field) is None else text(message, field)
 
 
-def whole_number(message: Message, field: str) -> int:
+def integer(message: Message, field: str) -> int:
     """Return a field that holds a whole number."""
     value = message.get(field)
     if type(value) is not int:
@@ -40,7 +40,7 @@
     return value
 
 
-def truth(message: Message, field: str) -> bool:
+def boolean(message: Message, field: str) -> bool:
     """Return a field that holds true or false."""
     value = message.get(field)
     if not isinstance(value, bool):
--- a/dewpin/cluster/store_messages.py
+++ b/dewpin/cluster/store_messages.py
@@ -1,6 +1,6 @@
 """The messages between senders and stores, and between stores: their types, records and error kinds.
 
-Every request carries the epoch of the sender's view and the id of the member that is meant. Bytes travel as latin-1
+Every request carries the epoch of the caller's view and the id of the member that is meant. Bytes travel as latin-1
 text, which JSON keeps as it is for plain ASCII.
 """
 
@@ -26,20 +26,26 @@
 PULLED = "store.pulled"
 
 STALE_EPOCH = "stale_epoch"
-"""Error: the request's epoch is not the store's; the answer's `view` is the store's own, or null."""
+"""Error: the request's epoch is not the store's; the field `view` of the reply is the store's own, or null."""
 WRONG_MEMBER = "another_incarnation"
-"""Error: the process at this address is another incarnation than the one that was meant."""
+"""Error: the process at this address is another incarnation than the member that the request names."""
 NOT_REPLICA = "not_replica"
-"""Error: the store is no replica of the key under this epoch."""
+"""Error: the store is no replica of the program under this epoch."""
 STORAGE_FAILED = "storage_failed"
-"""Error: the disk did not take the write, or did not give the answer."""
+"""Error: the storage failed to read or write."""
 MALFORMED = "malformed"
-"""Error: a field of the request is missing or of another kind; the same request will not do better."""
+"""Error: a field of the request is missing or of another type; repeating the request is of no use."""
 
 
 @dataclass(frozen=True, slots=True)
 class TurnRecord:
-    """A turn as the stores keep it. `retain_ms` counts from the moment a store takes it."""
+    """A turn as the stores keep it.
+
+    `turn`, `program`: id of the turn, and the program that holds it.
+    `previous`: id of the turn that this one continues; None for the first of a history.
+    `retain_ms`: for how long the turn is to be kept, counted from the moment at which a store stores it.
+    `input`, `output`: the bodies of the request and of the response.
+    """
 
     turn: str
     program: str
@@ -61,12 +67,12 @@
 
     @staticmethod
     def from_json(value: Message) -> TurnRecord:
-        """Return the record of a JSON object made by `to_json`. MalformedMessageError if it is none."""
+        """Return the record of a JSON object made by `to_json`. Raises MalformedMessageError if it is none."""
         return TurnRecord(
             read.text(value, "turn"),
             read.text(value, "program"),
             read.text_or_none(value, "previous"),
-            read.whole_number(value, "retain_ms"),
+            read.integer(value, "retain_ms"),
             read.octets(value, "input"),
             read.octets(value, "output"),
         )
@@ -74,31 +80,38 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryPage:
-    """A run of a chain, newest first. `following` is the link after the last one; `absent` says that the store has
-    no such turn, otherwise it is only left for the next request. `foreign` are links kept for other programs only."""
+    """Consecutive turns of a conversation history, newest first.
+
+    `turns`: the turns; field `links` on the wire.
+    `next_turn`: id of the turn before the oldest of `turns`; None if that is the first one. Field `following`.
+    `is_next_missing`: whether the store has no turn `next_turn`; otherwise it is left for the next request. Field
+        `absent`.
+    `other_program_turns`: ids of turns that the store holds for other programs only; field `foreign`.
+    """
 
-    links: tuple[TurnRecord, ...]
-    following: str | None
-    absent: bool
-    foreign: frozenset[str]
+    turns: tuple[TurnRecord, ...]
+    next_turn: str | None
+    is_next_missing: bool
+    other_program_turns: frozenset[str]
 
     def to_json(self) -> Message:
-        """Return the run as an answer."""
+        """Return the page as a reply."""
         return {
             "type": TURN_HISTORY_PAGE,
-            "links": [link.to_json() for link in self.links],
-            "following": self.following,
-            "absent": self.absent,
-            "foreign": sorted(self.foreign),
+            "links": [turn.to_json() for turn in self.turns],
+            "following": self.next_turn,
+            "absent": self.is_next_missing,
+            "foreign": sorted(self.other_program_turns),
         }
 
     @staticmethod
     def from_json(value: Message) -> HistoryPage:
-        """Return the run of an answer made by `to_json`. MalformedMessageError if it is none."""
+        """Return the page of a reply made by `to_json`. Raises MalformedMessageError if it is none."""
         read.check_type(value, TURN_HISTORY_PAGE)
-        links = tuple(TurnRecord.from_json(link) for link in read.objects(value, "links"))
-        following = read.text_or_none(value, "following")
-        return HistoryPage(links, following, read.truth(value, "absent"), frozenset(read.texts(value, "foreign")))
+        turns = tuple(TurnRecord.from_json(turn) for turn in read.objects(value, "links"))
+        next_turn = read.text_or_none(value, "following")
+        is_next_missing = read.boolean(value, "absent")
+        return HistoryPage(turns, next_turn, is_next_missing, frozenset(read.texts(value, "foreign")))
 
 
 def request(kind: str, view: StoreView, member: str, /, **fields: Any) -> Message:
--- a/dewpin/cluster/store_requests.py
+++ b/dewpin/cluster/store_requests.py
@@ -17,30 +17,38 @@
 from .store_view import StoreView
 
 BallotPair = tuple[int, str]
+"""Counter and proposer of a ballot."""
 LedgerValue = Mapping[str, Any]
-"""The value of a ledger's register; stores keep it as it is."""
+"""The value of a ledger's register; stores do not interpret it."""
 
 
 class SenderRequest(Protocol):
-    """One of the requests below."""
+    """One of the requests below.
+
+    `kind`: the message type on the wire.
+    """
 
     kind: ClassVar[str]
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
+        """Return the request's own fields on the wire."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHeader:
-    """What every request to a store begins with: the epoch of the caller's view, the member that is meant, and the view
-    itself where the store may not know it."""
+    """The fields that every request to a store begins with.
+
+    `epoch`: epoch of the caller's view.
+    `member`: id of the store that is meant; field `to` on the wire.
+    `view`: the caller's view, where the store may not know it yet.
+    """
 
     epoch: int
     member: str
     view: StoreView | None = None
 
     def encode(self, request_kind: str, fields: Message) -> Message:
-        """The form on the wire of a request with these fields of its own."""
+        """Return the message of a request of this kind with these fields of its own."""
         message = {"type": request_kind, "epoch": self.epoch, "to": self.member, **fields}
         if self.view is not None:
             message["view"] = self.view.to_json()
@@ -48,50 +56,58 @@
 
     @classmethod
     def decode(cls, message: Message) -> RequestHeader:
-        """The header of a message. MalformedMessageError if there is none."""
-        epoch, member = read.whole_number(message, "epoch"), read.text(message, "to")
+        """Return the header of a message. Raises MalformedMessageError if there is none."""
+        epoch, member = read.integer(message, "epoch"), read.text(message, "to")
         return cls(epoch, member, _view(message) if message.get("view") is not None else None)
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryRequest:
-    """Asks for the chain that ends with the turn `previous`, as far as it is there and fits an answer."""
+    """Requests the history that ends with a turn, as far as the store has it and it fits one reply.
+
+    `program`: the program that reads; turns that only other programs hold are marked in the reply.
+    `last_turn`: id of the newest turn of the history; field `previous` on the wire.
+    """
 
     kind: ClassVar[str] = wire.TURN_HISTORY
     program: str
-    previous: str
+    last_turn: str
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
-        return {"program": self.program, "previous": self.previous}
+        """Return the request's own fields on the wire."""
+        return {"program": self.program, "previous": self.last_turn}
 
     @classmethod
     def decode(cls, message: Message) -> HistoryRequest:
-        """The request of a message. MalformedMessageError if it is none."""
+        """Return the request of a message. Raises MalformedMessageError if it is none."""
         return cls(read.text(message, "program"), read.text(message, "previous"))
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerPrepareRequest:
-    """First round of a ballot for a program's ledger."""
+    """First phase of a ballot for the budget ledger of `program`."""
 
     kind: ClassVar[str] = wire.LEDGER_PREPARE
     program: str
     ballot: BallotPair
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
+        """Return the request's own fields on the wire."""
         return {"program": self.program, "ballot": list(self.ballot)}
 
     @classmethod
     def decode(cls, message: Message) -> LedgerPrepareRequest:
-        """The request of a message. MalformedMessageError if it is none."""
+        """Return the request of a message. Raises MalformedMessageError if it is none."""
         return cls(read.text(message, "program"), read.ballot(message, "ballot"))
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerAcceptRequest:
-    """Second round of a ballot. `next_ballot` is to be promised beside, for the sender's next change."""
+    """Second phase of a ballot for the budget ledger of `program`.
+
+    `value`: the ledger's value to accept.
+    `next_ballot`: to be promised with it, for the sender's next change; None for none.
+    """
 
     kind: ClassVar[str] = wire.LEDGER_ACCEPT
     program: str
@@ -100,18 +116,18 @@
     next_ballot: BallotPair | None
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
-        following = None if self.next_ballot is None else list(self.next_ballot)
+        """Return the request's own fields on the wire."""
+        next_ballot = None if self.next_ballot is None else list(self.next_ballot)
         return {
             "program": self.program,
             "ballot": list(self.ballot),
             "value": self.value,
-            "next_ballot": following,
+            "next_ballot": next_ballot,
         }
 
     @classmethod
     def decode(cls, message: Message) -> LedgerAcceptRequest:
-        """The request of a message. MalformedMessageError if it is none."""
+        """Return the request of a message. Raises MalformedMessageError if it is none."""
         return cls(
             read.text(message, "program"),
             read.ballot(message, "ballot"),
@@ -122,15 +138,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PutTurnsRequest:
-    """Asks to keep turns, and to take part in the second round of a ballot beside. Earlier releases know turns only:
-    they keep them and leave the ballot alone."""
+    """Requests that turns be stored, and optionally participation in the second phase of a ballot in the same
+    transaction.
+
+    Earlier releases know turns only: they store them and ignore the ballot.
+    """
 
     kind: ClassVar[str] = wire.TURN_PUT
     turns: tuple[TurnRecord, ...]
     accept: LedgerAcceptRequest | None = None
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
+        """Return the request's own fields on the wire."""
         fields: Message = {"turns": [turn.to_json() for turn in self.turns]}
         if self.accept is not None:
             fields["accept"] = self.accept.fields()
@@ -138,7 +157,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> PutTurnsRequest:
-        """The request of a message. MalformedMessageError if it is none."""
+        """Return the request of a message. Raises MalformedMessageError if it is none."""
         turns = tuple(TurnRecord.from_json(turn) for turn in read.objects(message, "turns"))
         if message.get("accept") is None:
             return cls(turns)
@@ -147,20 +166,22 @@
 
 @dataclass(frozen=True, slots=True)
 class PutTurnsReply:
-    """Tells that the turns are on disk; `reply` is that to the ballot beside them, if there was one, in the form of
-    `dewpin.consensus.messages`."""
+    """Acknowledges that the turns are on disk.
+
+    `reply`: the reply to the ballot of the request, if it had one, as encoded by `dewpin.consensus.messages`.
+    """
 
     reply: Message | None = None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         if self.reply is None:
             return {"type": wire.TURN_STORED}
         return {"type": wire.TURN_STORED, "reply": self.reply}
 
     @classmethod
     def decode(cls, message: Message) -> PutTurnsReply:
-        """The answer of a message. MalformedMessageError if it is none."""
+        """Return the reply of a message. Raises MalformedMessageError if it is none."""
         read.check_type(message, wire.TURN_STORED)
         if message.get("reply") is None:
             return cls()
@@ -170,5 +191,5 @@
 def _view(message: Message) -> StoreView:
     try:
         return StoreView.from_json(message["view"])
-    except ValueError:
-        raise read.MalformedMessageError("view", "a view of stores") from None
+    except ValueError as error:
+        raise read.MalformedMessageError("view", "a view of stores") from error
--- a/dewpin/controlplane/__main__.py
+++ b/dewpin/controlplane/__main__.py
@@ -51,7 +51,7 @@
         configuration = state["configuration"]
         if configuration is not None and configuration["digest"] != known_digest:
             known_digest = configuration["digest"]
-            store.keep_ledgers_for(longest_retain_s(configuration["body"]))
+            store.set_ledger_retention(longest_retain_s(configuration["body"]))
 
     def on_state(state: SystemState) -> None:
         follow_configuration(state)
--- a/dewpin/controlplane/store/ledger_replica.py
+++ b/dewpin/controlplane/store/ledger_replica.py
@@ -1,6 +1,7 @@
 """The replicas of budget ledgers on disk: one register for each program, decided by `dewpin.consensus.Replica`.
 
-All functions run on the storage thread, inside its transaction: what they decide is synced before it is answered.
+All functions run on the storage thread, inside its transaction: what they decide is synced before the reply is sent.
+They raise sqlite3.Error.
 """
 
 from __future__ import annotations
@@ -15,15 +16,19 @@
 from dewpin.consensus.messages import ballot_from_json
 
 KEY_PREFIX = "ledger/"
-_AFTER_ALL_KEYS = "ledger0"
-"""The least text above every key that begins with KEY_PREFIX."""
+_END_OF_KEYS = "ledger0"
+"""The smallest text above every key that begins with KEY_PREFIX."""
 
 JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class LedgerRecord:
-    """The state of one replica of a program's ledger."""
+    """The state of one replica of a program's ledger.
+
+    `promised`: the greatest ballot that was promised.
+    `accepted`, `value`: the ballot of the value that was accepted last, and that value.
+    """
 
     program: str
     promised: Ballot
@@ -41,14 +46,17 @@
 
     @staticmethod
     def from_json(value: JsonObject) -> LedgerRecord:
-        """Return the record of a JSON object made by `to_json`."""
+        """Return the record of a JSON object made by `to_json`.
+
+        Raises KeyError, TypeError or ValueError if it is none.
+        """
         return LedgerRecord(
             value["program"], ballot_from_json(value["promised"]), ballot_from_json(value["accepted"]), value["value"]
         )
 
 
 def load(connection: sqlite3.Connection, program: str) -> Replica:
-    """Return the replica of the program's ledger as it stands."""
+    """Return the replica of the program's ledger; an empty one if there is none."""
     row = connection.execute(
         "SELECT promised, accepted_ballot, value, copied FROM register_replica WHERE key = ?", (KEY_PREFIX + program,)
     ).fetchone()
@@ -80,7 +88,7 @@
 
 
 def prepare(connection: sqlite3.Connection, program: str, ballot: Ballot, now_ms: int) -> Promise | Conflict:
-    """Take part in the first round of a ballot."""
+    """Take part in the first phase of a ballot; a promise is written."""
     replica = load(connection, program)
     reply = replica.prepare(ballot)
     if isinstance(reply, Promise):
@@ -96,7 +104,10 @@
     next_ballot: Ballot | None,
     now_ms: int,
 ) -> Accepted | Conflict:
-    """Take part in the second round of a ballot."""
+    """Take part in the second phase of a ballot; an accepted value is written.
+
+    `next_ballot` is promised with it, unless it is None.
+    """
     replica = load(connection, program)
     reply = replica.accept(ballot, value, next_ballot)
     if isinstance(reply, Accepted):
@@ -105,9 +116,9 @@
 
 
 def merge(connection: sqlite3.Connection, records: Sequence[LedgerRecord], now_ms: int) -> None:
-    """Take over what other replicas hold: the greatest accepted ballot and the greatest promise win.
+    """Merge the states of other replicas into this one's: the greatest accepted ballot and the greatest promise win.
 
-    A value that is taken over is marked as copied. It must be here, so that nobody who reads a majority misses a chosen
+    A value that is merged is marked as copied. It must be here, so that nobody who reads a majority misses a chosen
     value; but this replica may have promised a greater ballot already, so it never counts as a vote for the value.
     """
     for record in records:
@@ -120,12 +131,12 @@
             save(connection, record.program, merged, now_ms)
 
 
-def page(connection: sqlite3.Connection, after: str, most: int) -> list[LedgerRecord]:
-    """Return up to `most` ledgers whose program comes after `after`, by program."""
+def read_page(connection: sqlite3.Connection, after: str, limit: int) -> list[LedgerRecord]:
+    """Return up to `limit` ledgers whose program sorts after `after`, in the order of programs."""
     rows = connection.execute(
         "SELECT key, promised, accepted_ballot, value FROM register_replica"
         " WHERE key > ? AND key < ? ORDER BY key LIMIT ?",
-        (KEY_PREFIX + after, _AFTER_ALL_KEYS, most),
+        (KEY_PREFIX + after, _END_OF_KEYS, limit),
     )
     return [
         LedgerRecord(
@@ -138,10 +149,10 @@
     ]
 
 
-def purge(connection: sqlite3.Connection, unchanged_since_ms: int, most: int) -> int:
-    """Forget up to `most` ledgers that have not changed since then; return how many."""
+def purge(connection: sqlite3.Connection, unchanged_since_ms: int, limit: int) -> int:
+    """Delete up to `limit` ledgers that have not changed since that time of day in ms; return how many."""
     return connection.execute(
         "DELETE FROM register_replica WHERE key IN (SELECT key FROM register_replica"
         " WHERE changed_ms < ? AND key > ? AND key < ? ORDER BY changed_ms LIMIT ?)",
-        (unchanged_since_ms, KEY_PREFIX, _AFTER_ALL_KEYS, most),
+        (unchanged_since_ms, KEY_PREFIX, _END_OF_KEYS, limit),
     ).rowcount
--- /dev/null
+++ b/dewpin/controlplane/store/sender_handlers.py
@@ -0,0 +1,90 @@
+"""Handlers of the requests of senders: turns to store, conversation histories to read, ballots for budget ledgers."""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Awaitable, Callable
+
+from dewpin.cluster import store_messages as wire
+from dewpin.cluster.rpc import Message
+from dewpin.cluster.store_requests import (
+    HistoryRequest,
+    LedgerAcceptRequest,
+    LedgerPrepareRequest,
+    PutTurnsReply,
+    PutTurnsRequest,
+)
+from dewpin.consensus import Ballot, Reply
+from dewpin.consensus.messages import encode_reply
+from dewpin.controlplane.store import ledger_replica, turn_table
+from dewpin.controlplane.store.view_guard import ViewGuard, decode_request
+
+RETENTION_MARGIN_MS = 30_000
+"""Turns and ledgers are kept for this much longer than asked: for steps of the clock and turns that are in progress."""
+MAX_HISTORY_BYTES = 4 * 1024 * 1024
+"""Bodies in one reply with a history; the sender requests the rest after it."""
+
+
+class SenderHandlers:
+    """Answers senders for one store; `handlers` has a handler for each message type."""
+
+    def __init__(self, guard: ViewGuard, now_ms: Callable[[], int]) -> None:
+        """Answer under the view of `guard`; `now_ms` returns the time of day in ms."""
+        self._guard = guard
+        self._now_ms = now_ms
+        self.handlers: dict[str, Callable[[Message], Awaitable[Message]]] = {
+            wire.TURN_PUT: self._put_turns,
+            wire.TURN_HISTORY: self._read_history,
+            wire.LEDGER_PREPARE: self._prepare_ledger,
+            wire.LEDGER_ACCEPT: self._accept_ledger,
+        }
+
+    async def _put_turns(self, message: Message) -> Message:
+        request = decode_request(PutTurnsRequest.decode, message)
+        programs = {turn.program for turn in request.turns}
+        if request.accept is not None:
+            programs.add(request.accept.program)
+        for program in programs:
+            self._guard.check_replica(message, program)
+        now_ms = self._now_ms()
+
+        def work(connection: sqlite3.Connection) -> Message | None:
+            turn_table.put(connection, request.turns, now_ms, RETENTION_MARGIN_MS)
+            return None if request.accept is None else encode_reply(_accept(connection, request.accept, now_ms))
+
+        return PutTurnsReply(await self._guard.transact(message["epoch"], work)).encode()
+
+    async def _read_history(self, message: Message) -> Message:
+        request = decode_request(HistoryRequest.decode, message)
+        self._guard.check_view(message)
+        page = await self._guard.transact(
+            message["epoch"],
+            lambda connection: turn_table.read_history(
+                connection, request.program, request.last_turn, MAX_HISTORY_BYTES
+            ),
+        )
+        return page.to_json()
+
+    async def _prepare_ledger(self, message: Message) -> Message:
+        request = decode_request(LedgerPrepareRequest.decode, message)
+        ballot = Ballot(*request.ballot)
+        self._guard.check_replica(message, request.program)
+        now_ms = self._now_ms()
+        reply = await self._guard.transact(
+            message["epoch"], lambda connection: ledger_replica.prepare(connection, request.program, ballot, now_ms)
+        )
+        return encode_reply(reply)
+
+    async def _accept_ledger(self, message: Message) -> Message:
+        request = decode_request(LedgerAcceptRequest.decode, message)
+        self._guard.check_replica(message, request.program)
+        now_ms = self._now_ms()
+        reply = await self._guard.transact(message["epoch"], lambda connection: _accept(connection, request, now_ms))
+        return encode_reply(reply)
+
+
+def _accept(connection: sqlite3.Connection, request: LedgerAcceptRequest, now_ms: int) -> Reply:
+    """Take part in the second phase of a ledger's ballot."""
+    ballot = Ballot(*request.ballot)
+    next_ballot = None if request.next_ballot is None else Ballot(*request.next_ballot)
+    return ledger_replica.accept(connection, request.program, ballot, request.value, next_ballot, now_ms)
--- a/dewpin/controlplane/store/transfer_messages.py
+++ b/dewpin/controlplane/store/transfer_messages.py
@@ -1,9 +1,11 @@
-"""Messages by which one store copies from another: parts of an index, turns, and ledgers.
+"""Messages by which one store copies from another: pages of the index of turns, turns, and ledgers.
 
 A request is sent by `store_messages.request`, which adds the epoch, the member that is meant and the type.
 
-Bodies travel as raw bytes behind the JSON part of an answer (`cluster/netstring.py`) where the request asks for that;
-a store of an earlier release neither asks for it nor does it, so both forms are read.
+Bodies travel as raw bytes behind the JSON part of a reply (`cluster/netstring.py`) where the request asks for that; a
+store of an earlier release neither asks for it nor does it, so both forms are read.
+
+Every `decode` raises KeyError, TypeError or ValueError for a message that is not of its kind.
 """
 
 from __future__ import annotations
@@ -17,168 +19,182 @@
 from dewpin.cluster.rpc import Message
 from dewpin.cluster.store_messages import TurnRecord
 from dewpin.controlplane.store.ledger_replica import LedgerRecord
-from dewpin.controlplane.store.turn_table import IndexEntry
+from dewpin.controlplane.store.turn_table import IndexEntry, TurnKey
 
-Key = tuple[str, str]
-"""Turn and program."""
+_NEWEST_ARRIVAL = 0
+"""Value of `newest`: stores of earlier releases number their turns as they arrive and read from an index how far the
+numbers went."""
 
 
 @dataclass(frozen=True, slots=True)
 class IndexRequest:
-    """Asks for the index of what `member` is to hold in the next view, behind the key `after`."""
+    """Requests a page of the index of the turns that `member` will hold in the next view.
+
+    `after`: the page begins behind this key.
+    `limit`: number of turns that are read at most; field `most` on the wire.
+    """
 
     member: str
-    after: Key
-    most: int
+    after: TurnKey
+    limit: int
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
-        return {"member": self.member, "after": list(self.after), "most": self.most}
+        """Return the request's own fields on the wire."""
+        return {"member": self.member, "after": list(self.after), "most": self.limit}
 
     @classmethod
     def decode(cls, message: Message) -> IndexRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
-        return cls(str(message["member"]), _key(message["after"]), int(message["most"]))
-
-
-_NO_ARRIVAL = 0
-"""Stores of earlier releases number their turns as they come, and read from an index how far the numbers went."""
+        """Return the request of a message."""
+        return cls(str(message["member"]), _decode_key(message["after"]), int(message["most"]))
 
 
 @dataclass(frozen=True, slots=True)
 class IndexPage:
-    """A part of an index. `after`: where the next part begins, if there is one."""
+    """A page of an index.
+
+    `after`: the key behind which the next page begins; None on the last page.
+    """
 
     entries: Sequence[IndexEntry]
-    after: Key | None
+    after: TurnKey | None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         after = None if self.after is None else list(self.after)
-        entries = _encode_entries(self.entries)
-        return {"type": wire.PULLED, "entries": entries, "after": after, "newest": _NO_ARRIVAL}
+        entries = [[entry.turn, entry.program, entry.remaining_ms] for entry in self.entries]
+        return {"type": wire.PULLED, "entries": entries, "after": after, "newest": _NEWEST_ARRIVAL}
 
     @classmethod
     def decode(cls, message: Message) -> IndexPage:
-        """The page of an answer. KeyError, TypeError or ValueError if it is none."""
+        """Return the page of a message."""
         after = message["after"]
-        entries = _decode_entries(message["entries"])
-        return cls(entries, None if after is None else _key(after))
+        entries = [
+            IndexEntry(str(turn), str(program), int(remaining_ms)) for turn, program, remaining_ms in message["entries"]
+        ]
+        return cls(entries, None if after is None else _decode_key(after))
 
 
 @dataclass(frozen=True, slots=True)
 class TurnsRequest:
-    """Asks for turns by their keys, up to so many bytes; `raw`: with the bodies as raw bytes."""
+    """Requests turns by their keys.
 
-    keys: Sequence[Key]
-    most_bytes: int
-    raw: bool = False
+    `max_bytes`: size of the bodies at which the reply ends; field `most_bytes` on the wire.
+    `wants_raw_bodies`: whether the bodies are to come as raw bytes; field `raw_bodies`.
+    """
+
+    keys: Sequence[TurnKey]
+    max_bytes: int
+    wants_raw_bodies: bool = False
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
-        fields: Message = {"keys": [list(key) for key in self.keys], "most_bytes": self.most_bytes}
-        if self.raw:
+        """Return the request's own fields on the wire."""
+        fields: Message = {"keys": [list(key) for key in self.keys], "most_bytes": self.max_bytes}
+        if self.wants_raw_bodies:
             fields["raw_bodies"] = True
         return fields
 
     @classmethod
     def decode(cls, message: Message) -> TurnsRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
-        raw = message.get("raw_bodies") is True
-        return cls([_key(key) for key in message["keys"]], int(message["most_bytes"]), raw)
+        """Return the request of a message."""
+        wants_raw_bodies = message.get("raw_bodies") is True
+        return cls([_decode_key(key) for key in message["keys"]], int(message["most_bytes"]), wants_raw_bodies)
 
 
 @dataclass(frozen=True, slots=True)
-class TurnsAnswer:
-    """Turns that were asked for; `unread` are those left for the next request, what is in neither is not there."""
+class TurnsReply:
+    """Turns that were requested.
+
+    `unread_keys`: keys that are left for the next request; a requested key in neither is not at the source.
+    """
 
     records: Sequence[TurnRecord]
-    unread: Sequence[Key]
+    unread_keys: Sequence[TurnKey]
 
     def encode(self) -> Message:
-        """The form on the wire that every release reads."""
+        """Return the message in the form that every release reads."""
         turns = [record.to_json() for record in self.records]
-        return {"type": wire.PULLED, "turns": turns, "unread": [list(key) for key in self.unread]}
+        return {"type": wire.PULLED, "turns": turns, "unread": [list(key) for key in self.unread_keys]}
 
-    def encode_raw(self) -> Message:
-        """The form on the wire with the bodies as raw bytes, for one that asked for it."""
+    def encode_with_raw_bodies(self) -> Message:
+        """Return the message with the bodies as raw bytes, for a request that asked for them."""
         rows = [
             (record.turn, record.program, record.previous, record.retain_ms, len(record.input), len(record.output))
             for record in self.records
         ]
         bodies = b"".join([body for record in self.records for body in (record.input, record.output)])
-        return {"type": wire.PULLED, "rows": rows, "unread": [list(key) for key in self.unread], RAW: bodies}
+        return {"type": wire.PULLED, "rows": rows, "unread": [list(key) for key in self.unread_keys], RAW: bodies}
 
     @classmethod
-    def decode(cls, message: Message) -> TurnsAnswer:
-        """The turns of an answer in either form. KeyError, TypeError or ValueError if it is none."""
-        unread = [_key(key) for key in message["unread"]]
+    def decode(cls, message: Message) -> TurnsReply:
+        """Return the turns of a message in either form."""
+        unread_keys = [_decode_key(key) for key in message["unread"]]
         if RAW in message:
-            return cls(_records_of_rows(message["rows"], message[RAW]), unread)
-        return cls([TurnRecord.from_json(value) for value in message["turns"]], unread)
+            return cls(_records_of_rows(message["rows"], message[RAW]), unread_keys)
+        return cls([TurnRecord.from_json(value) for value in message["turns"]], unread_keys)
 
 
 @dataclass(frozen=True, slots=True)
 class LedgersRequest:
-    """Asks for the ledgers that `member` is to hold in the next view, behind the program `after`."""
+    """Requests a page of the ledgers that `member` will hold in the next view.
+
+    `after`: the page begins behind this program.
+    `limit`: number of ledgers that are read at most; field `most` on the wire.
+    """
 
     member: str
     after: str
-    most: int
+    limit: int
 
     def fields(self) -> Message:
-        """The request's own part of its form on the wire."""
-        return {"member": self.member, "after": self.after, "most": self.most}
+        """Return the request's own fields on the wire."""
+        return {"member": self.member, "after": self.after, "most": self.limit}
 
     @classmethod
     def decode(cls, message: Message) -> LedgersRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the request of a message."""
         return cls(str(message["member"]), str(message["after"]), int(message["most"]))
 
 
 @dataclass(frozen=True, slots=True)
 class LedgersPage:
-    """Ledgers of a store. `after`: where the next part begins, if there is one."""
+    """A page of a store's ledgers.
+
+    `after`: the program behind which the next page begins; None on the last page.
+    """
 
     records: Sequence[LedgerRecord]
     after: str | None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         return {"type": wire.PULLED, "ledgers": [record.to_json() for record in self.records], "after": self.after}
 
     @classmethod
     def decode(cls, message: Message) -> LedgersPage:
-        """The ledgers of an answer. KeyError, TypeError or ValueError if it is none."""
+        """Return the ledgers of a message."""
         after = message["after"]
         records = [LedgerRecord.from_json(value) for value in message["ledgers"]]
         return cls(records, None if after is None else str(after))
 
 
 def _records_of_rows(rows: Sequence[Any], bodies: bytes) -> list[TurnRecord]:
-    """The turns of `rows`, whose bodies stand in `bodies` one behind the other. TypeError or ValueError for parts that
-    do not fit together."""
+    """Return the turns of `rows`, whose bodies follow each other in `bodies`.
+
+    Raises TypeError or ValueError if the lengths in the rows do not add up to that of `bodies`.
+    """
     records = []
     end = 0
     for turn, program, previous, retain_ms, input_bytes, output_bytes in rows:
         if input_bytes < 0 or output_bytes < 0:
-            raise ValueError("a body of less than no bytes")
+            raise ValueError(f"turn {turn!r}: bodies of {input_bytes} and {output_bytes} bytes")
         start, middle = end, end + input_bytes
         end = middle + output_bytes
         records.append(TurnRecord(turn, program, previous, retain_ms, bodies[start:middle], bodies[middle:end]))
     if end != len(bodies):
-        raise ValueError(f"{len(bodies)} bytes of bodies where {end} were told")
+        raise ValueError(f"{len(bodies)} bytes of bodies, but the rows say {end}")
     return records
 
 
-def _key(value: Sequence[Any]) -> Key:
+def _decode_key(value: Sequence[Any]) -> TurnKey:
     turn, program = value
     return str(turn), str(program)
-
-
-def _encode_entries(entries: Sequence[IndexEntry]) -> list[list[str | int]]:
-    return [[entry.turn, entry.program, entry.left_ms] for entry in entries]
-
-
-def _decode_entries(values: Sequence[Any]) -> list[IndexEntry]:
-    return [IndexEntry(str(turn), str(program), int(left_ms)) for turn, program, left_ms in values]
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -137,10 +137,10 @@
                 if not contents:
                     raise
                 raise StoreUnavailableError(f"a link of the chain is gone: {next_id}") from None
-            records += found.links
-            contents += [record.input + record.output for record in found.links]
-            copies += [_copy_for(program, record) for record in found.links if record.turn in found.foreign]
-            next_id = found.following
+            records += found.turns
+            contents += [record.input + record.output for record in found.turns]
+            copies += [_copy_for(program, record) for record in found.turns if record.turn in found.other_program_turns]
+            next_id = found.next_turn
         if copies:
             await self.put(program, copies)
         for record in records:
@@ -191,7 +191,7 @@
                 found = reply.content
                 if found is None:
                     continue
-                if found.links:
+                if found.turns:
                     return found
                 without_turn.add(reply.member)
         raise TurnNotFoundError(self._last_id)
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -12,8 +12,9 @@
 from dewpin.cluster.configuration import longest_retain_s
 from dewpin.controlplane.__main__ import start_store
 from dewpin.controlplane.store import ledger_replica, ledger_retention
-from dewpin.controlplane.store.ledger_retention import LEAST_MS, MOST_MS, LedgerRetention
-from dewpin.controlplane.store.store import PURGE_EVERY_S, RETAIN_MARGIN_MS
+from dewpin.controlplane.store.ledger_retention import MAX_RETENTION_MS, MIN_RETENTION_MS, LedgerRetention
+from dewpin.controlplane.store.sender_handlers import RETENTION_MARGIN_MS
+from dewpin.controlplane.store.store import PURGE_PERIOD_S
 from dewpin.dataplane.programs.errors import BudgetExceededError
 
 HOUR_MS = 3_600_000
@@ -22,12 +23,12 @@
 
 async def purge(world):
     for machine in world.machines.values():
-        await machine.store.purge_step()
+        await machine.store.purge_batch()
 
 
 def configure(world, retain_s):
     for machine in world.machines.values():
-        machine.store.keep_ledgers_for(retain_s)
+        machine.store.set_ledger_retention(retain_s)
 
 
 async def spend(world):
@@ -56,8 +57,8 @@
         await purge(world)
         return await is_stopped_by_its_budget(world)
 
-    assert run(scene(kept_ms + RETAIN_MARGIN_MS))
-    assert not run(scene(kept_ms + RETAIN_MARGIN_MS + 1))
+    assert run(scene(kept_ms + RETENTION_MARGIN_MS))
+    assert not run(scene(kept_ms + RETENTION_MARGIN_MS + 1))
 
 
 def test_each_refusal_counts_anew():
@@ -105,23 +106,24 @@
         return await is_stopped_by_its_budget(world)
 
     assert run(scene(2 * HOUR_MS - 1))
-    assert not run(scene(2 * HOUR_MS + RETAIN_MARGIN_MS + 1))
+    assert not run(scene(2 * HOUR_MS + RETENTION_MARGIN_MS + 1))
 
 
 def test_what_is_said_less_and_less_counts_for_as_long_as_any_ledger_was_promised():
     long = LedgerRetention(10 * HOUR_MS)
     shorter = long.followed_by(5 * 3600.0, 0)
-    assert [shorter.idle_ms(now) // HOUR_MS for now in (0, 10 * HOUR_MS - 1, 10 * HOUR_MS)] == [10, 10, 5]
+    assert [shorter.max_idle_ms(now) // HOUR_MS for now in (0, 10 * HOUR_MS - 1, 10 * HOUR_MS)] == [10, 10, 5]
     shortest = shorter.followed_by(0.0, 8 * HOUR_MS)
-    assert shortest.idle_ms(13 * HOUR_MS - 1) >= 5 * HOUR_MS, "changed under five hours until the eighth"
-    assert shortest.idle_ms(13 * HOUR_MS) == LEAST_MS
+    assert shortest.max_idle_ms(13 * HOUR_MS - 1) >= 5 * HOUR_MS, "changed under five hours until the eighth"
+    assert shortest.max_idle_ms(13 * HOUR_MS) == MIN_RETENTION_MS
     assert shortest.followed_by(0.0, 12 * HOUR_MS) == shortest
-    assert shortest.followed_by(0.0, 14 * HOUR_MS) == LedgerRetention(LEAST_MS)
+    assert shortest.followed_by(0.0, 14 * HOUR_MS) == LedgerRetention(MIN_RETENTION_MS)
     assert shortest.followed_by(10 * 3600.0, 9 * HOUR_MS) == long
 
 
 @pytest.mark.parametrize(
-    ("retain_s", "kept_ms"), [(0.0, LEAST_MS), (-5.0, LEAST_MS), (1e300, MOST_MS), (1e999, MOST_MS)]
+    ("retain_s", "kept_ms"),
+    [(0.0, MIN_RETENTION_MS), (-5.0, MIN_RETENTION_MS), (1e300, MAX_RETENTION_MS), (1e999, MAX_RETENTION_MS)],
 )
 def test_whatever_the_operator_writes_the_time_is_one_that_the_database_holds(retain_s, kept_ms):
     assert ledger_retention.retention_ms(retain_s) == kept_ms
@@ -162,8 +164,8 @@
             stores = {"epoch": 0, "stable": {}, "next": None}
             control_server.on_state({"stores": stores, "configuration": {"digest": digest, "body": body}})
             clock_ms[0] = hours * HOUR_MS
-            await asyncio.sleep(2 * PURGE_EVERY_S)
-            return len(ledger_replica.page(disk.connection, "", 9))
+            await asyncio.sleep(2 * PURGE_PERIOD_S)
+            return len(ledger_replica.read_page(disk.connection, "", 9))
 
         control_server.on_state({"stores": {"epoch": 0, "stable": {}, "next": None}, "configuration": None})
         assert await ledgers_after(5, 10 * 3600, "one") == 1
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -13,8 +13,8 @@
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.consensus import Ballot
 from dewpin.controlplane.store import ledger_replica, turn_table
-from dewpin.controlplane.store.store import RETAIN_MARGIN_MS
-from dewpin.controlplane.store.transfer_messages import TurnsAnswer
+from dewpin.controlplane.store.sender_handlers import RETENTION_MARGIN_MS
+from dewpin.controlplane.store.transfer_messages import TurnsReply
 from dewpin.dataplane.programs.errors import BudgetExceededError, TurnNotFoundError
 
 
@@ -107,7 +107,7 @@
 
 
 def test_a_long_chain_comes_in_several_answers(monkeypatch):
-    monkeypatch.setattr("dewpin.controlplane.store.store.MOST_CHAIN_BYTES", 10)
+    monkeypatch.setattr("dewpin.controlplane.store.sender_handlers.MAX_HISTORY_BYTES", 10)
 
     async def scene():
         world = World()
@@ -129,11 +129,11 @@
         await client.store_turn(turn("t1", retain_s=10.0), 1.0)
         world.clock_ms += 9_000
         await client.store_turn(turn("t2", "t1", retain_s=10.0), 1.0)
-        world.clock_ms += 9_000 + RETAIN_MARGIN_MS
-        await store.purge_step()
+        world.clock_ms += 9_000 + RETENTION_MARGIN_MS
+        await store.purge_batch()
         assert await world.client("other").read_history("p", "t2", 1.0) == b"<t1><t2>"
         world.clock_ms += 2_000
-        steps = [await store.purge_step() for _ in range(3)]
+        steps = [await store.purge_batch() for _ in range(3)]
         assert turns_of(world.machines["a"]) == set()
         assert steps == [1, 1, 0]
         assert world.machines["a"].disk.connection.execute("SELECT count(*) FROM turn_bodies").fetchone() == (0,)
@@ -152,8 +152,8 @@
         later = [record("t", program="new", retain_ms=90_000)]
         await disk.transact(lambda connection: turn_table.put(connection, later, now_ms, 0))
         await disk.transact(lambda connection: turn_table.purge(connection, now_ms + 70_000, 10))
-        found = await disk.transact(lambda connection: turn_table.chain(connection, "new", "t", 100))
-        assert [link.program for link in found.links] == ["new"]
+        found = await disk.transact(lambda connection: turn_table.read_history(connection, "new", "t", 100))
+        assert [turn.program for turn in found.turns] == ["new"]
 
     run(scene())
 
@@ -164,13 +164,13 @@
         await world.client().reserve("p", "t1", 10, 100, 1.0)
         connection = world.machines["a"].disk.connection
         connection.execute("INSERT INTO register_replica (key, promised) VALUES ('system', '[1,\"x\"]')")
-        world.machines["a"].store.keep_ledgers_for(60.0)
-        world.clock_ms += 3_600_000 + RETAIN_MARGIN_MS
-        await world.machines["a"].store.purge_step()
+        world.machines["a"].store.set_ledger_retention(60.0)
+        world.clock_ms += 3_600_000 + RETENTION_MARGIN_MS
+        await world.machines["a"].store.purge_batch()
         keys = connection.execute("SELECT key FROM register_replica").fetchall()
         assert sorted(keys) == [("ledger/p",), ("system",)]
         world.clock_ms += 1
-        await world.machines["a"].store.purge_step()
+        await world.machines["a"].store.purge_batch()
         assert connection.execute("SELECT key FROM register_replica").fetchall() == [("system",)]
 
     run(scene())
@@ -409,7 +409,7 @@
 def noting_turns(handler, fetched):
     async def note(message):
         answer = await handler(message)
-        fetched.extend(record.turn for record in TurnsAnswer.decode(answer).records)
+        fetched.extend(record.turn for record in TurnsReply.decode(answer).records)
         return answer
 
     return note
--- a/tests/controlplane/test_store_copy.py
+++ b/tests/controlplane/test_store_copy.py
@@ -8,10 +8,9 @@
 
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
-from dewpin.controlplane.store import replica_sync as sync
-from dewpin.controlplane.store import turn_table, turn_transfer
+from dewpin.controlplane.store import turn_copy, turn_table, turn_transfer
 from dewpin.controlplane.store.turn_table import IndexEntry
-from dewpin.controlplane.store.turn_transfer import TURNS_IN_REQUEST
+from dewpin.controlplane.store.turn_transfer import TURNS_PER_REQUEST
 
 EVERY_BYTE = bytes(range(256))
 
@@ -123,7 +122,7 @@
 
 
 def test_a_copy_that_was_interrupted_goes_on_with_what_lacks(monkeypatch):
-    monkeypatch.setattr(sync, "TURNS_IN_REQUEST", 10)
+    monkeypatch.setattr(turn_copy, "TURNS_PER_REQUEST", 10)
 
     async def scene():
         world = await filled()
@@ -154,7 +153,7 @@
 
 def test_one_batch_of_a_copy_at_most_waits_for_the_disk(monkeypatch):
     """A put shares its commit with what waits beside it, so it takes as long as all that."""
-    monkeypatch.setattr(sync, "TURNS_IN_REQUEST", 5)
+    monkeypatch.setattr(turn_copy, "TURNS_PER_REQUEST", 5)
 
     async def scene():
         world = await filled(turns=100)
@@ -163,7 +162,7 @@
 
         async def slow(work):
             waiting.append(work)
-            most.append(len([one for one in waiting if "keep" in one.__qualname__]))
+            most.append(len([one for one in waiting if "write_fetched" in one.__qualname__]))
             await asyncio.sleep(0.05)
             waiting.remove(work)
             return await transact(work)
@@ -178,7 +177,7 @@
 
 
 def test_large_bodies_take_as_many_requests_as_they_need(monkeypatch):
-    monkeypatch.setattr(turn_transfer, "BODY_BYTES_IN_REQUEST", 1000)
+    monkeypatch.setattr(turn_transfer, "MAX_BODY_BYTES_PER_REPLY", 1000)
 
     async def scene():
         world = await filled(turns=20, body=bytes(900))
@@ -217,16 +216,16 @@
         world = await filled(turns=held)
         connection = world.machines["b"].disk.connection
         entries = [IndexEntry(f"t{number:04}", f"p{number}", 1) for number in (0, 2, 3, 199, 500)]
-        expected = turn_table.missing(connection, entries)
-        assert turn_table.missing_of_page(connection, entries) == expected
+        expected = turn_table.find_missing(connection, entries)
+        assert turn_table.find_missing_of_page(connection, entries) == expected
         assert [entry.turn for entry in expected] == [entry.turn for entry in entries if int(entry.turn[1:]) >= held]
-        assert turn_table.missing_of_page(connection, []) == []
+        assert turn_table.find_missing_of_page(connection, []) == []
         other = [IndexEntry("t0000", "another program", 1)]
-        assert turn_table.missing_of_page(connection, other) == other
+        assert turn_table.find_missing_of_page(connection, other) == other
 
     run(scene())
 
 
 def test_a_batch_of_a_copy_is_bounded():
-    assert TURNS_IN_REQUEST <= 500
-    assert turn_transfer.BODY_BYTES_IN_REQUEST <= 1024 * 1024
+    assert TURNS_PER_REQUEST <= 500
+    assert turn_transfer.MAX_BODY_BYTES_PER_REPLY <= 1024 * 1024
--- a/tests/controlplane/test_transfer_messages.py
+++ b/tests/controlplane/test_transfer_messages.py
@@ -13,7 +13,7 @@
     IndexRequest,
     LedgersPage,
     LedgersRequest,
-    TurnsAnswer,
+    TurnsReply,
     TurnsRequest,
 )
 from dewpin.controlplane.store.turn_table import IndexEntry
@@ -27,7 +27,10 @@
 REQUESTS = [
     (IndexRequest("m", ("t1", "p"), 2000), '{"member": "m", "after": ["t1", "p"], "most": 2000}'),
     (TurnsRequest([("t1", "p"), ("t2", "q")], 9), '{"keys": [["t1", "p"], ["t2", "q"]], "most_bytes": 9}'),
-    (TurnsRequest([("t1", "p")], 9, raw=True), '{"keys": [["t1", "p"]], "most_bytes": 9, "raw_bodies": true}'),
+    (
+        TurnsRequest([("t1", "p")], 9, wants_raw_bodies=True),
+        '{"keys": [["t1", "p"]], "most_bytes": 9, "raw_bodies": true}',
+    ),
     (LedgersRequest("m", "p", 500), '{"member": "m", "after": "p", "most": 500}'),
 ]
 ANSWERS = [
@@ -37,7 +40,7 @@
     ),
     (IndexPage([], None), '{"type": "store.pulled", "entries": [], "after": null, "newest": 0}'),
     (
-        TurnsAnswer([TURN], [("t2", "q")]),
+        TurnsReply([TURN], [("t2", "q")]),
         f'{{"type": "store.pulled", "turns": [{TURN_TEXT}], "unread": [["t2", "q"]]}}',
     ),
     (LedgersPage([], None), '{"type": "store.pulled", "ledgers": [], "after": null}'),
@@ -71,10 +74,10 @@
 
 
 def test_bodies_of_every_byte_travel_raw_and_come_back_as_they_were():
-    message = TurnsAnswer(TURNS, [("t4", "q")]).encode_raw()
+    message = TurnsReply(TURNS, [("t4", "q")]).encode_with_raw_bodies()
     assert message["raw"] == b"\xe4out" + EVERY_BYTE + EVERY_BYTE
     (read,) = Decoder().feed(encode(message))
-    assert TurnsAnswer.decode(read) == TurnsAnswer(TURNS, [("t4", "q")])
+    assert TurnsReply.decode(read) == TurnsReply(TURNS, [("t4", "q")])
 
 
 @pytest.mark.parametrize(
@@ -91,4 +94,4 @@
 )
 def test_rows_that_do_not_fit_the_raw_bytes_are_refused(rows, raw):
     with pytest.raises((TypeError, ValueError)):
-        TurnsAnswer.decode({"type": "store.pulled", "rows": rows, "unread": [], "raw": raw})
+        TurnsReply.decode({"type": "store.pulled", "rows": rows, "unread": [], "raw": raw})
--- a/tests/dataplane/test_programs_that_come_back.py
+++ b/tests/dataplane/test_programs_that_come_back.py
@@ -29,7 +29,7 @@
             machine.restart()
         world.tell(world.view)
         for machine in world.machines.values():
-            await machine.store.purge_step()
+            await machine.store.purge_batch()
         after = world.client("after")
         with pytest.raises(BudgetExceededError):
             await after.reserve("p", "t4", 41, BUDGET, 1.0)
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -70,7 +70,7 @@
     IndexRequest,
     LedgersPage,
     LedgersRequest,
-    TurnsAnswer,
+    TurnsReply,
     TurnsRequest,
 )
 from dewpin.controlplane.store.turn_table import IndexEntry
@@ -313,17 +313,17 @@
             True,
         ),
         _whole("store.pulled.index/least", IndexPage([], None), True),
-        _whole("store.pulled.turns/full", TurnsAnswer([TURN, FIRST_TURN], [("t-3", "p-2")]), True),
-        _whole("store.pulled.turns/least", TurnsAnswer([], []), True),
-        _raw_turns("store.pulled.raw_turns/full", TurnsAnswer([TURN, FIRST_TURN], [("t-3", "p-2")])),
-        _raw_turns("store.pulled.raw_turns/least", TurnsAnswer([], [])),
+        _whole("store.pulled.turns/full", TurnsReply([TURN, FIRST_TURN], [("t-3", "p-2")]), True),
+        _whole("store.pulled.turns/least", TurnsReply([], []), True),
+        _raw_turns("store.pulled.raw_turns/full", TurnsReply([TURN, FIRST_TURN], [("t-3", "p-2")])),
+        _raw_turns("store.pulled.raw_turns/least", TurnsReply([], [])),
         _whole("store.pulled.ledgers/full", LedgersPage([record, LedgerRecord("p-2", ZERO, ZERO, None)], "p-2"), True),
         _whole("store.pulled.ledgers/least", LedgersPage([], None), True),
     ]
 
 
-def _raw_turns(name: str, value: TurnsAnswer) -> MessageCase:
-    return MessageCase(name, value, value.encode_raw(), TurnsAnswer.decode, True)
+def _raw_turns(name: str, value: TurnsReply) -> MessageCase:
+    return MessageCase(name, value, value.encode_with_raw_bodies(), TurnsReply.decode, True)
 
 
 def _error_cases() -> list[MessageCase]:
@@ -684,9 +684,9 @@
 async def _write_retention(machine: _Machine) -> None:
     """A configuration that keeps ledgers for long, then one that keeps them for less; both purge what is due."""
     for longest_retain_s in (9 * 24 * 3600.0, 7200.5):
-        machine.store.keep_ledgers_for(longest_retain_s)
+        machine.store.set_ledger_retention(longest_retain_s)
         machine.now_ms += 1000
-        await machine.store.purge_step()
+        await machine.store.purge_batch()
 
 
 def dump_database(path: Path) -> Json:
@@ -778,7 +778,7 @@
 
 async def _purge(machine: _Machine, now_ms: int) -> Json:
     machine.now_ms = now_ms
-    purged = await machine.store.purge_step()
+    purged = await machine.store.purge_batch()
     left = await machine.ask_store("store.pull_ledgers", _CHANGING_VIEW, member="m2", after="", most=100)
     return {"purged": purged, "ledgers": [record["program"] for record in left["ledgers"]]}
 
--- a/tests/model/ledger_model.py
+++ b/tests/model/ledger_model.py
@@ -24,7 +24,7 @@
 from dewpin.consensus import Ballot
 from dewpin.controlplane.membership.peers import Peer, PeerTable
 from dewpin.controlplane.membership.reconfiguration import Knowledge, _all_synced
-from dewpin.controlplane.store.replica_sync import _Copy
+from dewpin.controlplane.store import replica_sync
 from tests.model.component import Component
 from tests.model.explorer import Label
 from tests.model.ledger_parts import (
@@ -301,12 +301,9 @@
 
 
 def _copy_is_whole(target: str, unread: int) -> bool:
-    """What `_Copy` says with so many sources unread."""
+    """What `replica_sync` says with so many sources unread."""
     part = StorePart(target, VIEWS, CHANGING, True)
-    copy = _Copy(part._store, None, VIEWS[CHANGING])
-    copy._unread = unread
-    copy._check_whole()
-    return copy._whole.is_set()
+    return replica_sync.has_read_enough_sources(VIEWS[CHANGING], unread, part._store.replica_count)
 
 
 def _may_finish(synced: frozenset[int]) -> bool:
--- a/tests/model/ledger_parts.py
+++ b/tests/model/ledger_parts.py
@@ -19,9 +19,9 @@
 from dewpin.consensus import Ballot
 from dewpin.consensus.messages import decode_reply
 from dewpin.controlplane.store import ledger_replica
-from dewpin.controlplane.store import store as store_module
 from dewpin.controlplane.store.ledger_replica import LedgerRecord
 from dewpin.controlplane.store.store import Store
+from dewpin.controlplane.store.view_guard import read_durable_view
 from dewpin.dataplane.programs import ledger
 from dewpin.dataplane.programs.background import BackgroundTasks
 from dewpin.dataplane.programs.errors import BudgetExceededError, StaleViewError
@@ -122,7 +122,7 @@
     def fingerprint(self) -> StoreFingerprint:
         """The view in memory and on disk, and all rows of ledgers."""
         view = self._store.view
-        durable = store_module._read_view(self._disk.connection)
+        durable = read_durable_view(self._disk.connection)
         held = ledger_replica.load(self._disk.connection, PROGRAM)
         rows = self._disk.connection.execute("SELECT * FROM register_replica").fetchall()
         epochs = (0 if view is None else view.epoch, 0 if durable is None or not self._may_crash else durable.epoch)
--- a/tests/model/retirement_model.py
+++ b/tests/model/retirement_model.py
@@ -1,8 +1,9 @@
 """The model of a retirement: four stores of which d is retired, copies in any order, a store that loses its disk at any
 moment and comes back as another incarnation, drivers that were just started.
 
-Changes come from the real `due_change` and `system_state`, the end of a copy from the real `_Copy`, the replicas of a
-key from the real `StoreView`. There is one record; a write is one step, under the present view or the one before it.
+Changes come from the real `due_change` and `system_state`, the end of a copy from the real
+`has_read_enough_sources`, the replicas of a key from the real `StoreView`. There is one record; a write is one step,
+under the present view or the one before it.
 """
 
 from __future__ import annotations
@@ -11,7 +12,6 @@
 import itertools
 import json
 from collections.abc import Iterator
-from types import SimpleNamespace
 from typing import Any, NamedTuple
 
 from dewpin.cluster.store_view import StoreView
@@ -19,7 +19,7 @@
 from dewpin.controlplane.membership.peers import Peer, PeerTable
 from dewpin.controlplane.membership.reconfiguration import GONE_S, LIVE_S, Knowledge, due_change
 from dewpin.controlplane.register.system_state import begin_stores, genesis, start_retirement, successor
-from dewpin.controlplane.store.replica_sync import _Copy
+from dewpin.controlplane.store import replica_sync
 from tests.model.explorer import Label
 
 STORES = "abcd"
@@ -129,7 +129,7 @@
             if source in holders and target in view.next_replicas(self._key, REPLICA_COUNT):
                 holders = holders | {target}
             sources = [one for one in view.stable_ids if one != target]
-            if _is_whole(view, target, sum((target, one) not in copied for one in sources)):
+            if _is_complete(view, sum((target, one) not in copied for one in sources)):
                 synced, copied = synced | {target}, frozenset(pair for pair in copied if pair[0] != target)
             moved = state.moved if state.acknowledged else state.moved | {target, source}
             after = state._replace(moved=moved, synced=synced, copied=copied, holders=holders)
@@ -191,13 +191,9 @@
     return StoreView.from_json(json.loads(text))
 
 
-def _is_whole(view: StoreView, target: str, unread: int) -> bool:
-    """What `_Copy` says with so many sources unread."""
-    store: Any = SimpleNamespace(member_id=target, replica_count=REPLICA_COUNT)
-    copy = _Copy(store, None, view)  # type: ignore[arg-type]
-    copy._unread = unread
-    copy._check_whole()
-    return copy._whole.is_set()
+def _is_complete(view: StoreView, unread: int) -> bool:
+    """What `replica_sync` says with so many sources unread."""
+    return replica_sync.has_read_enough_sources(view, unread, REPLICA_COUNT)
 
 
 def _system_text(state: Any) -> str:
--- a/tests/model/test_copied_votes.py
+++ b/tests/model/test_copied_votes.py
@@ -37,7 +37,7 @@
 
     def copy(self, source, target):
         """Copies as a store that is to hold the ledger after a change of the view."""
-        records = ledger_replica.page(self.disks[source], "", 10)
+        records = ledger_replica.read_page(self.disks[source], "", 10)
         ledger_replica.merge(self.disks[target], records, NOW_MS)
 
     def run(self, view, ballot, change, first_round, second_round):
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -18,9 +18,8 @@
 from dewpin.controlplane.register.configuration_bodies import ConfigurationBodies
 from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.register.replica_storage import ReplicaStorage
-from dewpin.controlplane.store import ledger_replica
-from dewpin.controlplane.store.replica_sync import _Copy
-from dewpin.controlplane.store.store import Store
+from dewpin.controlplane.store import ledger_replica, replica_sync
+from dewpin.controlplane.store.view_guard import ViewGuard
 from dewpin.dataplane.membership.state_confirmation import StateConfirmation
 from dewpin.dataplane.programs import ledger, ledger_ballot, ledger_client
 from dewpin.dataplane.programs.errors import StaleViewError
@@ -135,7 +134,7 @@
 
 
 def end_the_view_before_copies_are_whole(patch: Patch) -> None:
-    patch.setattr(_Copy, "_check_whole", lambda self: self._whole.set())
+    patch.setattr(replica_sync, "has_read_enough_sources", lambda view, unread_sources, replica_count: True)
 
 
 def end_the_view_before_all_have_copied(patch: Patch) -> None:
@@ -143,18 +142,18 @@
 
 
 def answer_under_another_epoch(patch: Patch) -> None:
-    check, transact = Store._check, Store._transact
+    check, transact = ViewGuard.check_view, ViewGuard.transact
 
-    def lenient_check(self: Store, message: Any) -> Any:
+    def lenient_check(self: ViewGuard, message: Any) -> Any:
         if message.get("view") is not None:
             self.adopt(StoreView.from_json(message["view"]))
         return check(self, {**message, "epoch": self.view.epoch if self.view is not None else None})
 
-    def lenient_transact(self: Store, view_epoch: int, work: Any) -> Any:
+    def lenient_transact(self: ViewGuard, view_epoch: int, work: Any) -> Any:
         return transact(self, self.view.epoch if self.view is not None else view_epoch, work)
 
-    patch.setattr(Store, "_check", lenient_check)
-    patch.setattr(Store, "_transact", lenient_transact)
+    patch.setattr(ViewGuard, "check_view", lenient_check)
+    patch.setattr(ViewGuard, "transact", lenient_transact)
 
 
 def count_a_copy_as_a_vote(patch: Patch) -> None:
@@ -381,11 +380,11 @@
 
 
 def write_under_an_older_epoch(patch: Patch) -> None:
-    check = Store._check
+    check = ViewGuard.check_view
 
-    def lenient(self: Store, message: Any) -> Any:
+    def lenient(self: ViewGuard, message: Any) -> Any:
         view = self.view
         is_older = view is not None and message["epoch"] < view.epoch
         return view if is_older else check(self, message)
 
-    patch.setattr(Store, "_check", lenient)
+    patch.setattr(ViewGuard, "check_view", lenient)
--- a/tests/scripted/stores.py
+++ b/tests/scripted/stores.py
@@ -23,7 +23,7 @@
     """Every turn that a store holds, of whatever program."""
     connection = machine.disk.connection
     keys = connection.execute("SELECT turn, program FROM turns").fetchall()
-    return turn_table.read_exact(connection, keys, 1 << 30)[0]
+    return turn_table.read_turns(connection, keys, 1 << 30).records
 
 
 class Machine:
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -20,7 +20,7 @@
 from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.store import ledger_replica
 from dewpin.controlplane.store.replica_sync import StoreSync
-from dewpin.controlplane.store.store import Store
+from dewpin.controlplane.store.view_guard import ViewGuard
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 from dewpin.dataplane.programs import ledger, turn_client
 
@@ -239,7 +239,7 @@
 
 def _answer_under_any_epoch():
     """Both guards are gone: the check before the disk is asked, and the one behind it."""
-    check = Store._check
+    check = ViewGuard.check_view
 
     def checked(self, message):
         view = self.view
@@ -252,9 +252,9 @@
         view = self.view
         return await make_transaction(self, view.epoch if view is not None else view_epoch, work)
 
-    make_transaction = Store._transact
-    Store._check = checked
-    Store._transact = transact
+    make_transaction = ViewGuard.transact
+    ViewGuard.check_view = checked
+    ViewGuard.transact = transact
 
 
 def _take_an_answer_without_its_number():
