--- a/tests/peers/holder.py
+++ b/tests/peers/holder.py
@@ -1,7 +1,7 @@
-"""A peer as a process of its own: a candidate for the lease on the role `d`; while it holds it, it acts:
-it sends its fencing token to the resource.
+"""A peer as a process of its own, a candidate for the lease on the role `d`.
 
-Its one argument is JSON: name, peers, voters, folder, term, first, taker. SIGTERM: it gives the lease up and ends.
+While it holds the lease it acts: it sends its fencing token to the resource. Its one argument is JSON: name, peers,
+voters, folder, term_ms, is_new_installation, resource (an address). SIGTERM: it releases the lease and ends.
 """
 
 import asyncio
@@ -14,36 +14,32 @@
 from dewpin.peers.lease_candidate import LeaseCandidate
 from dewpin.peers.node import PeerNode, boot_time_ms
 
+REPORT_TICKS = 50  # between two reports of the own address: the resource may lose one when it stands still
 
-async def main(told):
-    taker = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    peers = {name: tuple(address) for name, address in told["peers"].items()}
-    node = PeerNode(told["name"], peers, told["voters"], told["folder"], told["term"], told["first"])
-    names = sorted([told["name"], *peers])
-    candidate = LeaseCandidate(
-        told["name"],
-        names.index(told["name"]),
-        len(names),
-        "d",
-        told["voters"],
-        told["term"],
-        time.time_ns() & 0xFFFFFFFF,
-    )
+
+async def main(settings):
+    resource = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    name, voters, term_ms = settings["name"], settings["voters"], settings["term_ms"]
+    peers = {peer: tuple(address) for peer, address in settings["peers"].items()}
+    node = PeerNode(name, peers, voters, settings["folder"], term_ms, settings["is_new_installation"])
+    names = sorted([name, *peers])
+    incarnation = time.time_ns() & 0xFFFFFFFF
+    candidate = LeaseCandidate(name, names.index(name), len(names), "d", voters, term_ms, incarnation)
     candidate.wants_lease = True
     node.candidates.append(candidate)
 
-    def tell(**facts):
-        taker.sendto(json.dumps(facts | {"name": told["name"]}).encode(), tuple(told["taker"]))
+    def report(**facts):
+        resource.sendto(json.dumps(facts | {"name": name}).encode(), tuple(settings["resource"]))
 
-    at, beat = await node.open("127.0.0.1", 0), 0
+    address, ticks = await node.open("127.0.0.1", 0), 0
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
     while not stop.is_set():
-        if beat % 50 == 0:  # again and again: the taker may lose one when it stands still
-            tell(at=at)
-        beat += 1
+        if ticks % REPORT_TICKS == 0:
+            report(address=address)
+        ticks += 1
         if (token := candidate.held_token(boot_time_ms())) is not None:
-            tell(number=token)
+            report(token=token)
         await asyncio.sleep(0.01)
     node.release(candidate)
     await asyncio.sleep(0.05)  # what was sent to itself goes first
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -56,11 +56,11 @@
 
 
 def test_halves_of_a_partition_rejoin():
-    world, whole = joined(12, seed=5), World(0).link
+    world, healthy_link = joined(12, seed=5), World(0).link
     world.link = lambda a, b: None if (a < 6) != (b < 6) else 1.0
     world.run(45.0 * PERIOD)
     assert world.members[0].active_members() == [f"m{number}" for number in range(6)]
-    world.link = whole
+    world.link = healthy_link
     assert world.until(world.agreed, 120.0 * PERIOD) is not None
 
 
@@ -128,10 +128,10 @@
 
 
 class Fleet(asyncio.DatagramProtocol):
-    """Real members behind relays, and what each last told of the others."""
+    """Real members behind relays. `reports`: what each last reported of the others; `lost`: who called whom lost."""
 
     def __init__(self, names):
-        self.names, self.ways, self.running, self.told, self.lost = names, Ways(names), {}, {}, []
+        self.names, self.ways, self.running, self.reports, self.lost = names, Ways(names), {}, {}, []
 
     async def open(self):
         await self.ways.open()
@@ -141,14 +141,14 @@
             self.start(name)
 
     def datagram_received(self, data, address):
-        told = json.loads(data)
-        self.ways.put(told["name"], tuple(told["at"]))
-        self.told[told["name"]] = told
-        self.lost += [(told["name"], name) for name in told["lost"]]
+        report = json.loads(data)
+        self.ways.put(report["name"], tuple(report["at"]))
+        self.reports[report["name"]] = report
+        self.lost += [(report["name"], name) for name in report["lost"]]
 
     def start(self, name):
         peers = self.ways.peers(name)
-        told = {
+        settings = {
             "name": name,
             "peers": peers,
             "seeds": [peers[one] for one in self.names[:2] if one != name],
@@ -157,13 +157,13 @@
             "taker": self.address,
         }
         self.running[name] = subprocess.Popen(
-            [sys.executable, "-m", "dewpin.lab.fleet.member", json.dumps(told)], cwd=ROOT
+            [sys.executable, "-m", "dewpin.lab.fleet.member", json.dumps(settings)], cwd=ROOT
         )
 
     async def agree(self, names):
         """Waits until all of these say that these, and no others, are there."""
         names = sorted(names)
-        await until(lambda: all(self.told.get(name, {}).get("alive") == names for name in names), 60.0)
+        await until(lambda: all(self.reports.get(name, {}).get("alive") == names for name in names), 60.0)
 
     def close(self):
         for one in self.running.values():
@@ -202,7 +202,7 @@
         assert "g" not in {one for _, one in fleet.lost}  # it left, nobody lost it
         fleet.ways.cut(names[:3], names[3:])
         fleet.ways.cut(names[3:], names[:3])
-        await until(lambda: fleet.told["a"]["alive"] == names[:3], 60.0)
+        await until(lambda: fleet.reports["a"]["alive"] == names[:3], 60.0)
         fleet.ways.heal()
         fleet.start("i")
         await fleet.agree([*names[:6], "h", "i"])
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -1,4 +1,4 @@
-"""Five real processes, three of them voters, with faults between them; the taking side keeps a log of its own."""
+"""Five real processes, three of them voters, with faults between them, and the resource that they act on."""
 
 import asyncio
 import json
@@ -7,17 +7,27 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 from dewpin.lab.fleet.relays import Ways
 from dewpin.peers.fencing import FencingGuard
 from driver import until
 
-NAMES, VOTERS, TERM = list("abcde"), list("abc"), 800.0
+NAMES, VOTERS, TERM_MS = list("abcde"), list("abc"), 800.0
 HOLDER = Path(__file__).with_name("holder.py")
 
 
-class Taker(asyncio.DatagramProtocol):
-    """Acts as they arrive: (time, name, number, whether the fence let it through)."""
+class Act(NamedTuple):
+    """An act of a lease holder as it arrived."""
+
+    at_seconds: float
+    name: str
+    token: int
+    is_accepted: bool
+
+
+class Resource(asyncio.DatagramProtocol):
+    """What only the lease holder may act on, behind a fencing guard. `acts`: all acts, in the order of arrival."""
 
     def __init__(self, ways):
         self.ways, self.guard, self.acts = ways, FencingGuard(), []
@@ -27,11 +37,12 @@
         self.transport = transport
 
     def datagram_received(self, data, address):
-        told = json.loads(data)
-        if "at" in told:
-            return self.ways.put(told["name"], tuple(told["at"]))
-        taken = self.guard.accepts(told["number"])
-        self.acts.append((asyncio.get_running_loop().time(), told["name"], told["number"], taken))
+        report = json.loads(data)
+        if "address" in report:
+            return self.ways.put(report["name"], tuple(report["address"]))
+        is_accepted = self.guard.accepts(report["token"])
+        now_seconds = asyncio.get_running_loop().time()
+        self.acts.append(Act(now_seconds, report["name"], report["token"], is_accepted))
 
 
 class Peers:
@@ -40,23 +51,25 @@
 
     async def open(self):
         await self.ways.open()
-        _, self.taker = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: Taker(self.ways), ("127.0.0.1", 0)
+        _, self.resource = await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: Resource(self.ways), ("127.0.0.1", 0)
         )
         for name in NAMES:
-            self.start(name, first=True)
+            self.start(name, is_new_installation=True)
 
-    def start(self, name, first=False):
-        told = {
+    def start(self, name, is_new_installation=False):
+        settings = {
             "name": name,
             "peers": self.ways.peers(name),
             "voters": VOTERS,
             "folder": str(self.folder / name),
-            "term": TERM,
-            "first": first,
-            "taker": self.taker.address,
+            "term_ms": TERM_MS,
+            "is_new_installation": is_new_installation,
+            "resource": self.resource.address,
         }
-        self.running[name] = subprocess.Popen([sys.executable, str(HOLDER), json.dumps(told)], cwd=HOLDER.parents[2])
+        self.running[name] = subprocess.Popen(
+            [sys.executable, str(HOLDER), json.dumps(settings)], cwd=HOLDER.parents[2]
+        )
 
     def kill(self, *names):
         for name in names:
@@ -64,28 +77,28 @@
             self.running[name].wait()
 
     def holder(self):
-        return self.taker.acts[-1][1] if self.taker.acts else None
+        return self.resource.acts[-1].name if self.resource.acts else None
 
-    async def acts(self, other_than=(), count=5):
-        """Waits until one that is not among these acted so many times in a row from now on; gives its name."""
-        seen = len(self.taker.acts)
+    async def next_holder(self, other_than=(), count=5):
+        """Waits until one that is not among these has acted so many times in a row from now on; its name."""
+        seen = len(self.resource.acts)
 
-        def now():
-            last = self.taker.acts[seen:][-count:]
-            return len(last) == count and len({act[1] for act in last}) == 1 and last[0][1] not in other_than
+        def has_acted():
+            last = self.resource.acts[seen:][-count:]
+            return len(last) == count and len({act.name for act in last}) == 1 and last[0].name not in other_than
 
-        await until(now, 30.0)
+        await until(has_acted, 30.0)
         return self.holder()
 
-    async def silent(self, ms):
-        await until(lambda: asyncio.get_running_loop().time() - self.taker.acts[-1][0] > ms / 1000.0, 30.0)
+    async def until_silent(self, ms):
+        await until(lambda: asyncio.get_running_loop().time() - self.resource.acts[-1].at_seconds > ms / 1000.0, 30.0)
 
     def close(self):
         for one in self.running.values():
             one.kill()
             one.wait()
         self.ways.close()
-        self.taker.transport.close()
+        self.resource.transport.close()
 
 
 def test_one_holder_at_a_time_while_processes_stop_die_and_lose_contact(tmp_path):
@@ -96,45 +109,48 @@
             await faults(peers)
         finally:
             peers.close()
-        taken = [act for act in peers.taker.acts if act[3]]
-        assert [act[2] for act in taken] == sorted(act[2] for act in taken)
-        assert len({act[2] for act in taken}) == len({(act[1], act[2]) for act in taken}) >= 6
-        late = [act for act in peers.taker.acts if not act[3]]  # of one that was stopped between check and act
-        assert {act[1] for act in late} <= peers.stopped and len(late) <= 2 * len(peers.stopped)
+        accepted = [act for act in peers.resource.acts if act.is_accepted]
+        tokens = [act.token for act in accepted]
+        assert tokens == sorted(tokens)
+        assert len(set(tokens)) == len({(act.name, act.token) for act in accepted}) >= 6
+        rejected = [
+            act for act in peers.resource.acts if not act.is_accepted
+        ]  # of one that was stopped between check and act
+        assert {act.name for act in rejected} <= peers.stopped and len(rejected) <= 2 * len(peers.stopped)
 
     async def faults(peers):
-        first = await peers.acts()
+        first = await peers.next_holder()
         peers.running[first].send_signal(signal.SIGSTOP)  # in mid-act or not: another goes on
         peers.stopped = {first}
-        second = await peers.acts({first})
+        second = await peers.next_holder({first})
         peers.running[first].send_signal(signal.SIGCONT)
-        assert await peers.acts({first}, 20) == second  # and keeps it
+        assert await peers.next_holder({first}, 20) == second  # and keeps it
         peers.ways.cut(NAMES, [second])  # it hears nobody and is heard: it stops by itself
-        third = await peers.acts({second})
+        third = await peers.next_holder({second})
         peers.ways.heal()
         peers.ways.cut([third], NAMES)  # the other way round
-        fourth = await peers.acts({third})
+        fourth = await peers.next_holder({third})
         peers.ways.heal()
         for way in peers.ways.ways.values():
             way.loses, way.doubles, way.lag = 0.2, 0.3, 60.0
         peers.running[fourth].send_signal(signal.SIGTERM)  # by intent
-        fifth = await peers.acts({fourth})
+        fifth = await peers.next_holder({fourth})
         peers.ways.heal()
         peers.kill(fourth)  # both may be voters: two of three must run
         peers.start(fourth)
         peers.kill(fifth)
-        sixth = await peers.acts({fifth})
+        sixth = await peers.next_holder({fifth})
         peers.start(fifth)
         gone = [name for name in VOTERS if name != sixth][:2]
         peers.kill(*gone)  # the majority is gone: nobody may act
-        await peers.silent(2.0 * TERM)
+        await peers.until_silent(2.0 * TERM_MS)
         peers.start(gone[0])
-        back = await peers.acts()
+        back = await peers.next_holder()
         shutil.rmtree(peers.folder / gone[1])  # a voter without its folder learns from the others
         peers.start(gone[1])
         peers.kill(back)
         if back in VOTERS:
             peers.start(back)
-        await peers.acts({back} if back not in VOTERS else ())
+        await peers.next_holder({back} if back not in VOTERS else ())
 
     asyncio.run(scene())
--- a/tests/peers/test_takeover.py
+++ b/tests/peers/test_takeover.py
@@ -9,15 +9,15 @@
 from dewpin.peers.lease_candidate import LeaseCandidate
 from dewpin.peers.lease_voter import LeaseVoter
 
-NAMES, VOTERS, TERM, LOOK = "abcde", "abc", 800.0, 20.0
+NAMES, VOTERS, TERM_MS, TICK_MS = "abcde", "abc", 800.0, 20.0
 
 
 def takeovers(seed, lag, deaf, times=5):
     """ms from the end of each holder to the next: it gives up without a word, or from then on hears nobody."""
     dice, order, now, gaps, since, holder = random.Random(seed), count(), 0.0, [], 0.0, None
-    voters = {name: LeaseVoter(name, VOTERS, TERM, -TERM, {}) for name in VOTERS}
-    all_of = {name: LeaseCandidate(name, at, len(NAMES), "d", VOTERS, TERM, at) for at, name in enumerate(NAMES)}
-    due = [(dice.uniform(0.0, LOOK), next(order), name, None, None) for name in NAMES]
+    voters = {name: LeaseVoter(name, VOTERS, TERM_MS, -TERM_MS, {}) for name in VOTERS}
+    all_of = {name: LeaseCandidate(name, at, len(NAMES), "d", VOTERS, TERM_MS, at) for at, name in enumerate(NAMES)}
+    due = [(dice.uniform(0.0, TICK_MS), next(order), name, None, None) for name in NAMES]
     cut = set()
     while len(gaps) < times:
         now, _, name, peer, message = heapq.heappop(due)
@@ -25,7 +25,7 @@
         if peer is None:
             one.wants_lease = not cut or deaf or name not in cut
             sent = one.tick(now)
-            heapq.heappush(due, (now + LOOK, next(order), name, None, None))
+            heapq.heappush(due, (now + TICK_MS, next(order), name, None, None))
         else:
             if name in voters:
                 sent = voters[name].receive(peer, message, now)
@@ -45,4 +45,4 @@
 @pytest.mark.parametrize("deaf, lag", [(False, 1.0), (False, 120.0), (True, 1.0), (True, 120.0)])
 def test_lease_is_without_a_holder_for_few_terms(deaf, lag):
     gaps = sorted(gap for seed in range(40) for gap in takeovers(seed, lag, deaf))
-    assert gaps[len(gaps) // 2] < 4.0 * TERM and gaps[int(0.98 * len(gaps))] < 9.0 * TERM, gaps[-5:]
+    assert gaps[len(gaps) // 2] < 4.0 * TERM_MS and gaps[int(0.98 * len(gaps))] < 9.0 * TERM_MS, gaps[-5:]
--- a/tests/relay/test_late_repeats.py
+++ b/tests/relay/test_late_retries.py
@@ -1,4 +1,4 @@
-"""Repeats whose connections come up late, in simulated time: the window of a repeat holds to the millisecond."""
+"""Retries whose connections come up late, in simulated time: the window of a retry holds to the millisecond."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class Receiver:
-    """Resets the first call once it has it whole, and notes which calls reach it, and when."""
+    """Resets the first call once it is complete, and notes which calls reach it, and when."""
 
     def __init__(self, loop):
         self.loop = loop
@@ -52,7 +52,7 @@
 
 
 class Notices:
-    """Answers each notice at once."""
+    """Acknowledges each notice at once."""
 
     def __init__(self):
         self.published = []
@@ -63,7 +63,7 @@
 
 
 class Connections:
-    """The network's connections; the second one comes up at a moment that is told, counted from the first call."""
+    """The network's connections; the second one comes up at a given moment, counted from the first call."""
 
     def __init__(self, loop, comes_up_s):
         self.loop, self.network = loop, Network(loop)
@@ -75,7 +75,7 @@
         out, back = Way(LATENCY_S), Way(LATENCY_S)
         if len(self.began_s) == 2:
             out.latency = self.began_s[0] + self.comes_up_s - self.loop.time() - LATENCY_S
-            assert out.latency > 0.0, "the repeat was chosen before its window is over"
+            assert out.latency > 0.0, "the retry was chosen before its window is over"
         self.network.way = lambda local, peer: out if peer == RECEIVER else back
         opened = await self.network.connect((host, port), factory)
         out.latency = LATENCY_S  # only the connection itself was late
@@ -83,18 +83,17 @@
 
 
 def play(folder, monkeypatch, comes_up_s):
-    """The times of the calls that came whole, counted from the choice of the first, what came on each connection, and
-    the notices."""
-    monkeypatch.setattr(
-        Connection, "has_pending_input", lambda connection: False
-    )  # looks at a socket, and there is none
+    """The times of the complete calls, counted from the choice of the first, what came on each connection, and the
+    notices."""
+    # it looks at a socket, and there is none
+    monkeypatch.setattr(Connection, "has_pending_input", lambda connection: False)
     loop = SimLoop()
     receiver, notices, connections = Receiver(loop), Notices(), Connections(loop, comes_up_s)
     connections.network.listen(RECEIVER, lambda: receiver)
     loop.create_connection = connections.open
-    told = settings(effects=("keyed",), window=1000.0 * WINDOW_S) | {"Zones": ["a"], "Kinds": ["k"]}
-    told["Services"][0]["Name"] = "notice"
-    facade = Facade(told, 1)
+    sender_settings = settings(effects=("keyed",), window=1000.0 * WINDOW_S) | {"Zones": ["a"], "Kinds": ["k"]}
+    sender_settings["Services"][0]["Name"] = "notice"
+    facade = Facade(sender_settings, 1)
 
     async def scene():
         facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -1,4 +1,4 @@
-"""What relay and facade keep, and that it has an end."""
+"""The memory of relay and facade is bounded and given back."""
 
 import asyncio
 import gc
@@ -18,30 +18,27 @@
 def test_facade_is_bounded_under_changing_lists_and_arbitrary_destinations():
     services = settings(effects=("safe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     services["Services"][0]["Name"] = "status"
-    facade, spots = Facade(services, 1), [("127.0.0.1", 9000), ("127.0.0.1", 9001)]
+    facade, addresses = Facade(services, 1), [("127.0.0.1", 9000), ("127.0.0.1", 9001)]
     for at in range(1000):  # each takes over the address of the last but one, in a destination of its own
         ident = b"r%d" % at
-        left = facade.update_endpoints(
-            [(ident, at // 2, model.ReceiverState.READY, spots[at % 2], "a", "k", 1.0)], True
+        unused = facade.update_endpoints(
+            [(ident, at // 2, model.ReceiverState.READY, addresses[at % 2], "a", "k", 1.0)], True
         )
-        assert (*spots[at % 2], ident) not in left
-        assert at < 2 or (*spots[at % 2], b"r%d" % (at - 2)) in left
+        assert (*addresses[at % 2], ident) not in unused
+        assert at < 2 or (*addresses[at % 2], b"r%d" % (at - 2)) in unused
         facade.add_message(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
         while facade.time_until_due_ms(1e6) is not None:
             facade.decide_due(1e6)
     assert max(map(len, (facade.receivers, facade.destinations, facade.dispatcher.queues))) < 300
-    assert (
-        facade.overload_retry_after_ms(b"499", 0.0) is None
-        and facade.overload_retry_after_ms(b"777", 0.0) > 0.0
-        and 777 not in facade.destinations
-    )
+    assert facade.overload_retry_after_ms(b"499", 0.0) is None
+    assert facade.overload_retry_after_ms(b"777", 0.0) > 0.0 and 777 not in facade.destinations
 
 
 def test_ended_message_is_freed_without_garbage_collection(tmp_path, monkeypatch):
     class Watched(MessageRecord):
         __slots__ = ("__weakref__",)
 
-    class Outward:
+    class Outside:
         def send(self, request):
             assert request.open_send_window() > 0.0
             outcome = model.Outcome.DELIVERED if request.message_id < b"m5" else model.Outcome.ERROR
@@ -51,19 +48,19 @@
             loop.call_soon(on_acknowledged)
 
     async def scene():
-        facade, outward, kept = Facade(told, 1), Outward(), []
+        facade, outside = Facade(sender_settings, 1), Outside()
         facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
-        relay = Relay(loop, facade, Journal(tmp_path, 1e6), outward, outward)
+        relay = Relay(loop, facade, Journal(tmp_path, 1e6), outside, outside)
         for at in range(10):
             request = SubmitRequest(b"m%d" % at, b"charge", b"", b"", b"7", b"", b"body", 5000.0)
             assert isinstance(relay.submit(request), Accepted)
         assert len(relay.journal.pending) == 10
-        kept = [weakref.ref(one) for one in relay.journal.pending.values()]
+        records = [weakref.ref(one) for one in relay.journal.pending.values()]
         await until(lambda: not relay.journal.pending)
-        await until(lambda: not any(one() for one in kept), 1.0)
+        await until(lambda: not any(one() for one in records), 1.0)
 
-    told = settings(effects=("unsafe",)) | {"Zones": ["a"], "Kinds": ["k"]}
-    told["Services"][0]["Name"] = "charge"
+    sender_settings = settings(effects=("unsafe",)) | {"Zones": ["a"], "Kinds": ["k"]}
+    sender_settings["Services"][0]["Name"] = "charge"
     monkeypatch.setattr("dewpin.relay.message_lifecycle.MessageRecord", Watched)
     loop = asyncio.new_event_loop()
     gc.disable()
