--- /dev/null
+++ b/tests/core/test_dispatcher.py
@@ -0,0 +1,297 @@
+"""Plain cases, each of them a failure that the module must not show again."""
+
+import random
+
+import pytest
+from core.dispatcher_driver import DispatcherDriver
+
+from dewpin.core.dispatcher import Dispatcher
+from dewpin.core.model import Decision, Destination, Outcome, PriorAttempts, Receiver, ReceiverState
+from driver import settings
+
+
+def test_unsafe_message_that_timed_out_bounces():
+    driver = DispatcherDriver(settings(effects=("unsafe",)))
+    message = driver.submit()
+    assert driver.receiver_of(message)
+    assert driver.end_attempt(message, Outcome.TIMED_OUT, 3000.0) == Decision.BOUNCED
+
+
+def test_retries_follow_exponential_backoff_with_jitter():
+    driver = DispatcherDriver(settings(effects=("unsafe",)))
+    message, pauses = driver.submit(), []
+    for _ in range(4):
+        assert driver.receiver_of(message)
+        assert driver.end_attempt(message, Outcome.CONNECT_FAILED, 5.0) == Decision.NOT_YET
+        before = driver.now
+        driver.advance_until(lambda: driver.receiver_of(message), 20000.0)
+        pauses.append(driver.now - before)
+    assert 100.0 < pauses[0] < 400.0 and pauses[3] > 2.0 * pauses[0]
+    assert len({round(p / 2**n, 3) for n, p in enumerate(pauses)}) == 4
+
+
+def test_retry_after_holds_the_whole_destination_and_does_not_end_for_all_at_once():
+    driver = DispatcherDriver(settings(slots=20), receivers=2)
+    driver.keep_traffic(4000.0, every_ms=200.0, duration_ms=50.0)
+    first = driver.submit()
+    driver.end_attempt(first, Outcome.REJECTED, 5.0, retry_after_ms=800.0)
+    driver.end_attempt(next(iter(driver.in_flight)), Outcome.DELIVERED, 50.0, advances=False)
+    others = [driver.submit() for _ in range(6)]
+    driver.advance(795.0)
+    assert not driver.in_flight
+    driver.advance(205.0)
+    assert driver.in_flight and sum(driver.receiver_of(m) is None for m in others)
+
+
+def test_keyed_message_bounces_once_its_retry_window_is_over():
+    driver = DispatcherDriver(settings(effects=("keyed",), window=3000.0))
+    message = driver.submit()
+    assert driver.end_attempt(message, Outcome.TIMED_OUT, 3500.0) == Decision.BOUNCED
+
+
+def test_keyed_message_is_not_retried_in_an_unknown_zone():
+    driver = DispatcherDriver(settings(effects=("keyed",), scope="zone"), receivers=2)
+    for receiver in driver.destination.receivers:
+        receiver.zone = -1
+    message = driver.submit()
+    first = driver.receiver_of(message)
+    driver.end_attempt(message, Outcome.RESET, 100.0)
+    driver.advance(2000.0)
+    assert (
+        driver.receiver_of(message) is first
+    )  # its own receiver drops what came twice, of the other that is not known
+
+
+def test_keyed_message_is_retried_in_its_zone_only():
+    driver = DispatcherDriver(settings(effects=("keyed",), scope="zone"), receivers=2, zones=2)
+    message = driver.submit()
+    first = driver.receiver_of(message)
+    driver.end_attempt(message, Outcome.RESET, 10.0)
+    first.state = ReceiverState.GONE
+    driver.advance(20000.0)
+    assert not driver.receiver_of(message) and driver.decisions[message] == Decision.BOUNCED
+
+
+def test_unsent_message_is_deferred_with_retry_after_near_the_end_of_its_lifetime():
+    driver = DispatcherDriver(settings())
+    driver.destination.receivers[0].state = ReceiverState.DRAINING
+    message = driver.submit(time_left_ms=2000.0)
+    driver.advance(2000.0)
+    assert (
+        driver.decisions[message] == Decision.DEFERRED
+        and driver.retry_after_ms[message] > 0
+        and driver.ended_at[message] < message.expires_at
+    )
+
+
+def test_draining_receiver_gets_nothing_and_the_other_one_gets_its_messages():
+    driver = DispatcherDriver(settings(), receivers=2)
+    driver.destination.receivers[0].state = ReceiverState.DRAINING
+    assert driver.receiver_of(driver.submit()) is driver.destination.receivers[1]
+
+
+def test_ordering_key_pauses_after_a_timeout_even_if_no_message_waits_yet():
+    driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
+    first = driver.submit(ordering_key=9)
+    driver.end_attempt(first, Outcome.RESET, 10.0)
+    second = driver.submit(ordering_key=9)
+    driver.advance(95.0)
+    assert not driver.receiver_of(second)
+    driver.advance_until(lambda: driver.receiver_of(second), 10000.0)
+
+
+@pytest.mark.parametrize("window, ending", [(600.0, Decision.BOUNCED), (5000.0, Decision.RELAYED)])
+def test_ordering_key_pauses_after_a_timeout_however_its_message_ends(window, ending):
+    given = settings(effects=("keyed",), order=True, window=window)
+    given["Rules"]["TurnGap"] = 2000.0
+    driver = DispatcherDriver(given)
+    first, second = driver.submit(ordering_key=9), driver.submit(ordering_key=9)
+    driver.end_attempt(first, Outcome.TIMED_OUT, 100.0)
+    ended_at = driver.now
+    if ending == Decision.RELAYED:
+        driver.advance_until(lambda: driver.receiver_of(first), 1900.0)
+        driver.end_attempt(first, Outcome.DELIVERED, 20.0)
+    else:  # it finds no destination before its window is over
+        driver.destination.receivers[0].state = ReceiverState.DRAINING
+        driver.advance_until(lambda: first in driver.decisions, 1900.0)
+        driver.destination.receivers[0].state = ReceiverState.READY
+    assert driver.decisions[first] == ending and driver.now < ended_at + 1900.0
+    driver.advance(ended_at + 1990.0 - driver.now)
+    assert not driver.receiver_of(second)
+    driver.advance_until(lambda: driver.receiver_of(second), 10000.0)
+    assert driver.receiver_of(second)
+
+
+def test_ordering_key_pauses_after_a_restart_with_a_call_in_flight():
+    driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
+    receiver = driver.destination.receivers[0]
+    first = driver.submit(
+        ordering_key=9, prior_attempts=PriorAttempts(1, driver.now - 50.0, receiver), dispatches=False
+    )  # it was out until just now
+    second = driver.submit(ordering_key=9)
+    assert driver.decisions[first] == Decision.BOUNCED
+    driver.advance(95.0)
+    assert not driver.receiver_of(second)
+    driver.advance_until(lambda: driver.receiver_of(second), 1000.0)
+    assert driver.receiver_of(second)
+
+
+def test_withdrawn_message_passes_its_turn_on():
+    driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
+    driver.destination.receivers[0].state = ReceiverState.DRAINING
+    first, second = driver.submit(ordering_key=9), driver.submit(ordering_key=9)
+    first.is_withdrawn = True
+    driver.destination.receivers[0].state = ReceiverState.READY
+    driver.advance(50.0)
+    assert driver.receiver_of(second)
+
+
+def test_batch_takes_one_slot():
+    driver = DispatcherDriver(settings(bundle=4, slots=4))
+    first = [driver.submit(dispatches=False) for _ in range(6)]
+    driver.dispatch_due()
+    assert (
+        len(driver.in_flight) == 6
+        and all(driver.receiver_of(m) for m in first)
+        and driver.dispatcher.calls_in_flight == 2
+    )
+
+
+def test_hung_destination_leaves_slots_to_others():
+    driver = DispatcherDriver(settings(slots=6))
+    for _ in range(30):
+        driver.submit()
+    driver.advance(1500.0)
+    other = Destination(2)
+    Receiver(99, other)
+    assert driver.receiver_of(driver.submit(destination=other))
+
+
+def test_queue_that_cannot_drain_sheds_messages():
+    driver = DispatcherDriver(settings(room=20))
+    driver.destination.receivers[0].state = ReceiverState.DRAINING
+    for _ in range(19):
+        driver.submit()
+        driver.advance(10.0)
+    assert sum(how == Decision.DEFERRED for how in driver.decisions.values()) >= 2
+
+
+def test_failed_destination_gets_a_slow_start_that_rises_with_good_answers():
+    driver = DispatcherDriver(settings(slots=20))
+    driver.keep_traffic(6000.0, every_ms=200.0, duration_ms=50.0)
+    driver.keep_traffic(8000.0, every_ms=200.0, duration_ms=2500.0, outcome=Outcome.TIMED_OUT)
+    back, sent = driver.now, len(driver.sends)
+    driver.keep_traffic(2000.0, every_ms=200.0, duration_ms=50.0)
+    early = len(driver.sends) - sent
+    driver.keep_traffic(12000.0, every_ms=200.0, duration_ms=50.0)
+    late = sum(at > back + 12000.0 for at, _, _ in driver.sends)
+    assert early <= 7 < 8 <= late
+
+
+def test_unknown_effect_raises_key_error_with_its_setting():
+    with pytest.raises(KeyError, match="Effect"):
+        Dispatcher(settings(effects=("maybe",)), 1)
+
+
+def lossy_sends(share, seed=3):
+    """Sends in the last five seconds of a time in which every destination loses a share of its calls."""
+    driver, rng, lost = DispatcherDriver(settings(slots=40)), random.Random(seed), {}
+    destinations = [Destination(n) for n in range(2, 10)]
+    for n, destination in enumerate(destinations):
+        Receiver(n, destination)
+    for step in range(600):
+        driver.submit(destination=rng.choice(destinations))
+        driver.advance(25.0)
+        for message, (_, sent_at, limit) in list(driver.in_flight.items()):
+            gone = lost.setdefault((message, sent_at), step > 100 and rng.random() < share)
+            if driver.now - sent_at >= (limit if gone else 60.0):
+                driver.end_attempt(
+                    message,
+                    Outcome.TIMED_OUT if gone else Outcome.DELIVERED,
+                    driver.now - sent_at,
+                    advances=False,
+                )
+    return sum(at > driver.now - 5000.0 for at, _, _ in driver.sends)
+
+
+def test_loss_on_the_way_does_not_eject_receivers():
+    assert sum(lossy_sends(0.5, seed) for seed in (1, 2, 3)) > 300
+
+
+def test_queue_class_that_fails_at_one_receiver_goes_to_the_other():
+    driver = DispatcherDriver(settings(effects=("safe", "safe"), slots=20), receivers=2)
+    bad, sent = driver.destination.receivers[0], []
+    for step in range(300):
+        message = driver.submit(queue_class=step % 2)
+        driver.advance(40.0)
+        for message, (receiver, at, limit) in list(driver.in_flight.items()):
+            lost = receiver is bad and message.queue_class == 0
+            if driver.now - at >= (limit if lost else 30.0):
+                sent.append(lost)
+                driver.end_attempt(
+                    message,
+                    Outcome.TIMED_OUT if lost else Outcome.DELIVERED,
+                    driver.now - at,
+                    advances=False,
+                )
+    assert sum(sent) < 20 and len(sent) > 290
+
+
+def test_hundreds_of_senders_with_one_long_retry_after_do_not_come_back_together():
+    back = []
+    for seed in range(100):
+        driver = DispatcherDriver(settings(fleet=300), seed=seed)
+        driver.advance(20000.0)
+        driver.end_attempt(driver.submit(), Outcome.REJECTED, 5.0, retry_after_ms=6000.0)
+        until = driver.now + 6000.0
+        driver.advance_until(lambda: driver.in_flight, 15000.0)
+        back += [driver.now - until] if driver.in_flight else []
+    assert min(back, default=0.0) >= 0.0 and sum(after < 2000.0 for after in back) < 30
+
+
+def test_rejected_calls_become_fewer():
+    driver, calls = DispatcherDriver(settings(slots=20)), []
+    driver.keep_traffic(5000.0, every_ms=200.0, duration_ms=50.0)
+    driver.keep_traffic(20000.0, every_ms=200.0, duration_ms=20.0, outcome=Outcome.REJECTED)
+    calls = sum(at > driver.now - 10000.0 for at, _, _ in driver.sends)
+    assert 1 <= calls < 25  # half of the traffic, and falling
+
+
+def test_idle_connections_close_after_a_refused_connection_only():
+    kept = {}
+    for turned in (False, True):
+        driver = DispatcherDriver(settings(slots=20))
+        driver.settings["Allowed"]["IdleClose"] = 10000.0
+        driver.keep_traffic(3000.0, every_ms=100.0, duration_ms=50.0)
+        if turned:
+            driver.end_attempt(driver.submit(), Outcome.CONNECT_FAILED, 50.0)
+        for _ in range(5):
+            for message in list(driver.in_flight):
+                driver.end_attempt(message, Outcome.DELIVERED, 50.0, advances=False)
+            driver.advance(400.0)
+        kept[turned] = not driver.dispatcher.should_close_idle(driver.destination.receivers[0], driver.now)
+    assert kept == {False: True, True: False}
+
+
+def test_sparse_queue_keeps_its_idle_connection_where_no_table_is_full():
+    driver = DispatcherDriver(settings(slots=20))
+    driver.settings["Allowed"]["IdleClose"] = 5000.0
+    for _ in range(4):  # a message in two IdleClose: half of its connections are used again
+        driver.advance(10000.0)
+        message = driver.submit()
+        message.duration_ms = 50.0
+        assert driver.dispatcher.record_outcome(message, Outcome.DELIVERED, driver.now + 50.0) == (
+            Decision.RELAYED,
+            0.0,
+            False,
+        )
+        del driver.in_flight[message]
+
+
+def test_rate_limit_outlives_hours_without_messages():
+    driver = DispatcherDriver(settings())
+    driver.end_attempt(driver.submit(), Outcome.REJECTED, 5.0)
+    driver.advance_until(lambda: driver.in_flight, 20000.0)
+    driver.end_attempt(next(iter(driver.in_flight)), Outcome.DELIVERED, 20.0)
+    driver.now += 1e9
+    assert driver.receiver_of(driver.submit())
--- /dev/null
+++ b/tests/core/test_fleet_after_outage.py
@@ -0,0 +1,136 @@
+"""What all senders of a fleet send together to a destination that fails for ten seconds and returns cold.
+
+The dispatchers share nothing. The destination answers calls one after the other, slower while it is cold, and rejects
+those that would wait too long. The rule: in each window of `OverloadFor` it gets no more than N + 2 x root of N + 2
+calls, N being `FallMultiple` times its capacity at that time. A window breaks the rule only if two thirds of its calls
+came from senders that had seen a call fail in the outage.
+"""
+
+import heapq
+import random
+from bisect import bisect_left
+from math import sqrt
+
+import pytest
+
+from dewpin.core.dispatcher import Dispatcher
+from dewpin.core.model import Decision, Destination, Message, Outcome, Receiver
+from driver import settings
+
+FAILS_AT, RETURNS_AT, ENDS_AT = 12000.0, 22000.0, 34000.0
+QUEUE_DEPTH = 8  # calls that the destination lets wait
+OUTAGES = {
+    "silent": (Outcome.TIMED_OUT, None),
+    "errors": (Outcome.ERROR, 60.0),
+    "refuses": (Outcome.CONNECT_FAILED, 40.0),
+    "shut": (Outcome.REJECTED, 60.0),
+}  # the outcome of a call, and the ms that it takes; None: its time-out
+
+
+class Fleet:
+    """`capacity`: calls a second of the one destination, warm; `load`: messages a second, as a share of that."""
+
+    def __init__(self, senders, capacity, load, outage, seed):
+        self.rng, self.outage, self.capacity = random.Random(seed), OUTAGES[outage], capacity / 1000.0
+        drawn = settings(fleet=senders)
+        self.rules, self.dispatchers = drawn["Rules"], []
+        for number in range(senders):
+            destination = Destination(1)
+            for ident in range(2):
+                Receiver(ident, destination)
+            self.dispatchers.append((Dispatcher(drawn | {"SlotNo": number}, self.rng.getrandbits(64)), destination))
+        self.events, self.count, self.busy = [], 0, 0.0
+        self.calls, self.witnesses = [], set()  # (time, sender) of each call; senders that saw one fail in the outage
+        uneven, at = [self.rng.uniform(0.3, 1.7) ** 2 for _ in self.dispatchers], 0.0
+        while at < ENDS_AT:
+            at += self.rng.expovariate(self.capacity * load)
+            self.later(at, self.arrives, self.rng.choices(range(senders), uneven)[0])
+
+    def later(self, at, what, *rest):
+        self.count += 1
+        heapq.heappush(self.events, (at, self.count, what, rest))
+
+    def run(self):
+        while self.events and self.events[0][0] < ENDS_AT:
+            now, _, what, rest = heapq.heappop(self.events)
+            what(now, *rest)
+        return self
+
+    def arrives(self, now, sender):
+        dispatcher, destination = self.dispatchers[sender]
+        if dispatcher.pending_messages < dispatcher.settings.max_pending:
+            dispatcher.dispatch(Message(self.count, destination, now, now + 16000.0), now)
+        self.ask(now, sender)
+
+    def ask(self, now, sender):
+        dispatcher, _ = self.dispatchers[sender]
+        while True:
+            ms, message = dispatcher.next_due(now)
+            if message is None:
+                return
+            if ms > 0.0:
+                return self.later(now + ms, self.ask, sender)
+            result = dispatcher.dispatch(message, now)
+            if result.decision == Decision.SEND:
+                self.calls.append((now, sender))
+                outcome, duration_ms = self.served(now, result.timeout_ms)
+                self.later(now + duration_ms, self.ends, sender, message, outcome, duration_ms)
+
+    def capacity_at(self, now):
+        """Calls a ms that the destination can do at this time."""
+        cold, warm = self.rules["ColdFrom"], (now - RETURNS_AT) / self.rules["WarmAfter"]
+        return self.capacity * (1.0 if now < FAILS_AT else min(1.0, cold + (1.0 - cold) * warm))
+
+    def served(self, now, timeout_ms):
+        outcome, duration_ms = self.outage
+        if FAILS_AT <= now < RETURNS_AT:
+            return outcome, duration_ms or timeout_ms
+        can = self.capacity_at(now)
+        self.busy = max(self.busy, now)
+        if self.busy - now > QUEUE_DEPTH / can:
+            return Outcome.REJECTED, 30.0
+        self.busy += 1.0 / can
+        duration_ms = self.busy - now + self.rng.lognormvariate(5.0, 0.5)
+        if duration_ms > timeout_ms or now < FAILS_AT <= now + duration_ms:
+            return Outcome.TIMED_OUT, timeout_ms
+        return Outcome.DELIVERED, duration_ms
+
+    def ends(self, now, sender, message, outcome, duration_ms):
+        message.duration_ms, message.retry_after_ms = duration_ms, 0.0
+        if outcome != Outcome.DELIVERED and FAILS_AT <= now < RETURNS_AT:
+            self.witnesses.add(sender)
+        self.dispatchers[sender][0].record_outcome(message, outcome, now)
+        self.ask(now, sender)
+
+    def worst(self):
+        """(calls over what the rule allows, calls, ms since the return) of the worst window that counts."""
+        times, worst, span = [at for at, _ in self.calls], (0.0, 0, 0.0), self.rules["OverloadFor"]
+        for last, (at, _) in enumerate(self.calls):
+            if not RETURNS_AT <= at < RETURNS_AT + self.rules["WarmAfter"]:
+                continue
+            window = self.calls[bisect_left(times, max(at - span, RETURNS_AT)) : last + 1]
+            n = self.rules["FallMultiple"] * self.capacity_at(at) * span
+            over = len(window) / (n + 2.0 * sqrt(n) + 2.0)
+            if over > 1.0 and 3 * sum(sender in self.witnesses for _, sender in window) < 2 * len(window):
+                continue
+            worst = max(worst, (over, len(window), at - RETURNS_AT))
+        return worst
+
+
+@pytest.mark.parametrize("outage", OUTAGES)
+@pytest.mark.parametrize("senders, capacity, load", [(3, 6, 0.5), (3, 20, 0.9), (25, 6, 0.5), (25, 20, 0.9)])
+def test_calls_of_all_senders_stay_under_overload_of_a_returning_destination(senders, capacity, load, outage):
+    for seed in range(2):
+        fleet = Fleet(senders, capacity, load, outage, seed).run()
+        assert fleet.witnesses and any(at > RETURNS_AT + 5000.0 for at, _ in fleet.calls)
+        assert fleet.worst()[0] <= 1.0
+
+
+def test_calls_of_two_hundred_senders_stay_under_overload_after_a_silent_outage():
+    for seed in range(2):
+        assert Fleet(200, 20, 0.9, "silent", seed).run().worst()[0] <= 1.0
+
+
+def test_calls_of_two_hundred_senders_stay_under_overload_after_refused_connections():
+    for seed in range(2):
+        assert Fleet(200, 20, 0.9, "refuses", seed).run().worst()[0] <= 1.0
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""What the tests share: a driver of the module with a clock that they move, and the world around the program."""
+"""What the tests share: settings of a sender, and the world around the program."""
 import asyncio
 import json
 import os
@@ -9,8 +9,6 @@
 import time
 from functools import partial
 
-from dewpin.core import model
-from dewpin.core.dispatcher import Dispatcher
 from dewpin.spool.inspector import JournalInspector
 
 
@@ -27,100 +25,6 @@
                       "LateWorth": 0.4, "Window": window, "ByArrival": order} for effect in effects]}
 
 
-class Driver:
-    def __init__(self, settings, receivers=1, zones=1, seed=7):
-        self.settings, self.module, self.now, self.count = settings, Dispatcher(settings, seed), 1000.0, 0
-        self.destination = model.Destination(1)
-        for ident in range(receivers):
-            model.Receiver(ident, self.destination, zone=ident % zones)
-        self.mails, self.out, self.due = [], {}, []     # out: mail -> (receiver, sent, limit)
-        self.ended, self.ended_at, self.advice, self.sends = {}, {}, {}, []
-        self.check = lambda what, mail: None            # called after each answer
-
-    def mail(self, left=16000.0, ask=True, destination=None, **facts):
-        self.count += 1
-        mail = model.Message(self.count, destination or self.destination, self.now, self.now + left, **facts)
-        self.mails.append(mail)
-        self.note(mail, self.module.dispatch(mail, self.now))
-        if ask:
-            self.ask()
-        return mail
-
-    def note(self, mail, result):
-        """Takes a result of the dispatcher in; gives the receiver or the decision."""
-        what = getattr(result, "receiver", None) or result.decision
-        if isinstance(what, model.Receiver):
-            assert mail not in self.out and mail not in self.ended
-            self.out[mail] = what, self.now, result.timeout_ms
-            self.sends.append((self.now, mail, what))
-        elif what != model.Decision.NOT_YET:
-            assert mail not in self.ended
-            self.ended[mail], self.ended_at[mail], self.advice[mail] = what, self.now, result.retry_after_ms
-        self.check(what, mail)
-        return what
-
-    def ask(self):
-        """Asks until nothing is due; returns the time of the next question."""
-        for _ in range(10000):
-            ms, mail = self.module.next_due(self.now)
-            if mail is None or ms > 0:
-                return self.now + ms if mail else None
-            self.note(mail, self.module.dispatch(mail, self.now))
-        raise AssertionError("the module never settles")
-
-    def outcome(self, mail, outcome, took, told=0.0, run=True):
-        if run and self.now < self.out[mail][1] + took:
-            self.run(self.out[mail][1] + took - self.now)
-        del self.out[mail]
-        mail.duration_ms, mail.retry_after_ms = took, told
-        what = self.note(mail, self.module.record_outcome(mail, outcome, self.now))
-        self.ask()
-        return what
-
-    def restart(self, tries, ran, down):
-        """The sender dies and comes back with what its spool says of the mails in hand."""
-        for mail, (receiver, sent, _) in self.out.items():
-            ran.setdefault(mail, (receiver, sent))      # it was out: it may have run
-        self.out.clear()
-        self.now += down
-        self.module = Dispatcher(self.settings, int(self.now))
-        held = [mail for mail in self.mails if mail not in self.ended and not mail.is_withdrawn]
-        for one in {mail.destination for mail in self.mails}:
-            for noted in (one, *one.receivers):
-                noted.limits = None
-                if isinstance(noted, model.Receiver):
-                    noted.health = None
-                else:
-                    noted.queue = None
-        for mail in held:
-            receiver, sent = ran.get(mail, (None, None))
-            mail.dispatch_state, mail.prior_attempts = None, model.PriorAttempts(tries.get(mail, 0), sent, receiver)
-            self.note(mail, self.module.dispatch(mail, self.now))
-
-    def sent(self, mail):
-        return self.out[mail][0] if mail in self.out else None
-
-    def run(self, ms):
-        self.run_until(lambda: False, ms)
-
-    def run_until(self, done, ms):
-        end = self.now + ms
-        while not done() and self.now < end:
-            at = self.ask()
-            if not done():
-                self.now = min(end, max(self.now + 0.5, at)) if at is not None else end
-        self.ask()
-
-    def keep_answering(self, ms, every, took, outcome=model.Outcome.DELIVERED):
-        end = self.now + ms
-        while self.now < end:
-            self.mail()
-            for mail, (_, sent, _) in list(self.out.items()):
-                if self.now >= sent + took:
-                    self.outcome(mail, outcome, took, run=False)
-            self.run(every)
-
-
 # -- the program and what stands around it, on sockets ------------------------------------------------------
 
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -34,12 +34,12 @@
 TARGETS = bytes.fromhex("140300290000000200000000")
 
 
-def test_an_empty_batch_gets_an_empty_reply():
+def test_empty_batch_gets_an_empty_reply():
     given = bytes.fromhex("010000000c0000000000000000000000206ec040")
     assert play(Adapter(), given) == [bytes.fromhex("0100000000000000")]
 
 
-def test_the_worked_examples_are_read_and_written_to_the_byte():
+def test_examples_of_the_interface_are_coded_to_the_byte():
     given = wire.read_batch(io.BytesIO(batch(12, 8412.25, QUERY, bytes.fromhex("4603004d000000"))))
     query, wakeup = given.events
     assert type(query) is events.Query and type(wakeup) is events.Wakeup
@@ -53,7 +53,7 @@
     assert wire.encode_defer(3, 8912.25, 0x4D)[:3].hex() == "320300"
 
 
-def test_a_mail_goes_out_and_its_outcome_ends_it():
+def test_message_is_sent_and_ended_by_its_outcome():
     adapter = Adapter()
     sent = play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))[0]
     assert sent[8] == 10 and sent[8 + 11 : 8 + 15].hex() == "074a1203"
@@ -67,13 +67,13 @@
 @pytest.mark.parametrize(
     "marks, bits, age", [(True, 1, 0.0), (True, 3, 15760.0), (True, 17, 15760.0), (False, 1, 15760.0)]
 )
-def test_a_repeat_is_told_by_its_mark_or_where_none_is_made_by_its_time_left(marks, bits, age):
+def test_resubmission_is_known_by_its_flag_or_without_flags_by_its_time_left(marks, bits, age):
     adapter, told = Adapter(), settings() | {"Callers": {"MarksRetry": marks}}
     play(adapter, batch(1, 20000.0, provision(3, told), CENSUS, TARGETS, QUERY[:-1] + bytes([bits])))
     assert [20000.0 - message.arrived_at for message in adapter.senders[3].messages.values()] == [age]
 
 
-def test_a_restart_in_one_batch_starts_clean_and_late_news_is_ignored():
+def test_restart_within_a_batch_starts_clean_and_ignores_late_events():
     adapter = Adapter()
     play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))
     late = bytes.fromhex("320300c4913a5da92b070000074a120328000000000000803240000000000000")
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("key", ["Services", "Rules", "Allowed", "FamilyInfo"])
-def test_settings_that_lack_what_a_rule_needs_die_by_name(key):
+def test_missing_settings_are_named_in_the_die_action(key):
     what = {name: value for name, value in settings().items() if name != key}
     reply = play(Adapter(), batch(1, 0.0, provision(3, what)))[0]
     assert reply[8] == 100 and key.encode() in reply
@@ -100,7 +100,7 @@
         (batch(4, 0.0)[:15], "batch header"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(given, words):
+def test_invalid_input_ends_the_program_with_one_line(given, words):
     done = subprocess.run([sys.executable, "-m", "dewpin.simulator"], input=given, capture_output=True, timeout=30)
     lines = done.stderr.decode().splitlines()
     assert done.returncode and not done.stdout and len(lines) == 1 and words in lines[0]
