--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -53,7 +53,7 @@
             notices=SimpleNamespace(unacknowledged={}),
             notice_barrier=NoticeBarrier(),
         ),
-        spool=SimpleNamespace(pending={}, size_bytes=0, live_bytes=0, capacity_bytes=1.0),
+        journal=SimpleNamespace(pending={}, size_bytes=0, live_bytes=0, capacity_bytes=1.0),
         server=SimpleNamespace(
             clients={},
             limits=SimpleNamespace(max_connections=1, max_buffered_bytes=1.0),
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -65,8 +65,8 @@
         facade: the decision module.
         claim: this process's claim on a folder that a previous process still holds.
         folder_lock: the lock of the state folder; None while the previous process has it.
-        spool: the journal.
-        follower: reads what the previous process reports during an upgrade.
+        journal: messages on disk.
+        handover_reader: reads what the previous process reports during an upgrade.
         notices: notices to the platform's agent of messages that were given up.
         relay: the life of messages.
         server: the HTTP server for clients.
@@ -82,8 +82,8 @@
     facade: Facade
     claim: TakeoverClaim
     folder_lock: FolderLock | None
-    spool: Journal
-    follower: HandoverLogReader
+    journal: Journal
+    handover_reader: HandoverLogReader
     notices: AgentNoticePublisher
     relay: Relay
     server: HttpServer
@@ -114,7 +114,7 @@
     # -- start --------------------------------------------------------------------------------------------------------
 
     def _handle_signals(self) -> None:
-        self.loop.set_exception_handler(_tell_unhandled)
+        self.loop.set_exception_handler(_log_unhandled)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop_requested.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)  # an early one waits for the start
@@ -131,7 +131,7 @@
         self.folder_lock, handed_over = await self.claim.enter()
         self._make_message_parts()
         if handed_over:
-            self.follower.descriptors = handed_over["descriptors"]
+            self.handover_reader.descriptors = handed_over["descriptors"]
         apply_limits(self)
         self._apply_log_settings()
         self._load_endpoints(handed_over)
@@ -151,7 +151,7 @@
             events.SENDER_STARTED,
             name=deployment.sender.name,
             at=f"{host}:{port}",
-            messages=len(self.spool.pending),
+            messages=len(self.journal.pending),
             version=__version__,
         )
 
@@ -163,10 +163,10 @@
 
     def _make_message_parts(self) -> None:
         deployment = self.configuration.deployment
-        self.spool = Journal(self.folder, deployment.limits.disk_bytes)
-        self.follower = HandoverLogReader(self.folder, self.spool)
+        self.journal = Journal(self.folder, deployment.limits.disk_bytes)
+        self.handover_reader = HandoverLogReader(self.folder, self.journal)
         self.notices = AgentNoticePublisher(parse_address(deployment.agent.address))
-        self.relay = Relay(self.loop, self.facade, self.spool, self.pool, self.notices)
+        self.relay = Relay(self.loop, self.facade, self.journal, self.pool, self.notices)
         self.server = HttpServer(self.loop, self.relay)
         self.started_ms = self.relay.clock.now_ms()
 
@@ -178,8 +178,8 @@
         """
         configuration = self.configuration
         deployment = configuration.deployment
-        for ident in self.spool.detached_receivers:
-            self.facade.detach(ident)
+        for receiver_id in self.journal.detached_receivers:
+            self.facade.detach(receiver_id)
         schedule = WatchSchedule(
             configuration.module["FleetSize"],
             configuration.module["Rules"]["DrainGrace"],
@@ -214,15 +214,14 @@
     def _resume_messages(self, handed_over: HandedOverState | None) -> None:
         """Take up the journal's messages, before the server opens: earlier messages come first in their key's order."""
         if handed_over:
-            self.relay.resume(self.follower, set(handed_over["out"]))
+            self.relay.resume(self.handover_reader, set(handed_over["out"]))
             learned_state.import_learned_state(self.facade, handed_over)
             name = self.configuration.deployment.sender.name
-            log_event(events.TAKEN_OVER, name=name, messages=len(self.spool.pending))
+            log_event(events.TAKEN_OVER, name=name, messages=len(self.journal.pending))
         else:
-            self.relay.resume(self.follower if self.follower.exists() else None, None)
-            self.relay.consume_handover_log(
-                is_writer_gone=True
-            )  # of an upgrade during which both processes were killed
+            self.relay.resume(self.handover_reader if self.handover_reader.exists() else None, None)
+            # A hand-over log that exists was left by an upgrade during which both processes were killed.
+            self.relay.consume_handover_log(is_writer_gone=True)
             self.claim.drop()
 
     # -- service ------------------------------------------------------------------------------------------------------
@@ -283,14 +282,14 @@
         self.console.close()
         self.server.close()
         self.pool.close()
-        journal = self.relay.record_store  # after a hand-over the hand-over log in its place
+        record_store = self.relay.record_store  # the journal; after a hand-over the log for the next process
         name = self.configuration.deployment.sender.name
-        log_event(events.SENDER_ENDED, name=name, messages=len(journal.pending))
-        journal.close()
+        log_event(events.SENDER_ENDED, name=name, messages=len(record_store.pending))
+        record_store.close()
         if self.folder_lock:
             self.folder_lock.release()
         log.report_losses()
 
 
-def _tell_unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+def _log_unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
     log_event(events.INTERNAL_ERROR, component="loop", why=f"{context['message']}: {context.get('exception')!r}")
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -34,19 +34,19 @@
 
 async def _follow_previous_process(application: "SenderApplication") -> None:
     """Take in what the previous process still reports until it has ended and the folder's lock is ours."""
-    relay, follower, claim = application.relay, application.follower, application.claim
-    descriptors = follower.descriptors
+    relay, reader, claim = application.relay, application.handover_reader, application.claim
+    descriptors = reader.descriptors
     while application.folder_lock is None:
         relay.consume_handover_log()
-        if follower.descriptors != descriptors:
-            descriptors = follower.descriptors
+        if reader.descriptors != descriptors:
+            descriptors = reader.descriptors
             apply_limits(application)
         application.folder_lock = claim.try_lock_folder()
         if application.folder_lock:
             log_event(events.TAKEOVER_FINISHED, messages=len(relay.attempts_at_previous_process))
             relay.consume_handover_log(is_writer_gone=True)
             claim.drop()
-            follower.descriptors = 0
+            reader.descriptors = 0
             apply_limits(application)
         await asyncio.sleep(upgrade.TAKEOVER_POLL_SECONDS)
 
@@ -60,11 +60,11 @@
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + application.configuration.deployment.stop.end_ms / 1000.0
-    tail = _write_handed_over_state(application)
-    if tail is None:
+    handover_log = _write_handed_over_state(application)
+    if handover_log is None:
         await asyncio.sleep(RETRY_SECONDS)
         return False
-    _stop_deciding(application, tail)
+    _stop_deciding(application, handover_log)
     server = application.server
     server.drain()
     try:
@@ -75,38 +75,38 @@
         pass
     server.stop_listening()
     while loop.time() < deadline and (application.relay.attempts_in_flight or server.clients):
-        tail.report_descriptors(count_descriptors())
+        handover_log.report_descriptors(count_descriptors())
         await asyncio.sleep(DRAIN_CHECK_SECONDS)
     return True
 
 
 def _write_handed_over_state(application: "SenderApplication") -> HandoverLogWriter | None:
     """Write the state for the next process; return the hand-over log, or None where the folder refuses."""
-    tail = None
+    handover_log = None
     try:
-        application.spool.mark_handover_consumed(0)
-        tail = HandoverLogWriter(application.folder, application.spool)
+        application.journal.mark_handover_consumed(0)
+        handover_log = HandoverLogWriter(application.folder, application.journal)
         state = learned_state.export_learned_state(application.relay.facade) | {
-            "out": list(tail.pending),
+            "out": list(handover_log.pending),
             "descriptors": count_descriptors() - application.pool.idle_count,
         }
         upgrade.hand_over_folder(application.folder, state)
     except OSError:
         log_internal_error("upgrade")
-        if tail:
-            tail.close()
-            application.follower.close()  # removes the file too: no other process is to read it
+        if handover_log:
+            handover_log.close()
+            application.handover_reader.close()  # removes the file too: no other process is to read it
         return None
-    return tail
+    return handover_log
 
 
-def _stop_deciding(application: "SenderApplication", tail: HandoverLogWriter) -> None:
+def _stop_deciding(application: "SenderApplication", handover_log: HandoverLogWriter) -> None:
     """Leave journal, endpoint list, notices and idle connections to the next process."""
-    application.relay.hand_over(tail)
+    application.relay.hand_over(handover_log)
     application.endpoint_cache.stop_writing()
-    application.spool.close()
+    application.journal.close()
     name = application.configuration.deployment.sender.name
-    log_event(events.HANDED_OVER, name=name, messages=len(application.spool.pending))
+    log_event(events.HANDED_OVER, name=name, messages=len(application.journal.pending))
     application.notices.stop()
     application.pool.max_idle = 0
     application.pool.close()
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -3,10 +3,9 @@
 Each call is passed on to the component that owns the state. The calls themselves are described in `console.calls`.
 """
 
-from typing import Any
-
 from ..console.calls import ReceiverChange, SenderMetrics
-from ..relay.message_lifecycle import DetachmentResult
+from ..net.connection_pool import ConnectionPool
+from ..relay.message_lifecycle import DetachmentResult, Relay
 
 RECEIVER_CHANGES = {
     DetachmentResult.APPLIED: ReceiverChange.DONE,
@@ -19,15 +18,15 @@
     """Answers to the console, unavailable until `serve` is called.
 
     Attributes:
-        relay: life of the messages, or None while the process starts.
-        pool: connections to receivers, or None while the process starts.
+        relay: life of the messages; None while the process starts.
+        pool: connections to receivers; None while the process starts.
     """
 
     def __init__(self) -> None:
-        self.relay: Any = None
-        self.pool: Any = None
+        self.relay: Relay | None = None
+        self.pool: ConnectionPool | None = None
 
-    def serve(self, relay: Any, pool: Any) -> None:
+    def serve(self, relay: Relay, pool: ConnectionPool) -> None:
         """Answer from these components: clients are accepted from now on."""
         self.relay = relay
         self.pool = pool
@@ -38,7 +37,7 @@
 
     def metrics(self) -> SenderMetrics | None:
         """Return the metrics, or None while the process starts."""
-        if self.relay is None:
+        if self.relay is None or self.pool is None:
             return None
         facade = self.relay.facade
         return SenderMetrics(
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -18,12 +18,13 @@
 def apply_limits(application: "SenderApplication") -> None:
     """Put the limits and the time-outs of clients' connections in force, at the start and at a reload."""
     deployment = application.configuration.deployment
-    pool, server, follower = application.pool, application.server, application.follower
+    pool, server = application.pool, application.server
+    previous_process_descriptors = application.handover_reader.descriptors
     limits, door = deployment.limits, deployment.door
     pool.max_idle = deployment.calls.max_idle_connections or max(
         MIN_IDLE_CONNECTIONS, min(MAX_DEFAULT_IDLE_CONNECTIONS, limits.max_descriptors // 8)
     )
-    if follower.descriptors:  # the previous process still holds some
+    if previous_process_descriptors:
         pool.max_idle = max(MIN_IDLE_CONNECTIONS, pool.max_idle // 4)
     call_slots = int(application.configuration.module["FamilyInfo"]["CallSlots"])
     other_descriptors = OTHER_DESCRIPTORS + (CONSOLE_DESCRIPTORS if deployment.console.address else 0)
@@ -35,7 +36,7 @@
         - MAX_REJECTED_CONNECTIONS
         - 3 * MAX_ACCEPTED_AT_ONCE
         - other_descriptors
-        - follower.descriptors,
+        - previous_process_descriptors,
     )
     server.set_limits(
         ServerLimits(
@@ -46,4 +47,4 @@
             keep_alive_timeout_seconds=door.max_idle_ms / 1000.0,
         )
     )
-    application.spool.set_disk_limit(limits.disk_bytes)
+    application.journal.set_disk_limit(limits.disk_bytes)
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -12,6 +12,7 @@
 from .. import __version__
 
 if TYPE_CHECKING:
+    from ..relay.facade import Facade
     from .application import SenderApplication
 
 SLICE_SIZE = 200  # queues or receivers that are read before others have their turn
@@ -48,7 +49,7 @@
 
 
 async def _largest_queues(
-    facade: Any, queues: Sequence[Any], max_queues: int, now_ms: float, pause: Pause
+    facade: "Facade", queues: Sequence[Any], max_queues: int, now_ms: float, pause: Pause
 ) -> list[dict[str, Any]]:
     """Describe the queues with most messages; of equals the one with the older first message comes first."""
     weights = []
@@ -86,7 +87,7 @@
     return {
         "held": facade.dispatcher.pending_messages,
         "most": facade.max_messages,
-        "owed": len(application.spool.pending),
+        "owed": len(application.journal.pending),
         "notices": len(relay.notices.unacknowledged),
         "behind_notice": relay.notice_barrier.postponed_count(),
     }
@@ -114,13 +115,13 @@
 
 
 def _journal_sizes(application: "SenderApplication") -> dict[str, float]:
-    spool = application.spool
-    used_bytes = max(spool.size_bytes, spool.live_bytes) + spool.live_bytes
+    journal = application.journal
+    used_bytes = max(journal.size_bytes, journal.live_bytes) + journal.live_bytes
     return {
-        "file_bytes": spool.size_bytes,
-        "owed_bytes": spool.live_bytes,
-        "room_bytes": int(spool.capacity_bytes),
-        "used": round(used_bytes / spool.capacity_bytes, 4),
+        "file_bytes": journal.size_bytes,
+        "owed_bytes": journal.live_bytes,
+        "room_bytes": int(journal.capacity_bytes),
+        "used": round(used_bytes / journal.capacity_bytes, 4),
     }
 
 
