--- a/dewpin/net/http_parser.py
+++ b/dewpin/net/http_parser.py
@@ -19,6 +19,7 @@
 HTTP_1_VERSION = re.compile(rb"HTTP/1\.[01]")
 COMPLETE_STATUS_LINE = re.compile(rb"HTTP/1\.[01] ([1-9]\d\d)(?: [^\r\n]*)?\r\n")
 BODILESS_STATUSES = (204, 304)
+EMPTY_BODY = FixedLengthBody(0)
 
 MessageT = TypeVar("MessageT", Request, Response)
 
@@ -34,7 +35,7 @@
         self._buffer = bytearray()
         self._searched_bytes = 0  # the end of the header section does not begin before here
         self._message: MessageT | None = None  # the one whose header section is complete
-        self._body: BodyDecoder = FixedLengthBody(0)
+        self._body: BodyDecoder = EMPTY_BODY
 
     def feed(self, data: bytes | memoryview) -> None:
         """Take bytes that arrived."""
@@ -43,7 +44,7 @@
     @property
     def buffered_bytes(self) -> int:
         """How many bytes are held of messages that are not complete, and of what follows them."""
-        return len(self._buffer) + (self._body.decoded_bytes if self._message else 0)
+        return len(self._buffer) + self._body.decoded_bytes
 
     @property
     def has_unparsed_bytes(self) -> bool:
@@ -63,6 +64,7 @@
         """Forget all that is held."""
         self._buffer.clear()
         self._message = None
+        self._body = EMPTY_BODY
 
     def next_message(self) -> MessageT | None:
         """Return the next complete message, or None.
@@ -74,7 +76,7 @@
         body = self._body.decode(self._buffer)
         if body is None:
             return None
-        message, self._message = self._message, None
+        message, self._message, self._body = self._message, None, EMPTY_BODY
         assert message is not None
         message.body = body
         return message
@@ -177,7 +179,7 @@
 
     def _choose_framing(self, message: Request) -> BodyDecoder:
         self._expects_continue = message.fields.get(b"expect", b"").lower() == b"100-continue"
-        return self._declared_framing(message.fields) or FixedLengthBody(0)
+        return self._declared_framing(message.fields) or EMPTY_BODY
 
 
 class ResponseParser(_MessageParser[Response]):
@@ -211,7 +213,7 @@
         if message.status < 200:
             return None
         if message.status in BODILESS_STATUSES:
-            return FixedLengthBody(0)
+            return EMPTY_BODY
         declared = self._declared_framing(message.fields)
         if declared is None:
             message.closes_connection = True
