--- a/dewpin/dataplane/upstream/receiver_connection.py
+++ b/dewpin/dataplane/upstream/receiver_connection.py
@@ -3,8 +3,8 @@
 http.client gives each response a buffer of its own and drops it at the end of the response, with the bytes that follow.
 Here the buffer lasts as long as the connection, so that bytes after a response are detected.
 
-A receiver may respond late to a call that this sender has given up, or that it was sent twice. Such a response names an
-earlier request of the connection and is skipped.
+A receiver may send a second, late response to an earlier call of the connection. Such a response names the request of
+that call and is skipped.
 """
 
 import http.client
