--- a/dewpin/cli/spool.py
+++ b/dewpin/cli/spool.py
@@ -207,7 +207,7 @@
         "live": inspector.is_sender_running,
         "bytes": len(inspector.content),
         "second_copy": inspector.has_compaction_file,
-        "records": {label: counts[kind.value] for kind, label in KIND_LABELS.items()},
+        "records": {label: counts[kind] for kind, label in KIND_LABELS.items()},
         "owed": len(pending),
         "owed_bytes": sum(len(message.body) for message in pending),
         "oldest_s": round(oldest_ms / 1000.0, 3),
--- a/dewpin/ports.py
+++ b/dewpin/ports.py
@@ -3,17 +3,22 @@
 A frontend (HTTP today) receives messages from clients and submits them to a `MessageIntake`, the relay. A transport
 carries attempts to receivers and reports the result of each once. A notice publisher reports the end of a message that
 was not relayed. The relay knows these interfaces and no wire; what implements them knows neither journal nor decisions.
+
+Requests and results are msgspec structs: they are made for each message, and a dataclass costs a start of the process
+some 1 ms each.
 """
 
 from collections.abc import Callable, Sequence
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
+import msgspec
+
 Address = tuple[str, int, bytes]
 """Host, port and the receiver's id: a connection belongs to one receiver."""
 
 
-class SubmitRequest(NamedTuple):
+class SubmitRequest(msgspec.Struct, frozen=True):
     """A message that a client submits. Texts are the bytes that came.
 
     `remaining_ms`: what is left of the message's lifetime, None for that of its queue class. `is_resubmission`: the
@@ -39,17 +44,17 @@
     """A message with this id was accepted before."""
 
 
-class Accepted(NamedTuple):
+class Accepted(msgspec.Struct, frozen=True):
     """The message is recorded: it will be relayed, or a notice is published."""
 
 
-class Deferred(NamedTuple):
+class Deferred(msgspec.Struct, frozen=True):
     """The message was not accepted; the client may submit it again after `retry_after_ms` (0: no advice)."""
 
     retry_after_ms: float
 
 
-class Rejected(NamedTuple):
+class Rejected(msgspec.Struct, frozen=True):
     """The message was not accepted, and never will be."""
 
     reason: RejectionReason
@@ -58,7 +63,7 @@
 SubmitResult = Accepted | Deferred | Rejected
 
 
-class AttemptResult(NamedTuple):
+class AttemptResult(msgspec.Struct, frozen=True, array_like=True):
     """What came of an attempt to deliver a message.
 
     `outcome`: one of core.model; `retry_after_ms`: how long the receiver asks to wait, 0 for no wait; `load_report`:
@@ -71,7 +76,7 @@
     is_withdrawn: bool
 
 
-class AttemptRequest(NamedTuple):
+class AttemptRequest(msgspec.Struct, frozen=True):
     """An attempt that a transport is to make, once.
 
     `timeout_ms`: for the result. `open_send_window`: asked right before the first byte; the ms within which the last
--- a/dewpin/relay/facade.py
+++ b/dewpin/relay/facade.py
@@ -5,7 +5,9 @@
 """
 
 from collections.abc import Mapping, Sequence
-from typing import Any, NamedTuple, cast
+from typing import Any, cast
+
+import msgspec
 
 from ..core.dispatcher import Dispatcher
 from ..core.model import (
@@ -27,7 +29,7 @@
 UNKNOWN_ZONE = -1
 
 
-class Send(NamedTuple):
+class Send(msgspec.Struct, frozen=True):
     """The dispatcher's decision to make an attempt now."""
 
     record: MessageRecord
@@ -35,7 +37,7 @@
     timeout_ms: float
 
 
-class GiveUp(NamedTuple):
+class GiveUp(msgspec.Struct, frozen=True):
     """The dispatcher's decision to give a message up. `ending`: deferred or bounced."""
 
     record: MessageRecord
@@ -43,7 +45,7 @@
     retry_after_ms: float
 
 
-class FollowUp(NamedTuple):
+class FollowUp(msgspec.Struct, frozen=True):
     """What follows from an attempt's result. `ending`: None where the message stays queued. `closes_idle_connections`:
     those to the receiver are to be closed."""
 
@@ -175,12 +177,12 @@
     def adopt_attempt(self, record: MessageRecord, now_ms: float) -> Receiver:
         """Gives a message to the dispatcher whose attempt the previous process has in flight; its receiver."""
         assert record.in_flight is not None
-        receiver_id, sent_at_ms = record.in_flight
-        receiver = self._receiver(receiver_id, self.destination(int(record.destination)))
+        attempt = record.in_flight
+        receiver = self._receiver(attempt.receiver, self.destination(int(record.destination)))
         record.attempts -= 1  # the one in flight is counted when the dispatcher adopts it
         self.add_message(record, now_ms)
         record.attempts += 1
-        self.dispatcher.adopt_attempt(record.message, receiver, sent_at_ms, now_ms)
+        self.dispatcher.adopt_attempt(record.message, receiver, attempt.sent_at_ms, now_ms)
         return receiver
 
     def forget_message(self, record: MessageRecord) -> None:
--- a/dewpin/relay/notice_barrier.py
+++ b/dewpin/relay/notice_barrier.py
@@ -1,13 +1,14 @@
 """Order within a key: an attempt waits until the notices of the key's earlier messages are acknowledged."""
 
 from asyncio import TimerHandle
-from typing import NamedTuple
+
+import msgspec
 
 from ..core.model import Receiver
 from ..spool.records import MessageRecord
 
 
-class PostponedAttempt(NamedTuple):
+class PostponedAttempt(msgspec.Struct, frozen=True):
     """An attempt that waits: its message and receiver, when it times out, and the timer that gives it up before."""
 
     record: MessageRecord
--- a/dewpin/spool/codec.py
+++ b/dewpin/spool/codec.py
@@ -6,9 +6,10 @@
 """
 
 import struct
-from typing import NamedTuple
 from zlib import crc32
 
+import msgspec
+
 from .records import Attempt, MessageRecord, PendingNotice, RecordKind
 
 HEADER = struct.Struct("<II")
@@ -25,23 +26,23 @@
 NOT_EXECUTED_AT_MS = -1.0
 """Stands in a summary where no attempt may have been executed."""
 
-KNOWN_KIND_CODES = frozenset(kind.value for kind in RecordKind)
+KNOWN_KIND_CODES: frozenset[bytes] = frozenset(RecordKind)
 
 
-class Frame(NamedTuple):
+class Frame(msgspec.Struct, frozen=True):
     """A complete record: what follows its header, and the offset of the next record."""
 
     payload: bytes
     end_offset: int
 
 
-class DamagedFrame(NamedTuple):
+class DamagedFrame(msgspec.Struct, frozen=True):
     """An offset at which no complete record stands."""
 
     reason: str
 
 
-class AttemptSummary(NamedTuple):
+class AttemptSummary(msgspec.Struct, frozen=True):
     """The attempts of a message before a compaction, the one in flight left aside."""
 
     attempts: int
@@ -50,7 +51,7 @@
 
 def encode_record(kind: RecordKind, serial: int, *fields: bytes) -> bytes:
     """A record with these fields, which are encoded already."""
-    payload = KIND_AND_SERIAL.pack(kind.value, serial) + b"".join(fields)
+    payload = KIND_AND_SERIAL.pack(kind, serial) + b"".join(fields)
     return HEADER.pack(len(payload), crc32(payload)) + payload
 
 
@@ -80,7 +81,7 @@
 
 def encode_given_up(serial: int, notice: PendingNotice) -> bytes:
     """The record of giving a message up, written before the notice leaves."""
-    return encode_record(RecordKind.GIVEN_UP, serial, NOTICE.pack(*notice))
+    return encode_record(RecordKind.GIVEN_UP, serial, NOTICE.pack(notice.is_deferred, notice.retry_after_ms))
 
 
 def encode_pending_message(message: MessageRecord) -> bytes:
@@ -97,9 +98,12 @@
 
 
 def _encode_summary(serial: int, summary: AttemptSummary) -> bytes:
-    receiver, sent_at_ms = summary.possibly_executed or (b"", NOT_EXECUTED_AT_MS)
+    executed = summary.possibly_executed or Attempt(b"", NOT_EXECUTED_AT_MS)
     return encode_record(
-        RecordKind.ATTEMPT_SUMMARY, serial, ATTEMPT_SUMMARY.pack(summary.attempts, sent_at_ms), receiver
+        RecordKind.ATTEMPT_SUMMARY,
+        serial,
+        ATTEMPT_SUMMARY.pack(summary.attempts, executed.sent_at_ms),
+        executed.receiver,
     )
 
 
--- a/dewpin/spool/handover_log.py
+++ b/dewpin/spool/handover_log.py
@@ -6,7 +6,7 @@
 
 import os
 from collections.abc import Iterator
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -21,20 +21,20 @@
 READ_BYTES = 1 << 20
 
 
-class AcceptedMessage(NamedTuple):
+class AcceptedMessage(msgspec.Struct, frozen=True):
     """The process that leaves has accepted a message."""
 
     message: MessageRecord
 
 
-class FinishedAttempt(NamedTuple):
+class FinishedAttempt(msgspec.Struct, frozen=True):
     """An attempt of the process that leaves is finished; `serial` is the message's in the journal."""
 
     serial: int
     result: AttemptResult
 
 
-class ReceiverDetachment(NamedTuple):
+class ReceiverDetachment(msgspec.Struct, frozen=True):
     """Operators detached or attached a receiver at the process that leaves."""
 
     receiver: bytes
@@ -153,14 +153,14 @@
     def _decode(self, payload: bytes) -> HandoverEvent | None:
         """The event of a record; None for a count of descriptors, which is noted here, and for unknown kinds."""
         code, serial = codec.decode_kind_and_serial(payload)
-        if code == RecordKind.ACCEPTED.value:
+        if code == RecordKind.ACCEPTED:
             return AcceptedMessage(codec.decode_message(serial, payload))
-        if code == RecordKind.ATTEMPT_FINISHED.value:
+        if code == RecordKind.ATTEMPT_FINISHED:
             return FinishedAttempt(serial, AttemptResult(*msgspec.json.decode(codec.decode_fields(payload))))
-        if code == RecordKind.RECEIVER_DETACHED.value:
+        if code == RecordKind.RECEIVER_DETACHED:
             return ReceiverDetachment(codec.decode_fields(payload), is_detached=True)
-        if code == RecordKind.RECEIVER_ATTACHED.value:
+        if code == RecordKind.RECEIVER_ATTACHED:
             return ReceiverDetachment(codec.decode_fields(payload), is_detached=False)
-        if code == RecordKind.DESCRIPTOR_COUNT.value:
+        if code == RecordKind.DESCRIPTOR_COUNT:
             self.descriptors = serial
         return None
--- a/dewpin/spool/inspector.py
+++ b/dewpin/spool/inspector.py
@@ -16,7 +16,7 @@
 from .replay import JournalReplay
 
 REREAD_SECONDS = 0.05
-KIND_LABELS = {
+KIND_LABELS: dict[bytes, str] = {
     RecordKind.ACCEPTED: "taken",
     RecordKind.ATTEMPT_STARTED: "connect",
     RecordKind.ATTEMPT_NOT_EXECUTED: "not run",
@@ -30,7 +30,6 @@
     RecordKind.HANDOVER_CONSUMED: "followed",
 }
 """The kinds as the command shows them; scripts of operators read these words."""
-LABELS_BY_CODE = {kind.value: label for kind, label in KIND_LABELS.items()}
 
 
 class Damage:
@@ -90,7 +89,7 @@
             assert isinstance(frame, Frame)  # the replay has read all records before `readable_bytes`
             code, record_serial = codec.decode_kind_and_serial(frame.payload)
             if record_serial == serial:
-                label = LABELS_BY_CODE.get(code, "unknown")
+                label = KIND_LABELS.get(code, "unknown")
                 views.append(RecordView(offset, label, _record_facts(code, frame.payload)))
             offset = frame.end_offset
         return views
@@ -127,17 +126,17 @@
 
 def _record_facts(code: bytes, payload: bytes) -> dict[str, Any]:
     """A record's fields, under the names that `dewpin spool show` prints."""
-    if code == RecordKind.ATTEMPT_STARTED.value:
+    if code == RecordKind.ATTEMPT_STARTED:
         attempt = codec.decode_attempt(payload)
         return {"sent": attempt.sent_at_ms, "receiver": attempt.receiver}
-    if code == RecordKind.GIVEN_UP.value:
+    if code == RecordKind.GIVEN_UP:
         notice = codec.decode_notice(payload)
         return {"ending": "deferred" if notice.is_deferred else "bounced", "after_ms": notice.retry_after_ms}
-    if code == RecordKind.ATTEMPT_SUMMARY.value:
+    if code == RecordKind.ATTEMPT_SUMMARY:
         summary = codec.decode_summary(payload)
         possibly_executed = summary.possibly_executed
         return {"connects": summary.attempts, "ran_at": possibly_executed and possibly_executed.sent_at_ms}
-    if code == RecordKind.ACCEPTED.value:
+    if code == RecordKind.ACCEPTED:
         arrived_at_ms, expires_at_ms = codec.MESSAGE_TIMES.unpack_from(payload, codec.KIND_AND_SERIAL.size)
         return {"arrived": arrived_at_ms, "expires": expires_at_ms}
     return {}
--- a/dewpin/spool/records.py
+++ b/dewpin/spool/records.py
@@ -1,10 +1,12 @@
 """What the journal holds of a message, and the kinds of records in it."""
 
 from enum import Enum
-from typing import Any, NamedTuple
+from typing import Any
 
+import msgspec
 
-class RecordKind(Enum):
+
+class RecordKind(bytes, Enum):
     """The kinds of records in the journal and in the hand-over log; the value is the byte on disk."""
 
     ACCEPTED = b"T"
@@ -24,14 +26,14 @@
     """How many bytes of an earlier process's hand-over log the journal's owner has read."""
 
 
-class Attempt(NamedTuple):
+class Attempt(msgspec.Struct, frozen=True):
     """One attempt to deliver a message: the receiver's id, and when its first byte left (Unix ms)."""
 
     receiver: bytes
     sent_at_ms: float
 
 
-class PendingNotice(NamedTuple):
+class PendingNotice(msgspec.Struct, frozen=True):
     """The notice that the platform is owed for a message that was given up.
 
     `is_deferred`: the client may submit the message again after `retry_after_ms`; otherwise it has bounced."""
--- a/dewpin/spool/replay.py
+++ b/dewpin/spool/replay.py
@@ -14,6 +14,17 @@
 )
 from .records import MessageRecord, RecordKind
 
+# a member of an enum takes some time to look up, and a start reads every record
+_ACCEPTED: bytes = RecordKind.ACCEPTED.value
+_ATTEMPT_STARTED: bytes = RecordKind.ATTEMPT_STARTED.value
+_ATTEMPT_NOT_EXECUTED: bytes = RecordKind.ATTEMPT_NOT_EXECUTED.value
+_ATTEMPT_SUMMARY: bytes = RecordKind.ATTEMPT_SUMMARY.value
+_GIVEN_UP: bytes = RecordKind.GIVEN_UP.value
+_FINISHED: bytes = RecordKind.FINISHED.value
+_RECEIVER_DETACHED: bytes = RecordKind.RECEIVER_DETACHED.value
+_RECEIVER_ATTACHED: bytes = RecordKind.RECEIVER_ATTACHED.value
+_HANDOVER_CONSUMED: bytes = RecordKind.HANDOVER_CONSUMED.value
+
 
 class JournalReplay:
     """The state after the records that were applied, in their order.
@@ -31,7 +42,7 @@
         self.detached_receivers: dict[bytes, None] = {}
         self.consumed_handover_bytes = 0
         self.last_serial = 0
-        self.counts_by_code = {kind.value: 0 for kind in RecordKind}
+        self.counts_by_code: dict[bytes, int] = {kind.value: 0 for kind in RecordKind}
 
     def run(self, content: bytes) -> int:
         """Applies complete records from the start; the offset of the first that is not complete or makes no sense."""
@@ -46,39 +57,39 @@
         """Applies one record; False where its fields make no sense."""
         code, serial = decode_kind_and_serial(payload)
         try:
-            if code == RecordKind.ACCEPTED.value:
+            if code == _ACCEPTED:
                 accepted = decode_message(serial, payload)
                 accepted.stored_bytes = size_bytes
                 self.pending[serial] = accepted
-            elif code == RecordKind.HANDOVER_CONSUMED.value:
+            elif code == _HANDOVER_CONSUMED:
                 self.consumed_handover_bytes = serial
-            elif code == RecordKind.RECEIVER_DETACHED.value:
+            elif code == _RECEIVER_DETACHED:
                 self.detached_receivers[decode_fields(payload)] = None
-            elif code == RecordKind.RECEIVER_ATTACHED.value:
+            elif code == _RECEIVER_ATTACHED:
                 self.detached_receivers.pop(decode_fields(payload), None)
             elif message := self.pending.get(serial):
                 self._apply_to_message(message, code, payload)
         except struct.error:
             return False
-        if code != RecordKind.HANDOVER_CONSUMED.value:
+        if code != _HANDOVER_CONSUMED:
             self.last_serial = max(self.last_serial, serial)
         self.counts_by_code[code] = self.counts_by_code.get(code, 0) + 1
         return True
 
     def _apply_to_message(self, message: MessageRecord, code: bytes, payload: bytes) -> None:
-        if code == RecordKind.ATTEMPT_STARTED.value:
+        if code == _ATTEMPT_STARTED:
             message.finish_attempt(may_have_executed=True)
             message.in_flight = decode_attempt(payload)
             message.attempts += 1
-        elif code == RecordKind.ATTEMPT_NOT_EXECUTED.value:
+        elif code == _ATTEMPT_NOT_EXECUTED:
             message.finish_attempt(may_have_executed=False)
-        elif code == RecordKind.ATTEMPT_SUMMARY.value:
+        elif code == _ATTEMPT_SUMMARY:
             summary = decode_summary(payload)
             message.attempts = summary.attempts
             if summary.possibly_executed:
                 message.possibly_executed = summary.possibly_executed
-        elif code == RecordKind.GIVEN_UP.value:
+        elif code == _GIVEN_UP:
             message.pending_notice = decode_notice(payload)
-        elif code == RecordKind.FINISHED.value:
+        elif code == _FINISHED:
             self.finished_ids.append(message.message_id)
             del self.pending[message.serial]
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -336,7 +336,7 @@
         if isinstance(event, AcceptedMessage):
             accepted(event.message)
         elif isinstance(event, FinishedAttempt):
-            attempt_ended(event.serial, *event.result)
+            attempt_ended(event.serial, *msgspec.structs.astuple(event.result))
         else:
             detached(event.receiver, event.is_detached)
     return {"records": told, "descriptors": follower.descriptors, "consumed": journal.spool.consumed_handover_bytes}
@@ -590,7 +590,7 @@
                 heard.set_result,
             )
         )
-        outcome, wait_ms, _took_ms, load, over = await heard
+        outcome, wait_ms, _took_ms, load, over = msgspec.structs.astuple(await heard)
         return {"outcome": NAMES_OF_OUTCOMES[outcome], "wait_ms": wait_ms, "load": load, "over": over}
 
     try:
--- a/tests/lab/test_fleet.py
+++ b/tests/lab/test_fleet.py
@@ -15,10 +15,11 @@
     key=lambda r: r.receiver_id, default=None)
 """
 DEAF = """
+import msgspec
 from dewpin.relay.facade import Facade
 report_result = Facade.report_result
 Facade.report_result = lambda self, record, result, now_ms: report_result(
-    self, record, result._replace(retry_after_ms=0.0), now_ms)
+    self, record, msgspec.structs.replace(result, retry_after_ms=0.0), now_ms)
 """
 FORGETS = """
 from dewpin.spool.journal import Journal
--- a/tests/net/test_receiver_calls.py
+++ b/tests/net/test_receiver_calls.py
@@ -151,7 +151,7 @@
         while receiver.loop.time() < blocked:
             pass
         await until(lambda: results)
-        assert results[0][:2] == (outcome, retry_after_ms)
+        assert (results[0].outcome, results[0].retry_after_ms) == (outcome, retry_after_ms)
         thread.join()
         server.close()
 
