--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -8,6 +8,7 @@
 import asyncio
 import gc
 import signal
+from collections.abc import Sequence
 from typing import TYPE_CHECKING, Any
 
 from .. import __version__, log
@@ -21,7 +22,7 @@
 from ..net.notice_publisher import AgentNoticePublisher
 from ..net.server import HttpServer
 from ..net.watch_schedule import WatchSchedule
-from ..ports import Frontend, MessageIntake, NoticePublisher, Transport
+from ..ports import EndpointEntry, Frontend, MessageIntake, NoticePublisher, Transport
 from ..relay import learned_state
 from ..relay.facade import Facade
 from ..relay.message_lifecycle import Relay
@@ -202,13 +203,15 @@
         agent_address = parse_address(deployment.agent.address)
         self.watch = EndpointWatch(agent_address, revision, self._learn_endpoints, schedule, is_first_process)
 
-    def _learn_endpoints(self, entries: Any, complete: bool, revision: int | None = None) -> None:
+    def _learn_endpoints(
+        self, entries: Sequence[EndpointEntry], is_complete: bool, revision: int | None = None
+    ) -> None:
         """Put an update of the list of receivers in force; with a `revision` it is cached on disk as well."""
-        for address in self.facade.update_endpoints(entries, complete):
+        for address in self.facade.update_endpoints(entries, is_complete):
             self.pool.cancel_unsent(address)
             self.pool.close_idle(address)
         if revision is not None:
-            self.endpoint_cache.update(entries, complete, revision, self.relay.clock.now_ms())
+            self.endpoint_cache.update(entries, is_complete, revision, self.relay.clock.now_ms())
         self.relay.wake()
 
     def _resume_messages(self, handed_over: HandedOverState | None) -> None:
