--- a/benchmarks/capacity/coverage.py
+++ b/benchmarks/capacity/coverage.py
@@ -106,7 +106,7 @@
         ),
         Entry(
             f"control: {target.control_processor_share:.1%} of a core a sender",
-            "`dewpin/dataplane/membership/cluster_agent.py`, `dewpin/cluster/rpc.py`",
+            "`dewpin/dataplane/membership/cluster_agent.py`, `dewpin/cluster/rpc`",
             (
                 "processor time of renewals and watches, nothing new",
                 "processor time of control, all, mean of a day",
--- a/benchmarks/capacity/measures/wire.py
+++ b/benchmarks/capacity/measures/wire.py
@@ -21,7 +21,7 @@
 CALLS_AT_ONCE = 16
 CALL_TIMEOUT_S = 5.0
 NETSTRING = "dewpin/cluster/netstring.py"
-RPC = "dewpin/cluster/rpc.py"
+RPC = "dewpin/cluster/rpc"
 
 
 def encode_cost(effort: Effort) -> Series:
--- a/benchmarks/capacity/roles/sender.py
+++ b/benchmarks/capacity/roles/sender.py
@@ -10,7 +10,7 @@
 MICROSECONDS = 1e6
 SMALL_MESSAGE_BYTES = 300
 AGENT = "`dewpin/dataplane/membership/cluster_agent.py`"
-RPC = "`dewpin/cluster/rpc.py`"
+RPC = "`dewpin/cluster/rpc`"
 STREAMS = "`dewpin/dataplane/ingress/server.py`, `routing/event_relay.py`"
 STORE_CLIENT = "`dewpin/dataplane/programs/store_client.py`"
 CHAINS = "`dewpin/dataplane/programs/history_cache.py`"
--- a/benchmarks/capacity/roles/store.py
+++ b/benchmarks/capacity/roles/store.py
@@ -14,7 +14,7 @@
 STORAGE = "`dewpin/controlplane/storage/storage.py`"
 TURNS = "`dewpin/controlplane/store/turn_table.py`"
 LEDGERS = "`dewpin/controlplane/store/ledger_replica.py`, `dewpin/consensus`"
-STORE = "`dewpin/controlplane/store/store.py`, `dewpin/cluster/rpc.py`"
+STORE = "`dewpin/controlplane/store/store.py`, `dewpin/cluster/rpc`"
 HEARTBEAT = "`dewpin/controlplane/membership/heartbeat.py`"
 
 
--- /dev/null
+++ b/dewpin/cluster/rpc/client.py
@@ -0,0 +1,183 @@
+"""The client: makes calls to other processes."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from ..compression import CompressedOutput, IncomingBytes
+from ..netstring import Decoder, FrameError
+from ..rpc_frames import InvalidFrameError, Message, ReplyFrame, RequestFrame
+from .connection import abort_if_peer_does_not_read, set_socket_options, split_address
+from .errors import RpcError
+
+CONNECT_TIMEOUT_S = 1.0
+UNCOMPRESSED_PERIOD_S = 60.0
+"""How long plain netstrings are sent to a process that closed a compressed connection without a reply: one of an
+earlier release reads no others."""
+
+
+class RpcClient:
+    """Makes calls to other processes over one connection per address, opened when it is first needed."""
+
+    def __init__(self) -> None:
+        """Create a client without connections."""
+        self._connections: dict[str, asyncio.Task[ClientConnection]] = {}
+        self._uncompressed_until_s: dict[str, float] = {}
+
+    async def call(self, address: str, message: Message, timeout_s: float) -> Message:
+        """Return the reply of the process at `address` (`host:port`).
+
+        Raises RpcError on any failure, after `timeout_s` at the latest.
+        """
+        received_before = self._received_chunks(address)
+        try:
+            async with asyncio.timeout(timeout_s):  # wait_for would make a task of each call
+                reply = await self._call(address, message)
+        except TimeoutError:
+            if self._received_chunks(address) == received_before:
+                self._drop(address)  # nothing came all the while: a new connection may find another path sooner
+            raise RpcError("timeout", address) from None
+        if reply.get("type") == "error":
+            raise RpcError(str(reply.get("kind")), str(reply.get("detail", "")), reply)
+        return reply
+
+    async def close(self) -> None:
+        """Abort all connections."""
+        for task in self._connections.values():
+            if task.done() and not task.cancelled() and task.exception() is None:
+                task.result().abort()
+            else:
+                task.cancel()
+        self._connections.clear()
+
+    async def _call(self, address: str, message: Message) -> Message:
+        connection = await self._connection(address)
+        return await connection.call(message)
+
+    async def _connection(self, address: str) -> ClientConnection:
+        established = self._established(address)
+        if established is not None and established.transport is not None:
+            return established
+        task = self._connections.get(address)
+        if established is not None and established.was_compression_rejected:
+            self._uncompressed_until_s[address] = asyncio.get_running_loop().time() + UNCOMPRESSED_PERIOD_S
+        if task is not None and task.done():
+            task = None
+        if task is None:
+            task = asyncio.ensure_future(self._connect(address))
+            task.add_done_callback(lambda done: done.cancelled() or done.exception())
+            self._connections[address] = task
+        return await asyncio.shield(task)
+
+    async def _connect(self, address: str) -> ClientConnection:
+        host, port = split_address(address)
+        loop = asyncio.get_running_loop()
+        is_compressed = self._uncompressed_until_s.get(address, 0.0) <= loop.time()
+        try:
+            _, connection = await asyncio.wait_for(
+                loop.create_connection(lambda: ClientConnection(is_compressed), host, port), CONNECT_TIMEOUT_S
+            )
+        except (TimeoutError, OSError) as error:
+            raise RpcError("connect", f"{address}: {error!r}") from error
+        return connection
+
+    def _established(self, address: str) -> ClientConnection | None:
+        task = self._connections.get(address)
+        if task is None or not task.done() or task.cancelled() or task.exception() is not None:
+            return None
+        return task.result()
+
+    def _received_chunks(self, address: str) -> int:
+        connection = self._established(address)
+        return connection.received_chunks if connection is not None else 0
+
+    def _drop(self, address: str) -> None:
+        connection = self._established(address)
+        if connection is not None:
+            del self._connections[address]
+            connection.abort()
+
+
+class ClientConnection(asyncio.Protocol):
+    """One connection to a server.
+
+    `transport`: None before the connection is made and after it was lost.
+    `received_chunks`: how many times bytes were received.
+    """
+
+    def __init__(self, is_compressed: bool) -> None:
+        """Create the protocol of a connection whose requests are compressed or not."""
+        self._decoder = Decoder()
+        self._incoming = IncomingBytes()
+        self._output = CompressedOutput() if is_compressed else None
+        self._pending: dict[int, asyncio.Future[Message]] = {}
+        self._number = 0
+        self.received_chunks = 0
+        self.transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start to use the connection."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+        set_socket_options(transport)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Fail all pending calls."""
+        self.transport = None
+        for future in self._pending.values():
+            if not future.done():
+                future.set_exception(RpcError("closed", str(exc or "")))
+        self._pending.clear()
+
+    def data_received(self, data: bytes) -> None:
+        """Resolve the calls whose replies `data` completes; abort the connection if it is not readable."""
+        self.received_chunks += 1
+        try:
+            for chunk in self._incoming.decode(data):
+                self._resolve(self._decoder.feed(chunk))
+        except (FrameError, InvalidFrameError):
+            self.abort()
+
+    def _resolve(self, frames: list[dict[str, Any]]) -> None:
+        for frame in frames:
+            reply = ReplyFrame.decode(frame)
+            future = self._pending.pop(reply.number, None)
+            if future is not None and not future.done():
+                future.set_result(reply.message)
+
+    @property
+    def was_compression_rejected(self) -> bool:
+        """Whether the peer closed a compressed connection without a byte of reply to what it was sent."""
+        is_closed_after_use = self.transport is None and self._number > 0
+        return is_closed_after_use and self._output is not None and not self.received_chunks
+
+    def abort(self) -> None:
+        """Close the connection at once."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    async def call(self, message: Message) -> Message:
+        """Return the reply to `message`. Raises RpcError (`closed`, `too_large`)."""
+        if self.transport is None or self.transport.is_closing() or abort_if_peer_does_not_read(self.transport):
+            raise RpcError("closed")
+        self._number += 1
+        number = self._number
+        frame = _request_bytes(RequestFrame(number, message))
+        if self._output is not None:
+            frame = self._output.encode(frame)
+        future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
+        self._pending[number] = future
+        self.transport.write(frame)
+        try:
+            return await future
+        finally:
+            self._pending.pop(number, None)
+
+
+def _request_bytes(request: RequestFrame) -> bytes:
+    """Return the bytes of a request. Raises RpcError (`too_large`)."""
+    try:
+        return request.encode()
+    except FrameError as error:
+        raise RpcError("too_large", str(error)) from error
--- a/tests/cluster/test_rpc.py
+++ b/tests/cluster/test_rpc.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from dewpin.cluster import rpc
 from dewpin.cluster.netstring import encode
 from dewpin.cluster.rpc import RpcClient, RpcError, RpcServer
+from dewpin.cluster.rpc import server as rpc_server
+from dewpin.cluster.rpc.client import ClientConnection
 from dewpin.cluster.rpc_frames import PROTOCOL_VERSION
 
 SHORT_S = 0.05
@@ -201,7 +202,7 @@
 
 
 def test_a_server_closes_a_connection_with_too_many_calls_unanswered(monkeypatch):
-    monkeypatch.setattr(rpc, "MOST_UNANSWERED", 3)
+    monkeypatch.setattr(rpc_server, "MAX_PENDING_REQUESTS", 3)
 
     async def scene():
         async with Server() as there:
@@ -255,7 +256,7 @@
             await held.wait()
             return {"type": "held"}
 
-        connection, transport = rpc._ServerConnection(RpcServer({"hold": hold})), EndedTransport()
+        connection, transport = rpc_server.ServerConnection(RpcServer({"hold": hold})), EndedTransport()
         connection.connection_made(transport)
         for number in range(10):
             connection.data_received(encode({"v": PROTOCOL_VERSION, "n": number, "m": {"type": "hold"}}))
@@ -268,7 +269,7 @@
 
 def test_a_call_on_a_connection_that_has_ended_fails_at_once():
     async def scene():
-        connection, transport = rpc._ClientConnection(compressed=True), EndedTransport()
+        connection, transport = ClientConnection(is_compressed=True), EndedTransport()
         connection.connection_made(transport)
         transport.written = 1
         with pytest.raises(RpcError) as caught:
@@ -336,6 +337,6 @@
                 transport.abort()
             await asyncio.sleep(SHORT_S)
             await there.call("echo", text="x")
-            return there.client._plain_until_s
+            return there.client._uncompressed_until_s
 
     assert asyncio.run(scene()) == {}
--- a/tests/cluster/test_rpc_endings.py
+++ b/tests/cluster/test_rpc_endings.py
@@ -5,10 +5,11 @@
 
 import pytest
 
-from dewpin.cluster import netstring, rpc, rpc_frames
+from dewpin.cluster import netstring, rpc_frames
 from dewpin.cluster.compression import IncomingBytes
 from dewpin.cluster.netstring import Decoder, encode
 from dewpin.cluster.rpc import RpcClient, RpcError, RpcServer
+from dewpin.cluster.rpc import connection as rpc_connection
 
 SHORT_S = 0.05
 LONG_S = 5.0
@@ -200,7 +201,7 @@
 
 
 def test_a_server_ends_a_connection_whose_peer_does_not_read(monkeypatch):
-    monkeypatch.setattr(rpc, "MOST_UNSENT_BYTES", 100_000)
+    monkeypatch.setattr(rpc_connection, "MAX_UNSENT_BYTES", 100_000)
 
     async def answer_much(message):
         return {"type": "much", "text": "x" * 50_000}
@@ -228,7 +229,7 @@
 
 
 def test_a_client_ends_a_connection_whose_peer_does_not_read(monkeypatch):
-    monkeypatch.setattr(rpc, "MOST_UNSENT_BYTES", 100_000)
+    monkeypatch.setattr(rpc_connection, "MAX_UNSENT_BYTES", 100_000)
 
     async def scene():
         held = asyncio.Event()
--- a/tests/cluster/test_rpc_frames.py
+++ b/tests/cluster/test_rpc_frames.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dewpin.cluster.netstring import Decoder
-from dewpin.cluster.rpc_frames import AnswerFrame, InvalidFrameError, RequestFrame
+from dewpin.cluster.rpc_frames import InvalidFrameError, ReplyFrame, RequestFrame
 
 MESSAGE = {"type": "turn.stored", "text": "ä"}
 REQUEST = b'56:{"v":1,"n":7,"m":{"type":"turn.stored","text":"\\u00e4"}},'
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize(
     ("frame", "wire"),
-    [(RequestFrame(7, MESSAGE), REQUEST), (AnswerFrame(7, MESSAGE), ANSWER)],
+    [(RequestFrame(7, MESSAGE), REQUEST), (ReplyFrame(7, MESSAGE), ANSWER)],
     ids=["request", "answer"],
 )
 def test_a_frame_is_these_bytes_and_comes_back_as_it_was(frame, wire):
@@ -42,10 +42,10 @@
 
 def test_raw_bytes_of_a_message_stand_behind_the_frame_and_come_back_in_the_message():
     message = {"type": "store.pulled", "raw": bytes(range(256))}
-    wire = AnswerFrame(7, message).encode()
+    wire = ReplyFrame(7, message).encode()
     assert wire == b'51:{"v":1,"r":7,"m":{"type":"store.pulled"},"raw":256},256:' + message["raw"] + b","
     (read,) = Decoder().feed(wire)
-    assert AnswerFrame.decode(read) == AnswerFrame(7, message)
+    assert ReplyFrame.decode(read) == ReplyFrame(7, message)
     assert message["raw"] == bytes(range(256))
 
 
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -31,7 +31,7 @@
 from dewpin.cluster.receivers import DirectoryVersion, Receiver, receiver_from_platform
 from dewpin.cluster.relay_messages import LeaseGrant, RelayUpdate, RenewRequest, WatchRequest
 from dewpin.cluster.rpc import RpcError, RpcServer, error_message
-from dewpin.cluster.rpc_frames import AnswerFrame, RequestFrame
+from dewpin.cluster.rpc_frames import ReplyFrame, RequestFrame
 from dewpin.cluster.settings import parse_settings
 from dewpin.cluster.store_messages import HistoryPage, TurnRecord
 from dewpin.cluster.store_messages import request as store_request
@@ -104,14 +104,14 @@
 
 def encode_frame(case: MessageCase) -> bytes:
     """The bytes of a message on its connection, the frame included."""
-    frame = AnswerFrame if case.is_answer else RequestFrame
+    frame = ReplyFrame if case.is_answer else RequestFrame
     return frame(7, case.message).encode()
 
 
 def decode_frame(data: bytes, is_answer: bool) -> tuple[int, Json]:
     """The number and the message of the only frame in `data`."""
     (frame,) = Decoder().feed(data)
-    decoded = (AnswerFrame if is_answer else RequestFrame).decode(frame)
+    decoded = (ReplyFrame if is_answer else RequestFrame).decode(frame)
     return decoded.number, decoded.message
 
 
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from dewpin.cluster import rpc
+from dewpin.cluster.rpc.client import ClientConnection
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Promise, Proposal, Replica, proposal
 from dewpin.consensus.replica import ZERO_BALLOT, Accepted
@@ -299,9 +299,9 @@
 
 def use_the_numbers_of_calls_again(patch: Patch) -> None:
     def least_free(self: Any) -> int:
-        return next(number for number in itertools.count(1) if number not in self._waiting)
+        return next(number for number in itertools.count(1) if number not in self._pending)
 
-    patch.setattr(rpc._ClientConnection, "_number", property(least_free, lambda self, number: None), raising=False)
+    patch.setattr(ClientConnection, "_number", property(least_free, lambda self, number: None), raising=False)
 
 
 def let_a_store_go_before_one_has_copied(patch: Patch) -> None:
--- a/tests/simulation/loop.py
+++ b/tests/simulation/loop.py
@@ -7,7 +7,7 @@
 from dewpin.lab.network import Network
 
 USER_TIMEOUT_S = 2.0
-"""What the programs set as TCP_USER_TIMEOUT (`dewpin/cluster/rpc.py`)."""
+"""What the programs set as TCP_USER_TIMEOUT (`dewpin/cluster/rpc`)."""
 
 _numbers = itertools.count()
 
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from dewpin.cluster import relay_service, rpc
+from dewpin.cluster import relay_service
+from dewpin.cluster.rpc.client import ClientConnection
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import proposal
 from dewpin.controlplane import operator_api
@@ -258,10 +259,10 @@
 
 
 def _take_an_answer_without_its_number():
-    receive = rpc._ClientConnection.data_received
+    receive = ClientConnection.data_received
 
     def received(self, data):
-        waiting = self._waiting
+        waiting = self._pending
 
         class InTheirOrder(dict):
             def pop(self, number, default=None):
@@ -269,13 +270,13 @@
                 _deviates(first != number)
                 return waiting.pop(first, default)
 
-        self._waiting = InTheirOrder(waiting)
+        self._pending = InTheirOrder(waiting)
         try:
             receive(self, data)
         finally:
-            self._waiting = waiting
+            self._pending = waiting
 
-    rpc._ClientConnection.data_received = received
+    ClientConnection.data_received = received
 
 
 def _count_a_copied_ledger_as_a_vote():
