--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -10,7 +10,7 @@
 from dewpin.controlplane.platform_list_reader import READINGS_IN_DRAIN
 from dewpin.controlplane.register.system_state import MOST_REMEMBERED_CONFIGURATIONS
 from dewpin.controlplane.storage import MAX_JOBS_IN_COMMIT
-from dewpin.dataplane.membership.cluster_agent import RENEWALS_IN_BOUND
+from dewpin.dataplane.membership.lease_renewer import RENEWALS_PER_APPLY_TIME as RENEWALS_IN_BOUND
 from dewpin.dataplane.programs.history_cache import DEFAULT_MAX_BYTES as CHAIN_CACHE_BYTES
 
 __all__ = [
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -79,7 +79,7 @@
         agent = self.agent
         if self.stopping.is_set() or agent is None:
             return False
-        if not agent.hears_control or not agent.confirmation.is_confirmed:
+        if not agent.has_control_plane_contact or not agent.confirmation.is_confirmed:
             return False
         return self.state.configuration is not None and bool(self.state.receivers) and self.state.store_view is not None
 
@@ -91,7 +91,7 @@
             self.hangup.clear()
             settings = watch.poll()
             if settings is not None and self.agent is not None:
-                self.loop.call_soon_threadsafe(self.agent.take_settings, settings)
+                self.loop.call_soon_threadsafe(self.agent.apply_settings, settings)
 
     def _run_loop(self) -> None:
         asyncio.set_event_loop(self.loop)
@@ -104,14 +104,19 @@
         location = location_of(self.settings.region, self.settings.zone)
         self._store_client = StoreClient(client, replica_count, location=location)
         agent = ClusterAgent(
-            self.settings, client, random.Random(), self._on_state, self._on_receivers, on_senders=self._on_senders
+            self.settings,
+            client,
+            random.Random(),
+            self._on_state,
+            self._on_receivers,
+            on_sender_count=self._on_sender_count,
         )
         server = RpcServer(agent.handlers)
         await server.start(*split_address(agent.address))
         agent.start()
         self.agent = agent
-        self.state.is_cut_off = lambda: not agent.hears_control
-        self.state.is_current = agent.knows_current_state
+        self.state.is_cut_off = lambda: not agent.has_control_plane_contact
+        self.state.is_current = agent.is_state_current
         self._started.set()
 
     def _stop_agent(self, within_s: float) -> None:
@@ -145,8 +150,8 @@
     def _on_receivers(self, directory: ReceiverDirectory) -> None:
         self.state.receivers = directory.by_service()
 
-    def _on_senders(self, senders: int) -> None:
-        self.state.senders = senders
+    def _on_sender_count(self, sender_count: int) -> None:
+        self.state.sender_count = sender_count
 
 
 def drain_s(grace_s: float) -> float:
--- a/dewpin/dataplane/errors.py
+++ b/dewpin/dataplane/errors.py
@@ -7,10 +7,12 @@
     ├── http11.messages.IncompleteBodyError
     ├── ingress.client_connection.ClientDisconnectedError    also a ConnectionError
     ├── ingress.client_connection.MessageTooLargeError       also a ValueError
+    ├── programs.errors.StaleViewError
     ├── upstream.outcome.IncompleteResponseError
     └── upstream.receiver_socket.RequestNotSentError         also a ConnectionError
 
-An error that is reported to a client is a `cluster.errors.TierError` instead.
+An error that is reported to a client is a `cluster.errors.TierError` instead; those of the stores' client are
+`programs.errors.ProgramStoreError`s.
 """
 
 
--- a/dewpin/dataplane/load_balancing/balancer.py
+++ b/dewpin/dataplane/load_balancing/balancer.py
@@ -183,7 +183,7 @@
             granted.wait(wake_at - now)
 
     def _refresh(self, service: str) -> None:
-        self._allocator.sender_count = self._state.senders
+        self._allocator.sender_count = self._state.sender_count
         self._allocator.update_receivers(service, self._state.receivers.get(service, ()))
 
     def _grant_queued(self, service: str) -> None:
--- a/dewpin/dataplane/membership/local_system_state.py
+++ b/dewpin/dataplane/membership/local_system_state.py
@@ -1,4 +1,8 @@
-"""The system state that a sender holds whole, and the newest one that it was told of, whose body may be on its way."""
+"""The system state that a sender has.
+
+A new state may arrive without the body of its configuration, which is fetched then. Until it is here, the former
+configuration stays in force with everything else of the new state.
+"""
 
 from __future__ import annotations
 
@@ -7,72 +11,81 @@
 
 
 class LocalSystemState:
-    """`whole`: the newest state whose configuration is here with its body; `told`: the newest state told of, which is
-    the same one unless its body is lacking."""
+    """The newest system state, and the newest one that is complete.
+
+    newest: the newest state that was received; None before the first.
+    complete: the newest state whose configuration is here with its body; None before the first.
+
+    Invariant: they are the same object unless the body of `newest` is missing.
+    """
 
     def __init__(self) -> None:
-        self.whole: StateJson | None = None
-        self.told: StateJson | None = None
+        self.complete: StateJson | None = None
+        self.newest: StateJson | None = None
 
     @property
-    def told_version(self) -> int:
-        """The version of the newest state told of; -1 before the first."""
-        return int(self.told["version"]) if self.told is not None else -1
+    def newest_version(self) -> int:
+        """The version of the newest state; -1 before the first."""
+        return int(self.newest["version"]) if self.newest is not None else -1
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the newest state told of is held whole."""
-        return self.whole is self.told
+    def is_complete(self) -> bool:
+        """Whether the newest state is complete."""
+        return self.complete is self.newest
 
     @property
     def generation(self) -> int:
-        """Of the configuration whose body is held; 0: of none."""
-        return generation_of(self.whole)
+        """The generation of the configuration whose body is here; 0 without one."""
+        return generation_of(self.complete)
 
     @property
-    def lacking(self) -> BodyName | None:
-        """The body that the newest state lacks."""
-        if self.told is None or self.is_whole:
+    def missing_body(self) -> BodyName | None:
+        """The body that the newest state lacks, None if it is complete."""
+        if self.newest is None or self.is_complete:
             return None
-        configuration = self.told["configuration"]
+        configuration = self.newest["configuration"]
         return BodyName(str(configuration["digest"]), int(configuration["base"]))
 
     @property
-    def in_force(self) -> StateJson:
-        """The newest state, with the configuration that is held whole in place of one whose body is on its way."""
-        assert self.told is not None
-        if self.is_whole:
-            return self.told
-        return {**self.told, "configuration": self.whole.get("configuration") if self.whole is not None else None}
+    def effective(self) -> StateJson:
+        """The newest state, with the last complete configuration in place of one whose body is missing."""
+        assert self.newest is not None
+        if self.is_complete:
+            return self.newest
+        configuration = self.complete.get("configuration") if self.complete is not None else None
+        return {**self.newest, "configuration": configuration}
 
     def body_of(self, digest: str) -> str | None:
-        """The body with that digest, if it is the one held."""
-        configuration = self.whole.get("configuration") if self.whole is not None else None
+        """Return the body with that digest, None if another one or none is here."""
+        configuration = self.complete.get("configuration") if self.complete is not None else None
         if configuration is None or configuration.get("digest") != digest:
             return None
         return str(configuration["body"])
 
-    def take(self, state: StateJson) -> bool:
-        """Takes a state told of; whether it brought anything. KeyError or ValueError for one that can't be used."""
-        state = self._with_held_body(state)
-        completes = has_body(state) and not self.is_whole and state["version"] == self.told_version
-        if state["version"] <= self.told_version and not completes:
+    def update(self, state: StateJson) -> bool:
+        """Use a received state if it is newer, or completes the newest one; return whether it was used.
+
+        Raises KeyError or ValueError for a state that cannot be used.
+        """
+        state = self._with_known_body(state)
+        completes = has_body(state) and not self.is_complete and state["version"] == self.newest_version
+        if state["version"] <= self.newest_version and not completes:
             return False
         if has_body(state):
-            self.whole = state
+            self.complete = state
         else:
             int(state["configuration"]["base"])
-        self.told = state
+        self.newest = state
         return True
 
-    def take_body(self, digest: str, body: str) -> bool:
-        """Takes a body that was checked; whether the newest state is whole with it."""
-        if self.told is None or self.lacking is None or self.lacking.digest != digest:
+    def add_body(self, digest: str, body: str) -> bool:
+        """Add a body that was checked; return whether it was the missing one."""
+        if self.newest is None or self.missing_body is None or self.missing_body.digest != digest:
             return False
-        self.told = self.whole = _with_body(self.told, body)
+        self.newest = self.complete = _with_body(self.newest, body)
         return True
 
-    def _with_held_body(self, state: StateJson) -> StateJson:
+    def _with_known_body(self, state: StateJson) -> StateJson:
         if has_body(state):
             return state
         body = self.body_of(str(state["configuration"]["digest"]))
--- a/dewpin/dataplane/membership/receiver_list.py
+++ b/dewpin/dataplane/membership/receiver_list.py
@@ -1,5 +1,5 @@
-"""The list of receivers as a sender has it: copies that come down the relay tree, and its own readings where none come
-in time."""
+"""The list of receivers of a sender: copies that arrive through the relay tree, and its own readings of the platform's
+list where no copy arrives in time."""
 
 from __future__ import annotations
 
@@ -15,14 +15,23 @@
 log = logging.getLogger(__name__)
 
 STALE_SHARE_OF_DRAIN = 0.6
+"""A list is stale once it is older than this share of the time for which a draining receiver goes on."""
 OWN_READING_SHARE_OF_DRAIN = 0.4
+"""Minimum time between two own readings, as a share of the same time."""
 OWN_READINGS_SHARE_OF_RATE = 0.5
+"""Share of the platform's rate limit that all senders together use for own readings."""
 ASSUMED_SENDERS = 8
+"""Number of senders to assume while it is unknown."""
 UNKNOWN_AGE_S = 1e9
 
 
 class ReceiverList:
-    """`on_receivers` is called with the directory whenever it has changed."""
+    """The directory of receivers and the age of the list that it comes from.
+
+    directory: the receivers and the version of the shared list.
+    on_receivers: called with the directory whenever it has changed.
+    clock: monotonic, in seconds.
+    """
 
     def __init__(
         self,
@@ -38,61 +47,61 @@
         self._clock = clock
         self._shared_read_s = float("-inf")
         self._own_read_s = float("-inf")
-        self._own_reading_began_s = float("-inf")
+        self._own_reading_started_s = float("-inf")
 
     def age_s(self) -> float:
-        """How long ago the list that the receivers come from was read, by anybody."""
+        """Return how long ago the list that the receivers come from was read, by this sender or another process."""
         return min(self._clock() - max(self._shared_read_s, self._own_read_s), UNKNOWN_AGE_S)
 
     def shared_age_s(self) -> float:
-        """The same of the version that is shared with others, without the own readings."""
+        """Return the same of the version that is shared with other processes, without own readings."""
         return min(self._clock() - self._shared_read_s, UNKNOWN_AGE_S)
 
     def take_copy(self, version: DirectoryVersion, receivers: Iterable[Receiver], read_s: float) -> bool:
-        """Takes another's list, read at `read_s`; whether it is newer than the one here."""
+        """Use a list that another process read at `read_s`, if it is newer; return whether it is."""
         if not self.directory.take_copy(version, receivers):
             return False
         self._shared_read_s = read_s
-        self._own_read_s = float("-inf")  # the copy took the place of what was read here
+        self._own_read_s = float("-inf")  # the copy replaced what was read here
         self._on_receivers(self.directory)
         return True
 
-    def note_age(self, version: DirectoryVersion, read_s: float) -> None:
-        """Takes when another's list was read, if that is of the version held here: else its content may be missing."""
+    def record_reading(self, version: DirectoryVersion, read_s: float) -> None:
+        """Record when a list was read, if it is of the version here: the content of another version may differ."""
         if version == self.directory.version:
             self._shared_read_s = max(self._shared_read_s, read_s)
 
     async def pause(self, settings: Settings) -> None:
-        """Waits until the list's age is to be looked at again."""
+        """Wait until the list's age is to be checked again."""
         await asyncio.sleep(settings.bounds.drain_ms / 1000 / 10 * (0.8 + 0.4 * self._rng.random()))
 
-    async def read_if_stale(self, settings: Settings, senders: int) -> None:
-        """Reads the platform's list if the one here is too old and an own reading is due among so many senders."""
+    async def read_if_stale(self, settings: Settings, sender_count: int) -> None:
+        """Read the platform's list if the one here is stale and an own reading is due, given the number of senders."""
         if self.age_s() < STALE_SHARE_OF_DRAIN * settings.bounds.drain_ms / 1000:
             return
-        if self._clock() - self._own_reading_began_s >= _own_reading_period_s(settings, senders):
-            self._own_reading_began_s = self._clock()
+        if self._clock() - self._own_reading_started_s >= _own_reading_period_s(settings, sender_count):
+            self._own_reading_started_s = self._clock()
             await self._read(settings)
 
     async def _read(self, settings: Settings) -> None:
         cloud = settings.cloud
         if cloud is None:
             return
-        began_s = self._clock()
+        started_s = self._clock()
         try:
             receivers = await self._platform.read(cloud.address)
-        except PlatformUnavailableError as fault:
-            log.info("receivers.list_unavailable", extra={"why": str(fault)})
+        except PlatformUnavailableError as error:
+            log.info("receivers.list_unavailable", extra={"why": str(error)})
             return
-        self._own_read_s = max(self._own_read_s, began_s)
+        self._own_read_s = max(self._own_read_s, started_s)
         if self.directory.take_private_reading(receivers):
             self._on_receivers(self.directory)
 
 
-def _own_reading_period_s(settings: Settings, senders: int) -> float:
-    """So long that all senders together, each reading for itself, stay within the platform's rate."""
+def _own_reading_period_s(settings: Settings, sender_count: int) -> float:
+    """Return a period so long that all senders together, each reading for itself, respect the platform's rate limit."""
     period_s = OWN_READING_SHARE_OF_DRAIN * settings.bounds.drain_ms / 1000
     cloud = settings.cloud
     if cloud is None or cloud.rate_per_s <= 0:
         return period_s
-    return max(period_s, (senders or ASSUMED_SENDERS) / (OWN_READINGS_SHARE_OF_RATE * cloud.rate_per_s))
+    return max(period_s, (sender_count or ASSUMED_SENDERS) / (OWN_READINGS_SHARE_OF_RATE * cloud.rate_per_s))
--- a/dewpin/dataplane/membership/sender_count.py
+++ b/dewpin/dataplane/membership/sender_count.py
@@ -1,26 +1,26 @@
-"""How many senders live, from the answers to a sender's renewals.
+"""How many senders are alive, from the grants of a sender's lease.
 
-Each control plane process counts the leases that it granted itself: one that was just started knows few of them. The
-greatest count of the last few rounds is the one to go by.
+Each control server counts the leases that it granted itself: one that was just started knows few of them. So the
+greatest count of the last few grants is used.
 """
 
 from __future__ import annotations
 
 SETTLING_SHARE = 0.5
-"""Of a lease's duration, for which the first counts are too small to go by."""
+"""Share of a lease's duration during which the first counts are too small to use."""
 
 
 class SenderCount:
-    """The counts told lately. Times are of the steady clock."""
+    """The counts received lately. Times are in seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self._told: list[tuple[float, int]] = []
-        self._known_from_s: float | None = None
+        self._counts: list[tuple[float, int]] = []
+        self._usable_from_s: float | None = None
 
-    def told(self, count: int, duration_s: float, now_s: float) -> int:
-        """Takes a count from the answer to a renewal; returns the one to go by, or 0 while it is too early to tell."""
-        if self._known_from_s is None:
-            self._known_from_s = now_s + SETTLING_SHARE * duration_s
-        self._told = [(at_s, one) for at_s, one in self._told if now_s - at_s < duration_s]
-        self._told.append((now_s, count))
-        return max(one for _, one in self._told) if now_s >= self._known_from_s else 0
+    def update(self, count: int, lease_duration_s: float, now_s: float) -> int:
+        """Add the count of a grant; return the number of senders to assume, or 0 while it is too early to know."""
+        if self._usable_from_s is None:
+            self._usable_from_s = now_s + SETTLING_SHARE * lease_duration_s
+        self._counts = [(at_s, one) for at_s, one in self._counts if now_s - at_s < lease_duration_s]
+        self._counts.append((now_s, count))
+        return max(one for _, one in self._counts) if now_s >= self._usable_from_s else 0
--- a/dewpin/dataplane/membership/state_confirmation.py
+++ b/dewpin/dataplane/membership/state_confirmation.py
@@ -1,41 +1,45 @@
-"""As of when a majority has confirmed the system state that this sender holds."""
+"""As of when a majority has confirmed the system state that this sender has."""
 
 from __future__ import annotations
 
+_NEVER_S = float("-inf")
+
 
 class StateConfirmation:
-    """Times are of the steady clock. `started_s`: when this sender did.
+    """The times of confirmations, in seconds of the monotonic clock; `started_s` is when this sender started.
+
+    The newest state may lack its body for a while. A confirmation of it confirms the complete state only where the two
+    are the same.
 
-    The newest state that this sender was told of may lack its body for a while. What confirms that one confirms what is
-    held only where that is the same: what is held whole is never confirmed behind the version told.
+    Invariant: the complete state is never confirmed later than the newest one.
     """
 
     def __init__(self, started_s: float) -> None:
         self._started_s = started_s
-        self._told_s = float("-inf")
-        self._held_s = float("-inf")
-        self._is_whole = True
+        self._newest_confirmed_s = _NEVER_S
+        self._complete_confirmed_s = _NEVER_S
+        self._is_complete = True
 
     def confirm(self, as_of_s: float) -> None:
-        """Notes that nothing newer than the newest state told of here was chosen before `as_of_s`."""
-        self._told_s = max(self._told_s, as_of_s)
-        self.note_held(self._is_whole)
+        """Record that no state newer than the newest one here was chosen before `as_of_s`."""
+        self._newest_confirmed_s = max(self._newest_confirmed_s, as_of_s)
+        self.set_complete(self._is_complete)
 
-    def note_held(self, is_whole: bool) -> None:
-        """Notes whether the newest state told of is held whole."""
-        self._is_whole = is_whole
-        if is_whole:
-            self._held_s = self._told_s
+    def set_complete(self, is_complete: bool) -> None:
+        """Record whether the newest state is complete."""
+        self._is_complete = is_complete
+        if is_complete:
+            self._complete_confirmed_s = self._newest_confirmed_s
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a majority has confirmed the state held since this sender started."""
-        return self._held_s >= self._started_s
+        """Whether a majority has confirmed the complete state since this sender started."""
+        return self._complete_confirmed_s >= self._started_s
 
     def age_s(self, now_s: float) -> float:
-        """How long ago the state held was the newest for sure; infinite before the first word."""
-        return now_s - self._held_s
+        """Return how long ago the complete state was certainly the newest; infinite before the first confirmation."""
+        return now_s - self._complete_confirmed_s
 
-    def told_age_s(self, now_s: float) -> float:
-        """The same of the newest state told of."""
-        return now_s - self._told_s
+    def newest_age_s(self, now_s: float) -> float:
+        """Return the same of the newest state, which may be incomplete."""
+        return now_s - self._newest_confirmed_s
--- a/dewpin/dataplane/programs/errors.py
+++ b/dewpin/dataplane/programs/errors.py
@@ -1,12 +1,13 @@
 """The errors that the client of the stores raises.
 
-All of them are `TierError`s, so one that reaches the request handler becomes a response through the table of
-`dewpin.cluster.errors`.
+A `ProgramStoreError` is a `TierError`: the request handler makes a response of it through the table of
+`dewpin.cluster.errors`. A `StaleViewError` stays within this package.
 """
 
 from __future__ import annotations
 
 from dewpin.cluster.errors import ErrorKind, TierError
+from dewpin.dataplane.errors import DataplaneError
 
 
 class ProgramStoreError(TierError):
@@ -34,11 +35,5 @@
         super().__init__(ErrorKind.STORE_UNAVAILABLE, detail)
 
 
-class StaleViewError(ProgramStoreError):
-    """A newer store view is known: what was started under the older one has to be started again.
-
-    The client of the stores handles it itself; no caller of a `ProgramStore` sees it.
-    """
-
-    def __init__(self, detail: str = "") -> None:
-        super().__init__(ErrorKind.STALE_EPOCH, detail)
+class StaleViewError(DataplaneError):
+    """A newer store view is known: what was started under the older one has to be started again."""
--- a/tests/controlplane/test_bodies_for_senders.py
+++ b/tests/controlplane/test_bodies_for_senders.py
@@ -68,11 +68,11 @@
             self.called.append((source, target, message["offset"]))
 
     def is_fetching(self, number):
-        return self.agents[number].states.lacking is not None
+        return self.agents[number].knowledge.system_state.missing_body is not None
 
     def below(self):
         """A sender that has a parent."""
-        return next(number for number, agent in self.agents.items() if agent.parents())
+        return next(number for number, agent in self.agents.items() if agent.knowledge.sources.parents())
 
     def number_of(self, address):
         return next(number for number, agent in self.agents.items() if agent.address == address)
@@ -136,7 +136,10 @@
         asked, sent = len(fleet.called), fleet.network.bytes
         version = fleet.newest()["version"]
         await fleet.control_servers[1].register.propose(start_retirement("store-3", 1), 0.85)
-        await fleet.until(lambda: all(agent.state["version"] > version for agent in fleet.agents.values()), 20.0)
+        await fleet.until(
+            lambda: all(agent.knowledge.system_state.complete["version"] > version for agent in fleet.agents.values()),
+            20.0,
+        )
         assert len(fleet.called) == asked
         assert fleet.network.bytes - sent < len(body) / 2
         assert fleet.all_have(body)()
@@ -150,8 +153,8 @@
         body = await fleet.order(8, 7, LONGEST)
         await fleet.until(lambda: fleet.is_fetching(1))
         number = 1
-        take = fleet.agents[number]._on_state
-        fleet.agents[number]._on_state = lambda state: (epochs.update(now=state["retiring"]), take(state))
+        take = fleet.agents[number].knowledge._on_state
+        fleet.agents[number].knowledge._on_state = lambda state: (epochs.update(now=state["retiring"]), take(state))
         await fleet.control_servers[1].register.propose(start_retirement("store-3", 1), 0.85)
         await fleet.until(lambda: epochs.get("now") == ["store-3"], APPLY_S)
         assert fleet.is_fetching(1)
@@ -211,7 +214,7 @@
 
         def done():
             for number, agent in fleet.agents.items():
-                shunned.update((number, one) for one in agent._shunned_until_s)
+                shunned.update((number, one) for one in agent._subscription._failed_until_s)
             return fleet.all_have(body)()
 
         assert await fleet.until(done, 40.0) > APPLY_S
@@ -223,7 +226,7 @@
 def test_a_fetch_that_broke_off_goes_on_where_it_was_at_another_source():
     async def scene(fleet):
         number = fleet.below()
-        parent = fleet.agents[number].parents()[0]
+        parent = fleet.agents[number].knowledge.sources.parents()[0]
         body = await fleet.order(8, 7)
         await fleet.until(lambda: len([1 for _, source, _ in fleet.pages_asked(number) if source == parent]) > 5)
         fleet.network.down.add(parent)
@@ -240,7 +243,7 @@
 def test_pages_are_passed_on_before_the_body_is_whole():
     async def scene(fleet):
         number = fleet.below()
-        parent = fleet.agents[number].parents()[0]
+        parent = fleet.agents[number].knowledge.sources.parents()[0]
         above = fleet.number_of(parent)
         await fleet.order(8, 7, LONGEST)
         await fleet.until(lambda: not fleet.is_fetching(above) and fleet.generations[above] == 8, 20.0)
@@ -280,7 +283,7 @@
 def test_other_bytes_than_the_digest_says_are_not_taken_and_come_from_a_control_server_then():
     async def scene(fleet):
         number = fleet.below()
-        parent = fleet.agents[number].parents()[0]
+        parent = fleet.agents[number].knowledge.sources.parents()[0]
         handlers = fleet.network.handlers[parent]
         honest = handlers[RELAY_BODY]
 
--- a/tests/controlplane/test_currency_random.py
+++ b/tests/controlplane/test_currency_random.py
@@ -43,7 +43,7 @@
                 assert self.fleet.generation(number) >= self.newest_before(now_s - self.bound_s)
         for number, agent in self.fleet.agents.items():
             assert self.fleet.generations[number] >= self.newest_before(now_s - agent.confirmation.age_s(now_s))
-            if agent.knows_current_state():
+            if agent.is_state_current():
                 self.looks["sender"] += 1
                 assert self.fleet.generations[number] >= self.newest_before(now_s - APPLY_S)
             if self.fleet.is_ready(number) and self.ready.get(number) is not agent:
@@ -80,7 +80,7 @@
     def is_well(self, number):
         agent = self.fleet.agents[number]
         newest = max(generation for _, generation in self.observer.acknowledged)
-        return self.fleet.is_ready(number) and agent.knows_current_state() and self.fleet.generations[number] >= newest
+        return self.fleet.is_ready(number) and agent.is_state_current() and self.fleet.generations[number] >= newest
 
     def start_sender(self, number):
         for task in self.fleet.agents[number]._tasks if number in self.fleet.agents else ():
--- a/tests/controlplane/test_senders_and_control_servers.py
+++ b/tests/controlplane/test_senders_and_control_servers.py
@@ -66,7 +66,7 @@
     def is_ready(self, number):
         """Whether a sender would tell clients to come, as the program of a sender decides it."""
         agent = self.agents[number]
-        return agent.hears_control and agent.confirmation.is_confirmed and self.generations[number] > 0
+        return agent.has_control_plane_contact and agent.confirmation.is_confirmed and self.generations[number] > 0
 
     def reaches_only(self, number, *control):
         """Cuts a sender off from all control processes and senders but these control processes."""
@@ -249,19 +249,19 @@
         await lose(fleet, "cut_from_control_servers", 3)
         fleet.reaches_only(1, 3)
         agent = fleet.agents[1]
-        await fleet.until(lambda: not agent.knows_current_state())
+        await fleet.until(lambda: not agent.is_state_current())
         await fleet.put(1, 8, 7)
-        seen = await watched(fleet, CUT_S, lambda: (fleet.is_ready(1), agent.knows_current_state()))
+        seen = await watched(fleet, CUT_S, lambda: (fleet.is_ready(1), agent.is_state_current()))
         assert seen == [(True, False)] * len(seen)
         fleet.network.join()
-        return await fleet.until(lambda: agent.knows_current_state() and fleet.generations[1] == 8)
+        return await fleet.until(lambda: agent.is_state_current() and fleet.generations[1] == 8)
 
     assert play(2, scene) < APPLY_S
 
 
 def test_a_sender_counts_its_state_as_current_in_calm_times():
     async def scene(fleet, rng):
-        return await watched(fleet, 30.0, lambda: all(agent.knows_current_state() for agent in fleet.agents.values()))
+        return await watched(fleet, 30.0, lambda: all(agent.is_state_current() for agent in fleet.agents.values()))
 
     assert all(play(4, scene))
 
@@ -293,9 +293,9 @@
         child = fleet.agents[NEWCOMER]
         fleet.reaches_only(NEWCOMER)
         fleet.network.cuts -= {frozenset((child.address, parent.address))}
-        child._parents = [parent.address]
+        child.knowledge.sources.set_parents([parent.address])
         seen = await watched(fleet, 5.0, lambda: child.confirmation.is_confirmed)
-        return any(seen), child.state
+        return any(seen), child.knowledge.system_state.complete
 
     assert play(5, scene) == (False, None)
 
--- a/tests/dataplane/agent_world.py
+++ b/tests/dataplane/agent_world.py
@@ -129,13 +129,14 @@
         self.platform = [receiver()]
         self.platform_down = False
         self.states = []
+        self.on_state = lambda state: self.states.append(state["version"])
         self.drained = []
         self.counts = []
         self.agent = ClusterAgent(
             settings(seeds, rate_per_s),
             self,
             random.Random(5),
-            lambda state: self.states.append(state["version"]),
+            lambda state: self.on_state(state),
             lambda directory: self.drained.append([one.draining for one in directory.receivers.values()]),
             lambda: self.now_s,
             self,
--- a/tests/dataplane/test_agent_receiver_list.py
+++ b/tests/dataplane/test_agent_receiver_list.py
@@ -12,7 +12,7 @@
     async def scene(world):
         changed = settings()
         cloud = dataclasses.replace(changed.cloud, address="10.8.0.2:80")
-        world.agent.take_settings(dataclasses.replace(changed, cloud=cloud))
+        world.agent.apply_settings(dataclasses.replace(changed, cloud=cloud))
         for one in world.control_servers:
             one.up = False
         await world.until(lambda: world.own_readings)
@@ -54,7 +54,7 @@
             one.directory = ReceiverDirectory()
             one.directory.take_reading([receiver()], "a")
         await asyncio.sleep(DRAIN_S)
-        return world.agent.list_age_s(), len(world.own_readings)
+        return world.agent.receiver_list_age_s(), len(world.own_readings)
 
     age_s, readings = play(scene)
     assert readings >= 1 and age_s < DRAIN_S
@@ -68,7 +68,7 @@
         await asyncio.sleep(5.0)
         version = {"state_version": 1, "receivers_version": world.agent.directory.version}
         news = await world.agent.handlers["relay.watch"]({"type": "relay.watch", "wait": True, **version})
-        return news["list_age_s"], world.agent.list_age_s()
+        return news["list_age_s"], world.agent.receiver_list_age_s()
 
     shared_s, own_s = play(scene)
     assert shared_s > 5.0
--- a/tests/dataplane/test_body_fetch.py
+++ b/tests/dataplane/test_body_fetch.py
@@ -37,7 +37,7 @@
         client = Client([OSError("no descriptor is left"), RuntimeError("a fault of the program")])
         clock = asyncio.get_running_loop().time
         fetch = BodyFetch(client, "me", Sources(), lambda: None, lambda digest, body: taken.append(body), clock)
-        fetch.want(name)
+        fetch.fetch(name)
         await asyncio.sleep(5.0)
         return taken
 
--- a/tests/dataplane/test_cluster_agent.py
+++ b/tests/dataplane/test_cluster_agent.py
@@ -9,7 +9,7 @@
 
 def test_a_sender_learns_state_and_receivers_and_holds_a_lease():
     async def scene(world):
-        return world.agent.hears_control, world.states, world.drained
+        return world.agent.has_control_plane_contact, world.states, world.drained
 
     assert play(scene) == (True, [1], [[False]])
 
@@ -153,7 +153,7 @@
             world.control_server(number).up = False
         world.sources[control_server_address(7)] = Source(world, control_server_address(7))
         world.sources[control_server_address(7)].set_version(2)
-        world.agent.take_settings(settings(seeds=(7,)))
+        world.agent.apply_settings(settings(seeds=(7,)))
         return await world.until(lambda: world.states[-1] == 2)
 
     assert play(scene) < APPLY_S
@@ -189,10 +189,10 @@
 def test_a_callback_that_fails_does_not_end_the_agent():
     async def scene(world):
         def fail(state):
-            world.agent._on_state = lambda state: world.states.append(state["version"])
+            world.on_state = lambda state: world.states.append(state["version"])
             raise ZeroDivisionError("a fault of the callback")
 
-        world.agent._on_state = fail
+        world.on_state = fail
         for one in world.control_servers:
             one.set_version(2)
         await asyncio.sleep(2.0)
--- a/tests/dataplane/test_confirmed_state.py
+++ b/tests/dataplane/test_confirmed_state.py
@@ -22,7 +22,7 @@
             one.read(receiver(), receiver(one="i-2"))
             one.up = True
         await world.until(lambda: len(world.drained[-1]) == 2)
-        return world.agent.list_age_s() - (world.now_s - read_s)
+        return world.agent.receiver_list_age_s() - (world.now_s - read_s)
 
     assert play(scene) >= -1e-6
 
@@ -36,7 +36,7 @@
         ages_s = []
         for _ in range(300):
             await asyncio.sleep(0.01)
-            ages_s.append(world.agent.list_age_s())
+            ages_s.append(world.agent.receiver_list_age_s())
         return min(ages_s)
 
     assert play(scene) >= 0.1 + 0.3
@@ -73,7 +73,7 @@
         began_s = world.now_s
         await asyncio.sleep(20.0)
         asked = sum(1 for at_s, address, _ in world.calls if address == control_server_address(3) and at_s >= began_s)
-        assert world.agent.hears_control
+        assert world.agent.has_control_plane_contact
         world.control_server(3).refuses = False
         world.control_server(3).set_version(2)
         return asked / 20.0, await world.until(lambda: world.states[-1] == 2)
@@ -92,7 +92,7 @@
         parent.news_age_s = None
         for one in world.control_servers:
             one.refuses = True
-        world.agent._parents = [parent.address]
+        world.agent.knowledge.sources.set_parents([parent.address])
         return await is_confirmed_soon(world)
 
     assert run(begin()) is False
--- a/tests/dataplane/test_control_server_list.py
+++ b/tests/dataplane/test_control_server_list.py
@@ -11,69 +11,69 @@
 
 def test_all_are_asked_in_turn():
     control_servers = made("a", "b", "c")
-    asked = [control_servers.next(float(number)) for number in range(6)]
+    asked = [control_servers.choose_next(float(number)) for number in range(6)]
     assert sorted(asked[:3]) == ["a", "b", "c"] and asked[3:] == asked[:3]
 
 
 def test_one_that_is_named_is_asked_as_well():
     control_servers = made("a")
-    control_servers.named(["a", "b"], 0.0)
-    assert {control_servers.next(1.0), control_servers.next(2.0)} == {"a", "b"}
+    control_servers.add(["a", "b"], 0.0)
+    assert {control_servers.choose_next(1.0), control_servers.choose_next(2.0)} == {"a", "b"}
 
 
 def test_one_that_failed_is_left_alone_for_a_moment():
     control_servers = made("a", "b")
-    control_servers.failed("a", 0.0)
-    assert [control_servers.next(0.1), control_servers.next(0.2)] == ["b", "b"]
+    control_servers.record_failure("a", 0.0)
+    assert [control_servers.choose_next(0.1), control_servers.choose_next(0.2)] == ["b", "b"]
     assert control_servers.usable(RETRY_AFTER_S - 0.1) == ["b"]
-    assert control_servers.next(RETRY_AFTER_S) == "a"
+    assert control_servers.choose_next(RETRY_AFTER_S) == "a"
 
 
 def test_an_answer_ends_the_wait():
     control_servers = made("a", "b")
-    control_servers.failed("a", 0.0)
-    control_servers.answered("a", 0.1)
+    control_servers.record_failure("a", 0.0)
+    control_servers.record_answer("a", 0.1)
     assert sorted(control_servers.usable(0.1)) == ["a", "b"]
 
 
 def test_where_all_failed_they_are_asked_in_turn_all_the_same():
     control_servers = made("a", "b")
     for one in "ab":
-        control_servers.failed(one, 0.0)
-    assert {control_servers.next(0.1), control_servers.next(0.2)} == {"a", "b"}
+        control_servers.record_failure(one, 0.0)
+    assert {control_servers.choose_next(0.1), control_servers.choose_next(0.2)} == {"a", "b"}
 
 
 def test_one_that_names_only_itself_makes_nobody_forget_the_others():
     control_servers = made("a")
-    control_servers.named(["a", "b", "c"], 0.0)
+    control_servers.add(["a", "b", "c"], 0.0)
     for now_s in range(1, int(FORGET_AFTER_S)):
-        control_servers.named(["a"], float(now_s))
+        control_servers.add(["a"], float(now_s))
     assert sorted(control_servers.all()) == ["a", "b", "c"]
-    control_servers.named(["a"], FORGET_AFTER_S + 0.1)
+    control_servers.add(["a"], FORGET_AFTER_S + 0.1)
     assert control_servers.all() == ["a"]
 
 
 def test_one_that_answers_is_not_forgotten():
     control_servers = made("a")
-    control_servers.named(["b"], 0.0)
-    control_servers.answered("b", FORGET_AFTER_S)
-    control_servers.named(["a"], FORGET_AFTER_S + 1.0)
+    control_servers.add(["b"], 0.0)
+    control_servers.record_answer("b", FORGET_AFTER_S)
+    control_servers.add(["a"], FORGET_AFTER_S + 1.0)
     assert sorted(control_servers.all()) == ["a", "b"]
 
 
 def test_new_seeds_are_asked_and_old_ones_are_forgotten_in_time():
     control_servers = made("a", "b")
-    control_servers.answered("a", 0.0)
+    control_servers.record_answer("a", 0.0)
     control_servers.set_seeds(["c"])
     assert sorted(control_servers.all()) == ["a", "b", "c"]
-    control_servers.named(["c"], 1.0)
+    control_servers.add(["c"], 1.0)
     assert sorted(control_servers.all()) == ["a", "c"]
 
 
 def test_settings_without_seeds_change_nothing():
     control_servers = made("a")
     control_servers.set_seeds([])
-    control_servers.named([], 1000.0)
+    control_servers.add([], 1000.0)
     assert control_servers.all() == ["a"]
 
 
@@ -82,12 +82,12 @@
     control_servers = made("a", "b", "c", "d", "e")
     dead, asked, now_s = {"a", "b", "c"}, [], 0.0
     for _ in range(60):
-        chosen = control_servers.next(now_s)
+        chosen = control_servers.choose_next(now_s)
         asked.append(chosen in dead)
         if chosen in dead:
-            control_servers.failed(chosen, now_s + 0.35)
+            control_servers.record_failure(chosen, now_s + 0.35)
         else:
-            control_servers.answered(chosen, now_s)
+            control_servers.record_answer(chosen, now_s)
         now_s += 0.4
     settled = asked[6:]
     assert any(settled)
--- a/tests/dataplane/test_lease_readiness.py
+++ b/tests/dataplane/test_lease_readiness.py
@@ -9,8 +9,9 @@
 from dewpin.cluster.receivers import NO_VERSION
 from dewpin.cluster.relay_messages import LeaseGrant
 from dewpin.dataplane.__main__ import Sender
-from dewpin.dataplane.membership.cluster_agent import FRESH_RENEWALS, RENEWALS_IN_BOUND, ClusterAgent
+from dewpin.dataplane.membership.cluster_agent import ClusterAgent
 from dewpin.dataplane.membership.cluster_state import ClusterState
+from dewpin.dataplane.membership.lease_renewer import MISSED_RENEWALS_UNTIL_CUT_OFF, renewal_period_s
 
 
 class Clock:
@@ -28,16 +29,16 @@
         random.Random(1),
         lambda state: None,
         lambda receivers: None,
-        on_senders=lambda senders: None,
+        on_sender_count=lambda sender_count: None,
         clock=clock,
     )
-    assert not agent.hears_control
-    agent._take_lease(LeaseGrant(3.0, -1, NO_VERSION, 0.0, (), (), 1))
-    period_s = told.bounds.config_apply_ms / 1000 / RENEWALS_IN_BOUND
-    clock.now_s += (FRESH_RENEWALS - 0.5) * period_s
-    assert agent.hears_control
+    assert not agent.has_control_plane_contact
+    agent._lease._apply_grant(LeaseGrant(3.0, -1, NO_VERSION, 0.0, (), (), 1))
+    period_s = renewal_period_s(told)
+    clock.now_s += (MISSED_RENEWALS_UNTIL_CUT_OFF - 0.5) * period_s
+    assert agent.has_control_plane_contact
     clock.now_s += period_s
-    assert not agent.hears_control
+    assert not agent.has_control_plane_contact
 
 
 @pytest.mark.parametrize(
@@ -47,13 +48,13 @@
         ("configuration", False),
         ("receivers", False),
         ("store_view", False),
-        ("hears_control", False),
+        ("has_control_plane_contact", False),
         ("is_confirmed", False),
         ("running", False),
     ],
 )
 def test_a_sender_is_ready_only_with_all_that_it_needs(missing, is_ready):
-    has = {name: name != missing for name in ("configuration", "receivers", "store_view", "hears_control")}
+    has = {name: name != missing for name in ("configuration", "receivers", "store_view", "has_control_plane_contact")}
     state = ClusterState(
         configuration=object() if has["configuration"] else None,
         receivers={"engines": (object(),)} if has["receivers"] else {},
@@ -62,7 +63,7 @@
     confirmation = SimpleNamespace(is_confirmed=missing != "is_confirmed")
     sender = SimpleNamespace(
         state=state,
-        agent=SimpleNamespace(hears_control=has["hears_control"], confirmation=confirmation),
+        agent=SimpleNamespace(has_control_plane_contact=has["has_control_plane_contact"], confirmation=confirmation),
         stopping=SimpleNamespace(is_set=lambda: missing == "running"),
     )
     assert Sender.is_ready(sender) is is_ready
--- a/tests/dataplane/test_readiness_while_stopping.py
+++ b/tests/dataplane/test_readiness_while_stopping.py
@@ -13,7 +13,7 @@
 from dewpin.dataplane.ingress.readiness import ReadinessServer
 
 sender = Sender(None)
-sender.agent = SimpleNamespace(hears_control=True, confirmation=SimpleNamespace(is_confirmed=True))
+sender.agent = SimpleNamespace(has_control_plane_contact=True, confirmation=SimpleNamespace(is_confirmed=True))
 sender.state.configuration = sender.state.store_view = object()
 sender.state.receivers = {"service": (object(),)}
 server = ReadinessServer(sender.is_ready)
--- a/tests/dataplane/test_sender_count.py
+++ b/tests/dataplane/test_sender_count.py
@@ -7,13 +7,13 @@
 
 def test_the_first_counts_are_not_gone_by():
     count = SenderCount()
-    assert count.told(1, DURATION_S, 10.0) == 0
-    assert count.told(3, DURATION_S, 10.0 + SETTLING_SHARE * DURATION_S) == 3
+    assert count.update(1, DURATION_S, 10.0) == 0
+    assert count.update(3, DURATION_S, 10.0 + SETTLING_SHARE * DURATION_S) == 3
 
 
 def test_the_greatest_count_of_a_leases_duration_is_gone_by():
     count = SenderCount()
-    count.told(4, DURATION_S, 0.0)
-    assert count.told(8, DURATION_S, 2.0) == 8
-    assert count.told(1, DURATION_S, 4.9) == 8
-    assert count.told(1, DURATION_S, 5.0) == 1
+    count.update(4, DURATION_S, 0.0)
+    assert count.update(8, DURATION_S, 2.0) == 8
+    assert count.update(1, DURATION_S, 4.9) == 8
+    assert count.update(1, DURATION_S, 5.0) == 1
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -939,7 +939,7 @@
     async def run() -> None:
         settings = parse_settings(tomllib.loads(SETTINGS))
         nothing = lambda *given: None  # noqa: E731
-        agent = ClusterAgent(settings, Client(), random.Random(1), nothing, nothing, on_senders=nothing)
+        agent = ClusterAgent(settings, Client(), random.Random(1), nothing, nothing, on_sender_count=nothing)
         await agent.stop()
 
     asyncio.run(run())
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -128,7 +128,7 @@
     async def _serve(self, front, program, turn, previous):
         """A turn at a front, in the order of `dewpin.dataplane.programs.turns.OpenTurn`."""
         store = front.store_client
-        open_s = OPEN_TIMEOUT_S if front.sender.agent.hears_control else CUT_OFF_OPEN_TIMEOUT_S
+        open_s = OPEN_TIMEOUT_S if front.sender.agent.has_control_plane_contact else CUT_OFF_OPEN_TIMEOUT_S
         try:
             reservation = await self._begin(store, program, turn, previous, open_s)
         except TierError as error:
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -173,14 +173,14 @@
             sender._on_receivers,
             clock=loop.time,
             platform=self.world.platform(self),
-            on_senders=sender._on_senders,
+            on_sender_count=sender._on_sender_count,
         )
         server = RpcServer(self.world.disturbed(agent.handlers))
         await server.start(*split_address(agent.address))
         agent.start()
         sender.agent = agent
-        sender.state.is_cut_off = lambda: not agent.hears_control
-        sender.state.is_current = agent.knows_current_state
+        sender.state.is_cut_off = lambda: not agent.has_control_plane_contact
+        sender.state.is_current = agent.is_state_current
         self.sender, self.store_client = sender, sender._store_client
 
     @property
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -22,7 +22,7 @@
 from dewpin.controlplane.store import ledger_replica
 from dewpin.controlplane.store.replica_sync import StoreSync
 from dewpin.controlplane.store.view_guard import ViewGuard
-from dewpin.dataplane.membership.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_knowledge import ClusterKnowledge
 from dewpin.dataplane.programs import ledger, turn_client
 
 from .__main__ import with_fixed_hashes
@@ -223,18 +223,19 @@
 
 def _take_any_state_that_is_told():
     """Both guards are gone: a parent tells what it has, newer or not, and its child takes it."""
-    take, tell = ClusterAgent._take_news, relay_service._news
+    take, tell = ClusterKnowledge.apply_update, relay_service._news
 
-    def taken(self, news, asked_s):
-        if news.state is not None:
-            _deviates(self.state is not None and news.state["version"] < self.state["version"])
-            self.state = None
-        take(self, news, asked_s)
+    def taken(self, update, asked_s):
+        if update.state is not None:
+            complete = self.system_state.complete
+            _deviates(complete is not None and update.state["version"] < complete["version"])
+            self.system_state.complete = self.system_state.newest = None
+        take(self, update, asked_s)
 
     def told(knowledge, request):
         return replace(tell(knowledge, request), state=knowledge.state)
 
-    ClusterAgent._take_news = taken
+    ClusterKnowledge.apply_update = taken
     relay_service._news = told
 
 
