--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -34,7 +34,7 @@
 
 async def once(destinations, told):
     facade = Facade(SETTINGS, 1)
-    facade.update_endpoints(
+    facade.endpoints.update(
         [
             (b"r%d" % at, at, model.ReceiverState.READY, ("127.0.0.1", 9000), None, None, 1.0)
             for at in range(destinations)
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -180,7 +180,7 @@
         configuration = self.configuration
         deployment = configuration.deployment
         for receiver_id in self.journal.detached_receivers:
-            self.facade.detach(receiver_id)
+            self.facade.endpoints.detach(receiver_id)
         schedule = WatchSchedule(
             configuration.module["FleetSize"],
             configuration.module["Rules"]["DrainGrace"],
@@ -207,7 +207,7 @@
         self, entries: Sequence[EndpointEntry], is_complete: bool, revision: int | None = None
     ) -> None:
         """Put an update of the list of receivers in force; with a `revision` it is cached on disk as well."""
-        for address in self.facade.update_endpoints(entries, is_complete):
+        for address in self.facade.endpoints.update(entries, is_complete):
             self.pool.cancel_unsent(address)
             self.pool.close_idle(address)
         if revision is not None:
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -44,8 +44,8 @@
             endings=self.relay.end_counts,
             sent=self.pool.sent_requests,
             pending=len(self.relay.record_store.pending),
-            listed_receivers=facade.listed_count,
-            avoided_receivers=facade.avoided_count(),
+            listed_receivers=facade.endpoints.listed_count,
+            avoided_receivers=facade.endpoints.avoided_count(),
         )
 
     def detach(self, receiver_id: bytes) -> ReceiverChange:
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -10,6 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .. import __version__
+from ..relay.queue_description import describe_queue, queue_size
 
 if TYPE_CHECKING:
     from ..relay.facade import Facade
@@ -27,9 +28,9 @@
     """
     relay, facade = application.relay, application.relay.facade
     now_ms = relay.clock.now_ms()
-    queues = facade.queues()
+    queues = list(facade.dispatcher.queues)
     listed_queues = await _largest_queues(facade, queues, max_queues, now_ms, pause)
-    receivers = list(facade.receivers.values())
+    receivers = list(facade.endpoints.receivers.values())
     healths = await _count_healths(receivers, pause)
     return {
         "name": application.configuration.deployment.sender.name,
@@ -54,12 +55,12 @@
     """Describe the queues with most messages; of equals the one with the older first message comes first."""
     weights = []
     for position, queue in enumerate(queues):
-        weights.append((facade.queue_size(queue), -position))
+        weights.append((queue_size(queue), -position))
         if position % SLICE_SIZE == SLICE_SIZE - 1:
             await pause()
     described: list[dict[str, Any]] = []
     for _, negative_position in nlargest(max_queues, weights):
-        described.append(facade.describe_queue(queues[-negative_position], now_ms))
+        described.append(describe_queue(queues[-negative_position], now_ms))
         if len(described) % SLICE_SIZE == 0:
             await pause()
     return described
--- a/dewpin/relay/learned_state.py
+++ b/dewpin/relay/learned_state.py
@@ -17,16 +17,16 @@
 
 def export_learned_state(facade: Facade) -> LearnedState:
     """The endpoint list, and what is learned of the sender, its destinations and their receivers."""
-    dispatcher = facade.dispatcher
+    dispatcher, endpoints = facade.dispatcher, facade.endpoints
     return {
         "list": _export_endpoints(facade),
         **dispatcher.export_sender_state(),
         "destinations": [
-            [one.destination_id, *dispatcher.export_destination_state(one)] for one in facade.destinations.values()
+            [one.destination_id, *dispatcher.export_destination_state(one)] for one in endpoints.destinations.values()
         ],
         "receivers": [
             [one.receiver_id.decode("latin-1"), *dispatcher.export_receiver_state(one)]
-            for one in facade.receivers.values()
+            for one in endpoints.receivers.values()
         ],
     }
 
@@ -41,23 +41,23 @@
     dispatcher = facade.dispatcher
     dispatcher.restore_sender_state(state)
     for destination_id, queue, limits in state["destinations"]:
-        dispatcher.restore_destination_state(facade.destination(destination_id), queue, limits)
+        dispatcher.restore_destination_state(facade.endpoints.destination(destination_id), queue, limits)
     for receiver_id, health, limits in state["receivers"]:
-        if receiver := facade.receivers.get(receiver_id.encode("latin-1")):
+        if receiver := facade.endpoints.receivers.get(receiver_id.encode("latin-1")):
             dispatcher.restore_receiver_state(receiver, health, limits)
 
 
 def _export_endpoints(facade: Facade) -> list[list[Any]]:
     rows = []
-    for receiver in facade.receivers.values():
+    for receiver in facade.endpoints.receivers.values():
         host, port = (receiver.address or ("", 0))[:2]
         entry = EndpointEntry(
             receiver.receiver_id,
             receiver.destination.destination_id,
-            facade.detached_receivers.get(receiver.receiver_id, receiver.state),
+            facade.endpoints.detached_receivers.get(receiver.receiver_id, receiver.state),
             (host, port),
-            _name_of_index(facade.zone_indexes, receiver.zone),
-            _name_of_index(facade.kind_indexes, receiver.kind),
+            _name_of_index(facade.endpoints.zone_indexes, receiver.zone),
+            _name_of_index(facade.endpoints.kind_indexes, receiver.kind),
             receiver.weight,
         )
         rows.append(encode_row(entry))
--- a/dewpin/relay/message_lifecycle.py
+++ b/dewpin/relay/message_lifecycle.py
@@ -29,6 +29,16 @@
 from ..spool.records import MessageRecord, PendingNotice
 from .clock import UnixClock
 from .facade import Facade, GiveUp
+from .lifecycle_log import (
+    log_accepted,
+    log_attempt_finished,
+    log_attempt_postponed,
+    log_attempt_started,
+    log_given_up,
+    log_relayed,
+    log_resumed,
+    log_retry_scheduled,
+)
 from .notice_barrier import NoticeBarrier, PostponedAttempt
 from .recent_message_ids import RecentMessageIds
 
@@ -125,16 +135,7 @@
             log_event(events.UNKNOWN_QUEUE_CLASS, message=record.message_id, queue_class=record.queue_class)
             self._give_up(record, Decision.BOUNCED, 0.0)
             return
-        log_event(
-            events.MESSAGE_RESUMED,
-            message=record.message_id,
-            serial=record.serial,
-            queue_class=record.queue_class,
-            destination=record.destination,
-            key=record.ordering_key,
-            attempt=record.attempts,
-            lifetime_ms=record.expires_at_ms - now_ms,
-        )
+        log_resumed(record, now_ms)
         if record.in_flight:
             self.attempts_in_flight += 1
             receiver = self.facade.adopt_attempt(record, now_ms)
@@ -176,7 +177,7 @@
         except Exception:
             self.journal.finish(record)  # the client is told of a failure, and nothing is owed
             raise
-        self._log_accepted(record, now_ms)
+        log_accepted(record, now_ms)
         self._recent_ids.add(record.message_id, now_ms)
         self.wake()
         return Accepted()
@@ -200,19 +201,6 @@
             now_ms + remaining_ms,
         )
 
-    @staticmethod
-    def _log_accepted(record: MessageRecord, now_ms: float) -> None:
-        log_event(
-            events.MESSAGE_ACCEPTED,
-            message=record.message_id,
-            serial=record.serial,
-            queue_class=record.queue_class,
-            destination=record.destination,
-            key=record.ordering_key,
-            bytes=len(record.body),
-            lifetime_ms=record.expires_at_ms - now_ms,
-        )
-
     # -- dispatch and attempts --------------------------------------------------------------------------------
 
     def wake(self) -> None:
@@ -253,12 +241,7 @@
         postponement_ms = min(timeout_ms, MAX_POSTPONEMENT_MS)
         timer = self._loop.call_later(postponement_ms / 1000.0, self._drop_postponed_attempt, record, receiver)
         self.notice_barrier.postpone(PostponedAttempt(record, receiver, now_ms + timeout_ms, timer))
-        log_event(
-            events.ATTEMPT_POSTPONED,
-            message=record.message_id,
-            receiver=receiver.receiver_id,
-            key=record.ordering_key,
-        )
+        log_attempt_postponed(record, receiver)
         self.attempts_in_flight += 1
 
     def _send(self, record: MessageRecord, receiver: Receiver, timeout_ms: float) -> None:
@@ -287,14 +270,7 @@
             window_ms = self.facade.send_window_ms(record, receiver, now_ms) if self.may_start_attempts else 0.0
             if window_ms <= 0.0 or not self.journal.start_attempt(record, receiver.receiver_id, now_ms):
                 return 0.0
-            log_event(
-                events.ATTEMPT_STARTED,
-                message=record.message_id,
-                attempt=record.attempts,
-                receiver=receiver.receiver_id,
-                destination=record.destination,
-                timeout_ms=timeout_ms,
-            )
+            log_attempt_started(record, receiver, timeout_ms)
             return window_ms
 
         return open_send_window
@@ -320,24 +296,14 @@
 
     def _record_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
         may_have_executed = self.facade.may_have_executed(result.outcome)
-        log_event(
-            events.ATTEMPT_FINISHED,
-            message=record.message_id,
-            attempt=record.attempts + (record.in_flight is None),  # one that was not sent is not counted yet
-            receiver=receiver.receiver_id,
-            destination=record.destination,
-            outcome=result.outcome,
-            may_have_executed=may_have_executed,
-            took_ms=result.duration_ms,
-            retry_after_ms=result.retry_after_ms,
-        )
+        log_attempt_finished(record, receiver, result, may_have_executed)
         self.journal.finish_attempt(record, may_have_executed)
 
     def _continue_after_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
         """Ends the message, or leaves it with the dispatcher for a retry."""
         following = self.facade.report_result(record, result, self.clock.now_ms())
         if following.ending == Decision.RELAYED:
-            log_event(events.MESSAGE_ENDED, message=record.message_id, ending=following.ending, attempt=record.attempts)
+            log_relayed(record)
             # a withdrawn message was not delivered
             self.end_counts[record.queue_class][Decision.RELAYED] += result.outcome == Outcome.DELIVERED
             self.journal.finish(record)
@@ -345,12 +311,7 @@
         elif following.ending:
             self._give_up(record, following.ending, following.retry_after_ms)
         else:
-            log_event(
-                events.RETRY_SCHEDULED,
-                message=record.message_id,
-                attempt=record.attempts,
-                retry_after_ms=self.facade.backoff_ms(record, self.clock.now_ms()),
-            )
+            log_retry_scheduled(record, self.facade.backoff_ms(record, self.clock.now_ms()))
         if following.closes_idle_connections:
             self.transport.close_idle(receiver.address)
         if result.retry_after_ms > 0.0:
@@ -363,13 +324,7 @@
     # -- ends and notices -------------------------------------------------------------------------------------
 
     def _give_up(self, record: MessageRecord, ending: Decision, retry_after_ms: float) -> None:
-        log_event(
-            events.MESSAGE_ENDED,
-            message=record.message_id,
-            ending=ending,
-            attempt=record.attempts,
-            retry_after_ms=retry_after_ms,
-        )
+        log_given_up(record, ending, retry_after_ms)
         if record.queue_class in self.end_counts:
             self.end_counts[record.queue_class][ending] += 1
         notice = PendingNotice(ending == Decision.DEFERRED, retry_after_ms)
@@ -429,7 +384,7 @@
         self._recent_ids.add(record.message_id, now_ms)
         self.journal.accept(record, already_accepted=True)
         self.facade.add_message(record, now_ms)
-        self._log_accepted(record, now_ms)
+        log_accepted(record, now_ms)
         self.wake()
 
     def _handle_result_elsewhere(self, serial: int, result: AttemptResult) -> None:
@@ -440,13 +395,13 @@
 
     def detach(self, receiver_id: bytes) -> DetachmentResult:
         """No attempt starts to this receiver, whatever the endpoint list says, until it is attached again."""
-        if not self.facade.is_known_receiver(receiver_id):
+        if not self.facade.endpoints.is_known(receiver_id):
             return DetachmentResult.UNKNOWN_RECEIVER
         if not self.record_store.set_detached(receiver_id, True):
             return DetachmentResult.NOT_RECORDED
-        if receiver_id not in self.facade.detached_receivers:
+        if receiver_id not in self.facade.endpoints.detached_receivers:
             log_event(events.RECEIVER_DETACHED, receiver=receiver_id)
-        if address := self.facade.detach(receiver_id):
+        if address := self.facade.endpoints.detach(receiver_id):
             self.transport.cancel_unsent(address)
             self.transport.close_idle(address)
         self.wake()
@@ -454,12 +409,12 @@
 
     def attach(self, receiver_id: bytes) -> DetachmentResult:
         """What the endpoint list says of this receiver holds again."""
-        if not self.facade.is_known_receiver(receiver_id):
+        if not self.facade.endpoints.is_known(receiver_id):
             return DetachmentResult.UNKNOWN_RECEIVER
         if not self.record_store.set_detached(receiver_id, False):
             return DetachmentResult.NOT_RECORDED
-        if receiver_id in self.facade.detached_receivers:
+        if receiver_id in self.facade.endpoints.detached_receivers:
             log_event(events.RECEIVER_ATTACHED, receiver=receiver_id)
-            self.facade.attach(receiver_id)
+            self.facade.endpoints.attach(receiver_id)
         self.wake()
         return DetachmentResult.APPLIED
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -41,6 +41,7 @@
 from dewpin.relay import learned_state
 from dewpin.relay.facade import Facade
 from dewpin.relay.message_lifecycle import DetachmentResult, Relay
+from dewpin.relay.queue_description import describe_queue
 from dewpin.spool.endpoint_cache import EndpointCache
 from dewpin.spool.handover_log import AcceptedMessage, FinishedAttempt, HandoverLogReader, HandoverLogWriter
 from dewpin.spool.inspector import JournalInspector, describe_state
@@ -382,7 +383,7 @@
         self.relay = Relay(loop, self.facade, self.spool, Transport(calls), NoticePublisher(notices))
         self.relay.clock.offset_seconds = 0.0
         for ident in self.spool.detached_receivers:
-            self.facade.detach(ident)
+            self.facade.endpoints.detach(ident)
         self.follower = HandoverLogReader(self.folder, self.spool)
 
     def resume(self):
@@ -424,7 +425,7 @@
         self.learn_entries([receiver_entry(one) for one in receivers], complete)
 
     def learn_entries(self, entries, complete):
-        for address in self.facade.update_endpoints(entries, complete):
+        for address in self.facade.endpoints.update(entries, complete):
             self.relay.transport.cancel_unsent(address)
             self.relay.transport.close_idle(address)
         self.relay.wake()
@@ -459,7 +460,7 @@
     def queues(self):
         """What is believed of each destination, for people."""
         now = self.relay.clock.now_ms()
-        return [self.facade.describe_queue(queue, now) for queue in self.facade.queues()]
+        return [describe_queue(queue, now) for queue in self.facade.dispatcher.queues]
 
 
 class Transport:
--- a/tests/relay/test_late_retries.py
+++ b/tests/relay/test_late_retries.py
@@ -96,7 +96,7 @@
     facade = Facade(sender_settings, 1)
 
     async def scene():
-        facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
+        facade.endpoints.update([(b"r", 7, model.ReceiverState.READY, RECEIVER, "a", "k", 1.0)], True)
         relay = Relay(loop, facade, Journal(folder, 1e6), ConnectionPool(loop, 1500.0, 0.0), notices)
         request = SubmitRequest(b"m", b"notice", b"", b"", b"7", b"tag", b"body", 10_000.0)
         assert isinstance(relay.submit(request), Accepted)
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -21,7 +21,7 @@
     facade, addresses = Facade(services, 1), [("127.0.0.1", 9000), ("127.0.0.1", 9001)]
     for at in range(1000):  # each takes over the address of the last but one, in a destination of its own
         ident = b"r%d" % at
-        unused = facade.update_endpoints(
+        unused = facade.endpoints.update(
             [(ident, at // 2, model.ReceiverState.READY, addresses[at % 2], "a", "k", 1.0)], True
         )
         assert (*addresses[at % 2], ident) not in unused
@@ -29,9 +29,9 @@
         facade.add_message(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
         while facade.time_until_due_ms(1e6) is not None:
             facade.decide_due(1e6)
-    assert max(map(len, (facade.receivers, facade.destinations, facade.dispatcher.queues))) < 300
+    assert max(map(len, (facade.endpoints.receivers, facade.endpoints.destinations, facade.dispatcher.queues))) < 300
     assert facade.overload_retry_after_ms(b"499", 0.0) is None
-    assert facade.overload_retry_after_ms(b"777", 0.0) > 0.0 and 777 not in facade.destinations
+    assert facade.overload_retry_after_ms(b"777", 0.0) > 0.0 and 777 not in facade.endpoints.destinations
 
 
 def test_ended_message_is_freed_without_garbage_collection(tmp_path, monkeypatch):
@@ -49,7 +49,7 @@
 
     async def scene():
         facade, outside = Facade(sender_settings, 1), Outside()
-        facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
+        facade.endpoints.update([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
         relay = Relay(loop, facade, Journal(tmp_path, 1e6), outside, outside)
         for at in range(10):
             request = SubmitRequest(b"m%d" % at, b"charge", b"", b"", b"7", b"", b"body", 5000.0)
@@ -76,10 +76,10 @@
     services["Services"][0]["Name"] = "status"
     old, new = Facade(services, 1), Facade(services, 2)
     for facade in (old, new):
-        facade.update_endpoints([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
-    receiver = old.receivers[b"r"]
+        facade.endpoints.update([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
+    receiver = old.endpoints.receivers[b"r"]
     old.dispatcher.sender.started_at = 0.0
-    old.dispatcher.queue_of(old.destination(7))
+    old.dispatcher.queue_of(old.endpoints.destination(7))
     old.dispatcher.breaker.open(receiver, old.dispatcher.health_of(receiver), 0.0)
     learned_state.import_learned_state(new, learned_state.export_learned_state(old))
-    assert type(new.receivers[b"r"].health.slow_start) is SlowStart
+    assert type(new.endpoints.receivers[b"r"].health.slow_start) is SlowStart
