--- a/dewpin/core/call.py
+++ b/dewpin/core/call.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from .model import Receiver
 
 
-@dataclass(slots=True, eq=False)
 class Call:
     """A call that is in flight, or was.
 
@@ -19,9 +16,18 @@
     is_failure_counted: its failure was taken into account. The messages of a batch share one fate.
     """
 
-    receiver: Receiver
-    sent_at: float
-    follows_unanswered: bool
-    message_count: int = 1
-    open_count: int = 1
-    is_failure_counted: bool = False
+    __slots__ = (
+        "receiver",
+        "sent_at",
+        "follows_unanswered",
+        "message_count",
+        "open_count",
+        "is_failure_counted",
+    )
+
+    def __init__(self, receiver: Receiver, sent_at: float, follows_unanswered: bool) -> None:
+        self.receiver = receiver
+        self.sent_at = sent_at
+        self.follows_unanswered = follows_unanswered
+        self.message_count = self.open_count = 1
+        self.is_failure_counted = False
--- a/dewpin/core/dispatcher.py
+++ b/dewpin/core/dispatcher.py
@@ -96,7 +96,7 @@
 class Dispatcher:
     """The decisions of one sender.
 
-    settings: as `DispatcherSettings.from_map` read them.
+    settings: as `DispatcherSettings` reads them.
     sender: what is known and held over all destinations.
     queues: one for each destination that ever had a message, in the order of their first messages.
     key_order: the order of messages that share an ordering key.
@@ -104,7 +104,7 @@
 
     def __init__(self, settings: Mapping[str, Any], seed: int) -> None:
         """Raises KeyError if a setting is missing or has an unknown value."""
-        self.settings = DispatcherSettings.from_map(settings)
+        self.settings = DispatcherSettings(settings)
         self.random = RandomSource(seed)
         drawn_number = int(self.random.uniform(0.0, 1e6))
         number = drawn_number if self.settings.slot_number is None else self.settings.slot_number
@@ -369,7 +369,7 @@
         self.sender.pending_messages += 1
         target_ms = self.settings.classes[message.queue_class].target_ms
         target_at = min(message.arrived_at + target_ms, message.expires_at)
-        state = message.dispatch_state = MessageState(self._messages_seen, target_at, *message.prior_attempts)
+        state = message.dispatch_state = MessageState(self._messages_seen, target_at, message.prior_attempts)
         self.queue_of(message.destination).arrivals.add(now)
         self._watch_give_up(message)
         if not self.key_order.is_ordered(message):
--- a/dewpin/core/message_state.py
+++ b/dewpin/core/message_state.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from .call import Call
-    from .model import Receiver
+    from .model import PriorAttempts
 
 
 class Stage(Enum):
@@ -23,7 +22,6 @@
     FINISHED = auto()
 
 
-@dataclass(slots=True, eq=False)
 class MessageState:
     """The state of one pending message.
 
@@ -38,14 +36,25 @@
     is_shed: it is given up to make room for others.
     """
 
-    sequence: int
-    target_at: float
-    attempts: int
-    executed_at: float | None
-    executed_by: Receiver | None
-    call: Call | None = None
-    due_at: float = 0.0
-    settled_at: float = 0.0
-    waited_ms: float = 0.0
-    is_shed: bool = False
-    stage: Stage = Stage.NEW
+    __slots__ = (
+        "sequence",
+        "target_at",
+        "attempts",
+        "executed_at",
+        "executed_by",
+        "call",
+        "due_at",
+        "settled_at",
+        "waited_ms",
+        "is_shed",
+        "stage",
+    )
+
+    def __init__(self, sequence: int, target_at: float, prior: PriorAttempts) -> None:
+        self.sequence = sequence
+        self.target_at = target_at
+        self.attempts, self.executed_at, self.executed_by = prior
+        self.call: Call | None = None
+        self.due_at = self.settled_at = self.waited_ms = 0.0
+        self.is_shed = False
+        self.stage = Stage.NEW
--- a/dewpin/core/model.py
+++ b/dewpin/core/model.py
@@ -83,7 +83,7 @@
 NO_PRIOR_ATTEMPTS = PriorAttempts()
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Destination:
     """An outside system with the receivers that serve it.
 
@@ -98,7 +98,7 @@
     limits: DestinationLimits = UNSET
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Receiver:
     """One endpoint of a destination; creating it adds it to the destination.
 
@@ -127,7 +127,7 @@
         self.destination.receivers.append(self)
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Message:
     """A message for one destination.
 
--- a/dewpin/core/outcome_recorder.py
+++ b/dewpin/core/outcome_recorder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from .call import Call
 from .circuit_breaker import SHUT_AFTER_MS, CircuitBreaker
@@ -41,8 +41,7 @@
 FIRST_CALL_TIME_WEIGHT = 0.5
 
 
-@dataclass(slots=True)
-class AttemptResult:
+class AttemptResult(NamedTuple):
     """The outcome of a message's attempt with what it is weighed against.
 
     limits, health: of the receiver that was called.
--- a/dewpin/core/sender_state.py
+++ b/dewpin/core/sender_state.py
@@ -2,15 +2,12 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-
 from .model import Receiver
 
 LOSSY_RECOVERY_SHARE = 0.3
 """Loss on the way is assumed where at least this share of the calls after an unanswered one goes well."""
 
 
-@dataclass(slots=True, eq=False)
 class SenderState:
     """Facts and counts of one sender over all destinations.
 
@@ -24,14 +21,26 @@
     pending_messages: taken in and not done with yet.
     """
 
-    started_at: float | None = None
-    usual_call_ms: float | None = None
-    recovery_share: float = 0.0
-    crowded_kinds: set[int] = field(default_factory=set)
-    failed_connection_shares: dict[int, float] = field(default_factory=dict)
-    ejected_receivers: set[Receiver] = field(default_factory=set)
-    calls_in_flight: int = 0
-    pending_messages: int = 0
+    __slots__ = (
+        "started_at",
+        "usual_call_ms",
+        "recovery_share",
+        "crowded_kinds",
+        "failed_connection_shares",
+        "ejected_receivers",
+        "calls_in_flight",
+        "pending_messages",
+    )
+
+    def __init__(self) -> None:
+        self.started_at: float | None = None
+        self.usual_call_ms: float | None = None
+        self.recovery_share = 0.0
+        self.crowded_kinds: set[int] = set()
+        self.failed_connection_shares: dict[int, float] = {}
+        self.ejected_receivers: set[Receiver] = set()
+        self.calls_in_flight = 0
+        self.pending_messages = 0
 
     def usual_ms(self, destination_usual_ms: float | None) -> float:
         """The usual call time of a destination; where it is not known, that of all; 0 before the first good answer."""
--- a/dewpin/core/settings.py
+++ b/dewpin/core/settings.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
-from dataclasses import dataclass
 from enum import StrEnum
 from typing import Any
 
@@ -27,7 +26,6 @@
     ZONE = "zone"  # those of the zone of the receiver that had it; any other word stands for that receiver alone
 
 
-@dataclass(slots=True, frozen=True)
 class QueueClass:
     """The settings of a class of messages.
 
@@ -41,32 +39,30 @@
     is_ordered: messages of one ordering key are sent one after the other.
     """
 
-    effect: Effect
-    retry_scope: str
-    retry_window_ms: float
-    target_ms: float
-    lifetime_ms: float
-    value: float
-    late_value_share: float
-    is_ordered: bool
-
-    @classmethod
-    def from_map(cls, keys: Mapping[str, Any]) -> QueueClass:
+    __slots__ = (
+        "effect",
+        "retry_scope",
+        "retry_window_ms",
+        "target_ms",
+        "lifetime_ms",
+        "value",
+        "late_value_share",
+        "is_ordered",
+    )
+
+    def __init__(self, keys: Mapping[str, Any]) -> None:
         """Reads one entry of `Services`."""
-        is_keyed = keys["Effect"] == Effect.KEYED
-        return cls(
-            effect=Effect(keys["Effect"]),
-            retry_scope=keys["KeyScope"] if is_keyed else RetryScope.ALL,
-            retry_window_ms=keys["Window"] if is_keyed else 0.0,
-            target_ms=keys["GoalTime"],
-            lifetime_ms=keys["Deadline"],
-            value=keys["Value"],
-            late_value_share=keys["LateWorth"],
-            is_ordered=bool(keys.get("ByArrival")),
-        )
-
-
-@dataclass(slots=True, frozen=True)
+        self.effect = Effect(keys["Effect"])
+        is_keyed = self.effect is Effect.KEYED
+        self.retry_scope: str = keys["KeyScope"] if is_keyed else RetryScope.ALL
+        self.retry_window_ms: float = keys["Window"] if is_keyed else 0.0
+        self.target_ms: float = keys["GoalTime"]
+        self.lifetime_ms: float = keys["Deadline"]
+        self.value: float = keys["Value"]
+        self.late_value_share: float = keys["LateWorth"]
+        self.is_ordered = bool(keys.get("ByArrival"))
+
+
 class DispatcherSettings:
     """Everything that the dispatcher's decisions depend on beside what it sees.
 
@@ -84,6 +80,7 @@
     slot_number: this sender's number in the fleet; None if it has none.
     zone, zone_count: this sender's zone and how many there are.
     tick_ms: the longest delay of a timer.
+    deadline_margin_ms: what a timer and the answer to the client may need of a message's lifetime.
     weights_are_limits: the weights of receivers in the list stand for their rate limits.
     cold_capacity_share: capacity of a receiver right after its start, as a share of its full one.
     warm_up_ms: how long it takes to reach full capacity.
@@ -91,69 +88,40 @@
     turn_gap_ms: pause before the next message of an ordering key where work may still be going on.
     """
 
-    classes: tuple[QueueClass, ...]
-    max_attempts: int
-    max_pending: int
-    suggests_retry_after: bool
-    max_retry_after_ms: float
-    idle_close_ms: float
-    call_slots: int
-    batch_sizes: Sequence[int]
-    value_halves: bool
-    kinds_with_own_limits: frozenset[int]
-    fleet_size: int
-    clients_mark_retries: bool
-    slot_number: Any
-    zone: Any
-    zone_count: int
-    tick_ms: float
-    weights_are_limits: bool
-    cold_capacity_share: float
-    warm_up_ms: float
-    overload_factor: float
-    overload_window_ms: float
-    turn_gap_ms: float
-
-    @property
-    def deadline_margin_ms(self) -> float:
-        """What a timer and the answer to the client may need of a message's lifetime."""
-        return 2.0 * self.tick_ms + 10.0
-
-    @classmethod
-    def from_map(cls, keys: Mapping[str, Any]) -> DispatcherSettings:
+    def __init__(self, keys: Mapping[str, Any]) -> None:
         """Reads the settings of a deployment.
 
         Raises KeyError if a key is missing or an effect is unknown.
         """
         services, allowed, rules, family = keys["Services"], keys["Allowed"], keys["Rules"], keys["FamilyInfo"]
-        own_limits = frozenset(kind for kind, has_own in enumerate(family.get("OwnLimits", ())) if has_own)
-        fleet_size = max(1, keys["FleetSize"])
-        marks_retries = keys.get("Callers", {}).get("MarksRetry", False)
+        own_limits = (kind for kind, has_own in enumerate(family.get("OwnLimits", ())) if has_own)
+        self.kinds_with_own_limits = frozenset(own_limits)
+        self.fleet_size: int = max(1, keys["FleetSize"])
+        self.clients_mark_retries: bool = keys.get("Callers", {}).get("MarksRetry", False)
         _check(services, allowed, rules, family)
-        return cls(
-            classes=tuple(QueueClass.from_map(service) for service in services),
-            max_attempts=allowed["MaxAttempts"],
-            max_pending=allowed["MaxOpen"],
-            suggests_retry_after=bool(allowed.get("RetryAfter")),
-            max_retry_after_ms=allowed.get("MaxRetryAfter", 0.0),
-            idle_close_ms=allowed.get("IdleClose", 0.0),
-            call_slots=family["CallSlots"],
-            batch_sizes=family.get("BundleMax", ()),
-            value_halves=family.get("Decay") == "halves",
-            kinds_with_own_limits=own_limits,
-            fleet_size=fleet_size,
-            clients_mark_retries=marks_retries,
-            slot_number=keys.get("SlotNo"),
-            zone=keys.get("Az"),
-            zone_count=max(1, len(keys.get("Zones", ()))),
-            tick_ms=keys["Tick"],
-            weights_are_limits=keys.get("Weights") in ("nominal", "rough"),
-            cold_capacity_share=rules["ColdFrom"],
-            warm_up_ms=rules["WarmAfter"],
-            overload_factor=rules["FallMultiple"],
-            overload_window_ms=rules["OverloadFor"],
-            turn_gap_ms=rules.get("TurnGap", 0.0),
-        )
+        self.classes = tuple(QueueClass(service) for service in services)
+        self.slot_number: Any = keys.get("SlotNo")
+        self.zone: Any = keys.get("Az")
+        self.zone_count = max(1, len(keys.get("Zones", ())))
+        self.weights_are_limits = keys.get("Weights") in ("nominal", "rough")
+        self.tick_ms: float = keys["Tick"]
+        self.deadline_margin_ms: float = 2.0 * self.tick_ms + 10.0
+        self._read_allowances(allowed, family)
+        self.cold_capacity_share: float = rules["ColdFrom"]
+        self.warm_up_ms: float = rules["WarmAfter"]
+        self.overload_factor: float = rules["FallMultiple"]
+        self.overload_window_ms: float = rules["OverloadFor"]
+        self.turn_gap_ms: float = rules.get("TurnGap", 0.0)
+
+    def _read_allowances(self, allowed: Mapping[str, Any], family: Mapping[str, Any]) -> None:
+        self.max_attempts: int = allowed["MaxAttempts"]
+        self.max_pending: int = allowed["MaxOpen"]
+        self.suggests_retry_after = bool(allowed.get("RetryAfter"))
+        self.max_retry_after_ms: float = allowed.get("MaxRetryAfter", 0.0)
+        self.idle_close_ms: float = allowed.get("IdleClose", 0.0)
+        self.call_slots: int = family["CallSlots"]
+        self.batch_sizes: Sequence[int] = family.get("BundleMax", ())
+        self.value_halves = family.get("Decay") == "halves"
 
 
 def _check(
