--- a/benchmarks/capacity/measures/receivers.py
+++ b/benchmarks/capacity/measures/receivers.py
@@ -17,13 +17,13 @@
 def directory(entries: int) -> ReceiverDirectory:
     """A directory of so many receivers, as a reader of the platform's list makes it."""
     held = ReceiverDirectory()
-    held.take_reading([receiver_from_platform(shapes.receiver(number)) for number in range(entries)], "reader")
+    held.apply_listing([receiver_from_platform(shapes.receiver(number)) for number in range(entries)], "reader")
     return held
 
 
 def receivers_news(held: ReceiverDirectory) -> bytes:
     """The frame by which a relay tells a sender the receivers."""
-    news = {"type": "relay.news", "receivers": held.records(), "receivers_version": held.version}
+    news = {"type": "relay.news", "receivers": held.to_records(), "receivers_version": held.version}
     return encode({"v": 1, "r": 1, "m": news})
 
 
@@ -32,7 +32,7 @@
     news = Decoder().feed(frame)[0]["m"]
     counter, reader = news["receivers_version"]
     held = ReceiverDirectory()
-    held.take_copy(DirectoryVersion(counter, reader), [receiver_from_record(record) for record in news["receivers"]])
+    held.apply_update(DirectoryVersion(counter, reader), [receiver_from_record(record) for record in news["receivers"]])
     held.by_service()
     return held
 
@@ -95,7 +95,7 @@
         held = directory(entries)
 
         def read() -> None:
-            held.take_reading([receiver_from_platform(one) for one in json.loads(body)["instances"]], "reader")
+            held.apply_listing([receiver_from_platform(one) for one in json.loads(body)["instances"]], "reader")
 
         return processor_us_per_call(read, effort.seconds)
 
--- a/dewpin/cluster/relay_messages.py
+++ b/dewpin/cluster/relay_messages.py
@@ -1,4 +1,7 @@
-"""Messages between senders and those that tell them what is new: renewals of leases, and watches of the relay tree."""
+"""Messages of the relay tree, by which senders learn of changes: renewals of leases, and watches.
+
+Every `decode` raises KeyError, TypeError or ValueError for a message that is not of its kind.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +17,16 @@
 RELAY_WATCH = "relay.watch"
 
 StateJson = dict[str, Any]
+"""A system state as JSON: `dewpin.controlplane.register.system_state`."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewRequest:
-    """A sender asks for its lease. `receivers_version`: of the list of receivers that it holds."""
+    """Requests a sender's lease, or its renewal.
+
+    `sender`, `address`, `zone`: id of the sender, `ip:port` at which its children in the relay tree reach it, its zone.
+    `receivers_version`: of the receivers that the sender knows.
+    """
 
     sender: str
     address: str
@@ -26,7 +34,7 @@
     receivers_version: DirectoryVersion
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         return {
             "type": LEASE_RENEW,
             "sender": self.sender,
@@ -37,7 +45,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> RenewRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the request of a message."""
         return cls(
             sender=str(message["sender"]),
             address=str(message["address"]),
@@ -48,11 +56,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """A lease for `duration_s`, with the versions that the grantor holds, the sender's parents in the relay tree (the
-    nearest first), the addresses of the control processes and the number of live senders.
-
-    `knowledge_age_s`: how long ago a majority has confirmed the grantor's state as the newest, as of the answer;
-    earlier releases tell none and count as current.
+    """Grants a lease.
+
+    `duration_s`: of the lease, from the request on.
+    `state_version`, `receivers_version`: what the control server that grants it knows.
+    `list_age_s`: how long ago the platform's list was read that the receivers are from.
+    `parents`: addresses of the sender's parents in the relay tree, the nearest first.
+    `control_addresses`: addresses of the control servers; field `keepers` on the wire.
+    `senders`: number of live senders.
+    `knowledge_age_s`: how long ago a majority confirmed the control server's state as the newest, as of the reply;
+        earlier releases omit it and count as current.
     """
 
     duration_s: float
@@ -65,7 +78,7 @@
     knowledge_age_s: float = 0.0
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         return {
             "type": "lease.granted",
             "duration_s": self.duration_s,
@@ -80,7 +93,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> LeaseGrant:
-        """The grant of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the grant of a message."""
         return cls(
             duration_s=float(message["duration_s"]),
             state_version=int(message["state_version"]),
@@ -95,45 +108,52 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """Asks for what is newer than these versions. `waits`: without news, the answer comes with the next one.
+    """Requests what is newer than these versions.
 
-    `held_generation`: of the configuration whose body the caller holds, 0 for none. Earlier releases tell none: they
-    don't know states without a body."""
+    `state_version`, `receivers_version`: what the caller knows.
+    `is_long_poll`: whether the reply is to wait until something is newer; field `wait` on the wire.
+    `body_generation`: generation of the configuration whose body the caller has, 0 for none; field `held`. Earlier
+        releases omit it: they don't know states without a body.
+    """
 
     state_version: int
     receivers_version: DirectoryVersion
-    waits: bool
-    held_generation: int | None = None
+    is_long_poll: bool
+    body_generation: int | None = None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         message: Message = {
             "type": RELAY_WATCH,
             "state_version": self.state_version,
             "receivers_version": self.receivers_version,
-            "wait": self.waits,
+            "wait": self.is_long_poll,
         }
-        if self.held_generation is not None:
-            message["held"] = self.held_generation
+        if self.body_generation is not None:
+            message["held"] = self.body_generation
         return message
 
     @classmethod
     def decode(cls, message: Message) -> WatchRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the request of a message."""
         return cls(
             state_version=int(message["state_version"]),
             receivers_version=directory_version(message["receivers_version"]),
-            waits=bool(message.get("wait", True)),
-            held_generation=None if message.get("held") is None else int(message["held"]),
+            is_long_poll=bool(message.get("wait", True)),
+            body_generation=None if message.get("held") is None else int(message["held"]),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class RelayUpdate:
-    """The answer to a watch. `state` and `receivers` are there if newer than asked for, the state without its
-    configuration's body where the caller has that or is to fetch it by pages; `receivers_version`,
-    `list_age_s` and `knowledge_age_s` (as in a grant) are those of whoever answers; earlier releases don't tell the
-    latter, and confirm nothing."""
+    """The reply to a watch; its type on the wire is `relay.news`.
+
+    `receivers_version`, `list_age_s`, `knowledge_age_s`: of the process that replies, as in `LeaseGrant`; earlier
+        releases omit `knowledge_age_s` and confirm nothing.
+    `state`: the system state if it is newer than the caller's, else None; without the body of its configuration if the
+        caller has that or is to fetch it by pages.
+    `receivers`: all receivers if they are newer than the caller's, else None.
+    """
 
     receivers_version: DirectoryVersion
     list_age_s: float
@@ -142,7 +162,7 @@
     receivers: tuple[Receiver, ...] | None = None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         message: Message = {
             "type": "relay.news",
             "receivers_version": self.receivers_version,
@@ -152,12 +172,12 @@
         if self.state is not None:
             message["state"] = self.state
         if self.receivers is not None:
-            message["receivers"] = [receiver.record() for receiver in self.receivers]
+            message["receivers"] = [receiver.to_record() for receiver in self.receivers]
         return message
 
     @classmethod
     def decode(cls, message: Message) -> RelayUpdate:
-        """The news of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the update of a message."""
         receivers = message.get("receivers")
         return cls(
             receivers_version=directory_version(message["receivers_version"]),
@@ -169,29 +189,29 @@
 
 
 def has_body(state: StateJson) -> bool:
-    """Whether the state's configuration, if there is one, is there with its body."""
+    """Return whether the state has no configuration, or one with its body."""
     configuration = state.get("configuration")
     return configuration is None or "body" in configuration
 
 
 def without_body(state: StateJson) -> StateJson:
-    """The state without its configuration's body."""
+    """Return the state without its configuration's body."""
     configuration = {name: field for name, field in state["configuration"].items() if name != "body"}
     return {**state, "configuration": configuration}
 
 
 def generation_of(state: StateJson | None) -> int:
-    """The generation of the state's configuration; 0 where there is none."""
+    """Return the generation of the state's configuration; 0 if there is none."""
     configuration = state.get("configuration") if state is not None else None
     return int(configuration["generation"]) if configuration is not None else 0
 
 
 def directory_version(pair: object) -> DirectoryVersion:
-    """The version of a directory from its form on the wire. TypeError or ValueError if it is none."""
+    """Return the version of a directory of a message. Raises TypeError or ValueError if it is none."""
     counter, reader = cast(tuple[int, str], pair)
     return DirectoryVersion(int(counter), str(reader))
 
 
 def rounded_up_s(age_s: float) -> float:
-    """An age as it is told: in whole milliseconds, which keeps messages short, and never too young."""
+    """Return an age as messages hold it: rounded up to milliseconds, which keeps messages short."""
     return math.ceil(age_s * 1000) / 1000
--- a/dewpin/cluster/relay_service.py
+++ b/dewpin/cluster/relay_service.py
@@ -1,6 +1,7 @@
-"""Answers the watches of the relay tree: at once where there is news for the caller, else with the next news.
+"""Answers the watches of the relay tree: at once if there is an update for the caller, else with the next one.
 
-Whoever has been without a majority's word for too long passes nothing on: its callers are to ask another."""
+A process whose state no majority has confirmed for too long relays nothing: its callers are to ask another one.
+"""
 
 from __future__ import annotations
 
@@ -16,13 +17,19 @@
 from .rpc import Message, RpcError
 
 WATCH_HEARTBEAT_S = 1.0
+"""A watch without an update is answered after this time, so that the caller knows its parent to be alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedKnowledge:
-    """What a process passes on: the newest system state, which may lack its configuration's body while that is on its
-    way here, the receivers, and how old their list is. `age_s`: how long
-    ago a majority has confirmed the state as the newest; `is_current`: whether that is short enough to pass it on."""
+    """What a process can relay.
+
+    `state`: the newest system state; may lack its configuration's body while that is being fetched.
+    `directory`: the receivers.
+    `list_age_s`: how long ago the platform's list was read that the receivers are from.
+    `age_s`: how long ago a majority confirmed the state as the newest.
+    `is_current`: whether that is recent enough to relay it.
+    """
 
     state: StateJson | None
     directory: ReceiverDirectory
@@ -32,24 +39,28 @@
 
 
 class RelayService:
-    """The part that a parent has in the relay tree. `knowledge` returns what the process knows at that moment."""
+    """Answers the children of a process in the relay tree."""
 
     def __init__(self, knowledge: Callable[[], RelayedKnowledge]) -> None:
+        """`knowledge` returns what the process knows at that moment."""
         self._knowledge = knowledge
         self._changed = asyncio.Event()
 
     def announce(self) -> None:
-        """Wakes the watches that wait for news."""
+        """Wake the watches that wait for an update."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def handle_watch(self, message: Message) -> Message:
-        """Answers with news, or after a heartbeat without. RpcError where what is known here is not current."""
+        """Return an update, at the latest after WATCH_HEARTBEAT_S.
+
+        Raises RpcError (`no_quorum`) if what is known here is not current.
+        """
         request = WatchRequest.decode(message)
-        if request.waits and not _has_news(self._current_knowledge(), request):
+        if request.is_long_poll and not _has_update(self._current_knowledge(), request):
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._changed.wait(), WATCH_HEARTBEAT_S)
-        return _news(self._current_knowledge(), request).encode()
+        return _update(self._current_knowledge(), request).encode()
 
     def _current_knowledge(self) -> RelayedKnowledge:
         knowledge = self._knowledge()
@@ -62,27 +73,27 @@
     return state is not None and state["version"] > version
 
 
-def _has_news(knowledge: RelayedKnowledge, request: WatchRequest) -> bool:
+def _has_update(knowledge: RelayedKnowledge, request: WatchRequest) -> bool:
     has_state = _is_newer(knowledge.state, request.state_version)
     return has_state or knowledge.directory.version > request.receivers_version
 
 
 def _state_for(request: WatchRequest, state: StateJson | None) -> StateJson | None:
-    """The state as the caller is to have it: without a body that it has already, or that is longer than a page."""
+    """Return the state for the caller: without a body that it already has, or that is longer than a page."""
     configuration = state.get("configuration") if state is not None else None
     if state is None or configuration is None:
         return state
-    if request.held_generation is None:
+    if request.body_generation is None:
         if not has_body(state):
             raise RpcError(ErrorKind.NO_QUORUM, "the newest configuration is not whole here")
         return state
     if not has_body(state) or "base" not in configuration:  # of a control server of an earlier release
         return state
-    is_held = generation_of(state) == request.held_generation
-    return without_body(state) if is_held or not fits_page(configuration["body"]) else state
+    is_known = generation_of(state) == request.body_generation
+    return without_body(state) if is_known or not fits_page(configuration["body"]) else state
 
 
-def _news(knowledge: RelayedKnowledge, request: WatchRequest) -> RelayUpdate:
+def _update(knowledge: RelayedKnowledge, request: WatchRequest) -> RelayUpdate:
     directory = knowledge.directory
     has_receivers = directory.version > request.receivers_version
     return RelayUpdate(
--- a/dewpin/controlplane/membership/heartbeat_messages.py
+++ b/dewpin/controlplane/membership/heartbeat_messages.py
@@ -76,7 +76,7 @@
             message["state"] = self.chosen.state
             message["ballot"] = self.chosen.ballot
         if self.receivers is not None:
-            message["receivers"] = [receiver.record() for receiver in self.receivers]
+            message["receivers"] = [receiver.to_record() for receiver in self.receivers]
         return message
 
     @classmethod
--- a/dewpin/controlplane/platform_list_reader.py
+++ b/dewpin/controlplane/platform_list_reader.py
@@ -56,7 +56,7 @@
 
     def take_copy(self, version: DirectoryVersion, receivers: Iterable[Receiver], read_s: float) -> bool:
         """Takes another process's directory, from a list read at `read_s`; true if it is newer than this one."""
-        if not self.directory.take_copy(version, receivers):
+        if not self.directory.apply_update(version, receivers):
             return False
         self._read_s = read_s
         return True
@@ -70,7 +70,7 @@
         """Takes a list whose reading began at `began_s`; true if the directory has a new version."""
         self.has_failed = False
         self._read_s = max(self._read_s, began_s)
-        return self.directory.take_reading(receivers, self._member)
+        return self.directory.apply_listing(receivers, self._member)
 
     async def read(self, cloud: Cloud) -> bool:
         """Reads the list; true if the directory has a new version. A failed reading changes nothing."""
--- a/dewpin/controlplane/sender_service.py
+++ b/dewpin/controlplane/sender_service.py
@@ -73,7 +73,7 @@
         control_addresses = self._control_addresses()
         grantors = len(control_addresses)
         self._leases.renew(request.sender, request.address, request.zone, now_s, grantors)
-        self._receivers.directory.note_version(request.receivers_version)
+        self._receivers.directory.observe_version(request.receivers_version)
         state = self._register.chosen
         grant = LeaseGrant(
             duration_s=self._leases.duration_s(grantors),
--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -235,7 +235,7 @@
         return receiver.zone != self._zone, rendezvous_rank(key, receiver)
 
     def _cost(self, receiver: Receiver, now: float) -> float:
-        capacity = max(1, receiver.capacity) * (WARM_UP_CAPACITY_SHARE if receiver.cold_left_ms > 0 else 1.0)
+        capacity = max(1, receiver.capacity) * (WARM_UP_CAPACITY_SHARE if receiver.warm_up_left_ms > 0 else 1.0)
         load = self._loads[receiver.id]
         cost = (load.total(now) + 1) / capacity + ERROR_COST * load.error_rate(now)
         if receiver.zone != self._zone:
--- a/dewpin/dataplane/membership/cluster_knowledge.py
+++ b/dewpin/dataplane/membership/cluster_knowledge.py
@@ -67,10 +67,10 @@
         receivers_version = self.receiver_list.directory.version
         return grant.state_version > self.system_state.newest_version or grant.receivers_version > receivers_version
 
-    def watch_request(self, waits: bool) -> WatchRequest:
-        """Return the request for what is newer than this; `waits`: whether the answer may wait for the next update."""
+    def watch_request(self, is_long_poll: bool) -> WatchRequest:
+        """Return the request for what is newer than this; with `is_long_poll` the reply waits for the next update."""
         state = self.system_state
-        return WatchRequest(state.newest_version, self.receiver_list.directory.version, waits, state.generation)
+        return WatchRequest(state.newest_version, self.receiver_list.directory.version, is_long_poll, state.generation)
 
     def apply_update(self, update: RelayUpdate, asked_s: float) -> None:
         """Apply the answer to a watch. Ages count from `asked_s`, since the answer may have been delayed on its way.
--- a/dewpin/dataplane/membership/lease_renewer.py
+++ b/dewpin/dataplane/membership/lease_renewer.py
@@ -155,6 +155,6 @@
     async def _fetch_update(self, control_server: str) -> None:
         """Ask a control server for what is newer there than here."""
         asked_s = self._clock()
-        request = self._knowledge.watch_request(waits=False)
+        request = self._knowledge.watch_request(is_long_poll=False)
         answer = await self._client.call(control_server, request.encode(), WATCH_TIMEOUT_S)
         self._knowledge.apply_update(RelayUpdate.decode(answer), asked_s)
--- a/dewpin/dataplane/membership/receiver_list.py
+++ b/dewpin/dataplane/membership/receiver_list.py
@@ -59,7 +59,7 @@
 
     def take_copy(self, version: DirectoryVersion, receivers: Iterable[Receiver], read_s: float) -> bool:
         """Use a list that another process read at `read_s`, if it is newer; return whether it is."""
-        if not self.directory.take_copy(version, receivers):
+        if not self.directory.apply_update(version, receivers):
             return False
         self._shared_read_s = read_s
         self._own_read_s = float("-inf")  # the copy replaced what was read here
@@ -94,7 +94,7 @@
             log.info("receivers.list_unavailable", extra={"why": str(error)})
             return
         self._own_read_s = max(self._own_read_s, started_s)
-        if self.directory.take_private_reading(receivers):
+        if self.directory.apply_private_listing(receivers):
             self._on_receivers(self.directory)
 
 
--- a/dewpin/dataplane/membership/relay_subscription.py
+++ b/dewpin/dataplane/membership/relay_subscription.py
@@ -45,7 +45,7 @@
         """Wait for one answer and apply it; after a failure, pause before the next watch."""
         source, asked_s = self._choose_source(), self._clock()
         try:
-            request = self._knowledge.watch_request(waits=True)
+            request = self._knowledge.watch_request(is_long_poll=True)
             answer = await self._client.call(source, request.encode(), WATCH_TIMEOUT_S)
             self._knowledge.apply_update(RelayUpdate.decode(answer), asked_s)
         except (RpcError, KeyError, TypeError, ValueError) as error:
--- a/tests/cluster/test_receivers.py
+++ b/tests/cluster/test_receivers.py
@@ -3,7 +3,7 @@
 import pytest
 
 from dewpin.cluster.receivers import (
-    MOST_REMEMBERED_ENDS,
+    MAX_REMEMBERED_DRAINING,
     NO_VERSION,
     DirectoryVersion,
     Receiver,
@@ -28,12 +28,12 @@
 def directory(*readings, reader="a"):
     made = ReceiverDirectory()
     for reading in readings:
-        made.take_reading(reading, reader)
+        made.apply_listing(reading, reader)
     return made
 
 
 def copy_to(target, source):
-    return target.take_copy(source.version, [receiver_from_record(record) for record in source.records()])
+    return target.apply_update(source.version, [receiver_from_record(record) for record in source.to_records()])
 
 
 def states(one):
@@ -42,42 +42,42 @@
 
 def test_a_reading_that_changes_something_makes_a_version_and_one_that_does_not_makes_none():
     one = ReceiverDirectory()
-    assert one.take_reading(ready("1", "2"), "a") and one.version == DirectoryVersion(1, "a")
-    assert not one.take_reading(ready("1", "2"), "a") and one.version == DirectoryVersion(1, "a")
-    assert one.take_reading(ready("1"), "b") and one.version == DirectoryVersion(2, "b")
+    assert one.apply_listing(ready("1", "2"), "a") and one.version == DirectoryVersion(1, "a")
+    assert not one.apply_listing(ready("1", "2"), "a") and one.version == DirectoryVersion(1, "a")
+    assert one.apply_listing(ready("1"), "b") and one.version == DirectoryVersion(2, "b")
 
 
 def test_getting_warm_makes_no_version_but_is_taken():
-    one = directory([receiver("1", cold_left_ms=500.0)])
-    assert not one.take_reading([receiver("1", cold_left_ms=100.0)], "a")
-    assert one.receivers["1"].cold_left_ms == 100.0
+    one = directory([receiver("1", warm_up_left_ms=500.0)])
+    assert not one.apply_listing([receiver("1", warm_up_left_ms=100.0)], "a")
+    assert one.receivers["1"].warm_up_left_ms == 100.0
 
 
 def test_the_first_reading_makes_a_version_even_of_an_empty_list():
-    assert ReceiverDirectory().take_reading([], "a")
+    assert ReceiverDirectory().apply_listing([], "a")
 
 
 def test_draining_is_never_taken_back_by_an_older_reading():
     one = directory(ready("1"), draining("1"))
-    assert not one.take_reading(ready("1"), "a")
+    assert not one.apply_listing(ready("1"), "a")
     assert states(one) == {"1": True}
 
 
 def test_a_receiver_that_left_after_it_drained_stays_away():
     one = directory(ready("1", "2"), draining("1") + ready("2"), ready("2"))
-    assert not one.take_reading(ready("1", "2"), "a")
+    assert not one.apply_listing(ready("1", "2"), "a")
     assert states(one) == {"2": False}
 
 
 def test_a_receiver_that_was_missing_from_one_reading_comes_back():
     one = directory(ready("1", "2"), ready("2"))
-    assert one.take_reading(ready("1", "2"), "a")
+    assert one.apply_listing(ready("1", "2"), "a")
     assert states(one) == {"1": False, "2": False}
 
 
 def test_an_address_used_again_by_another_service_is_another_receiver():
     one = directory(draining("1"))
-    one.take_reading([Receiver("9", "other", "10.1.0.1:80", "east", 8)], "a")
+    one.apply_listing([Receiver("9", "other", "10.1.0.1:80", "east", 8)], "a")
     assert {name: [found.id for found in all_of] for name, all_of in one.by_service().items()} == {"other": ["9"]}
 
 
@@ -85,7 +85,7 @@
     source, target = directory(ready("1")), ReceiverDirectory()
     assert copy_to(target, source) and states(target) == {"1": False}
     assert not copy_to(target, source)
-    source.take_reading(draining("1"), "a")
+    source.apply_listing(draining("1"), "a")
     assert copy_to(target, source) and states(target) == {"1": True}
 
 
@@ -101,9 +101,9 @@
     loser, winner, third = directory(draining("1"), reader="a"), directory(ready("1"), reader="b"), ReceiverDirectory()
     copy_to(third, winner)
     copy_to(loser, winner)
-    assert loser.take_reading(draining("1"), "a"), "the list did not change since, the others' knowledge has to"
+    assert loser.apply_listing(draining("1"), "a"), "the list did not change since, the others' knowledge has to"
     assert copy_to(third, loser) and states(third) == {"1": True}
-    assert not loser.take_reading(draining("1"), "a")
+    assert not loser.apply_listing(draining("1"), "a")
 
 
 def test_versions_go_on_above_those_that_senders_still_hold_after_every_reader_started_again():
@@ -111,17 +111,17 @@
     copy_to(sender, directory(*(ready(str(number)) for number in range(50))))
     restarted = directory(ready("99"), reader="z")
     assert not copy_to(sender, restarted)
-    restarted.note_version(sender.version)
-    assert restarted.take_reading(ready("99"), "z")
+    restarted.observe_version(sender.version)
+    assert restarted.apply_listing(ready("99"), "z")
     assert copy_to(sender, restarted) and states(sender) == {"99": False}
 
 
 def test_a_private_reading_is_taken_under_the_version_as_it_is():
     one = directory(ready("1", "2"))
     version = one.version
-    assert one.take_private_reading(draining("1") + ready("2", "3"))
+    assert one.apply_private_listing(draining("1") + ready("2", "3"))
     assert (one.version, states(one)) == (version, {"1": True, "2": False, "3": False})
-    assert not one.take_private_reading(ready("1", "2", "3"))
+    assert not one.apply_private_listing(ready("1", "2", "3"))
     assert ReceiverDirectory().version == NO_VERSION
 
 
@@ -129,15 +129,15 @@
     source = directory(ready("1"))
     target = ReceiverDirectory()
     copy_to(target, source)
-    target.take_private_reading(draining("1"))
-    source.take_reading(ready("1", "2"), "a")
+    target.apply_private_listing(draining("1"))
+    source.apply_listing(ready("1", "2"), "a")
     assert copy_to(target, source)
     assert states(target) == {"1": True, "2": False}
 
 
 def test_ends_are_remembered_up_to_a_bound():
-    one = directory(draining(*map(str, range(MOST_REMEMBERED_ENDS + 10))), ready())
-    one.take_reading(ready("0", str(MOST_REMEMBERED_ENDS)), "a")
+    one = directory(draining(*map(str, range(MAX_REMEMBERED_DRAINING + 10))), ready())
+    one.apply_listing(ready("0", str(MAX_REMEMBERED_DRAINING)), "a")
     assert states(one) == {"0": False}
 
 
@@ -157,8 +157,8 @@
 
 
 def test_a_record_gives_back_the_receiver():
-    one = receiver("1", draining=True, cold_left_ms=3.0, generation="v2")
-    assert receiver_from_record(one.record()) == one
+    one = receiver("1", draining=True, warm_up_left_ms=3.0, generation="v2")
+    assert receiver_from_record(one.to_record()) == one
 
 
 @pytest.mark.parametrize("entry", [{}, {"id": "1"}, [], {"id": "1", "backend": "x", "address": "y", "capacity": "z"}])
--- a/tests/dataplane/agent_world.py
+++ b/tests/dataplane/agent_world.py
@@ -51,7 +51,7 @@
         self.frozen = False
         self.state_version = 1
         self.directory = ReceiverDirectory()
-        self.directory.take_reading([receiver()], "r")
+        self.directory.apply_listing([receiver()], "r")
         self.read_s = None  # when the list was read; None: just now
         self.parents = []
         self.senders = 4
@@ -68,7 +68,7 @@
         self.changed = asyncio.Event()
 
     def read(self, *receivers, reader="r"):
-        self.directory.take_reading(receivers, reader)
+        self.directory.apply_listing(receivers, reader)
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -110,7 +110,7 @@
         if self.state_version > message["state_version"]:
             news["state"] = {"version": self.state_version}
         if self.directory.version > DirectoryVersion(*message["receivers_version"]):
-            news["receivers"] = self.directory.records()
+            news["receivers"] = self.directory.to_records()
         return news
 
     def has_news(self, message):
--- a/tests/dataplane/test_agent_receiver_list.py
+++ b/tests/dataplane/test_agent_receiver_list.py
@@ -52,7 +52,7 @@
         await world.until(lambda: world.drained[-1] == [False, False])
         for one in world.control_servers:
             one.directory = ReceiverDirectory()
-            one.directory.take_reading([receiver()], "a")
+            one.directory.apply_listing([receiver()], "a")
         await asyncio.sleep(DRAIN_S)
         return world.agent.receiver_list_age_s(), len(world.own_readings)
 
--- a/tests/dataplane/test_slot_allocation.py
+++ b/tests/dataplane/test_slot_allocation.py
@@ -34,8 +34,8 @@
 NOW = 50.0
 
 
-def receiver(id, zone="here", capacity=4, draining=False, cold_left_ms=0.0):
-    return Receiver(id, SERVICE, f"10.0.0.1:{8000 + len(id)}", zone, capacity, draining, cold_left_ms, "v1")
+def receiver(id, zone="here", capacity=4, draining=False, warm_up_left_ms=0.0):
+    return Receiver(id, SERVICE, f"10.0.0.1:{8000 + len(id)}", zone, capacity, draining, warm_up_left_ms, "v1")
 
 
 def make_allocator(*receivers):
@@ -70,7 +70,7 @@
 
 def test_receiver_that_warms_up_gets_fewer_calls():
     spread = Counter(
-        acquired_ids(make_allocator(receiver("a", capacity=8), receiver("b", capacity=8, cold_left_ms=500)), 9)
+        acquired_ids(make_allocator(receiver("a", capacity=8), receiver("b", capacity=8, warm_up_left_ms=500)), 9)
     )
     assert spread["b"] == pytest.approx(spread["a"] * WARM_UP_CAPACITY_SHARE, abs=1)
 
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -444,7 +444,7 @@
 
 def platform_entry(entry: Json) -> Json:
     """The record that goes round between dewpin's processes for an entry of the platform's list."""
-    return dict(receiver_from_platform(entry).record())
+    return dict(receiver_from_platform(entry).to_record())
 
 
 # Stored data: the control server's database
@@ -922,7 +922,7 @@
 def read_platform(address: str) -> list[Json] | str:
     """The records of the platform's whole list; `unavailable` if it could not be read whole."""
     try:
-        return [dict(receiver.record()) for receiver in PlatformList(address).read()]
+        return [dict(receiver.to_record()) for receiver in PlatformList(address).read()]
     except PlatformUnavailableError:
         return "unavailable"
 
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -223,7 +223,7 @@
 
 def _take_any_state_that_is_told():
     """Both guards are gone: a parent tells what it has, newer or not, and its child takes it."""
-    take, tell = ClusterKnowledge.apply_update, relay_service._news
+    take, tell = ClusterKnowledge.apply_update, relay_service._update
 
     def taken(self, update, asked_s):
         if update.state is not None:
@@ -236,7 +236,7 @@
         return replace(tell(knowledge, request), state=knowledge.state)
 
     ClusterKnowledge.apply_update = taken
-    relay_service._news = told
+    relay_service._update = told
 
 
 def _answer_under_any_epoch():
