--- a/dewpin/cli/lab.py
+++ b/dewpin/cli/lab.py
@@ -26,18 +26,18 @@
 
     Exit code 3 if a rule was broken; the rules are judged from what clients, receivers and agents saw.
     """
-    from ..lab.fleet import run
-    from ..lab.fleet.scenario import read
+    from ..lab.fleet.load_test import play
+    from ..lab.fleet.scenario import parse_scenario
 
     try:
-        found = read(scenario.read_text())
+        found = parse_scenario(scenario.read_text())
     except ValueError as error:
         raise CommandError(f"{scenario.name}: {error}", ExitCode.INVALID) from error
     if seed is not None:
         found.seed = seed
     folder = out or Path(tempfile.mkdtemp(prefix="dewpin-fleet-"))
     try:
-        result = asyncio.run(run.play(found, folder))
+        result = asyncio.run(play(found, folder))
     except (OSError, RuntimeError) as error:
         raise CommandError(str(error), ExitCode.IMPOSSIBLE) from error
     if as_json:
--- a/dewpin/lab/fleet/__init__.py
+++ b/dewpin/lab/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Real senders against a world of our own on loopback: agents, receivers, clients and the links between any two.
+"""A load test with fault injection: real senders, with agents, receivers, clients and links of our own on loopback.
 
-An extra of the laboratory; docs/fleet.md tells how to use it.
+An extra of the laboratory; docs/fleet.md says how to use it.
 """
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from dewpin.lab.fleet.relays import Ways
+from dewpin.lab.fleet.datagram_proxies import DatagramProxies
 from dewpin.peers import membership
 from dewpin.peers.membership import Membership
 from dewpin.peers.membership_messages import MemberRecord, MemberState, SyncPage, SyncRequest
@@ -131,10 +131,10 @@
     """Real members behind relays. `reports`: what each last reported of the others; `lost`: who called whom lost."""
 
     def __init__(self, names):
-        self.names, self.ways, self.running, self.reports, self.lost = names, Ways(names), {}, {}, []
+        self.names, self.proxies, self.running, self.reports, self.lost = names, DatagramProxies(names), {}, {}, []
 
     async def open(self):
-        await self.ways.open()
+        await self.proxies.open()
         transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: self, ("127.0.0.1", 0))
         self.address, self.transport = transport.get_extra_info("sockname"), transport
         for name in self.names:
@@ -142,12 +142,12 @@
 
     def datagram_received(self, data, address):
         report = json.loads(data)
-        self.ways.put(report["name"], tuple(report["at"]))
+        self.proxies.set_address(report["name"], tuple(report["at"]))
         self.reports[report["name"]] = report
         self.lost += [(report["name"], name) for name in report["lost"]]
 
     def start(self, name):
-        peers = self.ways.peers(name)
+        peers = self.proxies.peers_of(name)
         settings = {
             "name": name,
             "peers": peers,
@@ -157,7 +157,7 @@
             "taker": self.address,
         }
         self.running[name] = subprocess.Popen(
-            [sys.executable, "-m", "dewpin.lab.fleet.member", json.dumps(settings)], cwd=ROOT
+            [sys.executable, "-m", "dewpin.lab.fleet.member_process", json.dumps(settings)], cwd=ROOT
         )
 
     async def agree(self, names):
@@ -169,7 +169,7 @@
         for one in self.running.values():
             one.kill()
             one.wait()
-        self.ways.close()
+        self.proxies.close()
         self.transport.close()
 
 
@@ -186,12 +186,12 @@
     async def faults(fleet, names):
         await fleet.agree(names)
         fleet.lost.clear()  # while they start, one may be late
-        fleet.ways.cut(["c"], ["d"])  # one way, and all others slow and lossy
-        for way in fleet.ways.ways.values():
-            way.loses, way.doubles, way.lag = 0.05, 0.05, 30.0
+        fleet.proxies.cut(["c"], ["d"])  # one way, and all others slow and lossy
+        for link in fleet.proxies.links.values():
+            link.loss_share, link.duplicate_share, link.max_lag_ms = 0.05, 0.05, 30.0
         fleet.running["i"].kill()
         await fleet.agree(names[:-1])  # by the others' help c and d keep each other
-        fleet.ways.heal()
+        fleet.proxies.heal()
         fleet.running["h"].send_signal(signal.SIGSTOP)
         await fleet.agree(names[:-2])
         fleet.running["h"].send_signal(signal.SIGCONT)  # it refutes, and calls nobody lost
@@ -200,10 +200,10 @@
         fleet.running["g"].send_signal(signal.SIGTERM)
         await fleet.agree([*names[:6], "h"])
         assert "g" not in {one for _, one in fleet.lost}  # it left, nobody lost it
-        fleet.ways.cut(names[:3], names[3:])
-        fleet.ways.cut(names[3:], names[:3])
+        fleet.proxies.cut(names[:3], names[3:])
+        fleet.proxies.cut(names[3:], names[:3])
         await until(lambda: fleet.reports["a"]["alive"] == names[:3], 60.0)
-        fleet.ways.heal()
+        fleet.proxies.heal()
         fleet.start("i")
         await fleet.agree([*names[:6], "h", "i"])
 
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from dewpin.lab.fleet.relays import Ways
+from dewpin.lab.fleet.datagram_proxies import DatagramProxies
 from dewpin.peers.fencing import FencingGuard
 from driver import until
 
@@ -29,8 +29,8 @@
 class Resource(asyncio.DatagramProtocol):
     """What only the lease holder may act on, behind a fencing guard. `acts`: all acts, in the order of arrival."""
 
-    def __init__(self, ways):
-        self.ways, self.guard, self.acts = ways, FencingGuard(), []
+    def __init__(self, proxies):
+        self.proxies, self.guard, self.acts = proxies, FencingGuard(), []
 
     def connection_made(self, transport):
         self.address = transport.get_extra_info("sockname")
@@ -39,7 +39,7 @@
     def datagram_received(self, data, address):
         report = json.loads(data)
         if "address" in report:
-            return self.ways.put(report["name"], tuple(report["address"]))
+            return self.proxies.set_address(report["name"], tuple(report["address"]))
         is_accepted = self.guard.accepts(report["token"])
         now_seconds = asyncio.get_running_loop().time()
         self.acts.append(Act(now_seconds, report["name"], report["token"], is_accepted))
@@ -47,12 +47,12 @@
 
 class Peers:
     def __init__(self, folder):
-        self.folder, self.ways, self.running = folder, Ways(NAMES), {}
+        self.folder, self.proxies, self.running = folder, DatagramProxies(NAMES), {}
 
     async def open(self):
-        await self.ways.open()
+        await self.proxies.open()
         _, self.resource = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: Resource(self.ways), ("127.0.0.1", 0)
+            lambda: Resource(self.proxies), ("127.0.0.1", 0)
         )
         for name in NAMES:
             self.start(name, is_new_installation=True)
@@ -60,7 +60,7 @@
     def start(self, name, is_new_installation=False):
         settings = {
             "name": name,
-            "peers": self.ways.peers(name),
+            "peers": self.proxies.peers_of(name),
             "voters": VOTERS,
             "folder": str(self.folder / name),
             "term_ms": TERM_MS,
@@ -97,7 +97,7 @@
         for one in self.running.values():
             one.kill()
             one.wait()
-        self.ways.close()
+        self.proxies.close()
         self.resource.transport.close()
 
 
@@ -125,17 +125,17 @@
         second = await peers.next_holder({first})
         peers.running[first].send_signal(signal.SIGCONT)
         assert await peers.next_holder({first}, 20) == second  # and keeps it
-        peers.ways.cut(NAMES, [second])  # it hears nobody and is heard: it stops by itself
+        peers.proxies.cut(NAMES, [second])  # it hears nobody and is heard: it stops by itself
         third = await peers.next_holder({second})
-        peers.ways.heal()
-        peers.ways.cut([third], NAMES)  # the other way round
+        peers.proxies.heal()
+        peers.proxies.cut([third], NAMES)  # the other way round
         fourth = await peers.next_holder({third})
-        peers.ways.heal()
-        for way in peers.ways.ways.values():
-            way.loses, way.doubles, way.lag = 0.2, 0.3, 60.0
+        peers.proxies.heal()
+        for link in peers.proxies.links.values():
+            link.loss_share, link.duplicate_share, link.max_lag_ms = 0.2, 0.3, 60.0
         peers.running[fourth].send_signal(signal.SIGTERM)  # by intent
         fifth = await peers.next_holder({fourth})
-        peers.ways.heal()
+        peers.proxies.heal()
         peers.kill(fourth)  # both may be voters: two of three must run
         peers.start(fourth)
         peers.kill(fifth)
