--- a/dewpin/dataplane/stop_signal.py
+++ b/dewpin/dataplane/stop_signal.py
@@ -1,6 +1,6 @@
 """SIGTERM and SIGINT as something that the main thread can wait for, whichever thread the system delivers them to.
 
-Python runs its handlers on the main thread alone. A main thread that sleeps on a lock is not woken by a signal that
+Python runs signal handlers on the main thread alone. A main thread that sleeps on a lock is not woken by a signal that
 another thread received, so the handler could run much later, or never. The bytes that Python writes to the wake-up
 descriptor at the moment of delivery wake it.
 """
@@ -9,26 +9,30 @@
 import signal
 import threading
 
-READ_SIZE = 64
+READ_SIZE_BYTES = 64
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class StopSignal:
-    """Whether the process was told to stop. Made on the main thread, which then calls `wait`."""
+    """Whether the process has received a signal to stop.
+
+    Must be made on the main thread, which then calls `wait`. It is meant to last as long as the process, so its pipe
+    is never closed.
+    """
 
     def __init__(self) -> None:
-        self._told = threading.Event()
+        self._received = threading.Event()
         self._reader, writer = os.pipe()
         os.set_blocking(writer, False)
         signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
         for number in STOP_SIGNALS:
-            signal.signal(number, lambda *_: self._told.set())
+            signal.signal(number, lambda *_: self._received.set())
 
     def is_set(self) -> bool:
-        """Tell whether a signal to stop has come."""
-        return self._told.is_set()
+        """Return whether a signal to stop was received."""
+        return self._received.is_set()
 
     def wait(self) -> None:
-        """Return once a signal to stop has come."""
-        while not self._told.is_set():
-            os.read(self._reader, READ_SIZE)
+        """Return once a signal to stop was received."""
+        while not self._received.is_set():
+            os.read(self._reader, READ_SIZE_BYTES)
--- a/tests/dataplane/test_graceful_shutdown.py
+++ b/tests/dataplane/test_graceful_shutdown.py
@@ -2,11 +2,12 @@
 
 import asyncio
 import threading
-from types import SimpleNamespace
 
 import pytest
 
-from dewpin.dataplane.__main__ import Sender, drain_s
+from dewpin.dataplane.__main__ import drain_s
+from dewpin.dataplane.agent_thread import AgentThread
+from dewpin.dataplane.membership.cluster_state import ClusterState
 
 LAST_SIXTH = 5 / 6
 
@@ -41,14 +42,15 @@
 
 def stopped_sender(stores, left_s):
     """Return the agent of a sender with these stores, stopped with `left_s` of its grace left."""
-    sender = Sender(SimpleNamespace(bounds=SimpleNamespace(grace_s=8.0)))
-    sender.agent, sender._store_client = Agent(), stores
-    thread = threading.Thread(target=sender.loop.run_forever, daemon=True)
+    agent_thread = AgentThread(None, ClusterState())
+    agent_thread.agent, agent_thread.store_client = Agent(), stores
+    loop = agent_thread._loop
+    thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
-    sender._stop_agent(left_s)
-    sender.loop.call_soon_threadsafe(sender.loop.stop)
+    agent_thread.stop(left_s)
+    loop.call_soon_threadsafe(loop.stop)
     thread.join()
-    return sender.agent
+    return agent_thread.agent
 
 
 def test_last_turns_are_settled_before_process_exits():
--- a/tests/dataplane/test_lease_readiness.py
+++ b/tests/dataplane/test_lease_readiness.py
@@ -63,7 +63,9 @@
     confirmation = SimpleNamespace(is_confirmed=missing != "is_confirmed")
     sender = SimpleNamespace(
         state=state,
-        agent=SimpleNamespace(has_control_plane_contact=has["has_control_plane_contact"], confirmation=confirmation),
-        stopping=SimpleNamespace(is_set=lambda: missing == "running"),
+        agent_thread=SimpleNamespace(
+            agent=SimpleNamespace(has_control_plane_contact=has["has_control_plane_contact"], confirmation=confirmation)
+        ),
+        stop_signal=SimpleNamespace(is_set=lambda: missing == "running"),
     )
     assert Sender.is_ready(sender) is is_ready
--- a/tests/dataplane/test_readiness_while_stopping.py
+++ b/tests/dataplane/test_readiness_while_stopping.py
@@ -13,7 +13,8 @@
 from dewpin.dataplane.ingress.readiness import ReadinessServer
 
 sender = Sender(None)
-sender.agent = SimpleNamespace(has_control_plane_contact=True, confirmation=SimpleNamespace(is_confirmed=True))
+confirmation = SimpleNamespace(is_confirmed=True)
+sender.agent_thread.agent = SimpleNamespace(has_control_plane_contact=True, confirmation=confirmation)
 sender.state.configuration = sender.state.store_view = object()
 sender.state.receivers = {"service": (object(),)}
 server = ReadinessServer(sender.is_ready)
@@ -37,7 +38,7 @@
 import sys
 asking = threading.Thread(target=be_stopped, daemon=True)
 asking.start()
-sender.stopping.wait()
+sender.stop_signal.wait()
 asking.join(10)
 """
 
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -38,7 +38,7 @@
         while True:
             await asyncio.sleep(REQUEST_EVERY_S * self.dice.uniform(0.5, 1.5))
             for front in self.world.fronts():
-                if front.runs and front.sender is not None:
+                if front.runs and front.agent is not None:
                     sent_s = self.world.loop.now
                     self.world.loop.call_soon(self._request, front, sent_s, context=front.machine.context)
 
@@ -128,7 +128,7 @@
     async def _serve(self, front, program, turn, previous):
         """A turn at a front, in the order of `dewpin.dataplane.programs.turns.OpenTurn`."""
         store = front.store_client
-        open_s = OPEN_TIMEOUT_S if front.sender.agent.has_control_plane_contact else CUT_OFF_OPEN_TIMEOUT_S
+        open_s = OPEN_TIMEOUT_S if front.agent.has_control_plane_contact else CUT_OFF_OPEN_TIMEOUT_S
         try:
             reservation = await self._begin(store, program, turn, previous, open_s)
         except TierError as error:
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -8,8 +8,10 @@
 from dewpin.controlplane.__main__ import LEAVE_NOTICE_S, start_store
 from dewpin.controlplane.control_server import ControlServer
 from dewpin.controlplane.operator_api import OperatorApi
-from dewpin.dataplane.__main__ import Sender
+from dewpin.dataplane.cluster_state_updater import ClusterStateUpdater
+from dewpin.dataplane.membership import sender_readiness
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
+from dewpin.dataplane.membership.cluster_state import ClusterState
 from dewpin.dataplane.programs.history_cache import HistoryCache
 from dewpin.dataplane.programs.store_client import StoreClient
 from dewpin.lab.loop import Machine
@@ -148,16 +150,16 @@
 
     def __init__(self, world, name, ip, zone):
         super().__init__(world, name, ip, zone)
-        self.sender = None
+        self.agent = None
+        self.state = None
         self.store_client = None
 
     async def _run(self, bootstrap):
-        self.sender = self.store_client = None
+        self.agent = self.state = self.store_client = None
         settings, loop = self.settings(bootstrap), self.world.loop
         client = RpcClient()
-        sender = Sender(settings)
-        sender.loop.close()  # of its own thread, which isn't started here
-        sender._store_client = StoreClient(
+        state = ClusterState()
+        store_client = StoreClient(
             client,
             settings.fault_tolerance.replica_count,
             self.random("stores"),
@@ -165,31 +167,31 @@
             f"{self.random('proposer').getrandbits(48):012x}",
             self.time_of_day_ms,
         )
+        updater = ClusterStateUpdater(state, store_client.adopt)
         agent = ClusterAgent(
             settings,
             client,
             self.random("agent"),
-            sender._on_state,
-            sender._on_receivers,
+            updater.update_system_state,
+            updater.update_receivers,
             clock=loop.time,
             platform=self.world.platform(self),
-            on_sender_count=sender._on_sender_count,
+            on_sender_count=updater.update_sender_count,
         )
         server = RpcServer(self.world.disturbed(agent.handlers))
         await server.start(*split_address(agent.address))
         agent.start()
-        sender.agent = agent
-        sender.state.is_cut_off = lambda: not agent.has_control_plane_contact
-        sender.state.is_current = agent.is_state_current
-        self.sender, self.store_client = sender, sender._store_client
+        state.is_cut_off = lambda: not agent.has_control_plane_contact
+        state.is_current = agent.is_state_current
+        self.agent, self.state, self.store_client = agent, state, store_client
 
     @property
     def is_ready(self):
-        return self.serves and self.sender is not None and self.sender.is_ready()
+        return self.serves and self.agent is not None and sender_readiness.is_ready(self.state, self.agent)
 
     def generation(self):
         """The configuration that a request meets now: its number and a mark of its body; None before there is one."""
-        configuration = self.sender.state.configuration if self.sender is not None else None
+        configuration = self.state.configuration if self.state is not None else None
         if configuration is None:
             return None
         return configuration.generation, configuration.raw["routes"][0]["path_prefix"]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -50,6 +50,8 @@
         "http11",
         "programs",
         "membership",
+        "cluster_state_updater",
+        "agent_thread",
         "load_balancing",
         "upstream",
         "routing",
