--- a/dewpin/core/__init__.py
+++ b/dewpin/core/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions and the facts they stand on: which server, whether again, what to turn away.
+"""The decisions of a sender: which receiver gets a message, whether it is retried, what is deferred or rejected.
 
-It owns the decision module and the types of its interface. It never reads a clock, opens a socket or imports asyncio,
-and it knows no other package of this program.
+`dispatcher.Dispatcher` is the only way in, `model` holds the types of its interface. Nothing here reads a clock, opens
+a socket or imports asyncio, and nothing here knows another package of this program.
 """
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Plain cases, each of them a failure that the module must not show again."""
+"""Plain cases of a dispatcher, each of them a failure that must not come again."""
 
 import random
 
--- a/tests/core/test_dispatcher_random.py
+++ b/tests/core/test_dispatcher_random.py
@@ -21,84 +21,98 @@
 )
 
 
-class RuleWatch:
-    """The rules as an outsider sees them, over all answers of one run."""
+STATES = (ReceiverState.READY, ReceiverState.READY, ReceiverState.DRAINING, ReceiverState.GONE)
+
 
-    def __init__(self, driver, services, rules, apart):
-        self.driver, self.services, self.rules, self.apart = driver, services, rules, apart
-        self.retry_after_until, self.executed, self.attempts, self.turns, self.gap_until = {}, {}, {}, {}, {}
-        self.restarted_at = 0.0  # when the sender came back last: nothing is overdue before that
+class RuleWatch:
+    """The rules as an outsider sees them, over all decisions of one run.
+
+    executed: message: (receiver, when it was sent) of its first attempt that may have been executed.
+    attempts: how many each message had.
+    turns: by ordering key, its messages in the order of arrival.
+    gap_until, retry_after_until: until when a key, or a destination or receiver, gets nothing.
+    restarted_at: when the sender came back last; nothing is overdue before that.
+    """
+
+    def __init__(self, driver, apart):
+        self.driver, self.apart = driver, apart
+        self.classes, self.rules = driver.settings["Services"], driver.settings["Rules"]
+        self.executed, self.attempts, self.turns = {}, {}, {}
+        self.gap_until, self.retry_after_until = {}, {}
+        self.restarted_at = 0.0
         driver.on_decision = self.check
 
     def owner(self, receiver):
         return receiver if self.apart else receiver.destination
 
     def submitted(self, message):
-        if message.ordering_key and self.services[message.queue_class]["ByArrival"]:
+        if message.ordering_key and self.classes[message.queue_class]["ByArrival"]:
             self.turns.setdefault(message.ordering_key, []).append(message)
 
     def check(self, decision, message):
-        now, effect = self.driver.now, self.services[message.queue_class]["Effect"]
         if isinstance(decision, Receiver):
-            assert decision.destination is message.destination and decision.state == ReceiverState.READY
-            assert now >= self.retry_after_until.get(self.owner(decision), 0.0), "a requested wait was not heeded"
-            assert now <= message.expires_at and 0.0 < self.driver.in_flight[message][2] <= message.expires_at - now
-            self.attempts[message] = self.attempts.get(message, 0) + 1
-            assert self.attempts[message] <= self.driver.settings["Allowed"]["MaxAttempts"]
-            calls = {(r, sent) for r, sent, _ in self.driver.in_flight.values()}
-            assert len(calls) <= self.driver.settings["FamilyInfo"]["CallSlots"]
-            if message in self.executed:
-                receiver, sent = self.executed[message]
-                assert effect != "unsafe", "a once-only message went again"
-                if effect == "keyed":
-                    assert now < sent + self.services[message.queue_class]["Window"], "sent outside the window"
-                    assert self.services[message.queue_class]["KeyScope"] == "all" or receiver.zone == decision.zone
-            if message in self.turns.get(message.ordering_key, ()):
-                assert self.turns[message.ordering_key][0] is message, "out of turn"
-                assert now >= self.gap_until.get(message.ordering_key, 0.0) or self.attempts[message] > 1, (
-                    "no gap for the ordering key"
-                )
+            self.check_attempt(message, decision)
         elif decision != Decision.NOT_YET:
-            assert (
-                message.is_withdrawn or now <= max(message.expires_at, self.restarted_at) + self.rules["AnswerSlack"]
-            ), "answered too late"
-            queue_class = self.services[message.queue_class]
-            if decision == Decision.DEFERRED and message in self.executed and not message.is_withdrawn:
-                assert effect == "safe" or (effect == "keyed" and queue_class["KeyScope"] == "all")
-            if message in self.turns.get(message.ordering_key, ()):
-                self.turns[message.ordering_key].remove(message)
+            self.check_end(message, decision)
+
+    def check_attempt(self, message, receiver):
+        now = self.driver.now
+        assert receiver.destination is message.destination and receiver.state == ReceiverState.READY
+        assert now >= self.retry_after_until.get(self.owner(receiver), 0.0), "a requested wait was not heeded"
+        assert now <= message.expires_at and 0.0 < self.driver.in_flight[message][2] <= message.expires_at - now
+        self.attempts[message] = self.attempts.get(message, 0) + 1
+        assert self.attempts[message] <= self.driver.settings["Allowed"]["MaxAttempts"]
+        calls = {(receiver, sent_at) for receiver, sent_at, _ in self.driver.in_flight.values()}
+        assert len(calls) <= self.driver.settings["FamilyInfo"]["CallSlots"]
+        if message in self.executed:
+            self.check_retry(message, receiver)
+        key = message.ordering_key
+        if message in self.turns.get(key, ()):
+            assert self.turns[key][0] is message, "out of turn"
+            is_after_gap = now >= self.gap_until.get(key, 0.0) or self.attempts[message] > 1
+            assert is_after_gap, "no gap for the ordering key"
+
+    def check_retry(self, message, receiver):
+        """Of a message that may have been executed."""
+        queue_class = self.classes[message.queue_class]
+        first_receiver, sent_at = self.executed[message]
+        assert queue_class["Effect"] != "unsafe", "an unsafe message went again"
+        if queue_class["Effect"] == "keyed":
+            assert self.driver.now < sent_at + queue_class["Window"], "sent outside the window"
+            assert queue_class["KeyScope"] == "all" or first_receiver.zone == receiver.zone
+
+    def check_end(self, message, decision):
+        queue_class, now = self.classes[message.queue_class], self.driver.now
+        end_at = max(message.expires_at, self.restarted_at) + self.rules["AnswerSlack"]
+        assert message.is_withdrawn or now <= end_at, "answered too late"
+        if decision == Decision.DEFERRED and message in self.executed and not message.is_withdrawn:
+            is_safe = queue_class["Effect"] == "safe"
+            assert is_safe or (queue_class["Effect"] == "keyed" and queue_class["KeyScope"] == "all")
+        if message in self.turns.get(message.ordering_key, ()):
+            self.turns[message.ordering_key].remove(message)
 
     def attempt_ended(self, message, outcome, retry_after_ms):
-        receiver, sent, _ = self.driver.in_flight[message]
+        receiver, sent_at, _ = self.driver.in_flight[message]
         if outcome not in NOT_EXECUTED:
-            self.executed.setdefault(message, (receiver, sent))
+            self.executed.setdefault(message, (receiver, sent_at))
         if outcome in STILL_RUNNING and message.ordering_key:
             self.gap_until[message.ordering_key] = self.driver.now + self.rules["TurnGap"]
         if retry_after_ms:
-            owner = self.owner(receiver)
-            self.retry_after_until[owner] = max(
-                self.retry_after_until.get(owner, 0.0), self.driver.now + retry_after_ms
-            )
+            owner, until = self.owner(receiver), self.driver.now + retry_after_ms
+            self.retry_after_until[owner] = max(self.retry_after_until.get(owner, 0.0), until)
 
+    def withdrawn(self, message):
+        if message in self.turns.get(message.ordering_key, ()) and message not in self.driver.in_flight:
+            self.turns[message.ordering_key].remove(message)
 
-def end_due_attempts(driver, watch, faulty, rng):
-    """Ends the attempts that are due, by the fault of their destination."""
-    for message, (receiver, sent, limit) in list(driver.in_flight.items()):
-        fault = faulty.get(receiver.destination) or faulty.get((receiver, message.queue_class))
-        hangs, is_slow = fault == Outcome.TIMED_OUT, rng.random() < 0.3
-        if driver.now - sent < (limit if hangs else min(limit, 60.0)) or (is_slow and driver.now - sent < limit):
-            continue
-        over = driver.now - sent >= limit or hangs
-        outcome = Outcome.TIMED_OUT if over else fault if fault and rng.random() < 0.9 else Outcome.DELIVERED
-        retry_after_ms = rng.choice((0.0, 700.0, 6000.0)) if outcome == Outcome.REJECTED else 0.0
-        watch.attempt_ended(message, outcome, retry_after_ms)
-        driver.end_attempt(message, outcome, driver.now - sent, retry_after_ms, advances=False)
+    def restarts(self, down_ms):
+        self.restarted_at = self.driver.now + down_ms
+        withdrawn = [message for turn in self.turns.values() for message in turn if message.is_withdrawn]
+        for message in withdrawn:
+            self.turns[message.ordering_key].remove(message)
 
 
-@pytest.mark.parametrize("seed", range(16))
-def test_delivery_rules_hold_in_random_runs(seed):
-    rng = random.Random(seed)
-    apart = rng.random() < 0.3
+def draw_settings(rng, seed, apart):
     drawn = settings(
         effects=("safe", "keyed", "unsafe"),
         window=rng.choice((2000.0, 6000.0)),
@@ -112,61 +126,105 @@
         attempts=rng.choice((1, 4, 8)),
     )
     drawn["Rules"]["TurnGap"] = (100.0, 400.0, 1500.0)[seed % 3]  # the first is over before any pause
-    driver = DispatcherDriver(drawn, receivers=0, seed=seed)
-    watch = RuleWatch(driver, drawn["Services"], drawn["Rules"], apart)
-    destinations = [Destination(n) for n in range(4)]
-    receivers = [Receiver(n, destinations[n % 4], zone=rng.randrange(2)) for n in range(9)]
-    dies = rng.choice((0.0, 0.003))
-    faulty, busy = {}, rng.choice((1.0, 1.0, 0.1))  # the last: one of many senders, with sparse queues
-    for step in range(2000):
-        for receiver in receivers:
+    return drawn
+
+
+class RandomRun:
+    """A sender among destinations and receivers that change and fail by chance.
+
+    faults: outcome of the calls to a destination, or to a receiver with messages of a queue class; None: none.
+    restart_chance: that the sender dies in a step.
+    traffic_share: share of the steps in which messages may come; a small one: one of many senders, with sparse queues.
+    """
+
+    def __init__(self, seed):
+        self.rng = rng = random.Random(seed)
+        apart = rng.random() < 0.3
+        self.driver = DispatcherDriver(draw_settings(rng, seed, apart), receivers=0, seed=seed)
+        self.watch = RuleWatch(self.driver, apart)
+        self.destinations = [Destination(n) for n in range(4)]
+        self.receivers = [Receiver(n, self.destinations[n % 4], zone=rng.randrange(2)) for n in range(9)]
+        self.restart_chance = rng.choice((0.0, 0.003))
+        self.faults = {}
+        self.traffic_share = rng.choice((1.0, 1.0, 0.1))
+
+    def step(self):
+        self.change_receivers()
+        self.submit_messages()
+        self.driver.dispatch_due()
+        self.end_due_attempts()
+        self.withdraw()
+        if self.rng.random() < self.restart_chance:
+            down_ms = self.rng.choice((600.0, 7000.0))
+            self.watch.restarts(down_ms)
+            self.driver.restart(self.watch.attempts, self.watch.executed, down_ms)
+            self.watch.retry_after_until.clear()
+        self.driver.advance(self.rng.choice((5.0, 10.0, 15.0)))
+
+    def drain(self):
+        while self.driver.dispatcher.pending_messages:
+            self.end_due_attempts()
+            self.driver.advance(15.0)
+
+    def change_receivers(self):
+        rng = self.rng
+        for receiver in self.receivers:
             if rng.random() < 0.002:
-                receiver.state = rng.choice(
-                    (
-                        ReceiverState.READY,
-                        ReceiverState.READY,
-                        ReceiverState.DRAINING,
-                        ReceiverState.GONE,
-                    )
-                )
-        for destination in destinations:
+                receiver.state = rng.choice(STATES)
+        for destination in self.destinations:
             if rng.random() < 0.003:
-                faulty[destination] = rng.choice((None,) + FAULTS)
+                self.faults[destination] = rng.choice((None,) + FAULTS)
         if rng.random() < 0.01:  # one queue class fails at one receiver
-            faulty[rng.choice(receivers), rng.randrange(3)] = rng.choice((None, Outcome.ERROR, Outcome.TIMED_OUT))
-        messages = rng.choice((0, 0, 0, 0, 0, 1, 1, 8 if rng.random() < 0.05 else 0))
-        for _ in range(messages if rng.random() < busy else 0):
-            message = driver.submit(
+            fault = rng.choice((None, Outcome.ERROR, Outcome.TIMED_OUT))
+            self.faults[rng.choice(self.receivers), rng.randrange(3)] = fault
+
+    def submit_messages(self):
+        rng = self.rng
+        count = rng.choice((0, 0, 0, 0, 0, 1, 1, 8 if rng.random() < 0.05 else 0))
+        for _ in range(count if rng.random() < self.traffic_share else 0):
+            message = self.driver.submit(
                 time_left_ms=rng.choice((400.0, 3000.0, 16000.0)),
                 dispatches=False,
                 ordering_key=rng.randrange(4),
-                destination=rng.choice(destinations),
+                destination=rng.choice(self.destinations),
                 queue_class=rng.randrange(3),
             )
-            watch.submitted(message)
-        driver.dispatch_due()
-        end_due_attempts(driver, watch, faulty, rng)
-        if driver.messages and rng.random() < 0.01:
-            message = rng.choice(driver.messages)
+            self.watch.submitted(message)
+
+    def end_due_attempts(self):
+        """Ends the attempts that are due, by the fault of their destination."""
+        driver, rng = self.driver, self.rng
+        for message, (receiver, sent_at, timeout_ms) in list(driver.in_flight.items()):
+            fault = self.faults.get(receiver.destination) or self.faults.get((receiver, message.queue_class))
+            hangs, is_slow = fault == Outcome.TIMED_OUT, rng.random() < 0.3
+            duration_ms = driver.now - sent_at
+            if duration_ms < (timeout_ms if hangs else min(timeout_ms, 60.0)) or (is_slow and duration_ms < timeout_ms):
+                continue
+            is_over = duration_ms >= timeout_ms or hangs
+            outcome = Outcome.TIMED_OUT if is_over else fault if fault and rng.random() < 0.9 else Outcome.DELIVERED
+            retry_after_ms = rng.choice((0.0, 700.0, 6000.0)) if outcome == Outcome.REJECTED else 0.0
+            self.watch.attempt_ended(message, outcome, retry_after_ms)
+            driver.end_attempt(message, outcome, duration_ms, retry_after_ms, advances=False)
+
+    def withdraw(self):
+        driver = self.driver
+        if driver.messages and self.rng.random() < 0.01:
+            message = self.rng.choice(driver.messages)
             if message not in driver.decisions:
                 message.is_withdrawn = True
-                if message in watch.turns.get(message.ordering_key, ()) and message not in driver.in_flight:
-                    watch.turns[message.ordering_key].remove(message)
-        if rng.random() < dies:
-            down_ms = rng.choice((600.0, 7000.0))
-            watch.restarted_at = driver.now + down_ms
-            for message in [message for turn in watch.turns.values() for message in turn if message.is_withdrawn]:
-                watch.turns[message.ordering_key].remove(message)
-            driver.restart(watch.attempts, watch.executed, down_ms)
-            watch.retry_after_until.clear()
-        driver.advance(rng.choice((5.0, 10.0, 15.0)))
-    while driver.dispatcher.pending_messages:
-        end_due_attempts(driver, watch, faulty, rng)
-        driver.advance(15.0)
+                self.watch.withdrawn(message)
+
+
+@pytest.mark.parametrize("seed", range(16))
+def test_delivery_rules_hold_in_random_runs(seed):
+    run = RandomRun(seed)
+    for _ in range(2000):
+        run.step()
+    run.drain()
+    driver, dispatcher = run.driver, run.driver.dispatcher
     lost = [message for message in driver.messages if message not in driver.decisions and not message.is_withdrawn]
-    module = driver.dispatcher
-    assert not lost and not module.key_order.messages_by_key
-    assert module.calls_in_flight == 0 and module.pending_messages == 0
+    assert not lost and not dispatcher.key_order.messages_by_key
+    assert dispatcher.calls_in_flight == 0 and dispatcher.pending_messages == 0
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/core/test_limits_and_timeouts.py
+++ b/tests/core/test_limits_and_timeouts.py
@@ -1,4 +1,4 @@
-"""Plain cases of what is learnt: earlier lives, crashes and full tables, pace, limits, time-outs, costs."""
+"""What a dispatcher learns: earlier processes, crashes and full tables, rate limits, time-outs, costs."""
 
 import sys
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -68,8 +68,8 @@
     "marks, bits, age", [(True, 1, 0.0), (True, 3, 15760.0), (True, 17, 15760.0), (False, 1, 15760.0)]
 )
 def test_resubmission_is_known_by_its_flag_or_without_flags_by_its_time_left(marks, bits, age):
-    adapter, told = Adapter(), settings() | {"Callers": {"MarksRetry": marks}}
-    play(adapter, batch(1, 20000.0, provision(3, told), CENSUS, TARGETS, QUERY[:-1] + bytes([bits])))
+    adapter, drawn = Adapter(), settings() | {"Callers": {"MarksRetry": marks}}
+    play(adapter, batch(1, 20000.0, provision(3, drawn), CENSUS, TARGETS, QUERY[:-1] + bytes([bits])))
     assert [20000.0 - message.arrived_at for message in adapter.senders[3].messages.values()] == [age]
 
 
