--- a/dewpin/standin/address_file.py
+++ b/dewpin/standin/address_file.py
@@ -1,4 +1,4 @@
-"""A file of shell variables that tells where a running tier is, to be read with `. FILE`."""
+"""A file of shell variables with the addresses of a running tier, to be loaded with `. FILE`."""
 
 from pathlib import Path
 
@@ -8,14 +8,14 @@
 
 
 def address_variables(tier: LocalTier) -> dict[str, str]:
-    """Return the variables: addresses of all machines, and the ids of their processes."""
+    """Return the variables: the addresses of all machines and the ids of their processes."""
     variables = {"PLATFORM": tier.platform_address}
     for number, control_server in enumerate(tier.control_servers, 1):
-        variables[f"CONTROL_SERVER_{number}"] = control_server.control
+        variables[f"CONTROL_SERVER_{number}"] = control_server.operator_address
         variables[f"CONTROL_SERVER_{number}_PID"] = str(control_server.process.pid)
     for number, sender in enumerate(tier.senders, 1):
-        variables[f"SENDER_{number}"] = sender.front
-        variables[f"SENDER_{number}_READY"] = sender.ready
+        variables[f"SENDER_{number}"] = sender.client_address
+        variables[f"SENDER_{number}_READY"] = sender.readiness_address
         variables[f"SENDER_{number}_PID"] = str(sender.process.pid)
     return variables
 
--- a/dewpin/standin/addresses.py
+++ b/dewpin/standin/addresses.py
@@ -3,10 +3,13 @@
 import random
 import socket
 
+from .errors import AddressesExhaustedError
+
 RESERVATION_PORT = 17_379
 RESERVATION_HOST = 254
-MOST_NETWORKS = 254
-MOST_MACHINES = 250
+"""Last part of the address of the socket that reserves a network."""
+NETWORK_COUNT = 254
+MAX_MACHINES = 250
 
 FIRST_INTERNAL_PORT = 17_380
 LAST_INTERNAL_PORT = 17_395
@@ -17,34 +20,31 @@
 RECEIVER_PORT = 18_080
 
 
-class NoNetworkFree(Exception):
-    """Every loopback network is in use by another tier."""
-
-
 class LoopbackNetwork:
-    """The addresses 127.0.N.1 and on, kept from other tiers on this computer until `close`.
+    """The addresses 127.0.N.1 and following, reserved against other tiers on this computer until `close`.
 
-    A listening socket at the network's last address is the reservation: the system ends it with the process.
+    A listening socket at the network's last address is the reservation, so it ends with the process at the latest.
     """
 
     def __init__(self) -> None:
+        """Reserve a network; raises AddressesExhaustedError if none is free."""
         self._taken = 0
         self._number, self._reservation = _reserve()
 
     def take_address(self) -> str:
-        """Return the address of another machine."""
-        if self._taken >= MOST_MACHINES:
-            raise NoNetworkFree(f"all {MOST_MACHINES} addresses of 127.0.{self._number}.0 are taken")
+        """Return the address for one more machine; raises AddressesExhaustedError."""
+        if self._taken >= MAX_MACHINES:
+            raise AddressesExhaustedError(f"all {MAX_MACHINES} addresses of 127.0.{self._number}.0 are taken")
         self._taken += 1
         return f"127.0.{self._number}.{self._taken}"
 
     def close(self) -> None:
-        """Give the network back."""
+        """Release the network."""
         self._reservation.close()
 
 
 def _reserve() -> tuple[int, socket.socket]:
-    numbers = list(range(1, MOST_NETWORKS + 1))
+    numbers = list(range(1, NETWORK_COUNT + 1))
     random.shuffle(numbers)
     for number in numbers:
         reservation = socket.socket()
@@ -55,4 +55,4 @@
             reservation.close()
             continue
         return number, reservation
-    raise NoNetworkFree("no loopback network is free")
+    raise AddressesExhaustedError("no loopback network is free")
--- a/dewpin/standin/client.py
+++ b/dewpin/standin/client.py
@@ -10,14 +10,18 @@
 
 from .protocol import BUDGET, PREVIOUS, PROGRAM, REQUEST_DEADLINE, REQUEST_ID, SIGNATURE, TOKEN_USAGE
 
-DEADLINE_MS = 8_000
+REQUEST_DEADLINE_MS = 8_000
 SOCKET_TIMEOUT_S = 15.0
-LINE_BYTES = 65_536
+MAX_LINE_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as a client sends it; an `id` is made where none is given."""
+    """A request of a client.
+
+    fields: header fields besides those that every request has.
+    id: request id; None: one is generated.
+    """
 
     host: str
     path: str
@@ -28,8 +32,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientAnswer:
-    """A whole answer."""
+class ClientResponse:
+    """A complete response; names of header fields are in lower case."""
 
     request_id: str
     status: int
@@ -38,7 +42,7 @@
 
     @property
     def is_served(self) -> bool:
-        """Tell whether this is a receiver's success, told by its signature."""
+        """Return whether a receiver executed the request: the response has its signature."""
         return self.status == http.HTTPStatus.OK and SIGNATURE.lower() in self.fields
 
     @property
@@ -47,17 +51,17 @@
         return [data for _, data in parse_events(self.body)]
 
 
-class OpenAnswer:
-    """An answer whose body is read event by event."""
+class StreamingResponse:
+    """A response whose body is read event by event; a context manager that closes its connection."""
 
     def __init__(self, sender: str, request: ClientRequest) -> None:
-        """Send the request and read the answer's head; raises OSError or HTTPException."""
+        """Send the request and read the response's header; raises OSError or HTTPException."""
         self.request_id = request.id or secrets.token_hex(8)
         self._connection = http.client.HTTPConnection(*split_address(sender), timeout=SOCKET_TIMEOUT_S)
         fields = {
             "Host": request.host,
             REQUEST_ID: self.request_id,
-            REQUEST_DEADLINE: str(DEADLINE_MS),
+            REQUEST_DEADLINE: str(REQUEST_DEADLINE_MS),
             **(request.fields or {}),
         }
         self._connection.request(request.method, request.path, request.body or None, fields)
@@ -66,24 +70,24 @@
         self.fields = {name.lower(): value for name, value in self._response.getheaders()}
 
     def read_event(self) -> tuple[int, str] | None:
-        """Return id and data of the next event, or None at the end; raises HTTPException if it is cut off."""
+        """Return id and data of the next event, or None at the end; raises HTTPException if the body is incomplete."""
         lines = []
-        while line := self._response.readline(LINE_BYTES):
+        while line := self._response.readline(MAX_LINE_BYTES):
             if not line.strip():
                 break
             lines.append(line)
         return next(parse_events(b"".join(lines) + b"\n"), None) if lines else None
 
-    def read_rest(self) -> ClientAnswer:
-        """Read the rest of the body; raises HTTPException if it is cut off."""
-        return ClientAnswer(self.request_id, self.status, self.fields, self._response.read())
+    def read_rest(self) -> ClientResponse:
+        """Read the rest of the body; raises HTTPException if it is incomplete."""
+        return ClientResponse(self.request_id, self.status, self.fields, self._response.read())
 
     def close(self) -> None:
         """Close the connection."""
         self._connection.close()
 
-    def __enter__(self) -> "OpenAnswer":
-        """Return the answer; it is closed behind the block."""
+    def __enter__(self) -> "StreamingResponse":
+        """Return the response; its connection is closed after the block."""
         return self
 
     def __exit__(
@@ -93,41 +97,45 @@
         self.close()
 
 
-def send(sender: str, request: ClientRequest) -> ClientAnswer:
-    """Send a request to a sender and return its whole answer; raises OSError or HTTPException."""
-    with OpenAnswer(sender, request) as answer:
-        return answer.read_rest()
+def send(sender: str, request: ClientRequest) -> ClientResponse:
+    """Send a request to a sender and return the complete response; raises OSError or HTTPException."""
+    with StreamingResponse(sender, request) as response:
+        return response.read_rest()
 
 
 class ProgramClient:
-    """A program: turns that share a budget and go on from each other."""
+    """A program: a conversation of turns that share a token budget.
+
+    id: id of the program.
+    last_turn_id: id of the last turn that was served; None before the first.
+    """
 
-    def __init__(self, host: str, path: str, budget: int, most_tokens: int) -> None:
+    def __init__(self, host: str, path: str, budget: int, max_tokens: int) -> None:
         self.id = secrets.token_hex(4)
-        self.last_turn: str | None = None
+        self.last_turn_id: str | None = None
         self._host = host
         self._path = path
         self._budget = budget
-        self._most_tokens = most_tokens
+        self._most_tokens = max_tokens
 
-    def request(self, text: bytes, fields: Mapping[str, str] | None = None) -> ClientRequest:
-        """Return the request of the next turn, which brings only its new input."""
+    def next_request(self, text: bytes, fields: Mapping[str, str] | None = None) -> ClientRequest:
+        """Return the request of the next turn, which contains only its new input."""
         turn_fields = {
             PROGRAM: self.id,
             BUDGET: str(self._budget),
             TOKEN_USAGE: f"{len(text.split())},{self._most_tokens}",
             **(fields or {}),
         }
-        if self.last_turn is not None:
-            turn_fields[PREVIOUS] = self.last_turn
+        if self.last_turn_id is not None:
+            turn_fields[PREVIOUS] = self.last_turn_id
         return ClientRequest(self._host, self._path, text, fields=turn_fields)
 
-    def turn(self, sender: str, text: bytes) -> ClientAnswer:
-        """Take the next turn; one that is served is what the turn after it goes on from."""
-        answer = send(sender, self.request(text))
-        if answer.is_served:
-            self.last_turn = answer.request_id
-        return answer
+    def run_turn(self, sender: str, text: bytes) -> ClientResponse:
+        """Send the next turn; if it is served, the turn after it continues from it."""
+        response = send(sender, self.next_request(text))
+        if response.is_served:
+            self.last_turn_id = response.request_id
+        return response
 
 
 def parse_events(body: bytes) -> Iterator[tuple[int, str]]:
--- a/dewpin/standin/demonstration.py
+++ b/dewpin/standin/demonstration.py
@@ -1,4 +1,4 @@
-"""What `python3 -m dewpin.standin tier` shows: a first configuration, a request, a program, and losses on demand."""
+"""The steps of `python3 -m dewpin.standin tier`: a configuration, a request, a program, and an injected fault."""
 
 import tempfile
 import time
@@ -8,13 +8,15 @@
 from pathlib import Path
 
 from .address_file import write_address_file
-from .client import ClientAnswer, ClientRequest, ProgramClient, send
+from .client import ClientRequest, ClientResponse, ProgramClient, send
+from .errors import DemonstrationError, FolderNotEmptyError
+from .machine import Machine
+from .polling import wait_until
 from .sample_configuration import HOST, PLAIN_PATH, STREAM_PATH, sample_configuration
-from .tier import LocalTier, Machine
-from .waiting import wait_until
+from .tier import LocalTier
 
 BUDGET_TOKENS = 120
-MOST_TOKENS_OF_TURN = 40
+MAX_TOKENS_PER_TURN = 40
 TURNS = (b"What is in the store room?\n", b"And in the yard?\n", b"Write a list of both.\n")
 TURN_BEYOND_BUDGET = b"Thank you.\n"
 CONFIGURATION_TIMEOUT_S = 15.0
@@ -23,8 +25,8 @@
 POLL_INTERVAL_S = 0.5
 
 
-class Loss(Enum):
-    """What the demonstration may take away: a control server's process, or a control server's process with its data."""
+class InjectedFault(Enum):
+    """A fault that the demonstration can inject: a control server is killed, or killed and its data removed."""
 
     CONTROL_SERVER = "control_server"
     STORE = "store"
@@ -32,139 +34,141 @@
 
 @dataclass(frozen=True, slots=True)
 class TierOptions:
-    """How the tier is run: in a folder that stays (None: a temporary one), and for how long after the steps."""
+    """How the tier is run.
+
+    folder: folder of its files, which stays; None: a temporary one.
+    seconds: for how long the tier runs on after the steps.
+    fault: the fault to inject; None: none.
+    """
 
     folder: Path | None = None
     seconds: float = 0.0
-    loss: Loss | None = None
-
-
-class FolderInUse(Exception):
-    """The folder named for the tier holds something already."""
-
-
-class DemonstrationFailed(Exception):
-    """A step did not have the effect that the tier promises."""
+    fault: InjectedFault | None = None
 
 
 class Demonstration:
-    """The steps; each says what it does and what came of it."""
+    """The steps; each reports what it does and the result, a line at a time, to `report`."""
 
-    def __init__(self, tier: LocalTier, say: Callable[[str], None]) -> None:
+    def __init__(self, tier: LocalTier, report: Callable[[str], None]) -> None:
         self._tier = tier
-        self._say = say
+        self._report = report
         self._generation = 0
-        self._program = ProgramClient(HOST, STREAM_PATH, BUDGET_TOKENS, MOST_TOKENS_OF_TURN)
+        self._program = ProgramClient(HOST, STREAM_PATH, BUDGET_TOKENS, MAX_TOKENS_PER_TURN)
 
-    def run(self, loss: Loss | None) -> None:
-        """Run all steps; raises DemonstrationFailed or WaitFailed."""
+    def run(self, fault: InjectedFault | None) -> None:
+        """Run all steps; raises DemonstrationError or ConditionNotMetError."""
         self._announce_processes()
-        self._put(PLAIN_PATH)
+        self._put_configuration(PLAIN_PATH)
         self._tier.wait_until_ready()
-        self._say("both senders are ready")
+        self._report("both senders are ready")
         self._show_request(PLAIN_PATH)
         self._show_program()
-        if loss is not None:
-            self._show_loss(loss)
+        if fault is not None:
+            self._inject_fault(fault)
 
     def _announce_processes(self) -> None:
-        self._say(f"folder: {self._tier.folder}")
+        self._report(f"folder: {self._tier.folder}")
         for process in self._tier.processes:
-            self._say(f"started {process.name:<10} pid {process.pid}")
+            self._report(f"started {process.name:<10} pid {process.pid}")
         for control_server in self._tier.control_servers:
-            self._say(f"operator's API of {control_server.name}: http://{control_server.control}")
+            self._report(f"operator's API of {control_server.name}: http://{control_server.operator_address}")
         for sender in self._tier.senders:
-            self._say(f"clients call {sender.name}: http://{sender.front}")
+            self._report(f"clients call {sender.name}: http://{sender.client_address}")
 
-    def _put(self, plain_path: str) -> None:
+    def _put_configuration(self, plain_path: str) -> None:
         generation = self._generation + 1
         configuration = sample_configuration(generation, plain_path)
-        answer = self._tier.operator.put(configuration, self._generation, CONFIGURATION_TIMEOUT_S)
-        if answer.status != 200:
-            raise DemonstrationFailed(f"configuration {generation}: {answer.status} {answer.body!r}")
+        response = self._tier.operator.put(configuration, self._generation, CONFIGURATION_TIMEOUT_S)
+        if response.status != 200:
+            raise DemonstrationError(f"configuration {generation}: {response.status} {response.body!r}")
         self._generation = generation
-        self._say(f"configuration {generation} is acknowledged by {answer.control_server}")
+        self._report(f"configuration {generation} is acknowledged by {response.control_server}")
 
     def _show_request(self, path: str) -> None:
         sender = self._tier.senders[0]
-        answer = send(sender.front, ClientRequest(HOST, f"{path}item/7", b"where?"))
-        self._say(f"POST {path}item/7 -> {answer.status} {answer.body.decode().strip()}")
-        self._check_served(answer)
+        response = send(sender.client_address, ClientRequest(HOST, f"{path}item/7", b"where?"))
+        self._report(f"POST {path}item/7 -> {response.status} {response.body.decode().strip()}")
+        self._check_served(response)
 
     def _show_program(self) -> None:
-        self._say(
-            f"program {self._program.id}: a budget of {BUDGET_TOKENS} tokens, {MOST_TOKENS_OF_TURN} a turn at most"
+        self._report(
+            f"program {self._program.id}: a budget of {BUDGET_TOKENS} tokens, {MAX_TOKENS_PER_TURN} a turn at most"
         )
         for text in TURNS:
-            self._check_served(self._turn(text))
-        self._say(f"the budget does not hold {MOST_TOKENS_OF_TURN} tokens more: a further turn is refused and not run")
-        answer = self._turn(TURN_BEYOND_BUDGET)
-        if answer.status != 402:
-            raise DemonstrationFailed(f"the turn beyond the budget got {answer.status}")
+            self._check_served(self._run_turn(text))
+        self._report(
+            f"the budget does not hold {MAX_TOKENS_PER_TURN} tokens more: a further turn is refused and not run"
+        )
+        response = self._run_turn(TURN_BEYOND_BUDGET)
+        if response.status != 402:
+            raise DemonstrationError(f"the turn beyond the budget got {response.status}")
 
-    def _turn(self, text: bytes) -> ClientAnswer:
+    def _run_turn(self, text: bytes) -> ClientResponse:
         sender = self._tier.senders[0]
-        answer = self._program.turn(sender.front, text)
-        reply = " | ".join(answer.event_data) if answer.is_served else answer.body.decode().strip()
-        self._say(f"turn {text.decode().strip()!r} -> {answer.status} {reply}")
-        return answer
+        response = self._program.run_turn(sender.client_address, text)
+        reply = " | ".join(response.event_data) if response.is_served else response.body.decode().strip()
+        self._report(f"turn {text.decode().strip()!r} -> {response.status} {reply}")
+        return response
 
-    def _check_served(self, answer: ClientAnswer) -> None:
-        if not answer.is_served:
-            raise DemonstrationFailed(f"not served: {answer.status} {answer.body!r}")
+    def _check_served(self, response: ClientResponse) -> None:
+        if not response.is_served:
+            raise DemonstrationError(f"not served: {response.status} {response.body!r}")
 
-    def _show_loss(self, loss: Loss) -> None:
+    def _inject_fault(self, fault: InjectedFault) -> None:
         first, second = self._tier.control_servers[:2]
         incarnation = self._tier.wait_until_settled().members[first.name]
         first.process.kill()
-        self._say(f"killed {first.name}")
-        if loss is Loss.STORE:
+        self._report(f"killed {first.name}")
+        if fault is InjectedFault.STORE:
             self._tier.wipe(first)
             self._tier.restart([first])
-            self._say(f"wiped the data of {first.name} and started it again")
+            self._report(f"wiped the data of {first.name} and started it again")
             self._tier.wait_until_replaced(first, incarnation)
-            self._say(f"{first.name} takes part as another incarnation and holds a copy of the data")
+            self._report(f"{first.name} takes part as another incarnation and holds a copy of the data")
             second.process.kill()
-            self._say(f"killed {second.name}")
-        self._put(CHANGED_PATH)
+            self._report(f"killed {second.name}")
+        self._put_configuration(CHANGED_PATH)
         for sender in self._tier.senders:
             self._wait_until_served(sender)
-        self._say("the change is in force at both senders")
+        self._report("the change is in force at both senders")
         self._show_request(CHANGED_PATH)
 
     def _wait_until_served(self, sender: Machine) -> None:
         request = ClientRequest(HOST, f"{CHANGED_PATH}item/7", b"where?")
-        what = f"the change is in force at {sender.name}"
-        wait_until(lambda: send(sender.front, request).is_served, CONFIGURATION_TIMEOUT_S, what)
+        condition = f"the change is in force at {sender.name}"
+        wait_until(lambda: send(sender.client_address, request).is_served, CONFIGURATION_TIMEOUT_S, condition)
+
 
+def run_tier(options: TierOptions, report: Callable[[str], None]) -> None:
+    """Run the demonstration and end every process that it started.
 
-def run_tier(options: TierOptions, say: Callable[[str], None]) -> None:
-    """Run the demonstration and end all that was started; raises FolderInUse."""
+    Raises FolderNotEmptyError, DemonstrationError or ConditionNotMetError.
+    """
     if options.folder is None:
         with tempfile.TemporaryDirectory(prefix="dewpin-tier-") as folder:
-            _run_in(Path(folder), options, say)
+            _run_in(Path(folder), options, report)
         return
     if options.folder.exists() and any(options.folder.iterdir()):
-        raise FolderInUse(f"{options.folder} is not empty")
-    _run_in(options.folder, options, say)
+        raise FolderNotEmptyError(f"{options.folder} is not empty")
+    _run_in(options.folder, options, report)
 
 
-def _run_in(folder: Path, options: TierOptions, say: Callable[[str], None]) -> None:
+def _run_in(folder: Path, options: TierOptions, report: Callable[[str], None]) -> None:
     with LocalTier(folder) as tier:
         try:
-            Demonstration(tier, say).run(options.loss)
+            Demonstration(tier, report).run(options.fault)
         except Exception:
-            say(tier.logs())
+            report(tier.logs())
             raise
         if options.seconds > 0:
-            say(f"addresses and process ids are in {write_address_file(tier)}")
-            _keep_running(options.seconds, say)
-        say("ending all processes")
+            report(f"addresses and process ids are in {write_address_file(tier)}")
+            _keep_running(options.seconds, report)
+        report("ending all processes")
 
 
-def _keep_running(seconds: float, say: Callable[[str], None]) -> None:
-    bound = "until Ctrl-C" if seconds == FOREVER else f"for {seconds:g} s or until Ctrl-C"
-    say(f"the tier goes on {bound}")
+def _keep_running(seconds: float, report: Callable[[str], None]) -> None:
+    duration = "until Ctrl-C" if seconds == FOREVER else f"for {seconds:g} s or until Ctrl-C"
+    report(f"the tier goes on {duration}")
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         time.sleep(min(POLL_INTERVAL_S, max(0.0, deadline - time.monotonic())))
--- a/dewpin/standin/http_service.py
+++ b/dewpin/standin/http_server.py
@@ -10,11 +10,11 @@
 from urllib.parse import urlsplit
 
 HeaderField = tuple[str, str]
-POLL_S = 0.1
+SHUTDOWN_POLL_S = 0.1
 
 
 class HttpServer(ThreadingHTTPServer):
-    """A server that binds without looking up the host's name and ends without waiting for connections."""
+    """A server that binds without resolving the host's name and stops without waiting for open connections."""
 
     daemon_threads = True
     block_on_close = False
@@ -27,7 +27,7 @@
         self.server_address = self.socket.getsockname()
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Leave it at that: a caller that went away is no fault of the stand-in."""
+        """Ignore it: a client that disconnects is no fault of the stand-in."""
 
     @property
     def address(self) -> str:
@@ -37,7 +37,7 @@
 
     def start(self) -> None:
         """Serve in the background."""
-        threading.Thread(target=self.serve_forever, args=(POLL_S,), daemon=True).start()
+        threading.Thread(target=self.serve_forever, args=(SHUTDOWN_POLL_S,), daemon=True).start()
 
     def stop(self) -> None:
         """Stop listening."""
@@ -46,7 +46,7 @@
 
 
 class HttpHandler(BaseHTTPRequestHandler):
-    """Reads bodies with a length and writes whole answers."""
+    """Reads request bodies that have a Content-Length and writes complete responses."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -57,11 +57,11 @@
         return urlsplit(self.path).path
 
     def read_body(self) -> bytes:
-        """Return the request's body; the tier and the stand-ins send it with its length."""
+        """Return the request's body; the tier and the stand-ins send it with a Content-Length."""
         return self.rfile.read(int(self.headers.get("Content-Length") or "0"))
 
-    def reply(self, status: int, body: bytes = b"", fields: Iterable[HeaderField] = ()) -> None:
-        """Write a whole answer."""
+    def respond(self, status: int, body: bytes = b"", fields: Iterable[HeaderField] = ()) -> None:
+        """Write a complete response."""
         self.send_response_only(status)
         for name, value in fields:
             self.send_header(name, value)
@@ -69,16 +69,16 @@
         self.end_headers()
         self.wfile.write(body)
 
-    def reply_json(self, status: int, value: object) -> None:
-        """Write a whole answer in JSON."""
-        self.reply(status, json.dumps(value).encode(), [("Content-Type", "application/json")])
+    def respond_json(self, status: int, value: object) -> None:
+        """Write a complete response in JSON."""
+        self.respond(status, json.dumps(value).encode(), [("Content-Type", "application/json")])
 
     def log_message(self, format: str, *args: object) -> None:
         """Write no log."""
 
 
-def wait_for_signal() -> None:
-    """Return after SIGTERM or SIGINT. Called on the main thread."""
+def wait_for_stop_signal() -> None:
+    """Block until SIGTERM or SIGINT. To be called on the main thread."""
     stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopping.set())
--- a/dewpin/standin/operator.py
+++ b/dewpin/standin/operator_client.py
@@ -1,4 +1,4 @@
-"""A stand-in operator: sends configurations to the control servers and reads them back."""
+"""A stand-in operator: puts configurations at the control servers and reads them back."""
 
 import http.client
 import json
@@ -9,11 +9,11 @@
 
 from dewpin.cluster.rpc import split_address
 
+from .errors import ConditionNotMetError
 from .protocol import BASE_VERSION, GET_PATH, PUT_PATH
-from .waiting import WaitFailed
 
 CALL_TIMEOUT_S = 2.0
-FIRST_BACKOFF_S = 0.05
+INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.4
 FIRST_SERVER_ERROR = 500
 RETRIED_STATUSES = frozenset({408, 429})
@@ -22,8 +22,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OperatorAnswer:
-    """The answer to a call, and the control server that gave it."""
+class OperatorResponse:
+    """The response to a call, and the address of the control server that sent it."""
 
     status: int
     body: bytes
@@ -31,30 +31,30 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the call need not be retried."""
+        """Return whether the call need not be retried."""
         return self.status < FIRST_SERVER_ERROR and self.status not in RETRIED_STATUSES
 
 
-class Operator:
-    """Calls the control servers in turn until one gives a final answer."""
+class OperatorClient:
+    """Calls the control servers in turn until one sends a final response."""
 
     def __init__(self, control_servers: Sequence[str]) -> None:
         self._control_servers = list(control_servers)
 
     def put(
         self, configuration: JsonObject, base: int, timeout_s: float = 10.0, control_servers: Sequence[str] = ()
-    ) -> OperatorAnswer:
-        """Send a configuration that builds on version `base`; raises WaitFailed without a final answer."""
+    ) -> OperatorResponse:
+        """Send a configuration that builds on version `base`; raises ConditionNotMetError without a final response."""
         body = json.dumps(configuration).encode()
         fields = {BASE_VERSION: str(base), "Content-Type": "application/json"}
         return self._call("POST", PUT_PATH, body, fields, timeout_s, control_servers)
 
     def get(self, timeout_s: float = 10.0, control_servers: Sequence[str] = ()) -> JsonObject:
-        """Return the newest configuration; raises WaitFailed if none comes."""
-        answer = self._call("GET", GET_PATH, b"", {}, timeout_s, control_servers)
-        if answer.status != http.HTTPStatus.OK:
-            raise WaitFailed(f"Config.Get: {answer.status} {answer.body.decode(errors='replace')}")
-        configuration: JsonObject = json.loads(answer.body)
+        """Return the newest configuration; raises ConditionNotMetError if it cannot be read."""
+        response = self._call("GET", GET_PATH, b"", {}, timeout_s, control_servers)
+        if response.status != http.HTTPStatus.OK:
+            raise ConditionNotMetError(f"Config.Get: {response.status} {response.body.decode(errors='replace')}")
+        configuration: JsonObject = json.loads(response.body)
         return configuration
 
     def _call(
@@ -65,33 +65,33 @@
         fields: dict[str, str],
         timeout_s: float,
         control_servers: Sequence[str],
-    ) -> OperatorAnswer:
+    ) -> OperatorResponse:
         deadline = time.monotonic() + timeout_s
-        backoff_s = FIRST_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         last_failure = "no control server answered"
         while time.monotonic() < deadline:
             for control_server in control_servers or self._control_servers:
                 try:
-                    answer = call_control_server(control_server, method, path, body, fields)
-                except (OSError, http.client.HTTPException) as fault:
-                    last_failure = f"{control_server}: {fault!r}"
+                    response = call_control_server(control_server, method, path, body, fields)
+                except (OSError, http.client.HTTPException) as error:
+                    last_failure = f"{control_server}: {error!r}"
                     continue
-                if answer.is_final:
-                    return answer
-                last_failure = f"{control_server}: {answer.status} {answer.body.decode(errors='replace')}"
+                if response.is_final:
+                    return response
+                last_failure = f"{control_server}: {response.status} {response.body.decode(errors='replace')}"
             time.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
-        raise WaitFailed(f"{path}: no final answer within {timeout_s:g} s; last: {last_failure}")
+        raise ConditionNotMetError(f"{path}: no final answer within {timeout_s:g} s; last: {last_failure}")
 
 
 def call_control_server(
     control_server: str, method: str, path: str, body: bytes, fields: dict[str, str]
-) -> OperatorAnswer:
-    """Make one call; raises OSError or HTTPException if no answer comes."""
+) -> OperatorResponse:
+    """Make one call; raises OSError or HTTPException without a response."""
     connection = http.client.HTTPConnection(*split_address(control_server), timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, body or None, fields)
         response = connection.getresponse()
-        return OperatorAnswer(response.status, response.read(), control_server)
+        return OperatorResponse(response.status, response.read(), control_server)
     finally:
         connection.close()
--- a/dewpin/standin/waiting.py
+++ b/dewpin/standin/polling.py
@@ -4,22 +4,23 @@
 from collections.abc import Callable
 from typing import TypeVar
 
+from .errors import ConditionNotMetError
+
 POLL_INTERVAL_S = 0.02
 
 Value = TypeVar("Value")
 
 
-class WaitFailed(Exception):
-    """What was waited for did not come about, or not in time."""
-
+def wait_until(probe: Callable[[], Value | None], timeout_s: float, description: str) -> Value:
+    """Poll until the probe returns a true value, and return that value.
 
-def wait_until(probe: Callable[[], Value | None], timeout_s: float, what: str) -> Value:
-    """Poll until the probe returns something true, and return it; raises WaitFailed after `timeout_s`."""
+    Raises ConditionNotMetError, which contains the description, after `timeout_s`.
+    """
     deadline = time.monotonic() + timeout_s
     while True:
         value = probe()
         if value:
             return value
         if time.monotonic() >= deadline:
-            raise WaitFailed(f"{what}: not within {timeout_s:g} s")
+            raise ConditionNotMetError(f"{description}: not within {timeout_s:g} s")
         time.sleep(POLL_INTERVAL_S)
--- a/dewpin/standin/processes.py
+++ b/dewpin/standin/processes.py
@@ -1,4 +1,4 @@
-"""Real processes, each started, signalled and ended by its own id."""
+"""Child processes that are signalled and ended by their process ids."""
 
 import os
 import signal
@@ -9,70 +9,73 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 DEPENDENCIES = ROOT / "target" / "deps"
-END_TIMEOUT_S = 10.0
+TERMINATION_TIMEOUT_S = 10.0
 
 
 class ManagedProcess:
-    """A module of this project run by the same Python; its output goes to a log file."""
+    """A module of this project, run by the same Python interpreter.
+
+    log_path: file to which its standard output and error are appended.
+    """
 
     def __init__(
-        self, name: str, module: str, arguments: Sequence[str], log: Path, environment: Mapping[str, str]
+        self, name: str, module: str, arguments: Sequence[str], log_path: Path, environment: Mapping[str, str]
     ) -> None:
         self.name = name
-        self.log = log
+        self.log_path = log_path
         self._command = [sys.executable, "-m", module, *arguments]
         self._environment = {**os.environ, "PYTHONPATH": _python_path(), **environment}
         self._process: subprocess.Popen[bytes] | None = None
 
     @property
     def pid(self) -> int:
-        """Return the id of the process, which must have been started."""
+        """Return the process id; the process must have been started."""
         assert self._process is not None
         return self._process.pid
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process was started and has not ended."""
+        """Return whether the process was started and has not ended."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
         """Start the process; it must not be running."""
         assert not self.is_running, f"{self.name} is running"
-        with self.log.open("ab") as output:
+        with self.log_path.open("ab") as output:
             self._process = subprocess.Popen(
                 self._command,
                 env=self._environment,
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=subprocess.STDOUT,
-                start_new_session=True,  # Ctrl-C reaches the one who started it, who ends it
+                start_new_session=True,  # Ctrl-C must only reach the parent, which ends its children
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
         if self._process is not None:
             self._process.send_signal(number)
 
     def kill(self) -> None:
         """End the process by SIGKILL and wait for its end."""
-        self.send(signal.SIGKILL)
-        self.wait(END_TIMEOUT_S)
+        self.send_signal(signal.SIGKILL)
+        self.wait(TERMINATION_TIMEOUT_S)
 
     def wait(self, timeout_s: float) -> int | None:
         """Return the exit code; None if the process was never started. Raises subprocess.TimeoutExpired."""
         return None if self._process is None else self._process.wait(timeout_s)
 
-    def last_lines(self, count: int = 10) -> str:
-        """Return the end of the log."""
-        if not self.log.exists():
+    def log_tail(self, line_count: int = 10) -> str:
+        """Return the last lines of the log."""
+        if not self.log_path.exists():
             return ""
-        return "\n".join(self.log.read_text(errors="replace").splitlines()[-count:])
+        return "\n".join(self.log_path.read_text(errors="replace").splitlines()[-line_count:])
 
 
-def end_all(processes: Sequence[ManagedProcess], timeout_s: float = END_TIMEOUT_S) -> None:
-    """Ask all processes to end, wait, and kill those that have not."""
+def terminate_all(processes: Sequence[ManagedProcess], timeout_s: float = TERMINATION_TIMEOUT_S) -> None:
+    """Send SIGTERM to all processes, and SIGKILL to those that have not ended within the time-out."""
     for process in processes:
-        process.send(signal.SIGTERM)
+        process.send_signal(signal.SIGTERM)
     for process in processes:
         try:
             process.wait(timeout_s)
@@ -81,7 +84,7 @@
 
 
 def _python_path() -> str:
-    """Return where children find the project and, where it was built, what it depends on."""
+    """Return PYTHONPATH for children: the project and, if they were built, its dependencies."""
     folders = [str(ROOT)]
     if DEPENDENCIES.is_dir():
         folders.append(str(DEPENDENCIES))
--- a/dewpin/standin/receiver.py
+++ b/dewpin/standin/receiver.py
@@ -1,7 +1,4 @@
-"""A stand-in receiver: a plain service, or a stream service that emits events with rising ids.
-
-The words of a stream hang on the request's body alone, so that another receiver can pick the stream up.
-"""
+"""A stand-in receiver: of a plain service, or of a stream service that sends events with rising ids."""
 
 import hashlib
 import threading
@@ -11,7 +8,8 @@
 from dataclasses import dataclass
 from typing import TypedDict
 
-from .http_service import HeaderField, HttpHandler, HttpServer
+from .event_stream import event_count, event_data
+from .http_server import HeaderField, HttpHandler, HttpServer
 from .protocol import (
     DRAIN_PATH,
     HEALTH_PATH,
@@ -29,18 +27,17 @@
     TARGET_INSTANCE,
     TOKEN_USAGE,
 )
-from .slots import Admission, Slots
+from .slot_pool import AcquireResult, SlotPool
 
-KEEP_ALIVE_S = 5
-MOST_HOLD_S = 20.0
-MOST_REMEMBERED = 1000
-DEFAULT_WAIT_S = 10.0
-DEFAULT_EVENTS = 4
+KEEP_ALIVE_TIMEOUT_S = 5
+MAX_HOLD_S = 20.0
+MAX_EXECUTED_REQUESTS = 1000
+DEFAULT_SLOT_WAIT_S = 10.0
 FULL_RETRY_AFTER_S = "0.1"
 
 
-class SeenRequest(TypedDict):
-    """A request that a receiver ran."""
+class ExecutedRequest(TypedDict):
+    """A request that a receiver executed, as it reports it."""
 
     id: str
     method: str
@@ -50,27 +47,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiverOptions:
-    """What a receiver is; times in ms. `chunk_size`: tokens in each event of a stream."""
+    """Options of a receiver.
+
+    id, backend: its id and the service that it belongs to.
+    slots, max_waiting: how many requests run at once, and how many wait for a slot.
+    work_ms: duration of a plain request.
+    is_streaming: whether it responds with a stream of events.
+    event_ms: pause before each event.
+    chunk_size: tokens in each event.
+    """
 
     id: str
     backend: str
     slots: int = 4
-    most_waiting: int = 4
+    max_waiting: int = 4
     work_ms: float = 10.0
-    stream: bool = False
+    is_streaming: bool = False
     event_ms: float = 20.0
     chunk_size: int = 10
 
 
 class ReceiverServer:
-    """The server of one receiver."""
+    """The HTTP server of one receiver.
+
+    slots: its slots.
+    is_draining: whether it has been told to drain; it then fails its health check.
+    hold_released: set to let a stream continue that is held by Standin-Hold-After.
+    executed_requests: the newest requests that it executed.
+    """
 
     def __init__(self, address: tuple[str, int], options: ReceiverOptions) -> None:
         self.options = options
-        self.slots = Slots(options.slots, options.most_waiting)
-        self.draining = False
-        self.released = threading.Event()
-        self.seen: deque[SeenRequest] = deque(maxlen=MOST_REMEMBERED)
+        self.slots = SlotPool(options.slots, options.max_waiting)
+        self.is_draining = False
+        self.hold_released = threading.Event()
+        self.executed_requests: deque[ExecutedRequest] = deque(maxlen=MAX_EXECUTED_REQUESTS)
         handler = type("BoundReceiverHandler", (_ReceiverHandler,), {"receiver": self})
         self.server = HttpServer(address, handler)
 
@@ -83,79 +94,79 @@
         self.server.stop()
 
     def load(self) -> str:
-        """Return the value of X-Dewpin-Server-Load: running, waiting, slots."""
-        return f"{self.slots.running},{self.slots.waiting},{self.slots.count}"
+        """Return the value of X-Dewpin-Server-Load: running requests, waiting requests, slots."""
+        return f"{self.slots.running},{self.slots.waiting},{self.slots.capacity}"
 
 
 class _ReceiverHandler(HttpHandler):
     receiver: ReceiverServer
-    timeout = KEEP_ALIVE_S
+    timeout = KEEP_ALIVE_TIMEOUT_S
 
     def do_GET(self) -> None:
         body = self.read_body()
         if self.url_path == REPORT_PATH:
-            self._report()
+            self._respond_report()
         elif self.url_path == REQUESTS_PATH:
-            self.reply_json(200, list(self.receiver.seen))
+            self.respond_json(200, list(self.receiver.executed_requests))
         elif self.url_path == HEALTH_PATH:
-            self._health()
+            self._respond_health()
         else:
             self._serve(body)
 
     def do_POST(self) -> None:
         body = self.read_body()
         if self.url_path == DRAIN_PATH:
-            self.receiver.draining = True
-            self.reply(200)
+            self.receiver.is_draining = True
+            self.respond(200)
         elif self.url_path == RELEASE_PATH:
-            self.receiver.released.set()
-            self.reply(200)
+            self.receiver.hold_released.set()
+            self.respond(200)
         else:
             self._serve(body)
 
     do_PUT = do_POST
 
-    def _report(self) -> None:
+    def _respond_report(self) -> None:
         slots = self.receiver.slots
-        self.reply_json(200, {"stage": "both", "models": [], "queued": slots.waiting, "running": slots.running})
+        self.respond_json(200, {"stage": "both", "models": [], "queued": slots.waiting, "running": slots.running})
 
-    def _health(self) -> None:
+    def _respond_health(self) -> None:
         fields = [(INSTANCE_ID, self.receiver.options.id), *self._common_fields()]
-        self.reply(503 if self.receiver.draining else 200, b"", fields)
+        self.respond(503 if self.receiver.is_draining else 200, b"", fields)
 
     def _serve(self, body: bytes) -> None:
         target = self.headers.get(TARGET_INSTANCE)
         if not self.headers.get(REQUEST_ID):
-            self._refuse(400, "no request id")
+            self._reject(400, "no request id")
         elif target is not None and target != self.receiver.options.id:
-            self._refuse(421, "another receiver")
+            self._reject(421, "another receiver")
         else:
-            self._admit(body)
+            self._execute_in_slot(body)
 
-    def _admit(self, body: bytes) -> None:
-        admission = self.receiver.slots.acquire(self._wait_s())
-        if admission is not Admission.RUNS:
-            self._refuse(503, admission.value)
+    def _execute_in_slot(self, body: bytes) -> None:
+        acquired = self.receiver.slots.acquire(self._slot_wait_s())
+        if acquired is not AcquireResult.ACQUIRED:
+            self._reject(503, acquired.value)
             return
         try:
-            self._remember(body)
-            if self.receiver.options.stream:
+            self._record_execution(body)
+            if self.receiver.options.is_streaming:
                 self._stream(body)
             else:
-                self._work(body)
+                self._respond_plain(body)
         finally:
             self.receiver.slots.release()
 
-    def _remember(self, body: bytes) -> None:
-        seen = SeenRequest(
+    def _record_execution(self, body: bytes) -> None:
+        executed = ExecutedRequest(
             id=self.headers[REQUEST_ID], method=self.command, path=self.path, body=body.decode("utf-8", "replace")
         )
-        self.receiver.seen.append(seen)
+        self.receiver.executed_requests.append(executed)
 
-    def _work(self, body: bytes) -> None:
+    def _respond_plain(self, body: bytes) -> None:
         time.sleep(self.receiver.options.work_ms / 1000)
         done = f"{self.receiver.options.id} did {self.command} {self.path} with {len(body)} bytes\n"
-        self.reply(200, done.encode(), [("Content-Type", "text/plain"), *self._signed_fields()])
+        self.respond(200, done.encode(), [("Content-Type", "text/plain"), *self._signed_fields()])
 
     def _stream(self, body: bytes) -> None:
         self.send_response_only(200)
@@ -169,56 +180,42 @@
 
     def _events(self, body: bytes) -> Iterator[bytes]:
         options = self.receiver.options
-        words = stream_words(body, event_count(self.headers.get(TOKEN_USAGE), options.chunk_size))
-        first = int(self.headers.get(LAST_EVENT_ID) or "0")
+        data_of_events = event_data(body, event_count(self.headers.get(TOKEN_USAGE), options.chunk_size))
+        resume_after = int(self.headers.get(LAST_EVENT_ID) or "0")
         hold_after = int(self.headers.get(HOLD_AFTER) or "0")
-        for number, word in enumerate(words[first:], first + 1):
+        for number, data in enumerate(data_of_events[resume_after:], resume_after + 1):
             time.sleep(options.event_ms / 1000)
-            yield f"id: {number}\ndata: {word}\n\n".encode()
+            yield f"id: {number}\ndata: {data}\n\n".encode()
             if number == hold_after:
-                self.receiver.released.wait(MOST_HOLD_S)
-                self.receiver.released.clear()
+                self.receiver.hold_released.wait(MAX_HOLD_S)
+                self.receiver.hold_released.clear()
 
-    def _refuse(self, status: int, why: str) -> None:
-        fields = [(NOT_EXECUTED, why), *self._common_fields()]
+    def _reject(self, status: int, reason: str) -> None:
+        fields = [(NOT_EXECUTED, reason), *self._common_fields()]
         if status == 503:
             fields.append(("Retry-After", FULL_RETRY_AFTER_S))
-        self.reply(status, b"", fields)
+        self.respond(status, b"", fields)
 
     def _signed_fields(self) -> list[HeaderField]:
         stamp = signature(self.receiver.options.id, self.headers[REQUEST_ID])
         return [(SIGNATURE, stamp), *self._common_fields()]
 
     def _common_fields(self) -> list[HeaderField]:
-        fields = [(SERVER_LOAD, self.receiver.load()), ("Keep-Alive", f"timeout={KEEP_ALIVE_S}")]
+        fields = [(SERVER_LOAD, self.receiver.load()), ("Keep-Alive", f"timeout={KEEP_ALIVE_TIMEOUT_S}")]
         request_id = self.headers.get(REQUEST_ID)
         if request_id:
             fields.append((REQUEST_ID, request_id))
-        if self.receiver.draining:
+        if self.receiver.is_draining:
             fields.append(("Connection", "close"))
         return fields
 
-    def _wait_s(self) -> float:
+    def _slot_wait_s(self) -> float:
         try:
             return float(self.headers.get(REQUEST_DEADLINE) or "") / 1000
         except ValueError:
-            return DEFAULT_WAIT_S
+            return DEFAULT_SLOT_WAIT_S
 
 
 def signature(receiver_id: str, request_id: str) -> str:
     """Return the value of X-Dewpin-Response-Signature."""
     return hashlib.sha256(f"{receiver_id} {request_id}".encode()).hexdigest()[:24]
-
-
-def event_count(token_usage: str | None, chunk_size: int) -> int:
-    """Return how many events hold the most tokens that X-Dewpin-Token-Usage (prompt, most out) allows."""
-    if token_usage is None:
-        return DEFAULT_EVENTS
-    return max(1, int(token_usage.rpartition(",")[2]) // chunk_size)
-
-
-def stream_words(body: bytes, count: int) -> list[str]:
-    """Return the data of a stream's events: how much was read, then words drawn from the body."""
-    digest = hashlib.sha256(body).hexdigest()
-    lines = len(body.splitlines())
-    return [f"read {lines} lines", *(f"word-{digest[:4]}-{number}" for number in range(2, count + 1))]
--- a/dewpin/standin/sample_configuration.py
+++ b/dewpin/standin/sample_configuration.py
@@ -1,6 +1,6 @@
 """The configuration that the local tier serves: one route to a plain service, one to a stream service."""
 
-from .operator import JsonObject
+from .operator_client import JsonObject
 
 HOST = "tier.example"
 PLAIN_PATH = "/lookup/"
--- a/dewpin/standin/settings_file.py
+++ b/dewpin/standin/settings_file.py
@@ -9,7 +9,7 @@
 
 
 def render_settings(fields: SettingsTable, tables: Mapping[str, SettingsTable]) -> str:
-    """Return the file's text; JSON's strings, numbers and arrays are TOML's, too."""
+    """Return the file's text; strings, numbers and arrays in JSON are valid TOML."""
     lines = [_line(name, value) for name, value in fields.items()]
     for title, table in tables.items():
         lines += [f"[{title}]", *(_line(name, value) for name, value in table.items())]
--- a/dewpin/standin/system_view.py
+++ b/dewpin/standin/system_view.py
@@ -1,4 +1,4 @@
-"""What a control server holds as the system's state: its members and its stores. Read by the tier's own protocol."""
+"""The system state of a control server: register members and stores, read by the tier's internal RPC."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,32 +8,37 @@
 from .addresses import FIRST_INTERNAL_PORT
 
 CALL_TIMEOUT_S = 1.0
-NOTHING_KNOWN = -1
-NO_RECEIVERS = [0, ""]
+UNKNOWN_STATE_VERSION = -1
+UNKNOWN_RECEIVERS_VERSION = [0, ""]
 
 
 @dataclass(frozen=True, slots=True)
 class SystemView:
-    """The incarnations, by machine, that take part. `settled`: no change of members or stores is under way."""
+    """The incarnations that are register members and stores.
+
+    version: version of the system state.
+    members, stores: incarnation by name of the machine.
+    is_settled: no change of members or stores is in progress.
+    """
 
     version: int
     members: dict[str, str]
     stores: dict[str, str]
-    settled: bool
+    is_settled: bool
 
     def has_member(self, machine: str, other_than: str | None = None) -> bool:
-        """Tell whether a machine is member and store, as another incarnation than the one named."""
+        """Return whether a machine is member and store, with another incarnation than `other_than`."""
         incarnation = self.members.get(machine)
         return incarnation not in (None, other_than) and self.stores.get(machine) == incarnation
 
 
 def read_system_view(control_server_ip: str) -> SystemView | None:
-    """Ask the control server at an address; None if it does not answer or knows nothing yet."""
+    """Read the state of a control server; None if it does not reply or has no state yet."""
     try:
-        answer = asyncio.run(_fetch_state(f"{control_server_ip}:{FIRST_INTERNAL_PORT}"))
+        reply = asyncio.run(_fetch_state(f"{control_server_ip}:{FIRST_INTERNAL_PORT}"))
     except RpcError:
         return None
-    state = answer.get("state")
+    state = reply.get("state")
     return None if state is None else _view_of(state)
 
 
@@ -41,8 +46,8 @@
     client = RpcClient()
     message: Message = {
         "type": "relay.watch",
-        "state_version": NOTHING_KNOWN,
-        "receivers_version": NO_RECEIVERS,
+        "state_version": UNKNOWN_STATE_VERSION,
+        "receivers_version": UNKNOWN_RECEIVERS_VERSION,
         "wait": False,
     }
     try:
@@ -58,5 +63,5 @@
         version=state["version"],
         members={names[member]: member for member in state["members"]},
         stores={names[store]: store for store in stores["stable"]},
-        settled=state["members"] == state["former_members"] and stores["next"] is None and bool(stores["stable"]),
+        is_settled=state["members"] == state["former_members"] and stores["next"] is None and bool(stores["stable"]),
     )
--- a/tests/standin/conftest.py
+++ b/tests/standin/conftest.py
@@ -1,4 +1,4 @@
-"""A whole tier of real processes, shared by the tests of one module; each leaves it whole."""
+"""A whole tier of real processes, shared by the tests of one module; each restores it."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def tier(running_tier, request):
-    """Give the tier to a test, and make it whole again behind it; the logs are printed with a failure."""
+    """Give the tier to a test, and restore it afterwards; the logs are printed with a failure."""
     yield running_tier
     print(running_tier.logs())
     running_tier.restart(
--- a/tests/standin/test_instances.py
+++ b/tests/standin/test_platform.py
@@ -2,8 +2,10 @@
 
 import pytest
 
-from dewpin.standin.instances import CallRate, Instance, InstanceList, UnknownPage
-from dewpin.standin.platform import SenderHealth
+from dewpin.standin.call_rate_limiter import CallRateLimiter
+from dewpin.standin.errors import UnknownPageTokenError
+from dewpin.standin.instances import Instance, InstanceList
+from dewpin.standin.sender_health import SenderHealth
 
 
 def listed(number, zone="zone-a"):
@@ -14,7 +16,7 @@
     return [entry["id"] for entry in page["instances"]]
 
 
-def test_pages_follow_each_other_and_show_one_state():
+def test_later_pages_are_of_the_first_pages_state():
     instances = InstanceList(page_size=2)
     for number in range(5):
         instances.put(listed(number), now_s=float(number))
@@ -28,19 +30,19 @@
 
 
 @pytest.mark.parametrize("token", ["", "p-1", "p-99-0", "q-0-0", "p-x-0"])
-def test_a_token_that_was_never_given_out_is_refused(token):
-    with pytest.raises(UnknownPage):
+def test_page_token_never_issued_is_rejected(token):
+    with pytest.raises(UnknownPageTokenError):
         InstanceList().page(0.0, token)
 
 
-def test_a_zone_can_be_asked_for():
+def test_page_of_a_zone_lists_its_receivers_only():
     instances = InstanceList()
     instances.put(listed(1, "zone-a"), 0.0)
     instances.put(listed(2, "zone-b"), 0.0)
     assert ids(instances.page(1.0, zone="zone-b")) == ["one-2"]
 
 
-def test_changes_show_after_the_lag():
+def test_change_becomes_visible_after_the_lag():
     instances = InstanceList(lag_s=2.0)
     instances.put(listed(1), 10.0)
     instances.drain("one-1", 20.0)
@@ -51,22 +53,22 @@
         instances.drain("one-2", 23.0)
 
 
-def test_an_instance_warms_up():
+def test_cold_time_of_an_instance_falls_to_zero():
     instances = InstanceList()
     instances.put(Instance("cold", "service", "127.0.0.1:80", "zone-a", 4, warm_at_s=12.0), 10.0)
     assert [instances.page(now)["instances"][0]["cold_left_ms"] for now in (10.0, 11.5, 13.0)] == [2000.0, 500.0, 0.0]
 
 
-def test_calls_beyond_the_rate_are_refused():
-    rate = CallRate(2.0)
-    assert [rate.grant(10.0) for _ in range(3)] == [True, True, False]
-    assert [rate.grant(10.5), rate.grant(10.5)] == [True, False]
+def test_calls_above_the_rate_are_rejected():
+    rate = CallRateLimiter(2.0)
+    assert [rate.try_acquire(10.0) for _ in range(3)] == [True, True, False]
+    assert [rate.try_acquire(10.5), rate.try_acquire(10.5)] == [True, False]
 
 
-def test_a_sender_is_out_after_two_misses_and_in_after_one_answer():
+def test_sender_is_unavailable_after_two_failed_probes_until_one_succeeds():
     health = SenderHealth(["a"])
-    seen = [health.in_use()["a"]]
+    seen = [health.availability()["a"]]
     for answer in (True, False, False, True):
         health.record("a", answer)
-        seen.append(health.in_use()["a"])
+        seen.append(health.availability()["a"])
     assert seen == [False, True, True, False, True]
--- a/tests/standin/test_parts.py
+++ b/tests/standin/test_processes_and_settings.py
@@ -7,13 +7,14 @@
 
 from dewpin.cluster.settings import load_settings
 from dewpin.standin.addresses import LoopbackNetwork
-from dewpin.standin.processes import ManagedProcess, end_all
+from dewpin.standin.errors import ConditionNotMetError
+from dewpin.standin.polling import wait_until
+from dewpin.standin.processes import ManagedProcess, terminate_all
 from dewpin.standin.settings_file import render_settings
 from dewpin.standin.tier import LocalTier
-from dewpin.standin.waiting import WaitFailed, wait_until
 
 
-def test_a_network_is_kept_from_others():
+def test_networks_of_two_tiers_share_no_address():
     first, second = LoopbackNetwork(), LoopbackNetwork()
     try:
         assert len({first.take_address(), first.take_address(), second.take_address(), second.take_address()}) == 4
@@ -22,40 +23,43 @@
         second.close()
 
 
-def test_settings_read_back_as_written():
+def test_rendered_settings_parse_to_the_same_values():
     fields = {"name": 'a "quoted" one', "ports": [1, 2], "on": True, "seeds": ["a:1"], "share": 0.5}
     assert tomllib.loads(render_settings(fields, {"bounds": {"x": 1}})) == {**fields, "bounds": {"x": 1}}
 
 
-def test_the_tier_takes_the_settings_that_are_written_for_it(tmp_path):
+def test_written_settings_are_valid_for_the_tier(tmp_path):
     tier = LocalTier(tmp_path)
     try:
         control_server, sender = tier.control_servers[0], tier.senders[0]
         settings = load_settings(control_server.settings_path)
         assert settings.bootstrap and settings.data_dir == control_server.data_dir
-        assert settings.seeds == tuple(one.control for one in tier.control_servers)
-        tier.write_settings(control_server, first_start=False)
+        assert settings.seeds == tuple(one.operator_address for one in tier.control_servers)
+        tier.write_settings(control_server, bootstrap=False)
         assert not load_settings(control_server.settings_path).bootstrap
-        assert load_settings(sender.settings_path).listen == {"front": sender.front, "ready": sender.ready}
+        assert load_settings(sender.settings_path).listen == {
+            "front": sender.client_address,
+            "ready": sender.readiness_address,
+        }
     finally:
         tier.stop()
 
 
-def test_processes_are_ended_and_their_logs_read(tmp_path):
+def test_terminated_process_has_ended_and_its_log_can_be_read(tmp_path):
     process = ManagedProcess("wrong", "dewpin.standin", ["nothing"], tmp_path / "log", {})
     process.start()
     assert process.wait(20.0) == 2
-    assert "invalid choice" in process.last_lines()
+    assert "invalid choice" in process.log_tail()
     served = ManagedProcess(
         "receiver", "dewpin.standin", ["receiver", "--listen", "127.0.0.1:0", "--id", "i"], tmp_path / "log", {}
     )
     served.start()
-    end_all([process, served])
+    terminate_all([process, served])
     assert not served.is_running
-    served.send(signal.SIGTERM)
+    served.send_signal(signal.SIGTERM)
 
 
-def test_waiting_has_a_bound():
+def test_wait_until_raises_after_its_time_out():
     assert wait_until(lambda: "a fact", 0.0, "it") == "a fact"
-    with pytest.raises(WaitFailed, match="it: not within 0 s"):
+    with pytest.raises(ConditionNotMetError, match="it: not within 0 s"):
         wait_until(lambda: None, 0.0, "it")
--- a/tests/standin/test_tutorial.py
+++ b/tests/standin/test_tutorial.py
@@ -10,7 +10,8 @@
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.standin.__main__ import build_parser, tier_options
 from dewpin.standin.address_file import ADDRESS_FILE, address_variables
-from dewpin.standin.demonstration import FOREVER, FolderInUse, Loss, TierOptions, run_tier
+from dewpin.standin.demonstration import FOREVER, InjectedFault, TierOptions, run_tier
+from dewpin.standin.errors import FolderNotEmptyError
 from dewpin.standin.processes import ManagedProcess
 from dewpin.standin.protocol import GET_PATH, INSTANCES_PATH, PUT_PATH, READY_PATH
 from dewpin.standin.sample_configuration import HOST, PLAIN_PATH, STREAM_PATH, sample_configuration
@@ -36,13 +37,13 @@
 COMMANDS = tutorial_commands() + readme_commands()
 
 
-def test_there_are_commands_in_both():
+def test_tutorial_and_readme_have_commands():
     assert len(tutorial_commands()) > 15 and len(readme_commands()) > 4
     assert "docs/tutorial-tier.md" in README_SECTION
 
 
 @pytest.mark.parametrize("command", COMMANDS)
-def test_a_command_exists(command):
+def test_command_and_its_options_exist(command):
     words = shlex.split(command, comments=True)
     assert words[0] in TOOLS
     if words[0] == "sh":
@@ -52,7 +53,7 @@
         tier_options(build_parser().parse_args(words[3:]))
 
 
-def test_the_variables_and_the_file_are_written(tmp_path, monkeypatch):
+def test_address_file_has_the_tutorials_variables(tmp_path, monkeypatch):
     monkeypatch.setattr(ManagedProcess, "pid", 1)
     tier = LocalTier(tmp_path)
     try:
@@ -63,7 +64,7 @@
     assert f". target/tier/{ADDRESS_FILE}" in TUTORIAL
 
 
-def test_the_paths_are_served():
+def test_paths_in_the_tutorial_have_routes():
     paths = re.findall(r"http://\$[A-Z_0-9]+(/\S*)", "\n".join(tutorial_commands()))
     own = {GET_PATH, PUT_PATH, INSTANCES_PATH, READY_PATH, "/nowhere/"}
     asked = [path for path in paths if path not in own]
@@ -71,7 +72,7 @@
     assert f"Host: {HOST}" in TUTORIAL
 
 
-def test_the_replacements_make_the_configurations_that_are_told():
+def test_sed_scripts_of_the_tutorial_yield_valid_configurations():
     body = json.dumps(sample_configuration(1))
     for script in re.findall(r"sed '([^']*)'", "\n".join(tutorial_commands())):
         for _, old, new in re.findall(r"s([/#])(.+?)\1(.+?)\1", script):
@@ -81,18 +82,18 @@
     assert changed.generation == 3 and changed.route_for(HOST, f"{MOVED_PATH}item") is not None
 
 
-def test_what_the_options_ask_for(tmp_path):
+def test_tier_options_of_command_line(tmp_path):
     def options(*words):
         return tier_options(build_parser().parse_args(["tier", *words]))
 
     assert options() == TierOptions()
     assert options("--keep").seconds == FOREVER
     assert options("--keep", "--seconds", "3").seconds == 3.0
-    assert options("--kill", "store", "--folder", str(tmp_path)) == TierOptions(tmp_path, 0.0, Loss.STORE)
+    assert options("--kill", "store", "--folder", str(tmp_path)) == TierOptions(tmp_path, 0.0, InjectedFault.STORE)
 
 
-def test_a_folder_that_holds_something_is_left_alone(tmp_path):
+def test_folder_with_files_is_rejected_and_unchanged(tmp_path):
     (tmp_path / "mine").touch()
-    with pytest.raises(FolderInUse):
+    with pytest.raises(FolderNotEmptyError):
         run_tier(TierOptions(tmp_path), print)
     assert [path.name for path in tmp_path.iterdir()] == ["mine"]
