--- a/dewpin/tier_cli/__main__.py
+++ b/dewpin/tier_cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m dewpin.tier_cli`: runs the command line, whose library is loaded only here."""
+"""`python3 -m dewpin.tier_cli`: the command line; its libraries are imported only when it runs."""
 
 import sys
 
@@ -6,12 +6,12 @@
 
 
 def main() -> None:
-    """Run the command line; the entry point `dewpin-tier`."""
+    """Run the command line; entry point of `dewpin-tier`."""
     try:
         from .commands import app
     except ModuleNotFoundError as error:
         print(f"{error.name} is not installed: the command line needs dewpin[tier]", file=sys.stderr)
-        raise SystemExit(ExitCode.UNREADABLE) from None
+        raise SystemExit(ExitCode.FILE_ERROR) from None
     app(prog_name="dewpin-tier")
 
 
--- a/dewpin/tier_cli/operator_client.py
+++ b/dewpin/tier_cli/operator_client.py
@@ -1,27 +1,29 @@
-"""Calls of the operator's API over HTTP."""
+"""A client of the operator's API over HTTP."""
 
 import json
 from dataclasses import dataclass
+from http import HTTPStatus
 
 import urllib3
 
 from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration
+from dewpin.cluster.errors import DewpinError
 
 BASE_VERSION_HEADER = "X-Dewpin-Base-Version"
 PUT_PATH = "/dewpin/Config.Put"
 GET_PATH = "/dewpin/Config.Get"
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """An answer of the tier: an HTTP status and the body."""
+class OperatorResponse:
+    """A response of the operator's API: HTTP status and body."""
 
     status: int
     body: bytes
 
     def errors(self) -> list[str]:
-        """Return the errors that the body names, or the body as it is."""
+        """Return the errors in the body, or the whole body if it has no list of errors."""
         try:
             errors = json.loads(self.body)["errors"]
         except (ValueError, KeyError, TypeError):
@@ -29,44 +31,47 @@
         return [str(error) for error in errors]
 
 
-class NoAnswer(Exception):
-    """No answer came: the address does not answer, or the connection broke."""
+class NoResponseError(DewpinError):
+    """There was no usable response: the server is unreachable, the connection was lost, or the response is unclear."""
 
 
 class OperatorClient:
-    """Calls one address of the tier and follows where it points."""
+    """Calls one control server, and those to which it redirects."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         self._address = address
         self._http = urllib3.PoolManager(
             timeout=urllib3.Timeout(total=timeout_s),
-            retries=urllib3.Retry(total=MOST_REDIRECTS, connect=0, read=0, other=0, redirect=MOST_REDIRECTS, status=0),
+            retries=urllib3.Retry(total=MAX_REDIRECTS, connect=0, read=0, other=0, redirect=MAX_REDIRECTS, status=0),
         )
 
-    def get_configuration(self) -> Answer:
-        """Read the newest configuration; raises NoAnswer."""
+    def get_configuration(self) -> OperatorResponse:
+        """Read the newest configuration; raises NoResponseError."""
         return self._call("GET", GET_PATH, None, {})
 
-    def put_configuration(self, body: bytes, base_version: int) -> Answer:
-        """Send a configuration that builds on `base_version`; raises NoAnswer."""
+    def put_configuration(self, body: bytes, base_version: int) -> OperatorResponse:
+        """Send a configuration that is based on `base_version`; raises NoResponseError."""
         headers = {BASE_VERSION_HEADER: str(base_version), "Content-Type": "application/json"}
         return self._call("POST", PUT_PATH, body, headers)
 
-    def _call(self, method: str, path: str, body: bytes | None, headers: dict[str, str]) -> Answer:
+    def _call(self, method: str, path: str, body: bytes | None, headers: dict[str, str]) -> OperatorResponse:
         try:
             response = self._http.request(method, f"http://{self._address}{path}", body=body, headers=headers)
         except urllib3.exceptions.HTTPError as error:
-            raise NoAnswer(f"{self._address} gives no answer: {error}") from None
-        return Answer(response.status, response.data)
+            raise NoResponseError(f"{self._address} gives no answer: {error}") from error
+        return OperatorResponse(response.status, response.data)
 
 
-def version_in_force(answer: Answer) -> int:
-    """Return the generation that Config.Get tells, 0 where there is none yet; raises NoAnswer if it tells neither."""
-    if answer.status == 404:
+def version_in_force(response: OperatorResponse) -> int:
+    """Return the generation in a response of Config.Get, 0 if there is no configuration yet.
+
+    Raises NoResponseError if the response says neither.
+    """
+    if response.status == HTTPStatus.NOT_FOUND:
         return 0
-    if answer.status != 200:
-        raise NoAnswer(f"the version in force is not told: {'; '.join(answer.errors())}")
+    if response.status != HTTPStatus.OK:
+        raise NoResponseError(f"the version in force is not told: {'; '.join(response.errors())}")
     try:
-        return parse_configuration(answer.body).generation
+        return parse_configuration(response.body).generation
     except InvalidConfigurationError as invalid:
-        raise NoAnswer(f"the version in force is not readable: {'; '.join(invalid.lines())}") from None
+        raise NoResponseError(f"the version in force is not readable: {'; '.join(invalid.lines())}") from invalid
