--- a/dewpin/cluster/addresses.py
+++ b/dewpin/cluster/addresses.py
@@ -6,13 +6,13 @@
 
 
 def is_address(text: str) -> bool:
-    """Tell whether `text` is an IPv4 address and a port, as `10.0.0.1:8080`."""
+    """Return whether `text` is an IPv4 address and a port, as `10.0.0.1:8080`."""
     host, colon, port = text.rpartition(":")
     return bool(colon) and is_ipv4(host) and port.isascii() and port.isdigit() and 0 < int(port) <= HIGHEST_PORT
 
 
 def is_ipv4(text: str) -> bool:
-    """Tell whether `text` is an IPv4 address in its four-part form."""
+    """Return whether `text` is an IPv4 address in dotted-decimal form."""
     try:
         socket.inet_pton(socket.AF_INET, text)
     except (OSError, ValueError):
--- a/dewpin/cluster/body_messages.py
+++ b/dewpin/cluster/body_messages.py
@@ -11,19 +11,25 @@
 
 
 def configuration_digest(body: bytes, base: int) -> str:
-    """What tells one order from another under the same number: the body and the version that it builds on."""
+    """Return the digest that identifies a change of the configuration: of its body and the version that it builds
+    on."""
     return hashlib.sha256(b"%d\n%b" % (base, body)).hexdigest()[:24]
 
 
 def patch_digest(body: bytes, base: int) -> str:
-    """The same for a patch; never that of a whole configuration with the same bytes."""
+    """Return the digest of a change by a patch; it differs from that of a configuration with the same bytes."""
     return hashlib.sha256(b"patch of %d\n%b" % (base, body)).hexdigest()[:24]
 
 
 @dataclass(frozen=True, slots=True)
 class BodyRequest:
-    """Asks for the part of a configuration's body that begins at character `offset`. `caller`: the address of a sender
-    that asks; control servers among themselves tell none."""
+    """Requests a page of a configuration's body.
+
+    `type`: message type; senders and control servers use different ones.
+    `digest`: of the change that brought the body.
+    `offset`: number of the character at which the page begins.
+    `caller`: address of the sender that requests it; control servers send none.
+    """
 
     type: str
     digest: str
@@ -31,7 +37,7 @@
     caller: str = ""
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         message: Message = {"type": self.type, "digest": self.digest, "offset": self.offset}
         if self.caller:
             message["caller"] = self.caller
@@ -39,7 +45,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> BodyRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the request of a message. Raises KeyError, TypeError or ValueError if it is none."""
         return cls(
             type=str(message["type"]),
             digest=str(message["digest"]),
@@ -50,16 +56,20 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyPage:
-    """A part of a body, and how many characters the whole has."""
+    """A page of a body.
+
+    `part`: the characters of the page.
+    `length`: characters of the whole body.
+    """
 
     part: str
     length: int
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Return the message."""
         return {"type": "body.page", "part": self.part, "length": self.length}
 
     @classmethod
     def decode(cls, message: Message) -> BodyPage:
-        """The page of a message. KeyError, TypeError or ValueError if it is none."""
+        """Return the page of a message. Raises KeyError, TypeError or ValueError if it is none."""
         return cls(str(message["part"]), int(message["length"]))
--- a/dewpin/cluster/body_pages.py
+++ b/dewpin/cluster/body_pages.py
@@ -1,8 +1,8 @@
-"""Answers senders that fetch the body of a configuration by pages.
+"""Answers senders that fetch the body of a configuration in pages.
 
-A body that is still on its way here is passed on page by page: whoever asks for a page that isn't here yet waits a
-moment for it. Few callers are served at a time, one page each, so that news and renewals on the same link wait behind
-a bounded number of bytes.
+A body that is still being fetched here is relayed page by page: a request for a page that is not here yet waits for it
+for a short time. Few callers are served at a time, one page each, so that updates and renewals on the same link wait
+behind a bounded number of bytes.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from .rpc import Message, RpcError
 
 RELAY_PAGE_BYTES = 64 * 1024
-"""On the wire, where a character takes 1 to 12 bytes: 0.035 s of a link of 15 Mbit/s."""
-MOST_BYTES_OF_CHARACTER = 12
+"""Size on the wire, where a character takes 1 to 12 bytes: 0.035 s of a link of 15 Mbit/s."""
+MAX_BYTES_PER_CHARACTER = 12
 PAGE_WAIT_S = 0.5
-MOST_CALLERS = 6
-"""The children of one parent, and half as many again that lost theirs: with a page each 0.21 s at 15 Mbit/s."""
-CALLER_FORGET_S = 1.0
-"""After its last request, a caller that didn't come to the end takes no place any more."""
+MAX_CALLERS = 6
+"""The children of one parent and half as many again that lost theirs: a page for each takes 0.21 s at 15 Mbit/s."""
+CALLER_EXPIRY_S = 1.0
+"""A caller that did not fetch the last page no longer counts this long after its last request."""
 
 
 def fits_page(body: str) -> bool:
-    """Whether a body is short enough to be sent whole with its state."""
-    if len(body) * MOST_BYTES_OF_CHARACTER <= RELAY_PAGE_BYTES:
+    """Return whether a body is short enough to be sent with its system state."""
+    if len(body) * MAX_BYTES_PER_CHARACTER <= RELAY_PAGE_BYTES:
         return True
     return len(body) <= RELAY_PAGE_BYTES and _wire_bytes(body) <= RELAY_PAGE_BYTES
 
 
 def _page_at(text: str, offset: int) -> str:
-    """The page that begins there: the same one at whoever has the text that far."""
+    """Return the page that begins at character `offset`: the same one at every process that has the text that far."""
     part = text[offset : offset + RELAY_PAGE_BYTES]
     while (size := _wire_bytes(part)) > RELAY_PAGE_BYTES:
         part = part[: len(part) * RELAY_PAGE_BYTES // size]
@@ -47,28 +47,37 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownBody:
-    """What is here of a body, from its beginning, and how many characters the whole has."""
+    """What is here of a body.
+
+    `text`: its beginning, as far as it is here.
+    `length`: characters of the whole body.
+    """
 
     text: str
     length: int
 
 
 class BodyPageService:
-    """Gives pages out. `known` returns what is here of the body with that digest, if anything."""
+    """Answers requests for pages."""
 
     def __init__(self, known: Callable[[str], KnownBody | None], clock: Callable[[], float]) -> None:
+        """`known` returns what is here of the body with a digest, if anything; `clock` returns monotonic seconds."""
         self._known = known
         self._clock = clock
         self._changed = asyncio.Event()
         self._served_until_s: dict[str, float] = {}
 
     def announce(self) -> None:
-        """Wakes those that wait for a page."""
+        """Wake the requests that wait for a page."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def handle(self, message: Message) -> Message:
-        """Answers with a page. RpcError if it doesn't come in time, or if too many others are being served."""
+        """Return a page.
+
+        Raises RpcError: `body_unavailable` if the page does not come within PAGE_WAIT_S, `overloaded` if too many other
+        callers are being served.
+        """
         request = BodyRequest.decode(message)
         self._admit(request.caller)
         page = self._page(request) or await self._awaited_page(request)
@@ -79,9 +88,9 @@
     def _admit(self, caller: str) -> None:
         now_s = self._clock()
         self._served_until_s = {one: until_s for one, until_s in self._served_until_s.items() if until_s > now_s}
-        if caller not in self._served_until_s and len(self._served_until_s) >= MOST_CALLERS:
+        if caller not in self._served_until_s and len(self._served_until_s) >= MAX_CALLERS:
             raise RpcError(ErrorKind.OVERLOADED, "others are being served")
-        self._served_until_s[caller] = now_s + CALLER_FORGET_S
+        self._served_until_s[caller] = now_s + CALLER_EXPIRY_S
 
     def _page(self, request: BodyRequest) -> BodyPage | None:
         known = self._known(request.digest)
--- a/dewpin/cluster/compression.py
+++ b/dewpin/cluster/compression.py
@@ -1,8 +1,8 @@
 """Compression of the bytes of a connection between dewpin's processes.
 
 What one side sends on a connection is one zlib stream, flushed after each frame, so that a short message costs little
-more than what tells it from the messages before. A compressed stream is told from a plain one by its first byte: a
-netstring begins with a digit, a stream with this window does not. A process answers in the form in which it is asked.
+more than its difference from the messages before. The first byte shows whether a stream is compressed: a netstring
+begins with a digit, a zlib stream with this window does not. A process replies in the form of the request.
 """
 
 from __future__ import annotations
@@ -13,54 +13,59 @@
 from .netstring import FrameError
 
 WINDOW_BITS = 13
-"""8 KiB: the messages of a connection's last moments. With 11 the first byte of a stream would be a digit."""
+"""8 KiB: the most recent messages of a connection. With 11 the first byte of a stream would be a digit."""
 MEMORY_LEVEL = 4
-"""Short messages: a greater one takes longer to begin anew after each flush, and saves no byte of them."""
+"""For short messages: a greater level takes longer to restart after each flush, and saves no bytes."""
 LEVEL = 3
-PIECE_BYTES = 256 * 1024
-"""So much is decompressed at a time, however far the rest of a stream would expand."""
+CHUNK_BYTES = 256 * 1024
+"""At most this much is decompressed at a time, so that the memory needed does not depend on how far a stream
+expands."""
 
 
 class CompressedOutput:
     """The sending side of a compressed connection."""
 
     def __init__(self) -> None:
+        """Start a stream."""
         self._compressor = zlib.compressobj(LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL)
 
     def encode(self, frame: bytes) -> bytes:
-        """Return the bytes to send for a frame; the other side can read it whole as soon as it has them."""
+        """Return the bytes to send for a frame; the peer can decode the whole frame as soon as it has them."""
         return self._compressor.compress(frame) + self._compressor.flush(zlib.Z_SYNC_FLUSH)
 
 
 class IncomingBytes:
-    """The receiving side of a connection whose peer may compress what it sends."""
+    """The receiving side of a connection whose peer may compress what it sends.
+
+    `is_compressed`: whether the peer does; None until its first byte.
+    """
 
     def __init__(self) -> None:
+        """Start without bytes."""
         self.is_compressed: bool | None = None
-        """None until the first byte."""
         self._decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def decode(self, data: bytes) -> Iterator[bytes]:
-        """Yield what the peer's bytes stand for, in pieces. FrameError for bytes that are no stream."""
+        """Yield the decoded bytes in chunks. Raises FrameError for bytes that are no stream."""
         if self.is_compressed is None and data:
             self.is_compressed = not data[:1].isdigit()
         if not self.is_compressed:
             yield data
             return
         while True:
-            piece = self._decompressed(data)
-            if piece:
-                yield piece
+            chunk = self._decompressed(data)
+            if chunk:
+                yield chunk
             data = self._decompressor.unconsumed_tail
-            if not data and len(piece) < PIECE_BYTES:
+            if not data and len(chunk) < CHUNK_BYTES:
                 return
 
     def _decompressed(self, data: bytes) -> bytes:
-        """Return the next piece of what `data` stands for."""
+        """Return the next chunk that `data` decodes to."""
         try:
-            piece = self._decompressor.decompress(data, PIECE_BYTES)
-        except zlib.error as fault:
-            raise FrameError(f"not a compressed stream: {fault}") from None
+            chunk = self._decompressor.decompress(data, CHUNK_BYTES)
+        except zlib.error as error:
+            raise FrameError(f"not a compressed stream: {error}") from error
         if self._decompressor.eof:
             raise FrameError("the compressed stream has ended")
-        return piece
+        return chunk
--- a/dewpin/cluster/configuration/rules.py
+++ b/dewpin/cluster/configuration/rules.py
@@ -11,18 +11,18 @@
     """Check the rules between fields, on every part whose shape is sound."""
     known_services = _service_names(raw)
     faults: list[Fault] = []
-    first_places: dict[tuple[str, str], str] = {}
+    first_paths: dict[tuple[str, str], str] = {}
     routes = raw.get("routes")
     for index, route in enumerate(routes if isinstance(routes, list) else []):
-        place = f"routes[{index}]"
-        if any(fault.is_within(place) for fault in shape_faults):
+        path = f"routes[{index}]"
+        if any(fault.is_within(path) for fault in shape_faults):
             continue
         sound_route = cast(RawRoute, route)
-        faults += _check_route(sound_route, place, known_services)
+        faults += _check_route(sound_route, path, known_services)
         key = normal_host(sound_route["hostname"]), sound_route["path_prefix"]
-        first = first_places.setdefault(key, place)
-        if first != place:
-            faults.append(Fault(place, f"has the same host and prefix as {first}"))
+        first = first_paths.setdefault(key, path)
+        if first != path:
+            faults.append(Fault(path, f"has the same host and prefix as {first}"))
     return faults
 
 
@@ -34,34 +34,34 @@
     return {service["name"] for service in cast(list[NamedService], services)}
 
 
-def _check_route(route: RawRoute, place: str, known_services: set[str] | None) -> list[Fault]:
+def _check_route(route: RawRoute, path: str, known_services: set[str] | None) -> list[Fault]:
     faults: list[Fault] = []
     timeout_ms = route.get("timeout_ms")
     if timeout_ms is not None and timeout_ms <= 0:
-        faults.append(expected("more than 0", timeout_ms, f"{place}.timeout_ms"))
+        faults.append(expected("more than 0", timeout_ms, f"{path}.timeout_ms"))
     backend, split = route.get("backend"), route.get("split")
     if backend is None and split is None:
-        faults.append(Fault(place, "names no service: expected `backend` or `split`"))
+        faults.append(Fault(path, "names no service: expected `backend` or `split`"))
     if backend is not None:
-        faults += _check_service(backend, f"{place}.backend", known_services)
+        faults += _check_service(backend, f"{path}.backend", known_services)
     if split is not None:
-        faults += _check_split(split, f"{place}.split", known_services)
+        faults += _check_split(split, f"{path}.split", known_services)
     return faults
 
 
-def _check_split(split: list[RawSplit], place: str, known_services: set[str] | None) -> list[Fault]:
+def _check_split(split: list[RawSplit], path: str, known_services: set[str] | None) -> list[Fault]:
     faults: list[Fault] = []
     for index, share in enumerate(split):
-        share_place = f"{place}[{index}]"
-        faults += _check_service(share["backend"], f"{share_place}.backend", known_services)
+        share_path = f"{path}[{index}]"
+        faults += _check_service(share["backend"], f"{share_path}.backend", known_services)
         if share["weight"] < 0:
-            faults.append(expected("0 or more", share["weight"], f"{share_place}.weight"))
+            faults.append(expected("0 or more", share["weight"], f"{share_path}.weight"))
     if not any(share["weight"] for share in split):
-        faults.append(Fault(place, "the weights add up to 0"))
+        faults.append(Fault(path, "the weights add up to 0"))
     return faults
 
 
-def _check_service(name: str, place: str, known_services: set[str] | None) -> list[Fault]:
+def _check_service(name: str, path: str, known_services: set[str] | None) -> list[Fault]:
     if known_services is None or name in known_services:
         return []
-    return [Fault(place, f"there is no service {name!r}")]
+    return [Fault(path, f"there is no service {name!r}")]
--- a/dewpin/cluster/message_fields.py
+++ b/dewpin/cluster/message_fields.py
@@ -1,5 +1,8 @@
-"""Reading the fields of a message that came over the wire: each is of the kind that it has to be, or the message is
-refused by one error. Fields that nobody asks for are left alone: a newer release may send them."""
+"""Reading the fields of a message that was received: each has the type that it has to have, or MalformedMessageError is
+raised. Unknown fields are ignored: a newer release may send them.
+
+Every function here returns a field of the message and raises MalformedMessageError if it is missing or of another type.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,16 @@
 
 
 class MalformedMessageError(DewpinError, ValueError):
-    """A message whose field is missing or of another kind. `field`: its name; `wanted`: what it has to be."""
+    """A field of a message is missing or of another type.
+
+    `field`: its name.
+    `expected`: what it has to be.
+    """
 
-    def __init__(self, field: str, wanted: str) -> None:
-        super().__init__(f"{field}: expected {wanted}")
+    def __init__(self, field: str, expected: str) -> None:
+        super().__init__(f"{field}: expected {expected}")
         self.field = field
-        self.wanted = wanted
+        self.expected = expected
 
 
 def text(message: Message, field: str) -> str:
@@ -102,10 +109,10 @@
     return None if _present(message, field) is None else ballot(message, field)
 
 
-def check_type(message: Message, wanted: str) -> None:
+def check_type(message: Message, expected: str) -> None:
     """Raise MalformedMessageError unless the message is of this type."""
-    if message.get("type") != wanted:
-        raise MalformedMessageError("type", wanted)
+    if message.get("type") != expected:
+        raise MalformedMessageError("type", expected)
 
 
 def _present(message: Message, field: str) -> Any:
--- a/dewpin/cluster/netstring.py
+++ b/dewpin/cluster/netstring.py
@@ -13,58 +13,63 @@
 
 from .errors import DewpinError
 
-MOST_BYTES = 32 * 1024 * 1024
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+"""The longest payload and the most raw bytes of one message."""
 RAW = "raw"
 """The key of an object's raw bytes."""
-_MOST_DIGITS = len(str(MOST_BYTES))
+_MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
 
 JsonObject = dict[str, Any]
 
 
 class FrameError(DewpinError, ValueError):
-    """Bytes that are no frame, or a frame over the bound; the connection they came on is of no more use."""
+    """Bytes that are no frame, or a frame over the limit; the connection that they came on cannot be used any more."""
 
 
-def encode(message: JsonObject, most_bytes: int = MOST_BYTES) -> bytes:
-    """The frame of `message`. FrameError for one that no decoder takes: its connection would end at the other side."""
+def encode(message: JsonObject, max_bytes: int = MAX_FRAME_BYTES) -> bytes:
+    """Return the frame of `message`.
+
+    Raises FrameError for a message that no decoder accepts: its connection would be ended by the peer.
+    """
     raw = message.get(RAW)
     if isinstance(raw, bytes):
-        return _netstring(_json({**message, RAW: len(raw)}), most_bytes) + _netstring(raw, most_bytes)
+        return _netstring(_json({**message, RAW: len(raw)}), max_bytes) + _netstring(raw, max_bytes)
     if raw is not None:
         raise FrameError("raw is not bytes")
-    return _netstring(_json(message), most_bytes)
+    return _netstring(_json(message), max_bytes)
 
 
 def _json(message: JsonObject) -> bytes:
     return json.dumps(message, separators=(",", ":")).encode()
 
 
-def _netstring(payload: bytes, most_bytes: int) -> bytes:
-    if len(payload) > most_bytes:
+def _netstring(payload: bytes, max_bytes: int) -> bytes:
+    if len(payload) > max_bytes:
         raise FrameError(f"{len(payload)} bytes")
     return b"%d:%b," % (len(payload), payload)
 
 
 class Decoder:
-    """Cuts a stream of bytes into messages."""
+    """Splits a stream of bytes into messages."""
 
-    def __init__(self, most_bytes: int = MOST_BYTES) -> None:
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
+        """Accept payloads of up to `max_bytes`."""
         self._buffer = bytearray()
-        self._most_bytes = most_bytes
+        self._max_bytes = max_bytes
         self._awaiting_raw: JsonObject | None = None  # an object whose raw bytes have not come
 
     def feed(self, data: bytes) -> list[JsonObject]:
-        """Takes bytes as they come; returns the messages that are whole. FrameError for what can't be a frame."""
+        """Return the messages that `data` completes. Raises FrameError for bytes that cannot be a frame."""
         self._buffer += data
         messages: list[JsonObject] = []
         while (payload := self._next_payload()) is not None:
-            message = self._take(payload)
+            message = self._complete(payload)
             if message is not None:
                 messages.append(message)
         return messages
 
-    def _take(self, payload: bytes) -> JsonObject | None:
-        """The message that `payload` makes whole, if it does."""
+    def _complete(self, payload: bytes) -> JsonObject | None:
+        """Return the message that `payload` completes; None if its raw bytes have not come."""
         awaiting = self._awaiting_raw
         if awaiting is not None:
             self._awaiting_raw = None
@@ -72,23 +77,23 @@
         message = _decode(payload)
         if RAW not in message:
             return message
-        if type(message[RAW]) is not int or not 0 <= message[RAW] <= self._most_bytes:
+        if type(message[RAW]) is not int or not 0 <= message[RAW] <= self._max_bytes:
             raise FrameError(f"raw bytes: {message[RAW]!r:.16}")
         self._awaiting_raw = message
         return None
 
     def _next_payload(self) -> bytes | None:
-        colon = self._buffer.find(b":", 0, _MOST_DIGITS + 1)
+        colon = self._buffer.find(b":", 0, _MAX_LENGTH_DIGITS + 1)
         if colon < 0:
-            if len(self._buffer) > _MOST_DIGITS:
-                raise FrameError("no length")
+            if len(self._buffer) > _MAX_LENGTH_DIGITS:
+                raise FrameError(f"no length in the first {_MAX_LENGTH_DIGITS} bytes")
             return None
         digits = bytes(self._buffer[:colon])
-        if not digits.isdigit() or int(digits) > self._most_bytes:
+        if not digits.isdigit() or int(digits) > self._max_bytes:
             raise FrameError(f"length {digits[:16]!r}")
         length = int(digits)
         if self._awaiting_raw is not None and length != self._awaiting_raw[RAW]:
-            raise FrameError("raw bytes of another length than told")
+            raise FrameError(f"{length} raw bytes where {self._awaiting_raw[RAW]} were announced")
         end = colon + 1 + length
         if len(self._buffer) <= end:
             return None
@@ -103,8 +108,8 @@
 def _decode(payload: bytes) -> JsonObject:
     try:
         message = json.loads(payload)
-    except ValueError as fault:
-        raise FrameError(str(fault)) from None
+    except ValueError as error:
+        raise FrameError(str(error)) from error
     if not isinstance(message, dict):
         raise FrameError("not an object")
     return message
--- a/dewpin/cluster/placement.py
+++ b/dewpin/cluster/placement.py
@@ -1,7 +1,7 @@
-"""Which members hold the records of a key: rendezvous hashing, the same at every process without any talk.
+"""Which members hold the records of a key: rendezvous hashing, the same at every process without communication.
 
-The replicas of a key are spread over regions and zones as evenly as the members allow, so that the loss of one takes as
-few of them as can be. A member's location is `region/zone`.
+The replicas of a key are spread over regions and zones as evenly as the members allow, so that the loss of one affects
+as few of them as possible. A member's location is `region/zone`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class LocationCount:
-    """How many of the members chosen so far stand in each region and zone."""
+    """How many of the members chosen so far are in each region and zone."""
 
     def __init__(self, locations: Iterable[str] = ()) -> None:
         self._zones: Counter[str] = Counter()
@@ -34,7 +34,7 @@
         self._regions[region_of(location)] += 1
 
     def crowding(self, location: str) -> tuple[int, int]:
-        """Return how many stand in the region and in the zone of `location`; the lowest is to be chosen next."""
+        """Return how many members are in the region and in the zone of `location`; the lowest is to be chosen next."""
         return self._regions[region_of(location)], self._zones[location]
 
 
@@ -52,7 +52,7 @@
 def replicas(key: str, members: tuple[str, ...], count: int, locations: tuple[str, ...] = ()) -> frozenset[str]:
     """Return the `count` members (all, if there are fewer) that hold the records of `key`.
 
-    `locations` are those of the members, in the same order; without them all members count as being in one place.
+    `locations` are those of the members, in the same order; without them all members count as being in one location.
     """
     if len(members) <= count:
         return frozenset(members)
@@ -61,7 +61,7 @@
 
 
 def _spread(ranked: list[str], count: int, locations: Mapping[str, str]) -> list[str]:
-    """Choose `count` members: each time one from the least crowded place, of these the one ranked first."""
+    """Choose `count` members: each time one from the least crowded location, of these the one ranked first."""
     counted = LocationCount()
     remaining = list(ranked)
     chosen: list[str] = []
@@ -74,7 +74,8 @@
 
 
 def replica_count(machines: int, zones: int, regions: int) -> int:
-    """Return how many replicas bear the loss of so many machines, or zones, or regions: a majority is to remain."""
+    """Return how many replicas tolerate the loss of so many machines, or zones, or regions: a majority has to
+    remain."""
     return 2 * max(machines, zones, regions) + 1
 
 
@@ -84,6 +85,7 @@
 
 
 def max_unreachable(members: int, count: int) -> int:
-    """Return how many of all `members` may stay silent while every key's replicas still give a majority of answers."""
+    """Return how many of all `members` may be unreachable while every key still has a majority of its `count`
+    replicas."""
     size = min(members, count)
     return size - majority(size)
--- a/dewpin/cluster/platform_list.py
+++ b/dewpin/cluster/platform_list.py
@@ -1,4 +1,4 @@
-"""Reading the platform's list of receivers, by one process at a time as long as that one does."""
+"""Reading the platform's list of receivers over HTTP."""
 
 from __future__ import annotations
 
@@ -13,36 +13,43 @@
 from dewpin.cluster.errors import DewpinError
 from dewpin.cluster.receivers import Receiver, receiver_from_platform
 
-PAGE_LIMIT = 2000
+MAX_PAGES = 2000
+"""A list with more pages counts as endless."""
+CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 0.8
 
 
 class PlatformUnavailableError(DewpinError):
-    """The platform gave no whole list: silent, refusing, over its rate or not making sense."""
+    """The platform did not return its complete list: it did not answer, rejected the request or sent an unreadable
+    reply."""
 
 
 class PlatformList:
     """The platform's list at one address."""
 
     def __init__(self, address: str) -> None:
+        """Read from `address` (`ip:port`)."""
         self._address = address
         self._pool = urllib3.PoolManager(
-            num_pools=1, maxsize=1, retries=False, timeout=urllib3.Timeout(connect=0.5, read=READ_TIMEOUT_S)
+            num_pools=1,
+            maxsize=1,
+            retries=False,
+            timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S),
         )
 
     def read(self) -> list[Receiver]:
-        """All receivers, page by page. PlatformUnavailableError unless every page came."""
+        """Return all receivers; blocks. Raises PlatformUnavailableError unless every page was read."""
         return list(self._pages())
 
     def _pages(self) -> Iterator[Receiver]:
         token: str | None = None
-        for _ in range(PAGE_LIMIT):
+        for _ in range(MAX_PAGES):
             page = self._page(token)
             try:
                 yield from (receiver_from_platform(entry) for entry in page["instances"])
                 token = page.get("next_token")
-            except (KeyError, TypeError, ValueError, AttributeError) as fault:
-                raise PlatformUnavailableError(repr(fault)) from None
+            except (KeyError, TypeError, ValueError, AttributeError) as error:
+                raise PlatformUnavailableError(repr(error)) from error
             if not token:
                 return
         raise PlatformUnavailableError("pages without end")
@@ -52,36 +59,40 @@
         if token is not None:
             url += f"?page_token={quote(token)}"
         try:
-            answer = self._pool.request("GET", url, redirect=False)
-        except urllib3.exceptions.HTTPError as fault:
-            raise PlatformUnavailableError(repr(fault)) from None
-        if answer.status != 200:
-            raise PlatformUnavailableError(f"status {answer.status}")
+            response = self._pool.request("GET", url, redirect=False)
+        except urllib3.exceptions.HTTPError as error:
+            raise PlatformUnavailableError(repr(error)) from error
+        if response.status != 200:
+            raise PlatformUnavailableError(f"status {response.status}")
         try:
-            page = json.loads(answer.data)
-        except ValueError as fault:
-            raise PlatformUnavailableError(repr(fault)) from None
+            page = json.loads(response.data)
+        except ValueError as error:
+            raise PlatformUnavailableError(repr(error)) from error
         if not isinstance(page, dict):
             raise PlatformUnavailableError("not an object")
         return page
 
 
 class PlatformReader(Protocol):
-    """Reads the platform's list without holding the caller's loop up."""
+    """Reads the platform's list without blocking the event loop."""
 
     async def read(self, address: str) -> list[Receiver]:
-        """All receivers. PlatformUnavailableError unless the whole list came."""
+        """Return all receivers of the list at `address`. Raises PlatformUnavailableError."""
 
 
 class ThreadedPlatformReader:
-    """Reads in a thread, over a connection that is kept while it serves."""
+    """Reads in a thread, over one connection that is reused."""
 
     def __init__(self) -> None:
+        """Start without a connection."""
         self._list: PlatformList | None = None
         self._address: str | None = None
 
     async def read(self, address: str) -> list[Receiver]:
-        """All receivers. PlatformUnavailableError unless the whole list came; the next reading connects anew then."""
+        """Return all receivers of the list at `address`.
+
+        Raises PlatformUnavailableError; the next reading opens a new connection then.
+        """
         if self._list is None or self._address != address:
             self._list, self._address = PlatformList(address), address
         try:
--- a/dewpin/cluster/running_tasks.py
+++ b/dewpin/cluster/running_tasks.py
@@ -6,10 +6,10 @@
 
 
 def forget_current_task(tasks: set[asyncio.Task[None]]) -> None:
-    """Drop the running task from a set; to be the last thing that the task does.
+    """Remove the running task from a set; to be the last thing that the task does.
 
-    A done callback would do the same in a turn of the event loop of its own, with a look at all sockets: as costly as
-    the whole of a small message.
+    A done callback would do the same in an iteration of the event loop of its own, with a poll of all sockets: as
+    costly as a whole small message.
     """
     task = asyncio.current_task()
     if task is not None:
--- a/dewpin/cluster/settings/rules.py
+++ b/dewpin/cluster/settings/rules.py
@@ -46,7 +46,7 @@
         named += [(f"listen.{name}", address) for name, address in raw["listen"].items()]
     if check_cloud:
         named.append(("cloud.address", raw["cloud"]["address"]))
-    return [expected("IP:PORT", address, place) for place, address in named if not is_address(address)]
+    return [expected("IP:PORT", address, path) for path, address in named if not is_address(address)]
 
 
 def _check_serves(raw: JsonObject) -> list[Fault]:
@@ -64,10 +64,10 @@
     return faults
 
 
-def _check_not_negative(table: JsonObject, place: str) -> list[Fault]:
-    known = {"bounds": Bounds, "limits": MachineLimits, "fault_tolerance": FaultTolerance}[place]
+def _check_not_negative(table: JsonObject, path: str) -> list[Fault]:
+    known = {"bounds": Bounds, "limits": MachineLimits, "fault_tolerance": FaultTolerance}[path]
     return [
-        expected("0 or more", table[one.name], f"{place}.{one.name}")
+        expected("0 or more", table[one.name], f"{path}.{one.name}")
         for one in fields(known)
         if one.name in table and table[one.name] < 0
     ]
--- a/dewpin/cluster/settings_watch.py
+++ b/dewpin/cluster/settings_watch.py
@@ -1,4 +1,4 @@
-"""Changes of the settings file while a process runs: told by SIGHUP, or found because the file differs."""
+"""Changes of the settings file while a process runs, found by reading it again."""
 
 from __future__ import annotations
 
@@ -12,35 +12,36 @@
 
 
 def reloaded(running: Settings, changed: Settings) -> Settings:
-    """The settings to go on with: what can change while a process runs is taken over, the rest needs a restart.
+    """Return the running settings with those of `changed` that can change without a restart.
 
-    Taken over are the seeds, the platform's list and the zones. Addresses, folders, limits and bounds are tied to what
-    the process set up at its start.
+    These are the seeds, the platform's list and the zones. Addresses, folders, limits and bounds are tied to what the
+    process set up at its start.
     """
     return replace(running, seeds=changed.seeds, cloud=changed.cloud, zones=changed.zones)
 
 
 class SettingsWatch:
-    """Tells when a settings file holds something else than `running`, the settings that the process has.
+    """Detects changes of a settings file.
 
-    A faulty file is reported once and otherwise ignored.
+    An invalid file is logged once and otherwise ignored.
     """
 
     def __init__(self, path: str | Path, running: Settings) -> None:
+        """Watch the file at `path`; `running` are the settings that the process has."""
         self._path = Path(path)
         self._running = running
         self._seen: bytes | None = None
 
     def poll(self) -> Settings | None:
-        """The checked settings of the file if they changed since the last look, else None."""
+        """Return the checked settings of the file if they changed since the last call, else None."""
         content = self._content()
         if content is None or content == self._seen:
             return None
         self._seen = content
         try:
             settings = load_settings(self._path)
-        except InvalidSettingsError as invalid:
-            log_event(Event.SETTINGS_REJECTED, faults=invalid.lines())
+        except InvalidSettingsError as error:
+            log_event(Event.SETTINGS_REJECTED, faults=error.lines())
             return None
         if settings == self._running:
             return None
--- a/dewpin/cluster/store_view.py
+++ b/dewpin/cluster/store_view.py
@@ -18,7 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One incarnation of a store machine: the id that its data folder was given, where it listens and where it is."""
+    """One incarnation of a store.
+
+    `id`: incarnation of its data folder.
+    `address`: `ip:port`.
+    `location`: `region/zone`; empty if unknown.
+    """
 
     id: str
     address: str
@@ -27,7 +32,12 @@
 
 @dataclass(frozen=True)
 class StoreView:
-    """The members under one epoch; a greater epoch is newer."""
+    """The members under one epoch.
+
+    `epoch`: a greater one is newer.
+    `stable`: the members that answer reads.
+    `next`: the members after the change; None while the view is not changing.
+    """
 
     epoch: int
     stable: tuple[Member, ...]
@@ -72,11 +82,11 @@
         return tuple(sets)
 
     def holds(self, member: str, key: str, count: int) -> bool:
-        """Tell whether `member` is a replica of `key` before or after the change."""
+        """Return whether `member` is a replica of `key` before or after the change."""
         return any(member in replica_set for replica_set in self.write_sets(key, count))
 
     def max_unreachable(self, count: int) -> int:
-        """Return how many stable members may stay silent while every key still has a majority of its replicas."""
+        """Return how many stable members may be unreachable while every key still has a majority of its replicas."""
         return max_unreachable(len(self.stable), count)
 
     def to_json(self) -> dict[str, Any]:
--- a/dewpin/cluster/validation.py
+++ b/dewpin/cluster/validation.py
@@ -1,6 +1,6 @@
 """A small checker of untyped values against typed dictionaries.
 
-`check_shape` compares a value read from JSON or TOML with a type annotation and reports every fault with its place,
+`check_shape` compares a value read from JSON or TOML with a type annotation and reports every fault with its path,
 such as `routes[3].split[0].weight`. It knows the annotations that messages are made of: `str`, `bool`, `int`, `float`,
 `None`, unions, `list[X]`, `dict[str, X]`, `object` and `TypedDict` classes. Fields that a typed dictionary does not
 name are ignored. An optional field that is `null` counts as absent when its annotation includes `None`. Whoever rejects
@@ -35,23 +35,23 @@
 class Fault:
     """One fault of an input: where it is (empty for the whole input) and what is wrong there."""
 
-    place: str
+    path: str
     message: str
 
     def __str__(self) -> str:
-        return f"{self.place}: {self.message}" if self.place else self.message
+        return f"{self.path}: {self.message}" if self.path else self.message
 
-    def is_within(self, place: str) -> bool:
-        """Tell whether this fault lies at `place` or somewhere inside it."""
-        return self.place == place or self.place.startswith((place + ".", place + "["))
+    def is_within(self, path: str) -> bool:
+        """Tell whether this fault lies at `path` or somewhere inside it."""
+        return self.path == path or self.path.startswith((path + ".", path + "["))
 
 
 class InputFaultError(DewpinError, ValueError):
-    """One fault of an input as an error; `place` names the field, `message` says what is wrong with it."""
+    """One fault of an input as an error; `path` names the field, `message` says what is wrong with it."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
-        self.place = fault.place
+        self.path = fault.path
         self.message = fault.message
 
 
@@ -65,37 +65,37 @@
         return super().__new__(cls, cls.summary, [InputFaultError(fault) for fault in faults])
 
     def lines(self) -> list[str]:
-        """Return one line per fault, each with its place."""
+        """Return one line per fault, each with its path."""
         return [str(fault) for fault in self.exceptions]
 
 
-def check_shape(value: object, annotation: Any, place: str = "") -> list[Fault]:
+def check_shape(value: object, annotation: Any, path: str = "") -> list[Fault]:
     """Return every fault of `value` against `annotation`; an empty list means that it may be cast to it."""
     if annotation is object or annotation is Any:
         return []
     if is_typeddict(annotation):
-        return _check_typed_dictionary(value, annotation, place)
+        return _check_typed_dictionary(value, annotation, path)
     origin = get_origin(annotation)
     if origin in (Union, types.UnionType):
-        return _check_union(value, annotation, place)
+        return _check_union(value, annotation, path)
     if origin is list:
-        return _check_list(value, annotation, place)
+        return _check_list(value, annotation, path)
     if origin is dict:
-        return _check_mapping(value, annotation, place)
-    return [] if _is_scalar(value, annotation) else [expected(_EXPECTED[annotation], value, place)]
+        return _check_mapping(value, annotation, path)
+    return [] if _is_scalar(value, annotation) else [expected(_EXPECTED[annotation], value, path)]
 
 
-def expected(what: str, value: object, place: str) -> Fault:
+def expected(what: str, value: object, path: str) -> Fault:
     """Return the fault of a `value` that should have been `what`."""
     shown = repr(value)
     if len(shown) > _SHOWN_CHARACTERS:
         shown = shown[:_SHOWN_CHARACTERS] + "..."
-    return Fault(place, f"expected {what}, got {shown}")
+    return Fault(path, f"expected {what}, got {shown}")
 
 
-def join_place(place: str, field: str) -> str:
-    """Return the place of `field` in the object at `place`."""
-    return f"{place}.{field}" if place else field
+def join_path(path: str, field: str) -> str:
+    """Return the path of `field` in the object at `path`."""
+    return f"{path}.{field}" if path else field
 
 
 def value_or(value: T | None, default: T) -> T:
@@ -103,16 +103,16 @@
     return default if value is None else value
 
 
-def _check_typed_dictionary(value: object, annotation: Any, place: str) -> list[Fault]:
+def _check_typed_dictionary(value: object, annotation: Any, path: str) -> list[Fault]:
     if not isinstance(value, Mapping):
-        return [expected("an object", value, place)]
+        return [expected("an object", value, path)]
     faults: list[Fault] = []
     for field, (field_annotation, required) in _fields(annotation).items():
-        field_place = join_place(place, field)
+        field_path = join_path(path, field)
         if field in value:
-            faults += check_shape(value[field], field_annotation, field_place)
+            faults += check_shape(value[field], field_annotation, field_path)
         elif required:
-            faults.append(Fault(field_place, "is missing"))
+            faults.append(Fault(field_path, "is missing"))
     return faults
 
 
@@ -129,31 +129,29 @@
     }
 
 
-def _check_union(value: object, annotation: Any, place: str) -> list[Fault]:
+def _check_union(value: object, annotation: Any, path: str) -> list[Fault]:
     options = get_args(annotation)
-    attempts = [check_shape(value, option, place) for option in options]
+    attempts = [check_shape(value, option, path) for option in options]
     if not all(attempts):
         return []
     named = [faults for option, faults in zip(options, attempts, strict=True) if option is not type(None)]
     return named[0]
 
 
-def _check_list(value: object, annotation: Any, place: str) -> list[Fault]:
+def _check_list(value: object, annotation: Any, path: str) -> list[Fault]:
     if not isinstance(value, list):
-        return [expected("a list", value, place)]
+        return [expected("a list", value, path)]
     (item_annotation,) = get_args(annotation)
     return [
-        fault for index, item in enumerate(value) for fault in check_shape(item, item_annotation, f"{place}[{index}]")
+        fault for index, item in enumerate(value) for fault in check_shape(item, item_annotation, f"{path}[{index}]")
     ]
 
 
-def _check_mapping(value: object, annotation: Any, place: str) -> list[Fault]:
+def _check_mapping(value: object, annotation: Any, path: str) -> list[Fault]:
     if not isinstance(value, dict):
-        return [expected("an object", value, place)]
+        return [expected("an object", value, path)]
     _, item_annotation = get_args(annotation)
-    return [
-        fault for key, item in value.items() for fault in check_shape(item, item_annotation, join_place(place, key))
-    ]
+    return [fault for key, item in value.items() for fault in check_shape(item, item_annotation, join_path(path, key))]
 
 
 def _is_scalar(value: object, annotation: Any) -> bool:
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -81,7 +81,7 @@
 @then("it is refused with faults at exactly")
 def it_is_refused_at(context: Context) -> None:
     it_is_refused(context)
-    assert sorted(fault.place for fault in context.faults) == sorted(row["place"] for row in context.table)
+    assert sorted(fault.path for fault in context.faults) == sorted(row["place"] for row in context.table)
 
 
 @then('a request to "{host}" for "{path}" takes the route "{name}"')
--- a/tests/cluster/test_compression.py
+++ b/tests/cluster/test_compression.py
@@ -59,7 +59,7 @@
 
 
 def test_a_frame_longer_than_a_piece_comes_whole(monkeypatch):
-    monkeypatch.setattr(compression, "PIECE_BYTES", 64)
+    monkeypatch.setattr(compression, "CHUNK_BYTES", 64)
     draw = random.Random(3)
     for length in (1, 63, 64, 65, 128, 1000, 5000):
         frame = bytes(draw.choices(b"ab", k=length))
@@ -75,7 +75,7 @@
         for piece in IncomingBytes().decode(bomb):
             taken += len(piece)
             decoder.feed(piece)
-    assert taken <= compression.PIECE_BYTES
+    assert taken <= compression.CHUNK_BYTES
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"X\x00\xff\xff", b"\x00\x00\x00\x00"])
--- a/tests/cluster/test_netstring.py
+++ b/tests/cluster/test_netstring.py
@@ -77,8 +77,8 @@
 
 def test_a_frame_over_the_bound_is_refused_by_its_length_alone():
     with pytest.raises(FrameError):
-        Decoder(most_bytes=10).feed(b"11:")
-    assert Decoder(most_bytes=10).feed(b'10:{"a":1234},') == [{"a": 1234}]
+        Decoder(max_bytes=10).feed(b"11:")
+    assert Decoder(max_bytes=10).feed(b'10:{"a":1234},') == [{"a": 1234}]
 
 
 def test_nothing_comes_out_before_the_raw_bytes_are_whole():
@@ -95,10 +95,10 @@
 
 def test_raw_bytes_over_the_bound_are_refused_at_either_end():
     with pytest.raises(FrameError):
-        encode({"raw": bytes(20)}, most_bytes=19)
+        encode({"raw": bytes(20)}, max_bytes=19)
     with pytest.raises(FrameError):
-        Decoder(most_bytes=19).feed(b'10:{"raw":20},')
-    assert Decoder(most_bytes=20).feed(encode({"raw": bytes(20)}, most_bytes=20)) == [{"raw": bytes(20)}]
+        Decoder(max_bytes=19).feed(b'10:{"raw":20},')
+    assert Decoder(max_bytes=20).feed(encode({"raw": bytes(20)}, max_bytes=20)) == [{"raw": bytes(20)}]
 
 
 @pytest.mark.parametrize("raw", [1, "text", [1]])
--- a/tests/cluster/test_rpc_endings.py
+++ b/tests/cluster/test_rpc_endings.py
@@ -187,7 +187,7 @@
     ],
 )
 def test_a_frame_over_the_limit_fails_its_call_and_no_other(message, kind, monkeypatch):
-    monkeypatch.setattr(rpc_frames, "encode", lambda frame: netstring.encode(frame, most_bytes=1000))
+    monkeypatch.setattr(rpc_frames, "encode", lambda frame: netstring.encode(frame, max_bytes=1000))
 
     async def scene():
         async with served(echo=echo, large=large, unsendable=unsendable) as (server, client, address):
--- a/tests/controlplane/test_bodies_for_senders.py
+++ b/tests/controlplane/test_bodies_for_senders.py
@@ -11,7 +11,7 @@
 from scripted.rated_links import LinkNetwork
 
 from dewpin.cluster.body_messages import RELAY_BODY
-from dewpin.cluster.body_pages import MOST_CALLERS, RELAY_PAGE_BYTES
+from dewpin.cluster.body_pages import MAX_CALLERS, RELAY_PAGE_BYTES
 from dewpin.cluster.relay_messages import RELAY_WATCH
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
@@ -323,14 +323,14 @@
         await fleet.order(8, 7)
         client = fleet.network.client("10.5.0.9:7381")
         digest = fleet.newest()["configuration"]["digest"]
-        assert MOST_CALLERS >= RELAY_FAN_OUT
+        assert MAX_CALLERS >= RELAY_FAN_OUT
 
         async def ask(caller):
             message = {"type": RELAY_BODY, "digest": digest, "offset": 0, "caller": caller}
             return await client.call(fleet.address(2), message, 1.0)
 
         await asyncio.sleep(20.0)  # no sender of the fleet fetches any more
-        for caller in range(MOST_CALLERS):
+        for caller in range(MAX_CALLERS):
             await ask(f"caller {caller}")
         if kind == "most":
             assert (await ask("caller 0"))["part"]
