--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -1,5 +1,5 @@
-"""How evenly senders that share nothing load equal receivers: the module beside a uniform choice and a turn by one
-for all, on the same arrivals, in simulated time.
+"""How evenly senders that share nothing load equal receivers: the dispatcher beside a uniform choice and a turn by
+one for all, on the same arrivals, in simulated time.
 
     python benchmarks/spread.py [--senders 300] [--receivers 12] [--rate 120] [--seconds 60] [--numbered]
 
@@ -15,7 +15,7 @@
 from dewpin.core import model
 from dewpin.core.dispatcher import Dispatcher
 
-TOOK = 200.0
+CALL_MS = 200.0
 
 
 def settings(senders, number):
@@ -37,29 +37,32 @@
     return told if number is None else told | {"SlotNo": number}
 
 
-class Modules:
-    """Senders with a decision module each."""
+class Dispatchers:
+    """Senders with a dispatcher each."""
 
     def __init__(self, senders, receivers, numbered):
-        self.made = [Dispatcher(settings(senders, n if numbered else None), n) for n in range(senders)]
-        self.places = [model.Destination(1) for _ in range(senders)]
+        self.dispatchers = [Dispatcher(settings(senders, n if numbered else None), n) for n in range(senders)]
+        self.destinations = [model.Destination(1) for _ in range(senders)]
         for _ in range(receivers):
             self.join()
 
     def join(self):
-        for place in self.places:
-            model.Receiver(len(place.receivers), place)
+        for destination in self.destinations:
+            model.Receiver(len(destination.receivers), destination)
 
     def send(self, sender, now):
-        module, mail = self.made[sender], model.Message(now, self.places[sender], now, now + 16000.0)
-        module.dispatch(mail, now)
-        ms, due = module.next_due(now)
-        receiver = module.dispatch(due, now).receiver if due and ms == 0.0 else None
-        return getattr(receiver, "receiver_id", None), mail
+        dispatcher, message = (
+            self.dispatchers[sender],
+            model.Message(now, self.destinations[sender], now, now + 16000.0),
+        )
+        dispatcher.dispatch(message, now)
+        ms, due = dispatcher.next_due(now)
+        receiver = dispatcher.dispatch(due, now).receiver if due and ms == 0.0 else None
+        return getattr(receiver, "receiver_id", None), message
 
-    def end(self, sender, mail, now):
-        mail.duration_ms = TOOK
-        self.made[sender].record_outcome(mail, model.Outcome.DELIVERED, now)
+    def end(self, sender, message, now):
+        message.duration_ms = CALL_MS
+        self.dispatchers[sender].record_outcome(message, model.Outcome.DELIVERED, now)
 
 
 class Choice:
@@ -74,7 +77,7 @@
     def send(self, sender, now):
         return self.rule(self.receivers), None
 
-    def end(self, sender, mail, now):
+    def end(self, sender, message, now):
         pass
 
 
@@ -83,18 +86,18 @@
     half = arrivals[-1][0] / 2.0
     for now, sender in arrivals:
         while ends and ends[0][0] <= now:
-            at, _, number, mail, receiver = heapq.heappop(ends)
+            at, _, number, message, receiver = heapq.heappop(ends)
             out[receiver] -= 1
-            way.end(number, mail, at)
+            way.end(number, message, at)
         if now >= half and not calls[1]:
             way.join()
-        receiver, mail = way.send(sender, now)
+        receiver, message = way.send(sender, now)
         if receiver is None:
             continue
         calls[now >= half].append(receiver)
         out[receiver] += 1
         depth.append(out[receiver])
-        heapq.heappush(ends, (now + TOOK, len(depth), sender, mail, receiver))
+        heapq.heappush(ends, (now + CALL_MS, len(depth), sender, message, receiver))
     shares = [calls[0].count(one) * receivers / len(calls[0]) for one in range(receivers)]
     newcomer = calls[1].count(receivers) * (receivers + 1) / len(calls[1])
     return max(shares), min(shares), sorted(depth)[int(0.99 * len(depth))], newcomer
@@ -103,18 +106,18 @@
 @click.command()
 @click.option("--senders", default=300)
 @click.option("--receivers", default=12)
-@click.option("--rate", default=120.0, help="mails a second in all")
+@click.option("--rate", default=120.0, help="messages a second in all")
 @click.option("--seconds", default=60.0)
 @click.option("--numbered", is_flag=True, help="the settings tell each sender its number")
 def main(senders, receivers, rate, seconds, numbered):
-    dice, now, arrivals = random.Random(1), 0.0, []
+    rng, now, arrivals = random.Random(1), 0.0, []
     while now < 1000.0 * seconds:
-        now += dice.expovariate(rate / 1000.0)
-        arrivals.append((now, dice.randrange(senders)))
+        now += rng.expovariate(rate / 1000.0)
+        arrivals.append((now, rng.randrange(senders)))
     turn = iter(range(10**9))
     for name, way in (
-        ("module", Modules(senders, receivers, numbered)),
-        ("uniform", Choice(receivers, dice.randrange)),
+        ("module", Dispatchers(senders, receivers, numbered)),
+        ("uniform", Choice(receivers, rng.randrange)),
         ("one turn for all", Choice(receivers, lambda count: next(turn) % count)),
     ):
         most, least, depth, newcomer = play(way, arrivals, receivers)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -57,9 +57,8 @@
     first = driver.receiver_of(message)
     driver.end_attempt(message, Outcome.RESET, 100.0)
     driver.advance(2000.0)
-    assert (
-        driver.receiver_of(message) is first
-    )  # its own receiver drops what came twice, of the other that is not known
+    # that receiver knows the idempotency key; of the other one it is not known
+    assert driver.receiver_of(message) is first
 
 
 def test_keyed_message_is_retried_in_its_zone_only():
@@ -77,11 +76,8 @@
     driver.destination.receivers[0].state = ReceiverState.DRAINING
     message = driver.submit(time_left_ms=2000.0)
     driver.advance(2000.0)
-    assert (
-        driver.decisions[message] == Decision.DEFERRED
-        and driver.retry_after_ms[message] > 0
-        and driver.ended_at[message] < message.expires_at
-    )
+    assert driver.decisions[message] == Decision.DEFERRED and driver.retry_after_ms[message] > 0
+    assert driver.ended_at[message] < message.expires_at
 
 
 def test_draining_receiver_gets_nothing_and_the_other_one_gets_its_messages():
@@ -150,11 +146,8 @@
     driver = DispatcherDriver(settings(bundle=4, slots=4))
     first = [driver.submit(dispatches=False) for _ in range(6)]
     driver.dispatch_due()
-    assert (
-        len(driver.in_flight) == 6
-        and all(driver.receiver_of(m) for m in first)
-        and driver.dispatcher.calls_in_flight == 2
-    )
+    assert len(driver.in_flight) == 6 and all(driver.receiver_of(message) for message in first)
+    assert driver.dispatcher.calls_in_flight == 2
 
 
 def test_hung_destination_leaves_slots_to_others():
--- a/tests/core/test_fleet_after_outage.py
+++ b/tests/core/test_fleet_after_outage.py
@@ -36,73 +36,73 @@
         self.rules, self.dispatchers = drawn["Rules"], []
         for number in range(senders):
             destination = Destination(1)
-            for ident in range(2):
-                Receiver(ident, destination)
+            for receiver_id in range(2):
+                Receiver(receiver_id, destination)
             self.dispatchers.append((Dispatcher(drawn | {"SlotNo": number}, self.rng.getrandbits(64)), destination))
-        self.events, self.count, self.busy = [], 0, 0.0
+        self.events, self.count, self.busy_until = [], 0, 0.0
         self.calls, self.witnesses = [], set()  # (time, sender) of each call; senders that saw one fail in the outage
         uneven, at = [self.rng.uniform(0.3, 1.7) ** 2 for _ in self.dispatchers], 0.0
         while at < ENDS_AT:
             at += self.rng.expovariate(self.capacity * load)
-            self.later(at, self.arrives, self.rng.choices(range(senders), uneven)[0])
+            self.schedule(at, self.submit, self.rng.choices(range(senders), uneven)[0])
 
-    def later(self, at, what, *rest):
+    def schedule(self, at, handler, *arguments):
         self.count += 1
-        heapq.heappush(self.events, (at, self.count, what, rest))
+        heapq.heappush(self.events, (at, self.count, handler, arguments))
 
     def run(self):
         while self.events and self.events[0][0] < ENDS_AT:
-            now, _, what, rest = heapq.heappop(self.events)
-            what(now, *rest)
+            now, _, handler, arguments = heapq.heappop(self.events)
+            handler(now, *arguments)
         return self
 
-    def arrives(self, now, sender):
+    def submit(self, now, sender):
         dispatcher, destination = self.dispatchers[sender]
         if dispatcher.pending_messages < dispatcher.settings.max_pending:
             dispatcher.dispatch(Message(self.count, destination, now, now + 16000.0), now)
-        self.ask(now, sender)
+        self.dispatch_due(now, sender)
 
-    def ask(self, now, sender):
+    def dispatch_due(self, now, sender):
         dispatcher, _ = self.dispatchers[sender]
         while True:
-            ms, message = dispatcher.next_due(now)
+            delay_ms, message = dispatcher.next_due(now)
             if message is None:
                 return
-            if ms > 0.0:
-                return self.later(now + ms, self.ask, sender)
+            if delay_ms > 0.0:
+                return self.schedule(now + delay_ms, self.dispatch_due, sender)
             result = dispatcher.dispatch(message, now)
             if result.decision == Decision.SEND:
                 self.calls.append((now, sender))
-                outcome, duration_ms = self.served(now, result.timeout_ms)
-                self.later(now + duration_ms, self.ends, sender, message, outcome, duration_ms)
+                outcome, duration_ms = self.serve(now, result.timeout_ms)
+                self.schedule(now + duration_ms, self.end_attempt, sender, message, outcome, duration_ms)
 
     def capacity_at(self, now):
         """Calls a ms that the destination can do at this time."""
         cold, warm = self.rules["ColdFrom"], (now - RETURNS_AT) / self.rules["WarmAfter"]
         return self.capacity * (1.0 if now < FAILS_AT else min(1.0, cold + (1.0 - cold) * warm))
 
-    def served(self, now, timeout_ms):
+    def serve(self, now, timeout_ms):
         outcome, duration_ms = self.outage
         if FAILS_AT <= now < RETURNS_AT:
             return outcome, duration_ms or timeout_ms
-        can = self.capacity_at(now)
-        self.busy = max(self.busy, now)
-        if self.busy - now > QUEUE_DEPTH / can:
+        capacity = self.capacity_at(now)
+        self.busy_until = max(self.busy_until, now)
+        if self.busy_until - now > QUEUE_DEPTH / capacity:
             return Outcome.REJECTED, 30.0
-        self.busy += 1.0 / can
-        duration_ms = self.busy - now + self.rng.lognormvariate(5.0, 0.5)
+        self.busy_until += 1.0 / capacity
+        duration_ms = self.busy_until - now + self.rng.lognormvariate(5.0, 0.5)
         if duration_ms > timeout_ms or now < FAILS_AT <= now + duration_ms:
             return Outcome.TIMED_OUT, timeout_ms
         return Outcome.DELIVERED, duration_ms
 
-    def ends(self, now, sender, message, outcome, duration_ms):
+    def end_attempt(self, now, sender, message, outcome, duration_ms):
         message.duration_ms, message.retry_after_ms = duration_ms, 0.0
         if outcome != Outcome.DELIVERED and FAILS_AT <= now < RETURNS_AT:
             self.witnesses.add(sender)
         self.dispatchers[sender][0].record_outcome(message, outcome, now)
-        self.ask(now, sender)
+        self.dispatch_due(now, sender)
 
-    def worst(self):
+    def worst_window(self):
         """(calls over what the rule allows, calls, ms since the return) of the worst window that counts."""
         times, worst, span = [at for at, _ in self.calls], (0.0, 0, 0.0), self.rules["OverloadFor"]
         for last, (at, _) in enumerate(self.calls):
@@ -123,14 +123,14 @@
     for seed in range(2):
         fleet = Fleet(senders, capacity, load, outage, seed).run()
         assert fleet.witnesses and any(at > RETURNS_AT + 5000.0 for at, _ in fleet.calls)
-        assert fleet.worst()[0] <= 1.0
+        assert fleet.worst_window()[0] <= 1.0
 
 
 def test_calls_of_two_hundred_senders_stay_under_overload_after_a_silent_outage():
     for seed in range(2):
-        assert Fleet(200, 20, 0.9, "silent", seed).run().worst()[0] <= 1.0
+        assert Fleet(200, 20, 0.9, "silent", seed).run().worst_window()[0] <= 1.0
 
 
 def test_calls_of_two_hundred_senders_stay_under_overload_after_refused_connections():
     for seed in range(2):
-        assert Fleet(200, 20, 0.9, "refuses", seed).run().worst()[0] <= 1.0
+        assert Fleet(200, 20, 0.9, "refuses", seed).run().worst_window()[0] <= 1.0
