--- a/tests/dataplane/test_body_fetch.py
+++ b/tests/dataplane/test_body_fetch.py
@@ -31,7 +31,7 @@
         return BodyPage(BODY, len(BODY)).encode()
 
 
-def test_a_fault_that_nobody_foresaw_does_not_end_the_fetch():
+def test_unexpected_exception_does_not_end_the_fetch():
     async def scene():
         name, taken = BodyName(configuration_digest(BODY.encode(), 3), 3), []
         client = Client([OSError("no descriptor is left"), RuntimeError("a fault of the program")])
--- a/tests/dataplane/test_cluster_agent.py
+++ b/tests/dataplane/test_cluster_agent.py
@@ -7,14 +7,14 @@
 from scripted.clock import run
 
 
-def test_a_sender_learns_state_and_receivers_and_holds_a_lease():
+def test_started_agent_has_contact_state_and_receivers():
     async def scene(world):
         return world.agent.has_control_plane_contact, world.states, world.drained
 
     assert play(scene) == (True, [1], [[False]])
 
 
-def test_the_number_of_senders_is_told_when_it_changes_and_not_for_a_control_server_that_was_just_started():
+def test_sender_count_is_reported_on_change_but_not_for_a_newly_started_control_server():
     async def scene(world):
         await asyncio.sleep(5.0)
         world.control_server(2).senders = 1
@@ -30,7 +30,7 @@
     assert play(scene) == [4, 6, 5]
 
 
-def test_calm_times_cost_five_renewals_in_the_bound_and_a_heartbeat_a_second():
+def test_idle_agent_renews_five_times_per_apply_time_and_watches_once_a_second():
     async def scene(world):
         await asyncio.sleep(1.0)
         began_s = world.now_s
@@ -43,7 +43,7 @@
     assert readings == []
 
 
-def test_a_change_is_pushed_at_once():
+def test_change_is_pushed_at_once():
     async def scene(world):
         await asyncio.sleep(1.0)
         for one in world.control_servers:
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("knows", [1, 2, 3])
-def test_a_change_that_one_control_server_alone_knows_is_in_force_within_the_bound(knows):
+def test_change_known_to_one_control_server_is_in_force_in_time(knows):
     async def scene(world):
         await asyncio.sleep(1.0)
         world.control_server(knows).set_version(2)
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("trouble", ["up", "frozen"])
 @pytest.mark.parametrize("gone", [1, 2, 3])
-def test_a_change_is_in_force_within_the_bound_while_one_control_server_is_gone_and_one_is_stale(gone, trouble):
+def test_change_is_in_force_in_time_while_one_control_server_is_lost_and_one_is_stale(gone, trouble):
     async def scene(world):
         await asyncio.sleep(1.0)
         setattr(world.control_server(gone), trouble, trouble == "frozen")
@@ -75,7 +75,7 @@
     assert play(scene) < APPLY_S
 
 
-def test_a_silent_parent_holds_a_change_up_no_longer_than_the_renewals():
+def test_silent_parent_delays_a_change_no_longer_than_the_renewals():
     async def scene(world):
         parent = world.add_parent()
         await asyncio.sleep(1.0)
@@ -87,7 +87,7 @@
     assert play(scene) < APPLY_S / 2
 
 
-def test_a_parent_that_hears_nothing_itself_is_no_hindrance():
+def test_parent_without_updates_does_not_delay_a_change():
     """Two senders may be named each other's parent by different control servers: the renewals tell them what they
     lack."""
 
@@ -102,7 +102,7 @@
     assert play(scene) < APPLY_S / 2
 
 
-def test_no_version_is_taken_back_by_a_stale_control_server():
+def test_stale_control_server_does_not_revert_the_state():
     async def scene(world):
         world.control_server(2).set_version(5)
         await world.until(lambda: world.states[-1] == 5)
@@ -113,7 +113,7 @@
     assert states == sorted(set(states))
 
 
-def test_a_sender_started_while_one_control_server_is_stale_is_right_within_the_bound():
+def test_sender_started_next_to_a_stale_control_server_has_the_newest_state_in_time():
     async def scene(world):
         return await world.until(lambda: world.states[-1] == 9)
 
@@ -131,7 +131,7 @@
     assert run(begin()) < APPLY_S
 
 
-def test_a_control_server_cut_off_for_long_makes_the_sender_forget_none_of_the_others():
+def test_partitioned_control_server_does_not_make_the_sender_forget_the_others():
     """The seeds are gone by now; the sender knows the present control servers from answers alone."""
 
     async def scene(world):
@@ -147,7 +147,7 @@
     assert play(scene, control_servers=5) < APPLY_S
 
 
-def test_new_seeds_are_asked_after_the_settings_changed():
+def test_new_seeds_are_asked_after_a_change_of_settings():
     async def scene(world):
         for number in (1, 2, 3):
             world.control_server(number).up = False
@@ -159,7 +159,7 @@
     assert play(scene) < APPLY_S
 
 
-def test_control_servers_that_all_refuse_are_not_asked_without_a_pause():
+def test_failing_control_servers_are_not_asked_without_a_pause():
     async def scene(world):
         for one in world.control_servers:
             one.up = False
@@ -170,7 +170,7 @@
     assert play(scene) <= 10.0 / (APPLY_S / 5 / 8)
 
 
-def test_news_are_passed_on_to_children_at_once():
+def test_update_is_relayed_to_children_at_once():
     async def scene(world):
         await asyncio.sleep(1.0)
         version = {"state_version": 1, "receivers_version": world.agent.directory.version}
@@ -186,7 +186,7 @@
     assert version == 2 and took_s < 0.05
 
 
-def test_a_callback_that_fails_does_not_end_the_agent():
+def test_failing_callback_does_not_end_the_agent():
     async def scene(world):
         def fail(state):
             world.on_state = lambda state: world.states.append(state["version"])
@@ -203,7 +203,7 @@
     assert play(scene) < APPLY_S
 
 
-def test_a_lease_is_given_up_at_all_control_servers():
+def test_stop_releases_the_lease_at_all_control_servers():
     async def scene(world):
         await asyncio.sleep(2.0)
         await world.agent.stop()
--- a/tests/dataplane/test_control_server_list.py
+++ b/tests/dataplane/test_control_server_list.py
@@ -9,19 +9,19 @@
     return ControlServerList(seeds, random.Random(1))
 
 
-def test_all_are_asked_in_turn():
+def test_control_servers_are_chosen_in_turn():
     control_servers = made("a", "b", "c")
     asked = [control_servers.choose_next(float(number)) for number in range(6)]
     assert sorted(asked[:3]) == ["a", "b", "c"] and asked[3:] == asked[:3]
 
 
-def test_one_that_is_named_is_asked_as_well():
+def test_added_control_server_is_chosen():
     control_servers = made("a")
     control_servers.add(["a", "b"], 0.0)
     assert {control_servers.choose_next(1.0), control_servers.choose_next(2.0)} == {"a", "b"}
 
 
-def test_one_that_failed_is_left_alone_for_a_moment():
+def test_failed_control_server_is_avoided_for_a_moment():
     control_servers = made("a", "b")
     control_servers.record_failure("a", 0.0)
     assert [control_servers.choose_next(0.1), control_servers.choose_next(0.2)] == ["b", "b"]
@@ -29,21 +29,21 @@
     assert control_servers.choose_next(RETRY_AFTER_S) == "a"
 
 
-def test_an_answer_ends_the_wait():
+def test_answer_makes_a_failed_control_server_usable():
     control_servers = made("a", "b")
     control_servers.record_failure("a", 0.0)
     control_servers.record_answer("a", 0.1)
     assert sorted(control_servers.usable(0.1)) == ["a", "b"]
 
 
-def test_where_all_failed_they_are_asked_in_turn_all_the_same():
+def test_failed_control_servers_are_chosen_in_turn_if_all_have_failed():
     control_servers = made("a", "b")
     for one in "ab":
         control_servers.record_failure(one, 0.0)
     assert {control_servers.choose_next(0.1), control_servers.choose_next(0.2)} == {"a", "b"}
 
 
-def test_one_that_names_only_itself_makes_nobody_forget_the_others():
+def test_control_servers_that_are_not_named_are_forgotten_only_after_a_while():
     control_servers = made("a")
     control_servers.add(["a", "b", "c"], 0.0)
     for now_s in range(1, int(FORGET_AFTER_S)):
@@ -53,7 +53,7 @@
     assert control_servers.all() == ["a"]
 
 
-def test_one_that_answers_is_not_forgotten():
+def test_control_server_that_answers_is_not_forgotten():
     control_servers = made("a")
     control_servers.add(["b"], 0.0)
     control_servers.record_answer("b", FORGET_AFTER_S)
@@ -61,7 +61,7 @@
     assert sorted(control_servers.all()) == ["a", "b"]
 
 
-def test_new_seeds_are_asked_and_old_ones_are_forgotten_in_time():
+def test_new_seeds_are_used_and_former_ones_forgotten_after_a_while():
     control_servers = made("a", "b")
     control_servers.record_answer("a", 0.0)
     control_servers.set_seeds(["c"])
@@ -70,14 +70,14 @@
     assert sorted(control_servers.all()) == ["a", "c"]
 
 
-def test_settings_without_seeds_change_nothing():
+def test_empty_seeds_keep_the_former_ones():
     control_servers = made("a")
     control_servers.set_seeds([])
     control_servers.add([], 1000.0)
     assert control_servers.all() == ["a"]
 
 
-def test_several_that_are_gone_are_never_asked_one_right_after_the_other():
+def test_two_lost_control_servers_are_never_chosen_in_succession():
     """Found by seed 1066 of the simulated runs' second_loss: three time-outs in a row, and a sender out of touch."""
     control_servers = made("a", "b", "c", "d", "e")
     dead, asked, now_s = {"a", "b", "c"}, [], 0.0
--- a/tests/dataplane/test_programs_that_come_back.py
+++ b/tests/dataplane/test_program_continuation.py
@@ -12,7 +12,7 @@
 BUDGET, MOST, TOKENS_PER_EVENT = 100, 40, 10
 
 
-def test_a_program_goes_on_with_its_chain_and_its_budget_after_all_processes_were_restarted():
+def test_program_keeps_history_and_budget_after_a_restart_of_all_processes():
     """Settled turns count what they used; the one whose sender died under way counts its most."""
 
     async def scene():
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_program_that_loops_is_stopped_at_its_budget_wherever_it_comes_back(whole):
+def test_looping_program_is_stopped_by_its_budget_at_any_sender(whole):
     """Two senders over the same stores; tokens of answers that broke off count as well. Nothing runs after the 402."""
     store = MemoryStore()
     peers = [ScriptedReceiver(stream(event(1), event(2), is_complete=whole), id=name) for name in ("i-1", "i-2")]
--- a/tests/dataplane/test_quorum_round.py
+++ b/tests/dataplane/test_quorum_round.py
@@ -13,20 +13,20 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5])
-def test_a_majority_of_one_set_is_made_of_its_nearest_members(size):
+def test_nearest_majority_of_one_set_has_its_nearest_members(size):
     members = "abcdefg"[:size]
     chosen = nearest_majorities([frozenset(members)], list(members))
     assert sorted(chosen) == list(members[: majority(size)])
 
 
-def test_every_set_has_its_majority_whatever_the_ranks_are():
+def test_nearest_majorities_cover_each_set_for_any_ranking():
     sets = [frozenset("abc"), frozenset("bcd"), frozenset("defgh")]
     for ranked in itertools.islice(itertools.permutations("abcdefgh"), 0, None, 97):
         chosen = set(nearest_majorities(sets, list(ranked)))
         assert all(len(chosen & members) >= majority(len(members)) for members in sets)
 
 
-def test_a_set_takes_those_that_another_set_has_chosen_already():
+def test_nearest_majorities_share_members_of_several_sets():
     assert set(nearest_majorities([frozenset("abc"), frozenset("abd")], list("dabc"))) == {"a", "b"}
 
 
@@ -34,7 +34,7 @@
     return sorted(name for name, machine in world.machines.items() if kind in machine.seen)
 
 
-def test_the_others_are_asked_once_the_first_ones_take_too_long():
+def test_other_replicas_are_asked_after_the_hedge_delay():
     async def scene():
         world = World(names="abcde", losses=2)
         world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
@@ -53,7 +53,7 @@
     assert MIN_HEDGE_DELAY_S <= took_s < MIN_HEDGE_DELAY_S + 0.01
 
 
-def test_the_others_are_asked_at_once_where_a_first_one_refuses_for_good():
+def test_other_replicas_are_asked_at_once_after_a_malformed_reply():
     async def scene():
         world = World()
 
@@ -70,7 +70,7 @@
     assert run(scene()) < MAX_HEDGE_DELAY_S
 
 
-def test_slow_replicas_are_given_a_few_of_their_usual_times():
+def test_hedge_delay_grows_with_the_latency_of_the_replicas():
     """All replicas of a busy tier are slow: to ask more of them would make them slower."""
 
     async def scene():
@@ -85,7 +85,7 @@
     assert sum(counts.values()) <= 10 * 3 + 2
 
 
-def test_a_budget_is_kept_by_senders_that_ask_different_majorities():
+def test_budget_holds_for_senders_with_different_nearest_majorities():
     async def scene():
         world = World(names="abcde", losses=2)
         world.tell_locations({name: f"r/{name}" for name in "abcde"})
@@ -112,7 +112,7 @@
     assert 90 < taken <= 100
 
 
-def test_a_replica_that_was_silent_is_asked_beside_the_others_until_it_answers_and_delays_nothing():
+def test_silent_replica_is_probed_until_it_replies_and_delays_nothing():
     async def scene():
         world = World()
         client = world.client()
@@ -140,7 +140,7 @@
     assert last_s < MIN_HEDGE_DELAY_S
 
 
-def test_a_new_replica_is_relied_on_only_once_it_has_answered():
+def test_new_replica_is_relied_on_only_after_its_first_reply():
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
@@ -157,7 +157,7 @@
     assert run(scene()) < MIN_HEDGE_DELAY_S
 
 
-def test_what_is_known_of_a_replica_goes_with_its_membership():
+def test_health_of_a_former_member_is_forgotten():
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
@@ -171,7 +171,7 @@
     assert run(scene())
 
 
-def test_the_others_are_asked_at_once_where_a_first_one_refuses_the_connection():
+def test_other_replicas_are_asked_at_once_after_a_refused_connection():
     async def scene():
         world = World(names="abcde", losses=2, delay_s=0.05)
         world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
--- a/tests/dataplane/test_agent_receiver_list.py
+++ b/tests/dataplane/test_receiver_list.py
@@ -8,7 +8,7 @@
 from dewpin.cluster.receivers import ReceiverDirectory
 
 
-def test_the_list_is_read_at_the_platforms_new_address():
+def test_list_is_read_at_the_new_address_of_the_platform():
     async def scene(world):
         changed = settings()
         cloud = dataclasses.replace(changed.cloud, address="10.8.0.2:80")
@@ -21,7 +21,7 @@
     assert play(scene) == "10.8.0.2:80"
 
 
-def test_a_drain_is_known_in_time_while_the_control_servers_are_gone():
+def test_draining_receiver_is_known_in_time_without_control_servers():
     async def scene(world):
         await asyncio.sleep(1.0)
         for one in world.control_servers:
@@ -32,7 +32,7 @@
     assert play(scene) < 0.9 * DRAIN_S
 
 
-def test_a_drain_is_known_in_time_while_the_control_servers_lists_are_old():
+def test_draining_receiver_is_known_in_time_despite_stale_lists_of_control_servers():
     async def scene(world):
         await asyncio.sleep(1.0)
         for one in world.control_servers:
@@ -43,7 +43,7 @@
     assert play(scene) < 0.9 * DRAIN_S
 
 
-def test_the_age_of_a_list_that_is_not_held_here_counts_for_nothing():
+def test_age_of_a_list_of_another_version_is_ignored():
     """A control server whose directory is older than the sender's reads on, without the ends that the sender lacks."""
 
     async def scene(world):
@@ -60,7 +60,7 @@
     assert readings >= 1 and age_s < DRAIN_S
 
 
-def test_children_are_told_the_age_of_the_shared_list_only():
+def test_children_get_the_age_of_the_shared_list_only():
     async def scene(world):
         await asyncio.sleep(1.0)
         for one in world.control_servers:
@@ -75,7 +75,7 @@
     assert own_s < DRAIN_S
 
 
-def test_own_readings_of_many_senders_keep_within_the_platforms_rate():
+def test_own_readings_of_many_senders_respect_the_rate_limit_of_the_platform():
     async def scene(world):
         for one in world.control_servers:
             one.up = False
@@ -85,7 +85,7 @@
     assert play(scene, rate_per_s=2.0) <= 20.0 * 0.5 * 2.0 / 4 + 1
 
 
-def test_a_platform_that_is_down_is_asked_again_and_ends_nothing():
+def test_unavailable_platform_is_asked_again():
     async def scene(world):
         for one in world.control_servers:
             one.up = False
--- a/tests/dataplane/test_lease_readiness.py
+++ b/tests/dataplane/test_sender_readiness.py
@@ -21,7 +21,7 @@
         return self.now_s
 
 
-def test_a_sender_that_no_control_server_answers_any_more_has_no_lease():
+def test_sender_without_answered_renewals_loses_control_plane_contact():
     clock, told = Clock(), settings()
     agent = ClusterAgent(
         told,
@@ -53,7 +53,7 @@
         ("running", False),
     ],
 )
-def test_a_sender_is_ready_only_with_all_that_it_needs(missing, is_ready):
+def test_sender_is_ready_only_if_all_conditions_hold(missing, is_ready):
     has = {name: name != missing for name in ("configuration", "receivers", "store_view", "has_control_plane_contact")}
     state = ClusterState(
         configuration=object() if has["configuration"] else None,
--- a/tests/dataplane/test_confirmed_state.py
+++ b/tests/dataplane/test_state_confirmation.py
@@ -8,7 +8,7 @@
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 
 
-def test_a_copy_that_was_read_before_the_own_list_brings_its_own_age():
+def test_copy_replaces_own_reading_together_with_its_age():
     async def scene(world):
         await asyncio.sleep(1.0)
         for one in world.control_servers:
@@ -27,7 +27,7 @@
     assert play(scene) >= -1e-6
 
 
-def test_an_age_told_counts_from_when_it_was_asked_for():
+def test_received_age_counts_from_the_time_of_the_request():
     async def scene(world):
         await asyncio.sleep(1.0)
         for one in world.control_servers:
@@ -52,7 +52,7 @@
     return confirmed
 
 
-def test_a_sender_behind_the_version_that_it_is_told_has_nothing_confirmed():
+def test_state_older_than_the_granted_version_is_not_confirmed():
     async def begin():
         world = World()
         for one in world.control_servers:
@@ -62,7 +62,7 @@
     assert run(begin()) is False
 
 
-def test_a_process_without_a_majority_is_not_flooded_and_is_used_again_at_once():
+def test_control_server_without_majority_is_not_flooded_and_used_again_at_once():
     """The others are gone: all senders are left with this one, and ask it little more often than in calm times."""
 
     async def scene(world):
@@ -83,7 +83,7 @@
     assert took_s < APPLY_S / 2
 
 
-def test_news_of_a_parent_that_tells_no_age_confirm_nothing():
+def test_update_without_an_age_confirms_nothing():
     """As earlier releases answer."""
 
     async def begin():
--- a/tests/dataplane/test_stop_signal.py
+++ b/tests/dataplane/test_stop_signal.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("name", ["SIGTERM", "SIGINT"])
-def test_a_signal_to_another_thread_wakes_the_main_thread(name):
+def test_signal_delivered_to_another_thread_wakes_the_main_thread(name):
     program = PROGRAM.format(name=name)
     done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, timeout=30, check=False)
     assert (done.returncode, done.stdout) == (0, "stopped\n"), done.stderr
--- a/tests/dataplane/test_store_client.py
+++ b/tests/dataplane/test_store_client.py
@@ -23,7 +23,7 @@
 # Turns
 
 
-def test_a_chain_comes_back_whole_at_another_sender():
+def test_history_is_complete_when_read_by_another_sender():
     async def scene():
         world = World()
         first, second = world.client("one"), world.client("two")
@@ -35,7 +35,7 @@
     assert run(scene()) == b"<t1" + bytes(range(256)) + b"><t2><t3>"
 
 
-def test_the_next_turn_at_the_same_sender_needs_no_read():
+def test_history_is_read_from_cache_by_the_sender_that_stored_it():
     async def scene():
         world = World()
         client = world.client()
@@ -49,7 +49,7 @@
     assert "turn.chain" not in seen
 
 
-def test_two_turns_may_go_on_from_the_same_one():
+def test_two_turns_can_continue_the_same_turn():
     async def scene():
         world = World()
         client, other = world.client("one"), world.client("two")
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["up", "frozen", "loses_answers"])
-def test_one_replica_in_trouble_delays_nothing(trouble):
+def test_unmet_faulty_replica_delays_operations_by_one_hedge_at_most(trouble):
     async def scene():
         world = World()
         setattr(world.machines["a"], trouble, trouble != "up")
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["up", "frozen", "loses_answers"])
-def test_a_replica_that_was_met_in_trouble_delays_nothing_more(trouble):
+def test_replica_known_to_be_faulty_delays_no_operation(trouble):
     async def scene():
         world = World()
         client = world.client("one")
@@ -96,7 +96,7 @@
     assert run(scene()) < 0.02
 
 
-def test_a_replica_that_was_slow_is_asked_again_later():
+def test_replica_that_was_slow_is_used_again_after_a_while():
     async def scene():
         world = World()
         client = world.client("one")
@@ -115,7 +115,7 @@
     assert run(scene()) < 0.02
 
 
-def test_a_write_asks_no_more_replicas_than_a_majority_and_the_nearest_ones():
+def test_write_is_sent_to_the_nearest_majority_only():
     async def scene():
         world = World(names="abcde", losses=2)
         locations = {"a": "r/far", "b": "r/near", "c": "r/far", "d": "r/near", "e": "r/near"}
@@ -133,7 +133,7 @@
     assert run(scene()) == {"a": 0, "b": 20, "c": 0, "d": 20, "e": 20}
 
 
-def test_a_read_asks_the_nearest_replica_first_and_no_more_than_have_to_tell():
+def test_read_is_sent_to_one_replica_only_if_it_has_the_turn():
     async def scene():
         world = World(names="abcde", losses=2)
         writer, reader = world.client("one"), world.client("two")
@@ -144,7 +144,7 @@
     assert run(scene()) == 1
 
 
-def test_a_write_that_a_minority_took_is_no_durable_one():
+def test_write_stored_by_a_minority_fails_and_is_not_cached():
     async def scene():
         world = World()
         client = world.client()
@@ -157,7 +157,7 @@
     assert run(scene()) is None
 
 
-def test_a_read_finds_a_turn_that_the_store_asked_first_has_missed():
+def test_read_finds_turn_that_the_first_replica_lacks():
     async def scene():
         world = World()
         world.machines["a"].refuses = {"turn.put"}
@@ -168,7 +168,7 @@
     assert run(scene()) == ({b"<t1>"}, True)
 
 
-def test_a_link_that_one_replica_lacks_is_read_from_another():
+def test_history_is_read_from_several_replicas_if_one_lacks_a_turn():
     async def scene():
         world = World()
         writer = world.client("one")
@@ -182,7 +182,7 @@
     assert run(scene()) == b"<t1><t2><t3>"
 
 
-def test_a_replica_that_was_away_is_handed_the_turn_later():
+def test_turn_is_written_to_an_unreachable_replica_once_it_returns():
     async def scene():
         world = World()
         world.machines["a"].up = False
@@ -195,7 +195,7 @@
     assert run(scene())
 
 
-def test_a_turn_is_unknown_only_if_a_majority_says_so():
+def test_turn_is_reported_not_found_only_by_a_majority():
     async def scene():
         world = World()
         client = world.client()
@@ -210,7 +210,7 @@
     run(scene())
 
 
-def test_a_new_program_goes_on_from_a_turn_of_another_one_on_other_stores():
+def test_program_continues_turn_of_another_program_on_its_own_replicas():
     async def scene():
         world = World(names="abcdefg")
         writer, reader = world.client("one"), world.client("two")
@@ -238,7 +238,7 @@
     assert held >= 2 and at_its_replicas
 
 
-def test_with_many_stores_unknown_needs_all_but_a_minority_of_any_replica_set():
+def test_turn_not_found_among_many_stores_needs_all_but_a_minority():
     async def scene():
         world = World(names="abcdefg")
         client = world.client()
@@ -252,7 +252,7 @@
     run(scene())
 
 
-def test_without_a_view_calls_end_in_time():
+def test_call_without_a_store_view_ends_by_time_out():
     async def scene():
         world = World()
         client = StoreClient(world.link("x"), 3)
@@ -267,7 +267,7 @@
 # Changes of the view
 
 
-def test_a_sender_that_is_behind_takes_the_view_from_a_refusal():
+def test_sender_adopts_newer_view_from_a_rejection():
     async def scene():
         world = World(syncs=False)
         client = world.client()
@@ -278,7 +278,7 @@
     assert run(scene()) == b"<t1>"
 
 
-def test_a_store_that_is_behind_takes_the_view_from_a_request():
+def test_store_adopts_newer_view_from_a_request():
     async def scene():
         world = World(syncs=False)
         world.tell(StoreView(2, world.view.stable), names="a")
@@ -294,7 +294,7 @@
     assert run(scene()) == ({2}, {2})
 
 
-def test_a_wiped_store_is_another_member_and_its_silence_proves_nothing():
+def test_wiped_store_does_not_prove_that_a_turn_is_missing():
     async def scene():
         world = World()
         writer = world.client("one")
@@ -311,7 +311,7 @@
     assert run(scene()) == b"<t1>"
 
 
-def test_while_the_view_changes_a_write_needs_majorities_of_both():
+def test_write_during_a_view_change_needs_majorities_of_both_views():
     async def scene():
         world = World(names="abcdef", in_view="abc", syncs=False)
         world.tell(StoreView(2, world.members("abc"), world.members("def")))
@@ -332,7 +332,7 @@
 # The face towards threads
 
 
-def test_threads_use_the_client_through_its_blocking_face():
+def test_blocking_client_works_from_another_thread():
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -358,7 +358,7 @@
         loop.close()
 
 
-def test_the_cache_is_bounded_in_bytes_and_time():
+def test_history_cache_is_limited_in_size_and_age():
     clock = [0.0]
     cache = HistoryCache(max_bytes=3000, clock_s=lambda: clock[0])
     for number in range(10):
@@ -372,7 +372,7 @@
 # A turn that goes on from another one
 
 
-def test_budget_and_chain_are_asked_for_side_by_side():
+def test_beginning_a_turn_reserves_and_reads_concurrently():
     async def scene():
         world = World(delay_s=0.02)
         await world.client("one").store_turn(turn("t1"), 1.0)
@@ -392,7 +392,7 @@
 @pytest.mark.parametrize(
     ("previous", "budget", "error"), [("never", 100, TurnNotFoundError), ("t1", 5, BudgetExceededError)]
 )
-def test_a_turn_that_cannot_begin_keeps_nothing_of_the_budget(previous, budget, error):
+def test_failed_beginning_of_a_turn_gives_its_reservation_back(previous, budget, error):
     async def scene():
         world = World()
         client = world.client("one")
@@ -406,7 +406,7 @@
     assert ledger is None or ledger == {"spent": 0, "open": {}}
 
 
-def test_a_turn_that_is_told_to_wait_no_longer_keeps_nothing_of_the_budget():
+def test_timed_out_beginning_of_a_turn_gives_its_reservation_back():
     async def scene():
         world = World()
         await world.client("one").store_turn(turn("t1"), 1.0)
@@ -422,7 +422,7 @@
 
 
 @pytest.mark.filterwarnings("error")
-def test_a_settlement_that_the_loop_never_began_to_carry_is_made_later(monkeypatch):
+def test_settlement_of_a_call_that_a_blocked_loop_did_not_start_is_made_later(monkeypatch):
     """Its turn may not be durable, but what it used has to be counted."""
     monkeypatch.setattr(store_client, "THREAD_WAIT_MARGIN_S", 0.0)
     settled = []
--- a/tests/dataplane/test_store_client_budgets.py
+++ b/tests/dataplane/test_store_client_budgets.py
@@ -12,7 +12,7 @@
 from dewpin.dataplane.programs.program_store import Reservation, Settlement
 
 
-def test_a_budget_is_exact_at_its_edge():
+def test_budget_can_be_reserved_to_the_last_token():
     async def scene():
         client = World().client()
         held = await client.reserve("p", "t1", 60, 100, 1.0)
@@ -27,7 +27,7 @@
     run(scene())
 
 
-def test_the_next_change_of_the_same_sender_needs_one_round():
+def test_next_ledger_change_of_the_same_sender_skips_the_prepare_phase():
     async def scene():
         world = World()
         client = world.client()
@@ -42,7 +42,7 @@
     assert run(scene()) == [[], ["ledger.accept", "ledger.accept"], ["ledger.accept", "ledger.accept"]]
 
 
-def test_two_senders_that_reserve_at_once_never_pass_the_budget():
+def test_concurrent_reservations_of_two_senders_stay_within_the_budget():
     async def scene():
         world = World()
         clients = [world.client(f"s{number}", seed=number) for number in range(4)]
@@ -55,7 +55,7 @@
     assert run(scene()) == ["BudgetExceededError"] * 10 + ["Reservation"] * 10
 
 
-def test_a_refused_turn_gives_its_tokens_back():
+def test_rejected_turn_gives_its_tokens_back():
     async def scene():
         client = World().client()
         client.settle(await client.reserve("p", "t1", 100, 100, 1.0), 0)
@@ -64,7 +64,7 @@
     assert run(scene()) == Reservation("p", "t2", 100)
 
 
-def test_a_reservation_of_a_sender_that_died_stays_counted():
+def test_reservation_of_a_crashed_sender_stays_counted():
     async def scene():
         world = World()
         await world.client("dead").reserve("p", "t1", 60, 100, 1.0)
@@ -74,7 +74,7 @@
     run(scene())
 
 
-def test_the_budget_is_not_called_spent_on_a_value_that_is_out_of_date():
+def test_outdated_ledger_value_does_not_cause_a_budget_error():
     async def scene():
         world = World()
         one, two = world.client("one"), world.client("two")
@@ -88,7 +88,7 @@
     assert run(scene()).turn_id == "t2"
 
 
-def test_a_reservation_with_an_unclear_end_is_taken_back():
+def test_reservation_with_unknown_outcome_is_given_back():
     async def scene():
         world = World()
         client = world.client()
@@ -104,7 +104,7 @@
     assert run(scene()).turn_id == "t2"
 
 
-def test_a_sender_that_dies_between_the_rounds_blocks_nobody():
+def test_sender_that_crashes_between_prepare_and_accept_blocks_nobody():
     async def scene():
         world = World()
         for machine in world.machines.values():
@@ -134,7 +134,7 @@
         machine.refuses = set()
 
 
-def test_a_change_that_a_minority_accepted_is_finished_by_whoever_meets_it():
+def test_change_accepted_by_a_minority_is_completed_by_the_next_ballot_that_meets_it():
     async def scene():
         world = World()
         await accepted_by_one(world, "a")
@@ -149,7 +149,7 @@
     run(scene())
 
 
-def test_a_change_that_a_minority_accepted_is_gone_once_another_was_chosen():
+def test_change_accepted_by_a_minority_is_lost_once_another_is_chosen():
     async def scene():
         world = World()
         await accepted_by_one(world, "a")
@@ -167,7 +167,7 @@
     run(scene())
 
 
-def test_a_full_disk_at_one_replica_stops_nothing_and_at_two_everything_but_lies():
+def test_full_disk_of_one_replica_is_tolerated_and_of_two_fails_operations():
     async def scene():
         world = World()
         client = world.client()
@@ -195,7 +195,7 @@
     await client.store_turn(turn(name, previous), 1.0, Settlement(held, used))
 
 
-def test_a_turn_that_is_kept_carries_its_settlement():
+def test_settlement_is_piggybacked_on_the_write_of_its_turn():
     async def scene():
         world = World()
         client = world.client()
@@ -212,7 +212,7 @@
     run(scene())
 
 
-def test_the_promise_beside_a_carried_settlement_serves_the_next_turn():
+def test_promise_of_a_piggybacked_settlement_is_used_by_the_next_turn():
     async def scene():
         world = World()
         client = world.client()
@@ -226,7 +226,7 @@
     assert run(scene()) == [[], ["ledger.accept", "turn.put"], ["ledger.accept", "turn.put"]]
 
 
-def test_a_settlement_is_made_behind_where_another_sender_has_changed_the_ledger():
+def test_settlement_is_made_in_the_background_if_another_sender_changed_the_ledger():
     async def scene():
         world = World()
         one, two = world.client("one"), world.client("two")
@@ -239,7 +239,7 @@
     run(scene())
 
 
-def test_a_settlement_is_made_though_its_turn_cannot_be_kept():
+def test_settlement_is_made_even_if_its_turn_cannot_be_stored():
     async def scene():
         world = World()
         client = world.client()
@@ -255,7 +255,7 @@
     run(scene())
 
 
-def test_stores_of_an_earlier_release_keep_the_turn_and_are_settled_with_behind():
+def test_stores_of_an_earlier_release_store_the_turn_and_are_settled_in_the_background():
     async def scene():
         world = World()
         for machine in world.machines.values():
@@ -276,7 +276,7 @@
     run(scene())
 
 
-def test_a_settlement_beside_another_change_of_the_same_sender_is_taken_along_by_that():
+def test_settlement_during_another_change_of_the_same_sender_is_made_by_that_change():
     async def scene():
         world = World()
         client = world.client()
@@ -290,7 +290,7 @@
     run(scene())
 
 
-def test_a_settlement_whose_view_moves_under_way_is_made_under_the_new_one():
+def test_settlement_is_made_under_the_new_view_if_the_view_changes_meanwhile():
     async def scene():
         world = World(names=("a", "b", "c", "d"), in_view=("a", "b", "c"))
         client = world.client()
@@ -305,7 +305,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_turns_of_many_senders_that_carry_their_settlements_add_up(seed):
+def test_piggybacked_settlements_of_many_senders_add_up(seed):
     async def scene():
         world = World()
         rng = random.Random(seed)
@@ -325,7 +325,7 @@
     run(scene())
 
 
-def test_a_turn_carries_no_ballot_into_a_newer_view():
+def test_ballot_is_not_piggybacked_under_a_newer_view():
     """Its majorities are those of the view that its promises were given under."""
 
     async def scene():
--- a/tests/dataplane/test_resuming.py
+++ b/tests/dataplane/test_stream_resumption.py
@@ -22,7 +22,7 @@
     return [got.headers.get("last-event-id") for got in peer.requests]
 
 
-def test_an_answer_keeps_the_head_and_signature_of_its_first_receiver():
+def test_resumed_response_keeps_head_and_signature_of_the_first_receiver():
     broken = ScriptedReceiver(stream_from("i-1", event(1), b"id: 2\nda", is_complete=False), id="i-1")
     sound = ScriptedReceiver(stream_from("i-2", b"versions: 2\nid: 2\ndata: b\n\n", event(3)), id="i-2", zone="there")
     with receivers(broken, sound) as listed:
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("again_from", [1, 2, 3])
-def test_events_that_the_client_has_are_not_repeated(again_from):
+def test_resumed_stream_does_not_repeat_forwarded_events(again_from):
     broken = ScriptedReceiver(stream(event(1), event(2), is_complete=False), id="i-1")
     sound = ScriptedReceiver(stream(*[event(number) for number in range(again_from, 5)]), id="i-2", zone="there")
     with receivers(broken, sound) as listed:
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("resumable", [True, False])
-def test_a_client_may_take_a_stream_up_at_any_receiver(resumable):
+def test_client_can_resume_a_stream_at_any_receiver(resumable):
     peer = ScriptedReceiver(stream(event(13)))
     with receivers(peer) as listed:
         answer = RequestHandlerHarness(listed, kind="stream", resumable=resumable)(("Last-Event-Id", "12"))
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("first", [reset, stream(b"id: 13\nda", is_complete=False)])
-def test_what_a_client_took_up_and_broke_before_an_event_is_asked_from_where_the_client_stands(first):
+def test_stream_that_breaks_before_an_event_is_resumed_from_the_last_event_id_of_the_client(first):
     broken = ScriptedReceiver(first, id="i-1")
     sound = ScriptedReceiver(stream_from("i-2", event(13)), id="i-2", zone="there")
     with receivers(broken, sound) as listed:
@@ -62,7 +62,7 @@
     assert (asked(broken), asked(sound)) == (["12"], ["12"])
 
 
-def test_what_a_client_took_up_and_broke_later_is_asked_from_the_last_event_passed_on():
+def test_stream_that_breaks_later_is_resumed_from_the_last_forwarded_event():
     broken = ScriptedReceiver(stream(event(13), event(14), is_complete=False), id="i-1")
     sound = ScriptedReceiver(stream(event(15)), id="i-2", zone="there")
     with receivers(broken, sound) as listed:
@@ -71,7 +71,7 @@
     assert (asked(broken), asked(sound)) == (["12"], ["14"])
 
 
-def test_a_route_that_is_not_resumable_is_not_taken_up():
+def test_stream_of_a_route_that_is_not_resumable_is_not_resumed():
     broken = ScriptedReceiver(stream(event(13), is_complete=False), id="i-1")
     other = ScriptedReceiver(stream(event(14)), id="i-2", zone="there")
     with receivers(broken, other) as listed:
--- a/tests/dataplane/test_turns.py
+++ b/tests/dataplane/test_turns.py
@@ -25,19 +25,19 @@
     return turn
 
 
-def test_a_plain_request_is_no_turn():
+def test_request_without_budget_or_retention_is_no_turn():
     assert plan() is None
     assert plan(BUDGET, USAGE, kind="idempotent") is None
 
 
-def test_a_turn_with_a_budget():
+def test_plan_of_a_turn_with_a_budget():
     planned = plan(BUDGET, USAGE, PROGRAM)
     assert (planned.program, planned.turn_id, planned.budget, planned.max_tokens) == ("3fa81c", "r-1", 2320, 290)
     assert planned.tokens_per_event == 10
     assert not planned.is_retained
 
 
-def test_a_turn_without_a_program_is_one_of_its_own():
+def test_turn_without_a_program_is_a_program_of_its_own():
     assert plan(BUDGET, USAGE).program == "r-1"
 
 
@@ -51,13 +51,13 @@
         [BUDGET, ("X-Dewpin-Token-Usage", "12,x")],
     ],
 )
-def test_a_malformed_turn_is_rejected(fields):
+def test_invalid_turn_headers_are_rejected(fields):
     with pytest.raises(TierError) as told:
         plan(*fields)
     assert told.value.kind is ErrorKind.BAD_REQUEST
 
 
-def test_the_most_is_reserved_and_what_was_passed_on_is_settled():
+def test_turn_reserves_its_maximum_and_settles_the_forwarded_tokens():
     store = MemoryStore()
     turn = opened(store, BUDGET, USAGE, PROGRAM)
     assert store.reserved == [("3fa81c", "r-1", 290, 2320)]
@@ -68,13 +68,13 @@
     assert store.settled == [("r-1", 20)]
 
 
-def test_a_turn_that_was_never_run_settles_nothing_used():
+def test_turn_that_did_not_run_settles_zero_tokens():
     store = MemoryStore()
     opened(store, BUDGET, USAGE).settle()
     assert store.settled == [("r-1", 0)]
 
 
-def test_a_spent_budget_is_told():
+def test_exhausted_budget_raises_budget_exceeded():
     store = MemoryStore()
     store.spent["3fa81c"] = 2100
     with pytest.raises(BudgetExceededError):
@@ -82,13 +82,13 @@
     assert store.settled == []
 
 
-def test_a_turn_without_a_budget_reserves_nothing():
+def test_turn_without_a_budget_reserves_nothing():
     store = MemoryStore()
     opened(store, PROGRAM, retained=True).settle()
     assert store.reserved == store.settled == []
 
 
-def test_the_receiver_gets_the_whole_chain_and_then_the_new_input():
+def test_body_is_the_history_followed_by_the_new_input():
     store = MemoryStore()
     store.turns["t-1"] = Turn("t-1", "3fa81c", None, b"in one", b"out one\n", 60.0)
     store.turns["t-2"] = Turn("t-2", "3fa81c", "t-1", b"in two", b"out two\n", 60.0)
@@ -96,19 +96,19 @@
     assert turn.body == b"in oneout one\nin twoout two\ninput"
 
 
-def test_a_first_turn_gets_its_input_alone():
+def test_body_of_a_first_turn_is_its_input():
     assert opened(MemoryStore(), PROGRAM, retained=True).body == b"input"
 
 
 @pytest.mark.parametrize(("fails", "error"), [([], TurnNotFoundError), (["read_history"], StoreUnavailableError)])
-def test_a_chain_that_cannot_be_had_gives_the_reservation_back(fails, error):
+def test_unreadable_history_gives_the_reservation_back(fails, error):
     store = MemoryStore(fails)
     with pytest.raises(error):
         opened(store, BUDGET, USAGE, PROGRAM, ("Previous", "t-9"), retained=True)
     assert store.settled == [("r-1", 0)]
 
 
-def test_a_turn_is_kept_with_the_data_of_each_event_and_a_line_feed():
+def test_stored_output_is_the_data_of_each_event_and_a_line_feed():
     store = MemoryStore()
     turn = opened(store, PROGRAM, retained=True, retain_s=45.0)
     for raw in (b"id: 1\ndata: a\n\n", b"versions: 2\nid: 2\ndata: b c\n\n", b"id: 3\ndata: d\ndata: e\n\n"):
@@ -117,7 +117,7 @@
     assert store.turns["r-1"] == Turn("r-1", "3fa81c", None, b"input", b"a\nb c\nd\ne\n", 45.0)
 
 
-def test_a_turn_that_goes_on_names_the_one_before():
+def test_stored_turn_names_the_turn_that_it_continues():
     store = MemoryStore()
     store.turns["t-1"] = Turn("t-1", "3fa81c", None, b"in", b"out\n", 60.0)
     turn = opened(store, PROGRAM, ("Previous", "t-1"), retained=True)
@@ -126,13 +126,13 @@
     assert store.turns["r-1"].input == b"input"
 
 
-def test_a_turn_of_a_route_that_does_not_retain_is_not_kept():
+def test_turn_of_a_route_without_retention_is_not_stored():
     store = MemoryStore()
     opened(store, BUDGET, USAGE).store(1.0)
     assert store.turns == {}
 
 
-def test_a_sender_that_is_cut_off_refuses_a_turn_soon():
+def test_cut_off_sender_waits_for_the_stores_only_briefly():
     waited = []
 
     class Store:
--- a/tests/mutations/test_mutations.py
+++ b/tests/mutations/test_mutations.py
@@ -81,7 +81,7 @@
 COPIED_PROMISE = "tests.controlplane.test_ledger_copies::test_a_copy_takes_back_no_promise_of_the_store_that_copies"
 CARRIED = (
     "tests.dataplane.test_store_client_budgets::"
-    "test_a_settlement_is_made_behind_where_another_sender_has_changed_the_ledger"
+    "test_settlement_is_made_in_the_background_if_another_sender_changed_the_ledger"
 )
 OLD_SETS = "tests.consensus.test_register::test_a_value_needs_majorities_of_the_sets_of_the_value_that_it_follows"
 OLDER_EPOCH = "tests.controlplane.test_store::test_a_write_of_an_older_epoch_leaves_nothing_on_the_disk"
