--- a/tests/cluster/test_body_pages.py
+++ b/tests/cluster/test_body_pages.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("text", ["x" * 300_000, '"\\' * 90_000, "é" * 200_000, "x" * 80_000 + "😀" * 30_000])
-def test_pages_are_bounded_on_the_wire_and_make_the_whole(text):
+def test_pages_are_bounded_on_the_wire_and_join_to_the_body(text):
     async def scene():
         pages, received = service({"d": KnownBody(text, len(text))}), ""
         while len(received) < len(text):
@@ -39,14 +39,14 @@
 
 
 @pytest.mark.parametrize("character", ["x", "é", "😀", '"'])
-def test_what_is_sent_whole_with_its_state_is_no_longer_than_a_page_on_the_wire(character):
+def test_body_that_fits_a_page_is_within_the_page_size_on_the_wire(character):
     wire_bytes = len(json.dumps(character)) - len(json.dumps(""))
     most = RELAY_PAGE_BYTES // wire_bytes
     assert fits_page(character * most)
     assert not fits_page(character * (most + 1))
 
 
-def test_a_page_that_comes_in_time_is_waited_for():
+def test_request_waits_for_page_that_arrives_in_time():
     async def scene():
         known = {"d": KnownBody("x" * 10, 20)}
         pages = service(known)
@@ -59,7 +59,7 @@
     run(scene())
 
 
-def test_a_page_that_does_not_come_is_refused_however_often_others_come():
+def test_request_fails_if_its_page_does_not_arrive_in_time():
     async def scene():
         pages = service({})
         began_s = asyncio.get_running_loop().time()
--- a/tests/cluster/test_compression.py
+++ b/tests/cluster/test_compression.py
@@ -20,14 +20,14 @@
     return [encode({**MESSAGE, "ballot": [1764678901000 + number, "a1b2c3d4e5f60718"]}) for number in range(count)]
 
 
-def test_each_frame_can_be_read_as_soon_as_its_bytes_are_there():
+def test_each_frame_is_decodable_as_soon_as_its_bytes_are_received():
     output, incoming = CompressedOutput(), IncomingBytes()
     for frame in frames(50):
         assert received(incoming, output.encode(frame)) == frame
     assert incoming.is_compressed
 
 
-def test_frames_come_out_whole_in_whatever_pieces_the_stream_travels():
+def test_frames_are_decoded_however_the_stream_is_split():
     draw = random.Random(5)
     sent = b"".join(frames(40))
     output = CompressedOutput()
@@ -41,24 +41,24 @@
         assert came == sent
 
 
-def test_a_plain_stream_comes_through_as_it_is():
+def test_uncompressed_stream_is_unchanged():
     incoming = IncomingBytes()
     for frame in frames(3):
         assert received(incoming, frame) == frame
     assert incoming.is_compressed is False
 
 
-def test_messages_like_those_before_them_take_a_third_of_their_bytes_at_most():
+def test_repeated_messages_compress_to_a_third_at_most():
     output = CompressedOutput()
     sizes = [(len(frame), len(output.encode(frame))) for frame in frames(50)][1:]
     assert 3 * sum(packed for _, packed in sizes) < sum(plain for plain, _ in sizes)
 
 
-def test_the_first_byte_of_a_compressed_stream_is_no_digit():
+def test_first_byte_of_compressed_stream_is_no_digit():
     assert not CompressedOutput().encode(b"1:x,")[:1].isdigit()
 
 
-def test_a_frame_longer_than_a_piece_comes_whole(monkeypatch):
+def test_frame_longer_than_a_chunk_is_decoded(monkeypatch):
     monkeypatch.setattr(compression, "CHUNK_BYTES", 64)
     draw = random.Random(3)
     for length in (1, 63, 64, 65, 128, 1000, 5000):
@@ -68,7 +68,7 @@
         assert b"".join(pieces) == frame and max(map(len, pieces)) <= 64
 
 
-def test_a_stream_that_expands_without_end_is_given_up_after_a_bounded_part():
+def test_expanding_stream_is_rejected_after_a_bounded_part():
     bomb = CompressedOutput().encode(b"9" * 64 * 1024 * 1024)
     decoder, taken = Decoder(), 0
     with pytest.raises(FrameError):
@@ -79,12 +79,12 @@
 
 
 @pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"X\x00\xff\xff", b"\x00\x00\x00\x00"])
-def test_bytes_that_are_no_stream_are_refused(data):
+def test_bytes_that_are_no_stream_are_rejected(data):
     with pytest.raises(FrameError):
         received(IncomingBytes(), data)
 
 
-def test_a_stream_that_ends_is_refused():
+def test_finished_stream_is_rejected():
     ended = zlib.compressobj(1, zlib.DEFLATED, compression.WINDOW_BITS)
     with pytest.raises(FrameError):
         received(IncomingBytes(), ended.compress(b"x") + ended.flush())
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -21,7 +21,7 @@
     return caught.value.lines()
 
 
-def test_a_whole_configuration_is_read_and_kept_exactly():
+def test_complete_configuration_is_parsed_and_kept_exactly():
     raw = samples.configuration()
     raw["later"] = {"unknown": [1, None]}
     raw["routes"][0]["later"] = "kept"
@@ -49,11 +49,11 @@
     assert configuration.limits.max_body_bytes > 0
 
 
-def test_a_configuration_without_routes_or_services_is_valid():
+def test_configuration_without_routes_or_services_is_valid():
     assert parse_configuration(b'{"generation": 1, "routes": [], "services": []}').route_for("a", "/") is None
 
 
-def test_a_share_without_weight_gets_nothing_while_another_has_some():
+def test_share_with_zero_weight_is_left_out():
     raw = samples.configuration()
     raw["routes"][1]["split"][1]["weight"] = 0
     assert parse_configuration(encoded(raw)).routes[1].split == (Share("engines", 90.0),)
@@ -97,7 +97,7 @@
         ),
     ],
 )
-def test_what_is_refused_is_named_with_its_place(raw: dict[str, Any], expected_faults: list[str] | None):
+def test_fault_is_reported_with_its_path(raw: dict[str, Any], expected_faults: list[str] | None):
     faults = faults_of(encoded(raw))
     assert faults if expected_faults is None else faults == expected_faults
 
@@ -136,12 +136,12 @@
         b'{"generation": ' + b"9" * 10_000 + b', "routes": [], "services": []}',
     ],
 )
-def test_what_cannot_be_read_is_refused(body: bytes):
+def test_unreadable_body_is_rejected(body: bytes):
     assert len(faults_of(body)) == 1
 
 
 @given(st.integers(min_value=0, max_value=len(encoded(samples.configuration())) - 1))
-def test_a_body_that_is_cut_short_is_refused(length: int):
+def test_truncated_body_is_rejected(length: int):
     assert faults_of(encoded(samples.configuration())[:length])
 
 
@@ -160,7 +160,7 @@
 
 
 @given(st.data())
-def test_any_change_is_either_read_exactly_or_refused_with_places(data: st.DataObject):
+def test_any_modified_configuration_is_parsed_exactly_or_rejected_with_paths(data: st.DataObject):
     raw = samples.configuration()
     for _ in range(data.draw(st.integers(1, 3))):
         container, key = data.draw(st.sampled_from(all_places(raw)))
@@ -200,7 +200,7 @@
         ("a.example", "", None),
     ],
 )
-def test_the_longest_prefix_of_the_host_is_picked(host: str, path: str, name: str | None):
+def test_route_with_longest_prefix_is_chosen(host: str, path: str, name: str | None):
     places = [("a.example", "/"), ("a.example", "/one/"), ("a.example", "/one/two/"), ("b.example", "/only/")]
     configuration = parse_configuration(routes_at(*places, ("[::1]", "/v6/")))
     route = configuration.route_for(host, path)
@@ -211,7 +211,7 @@
 
 
 @given(st.sets(SEGMENTS.map(lambda parts: "".join(f"/{part}" for part in parts) + "/"), max_size=8), SEGMENTS)
-def test_the_index_agrees_with_a_plain_search(prefixes: set[str], parts: list[str]):
+def test_route_index_agrees_with_linear_search(prefixes: set[str], parts: list[str]):
     path = "/" + "/".join(parts)
     configuration = parse_configuration(routes_at(*[("h", prefix) for prefix in sorted(prefixes)]))
     found = configuration.route_for("h", path)
--- a/tests/cluster/test_configuration_patch.py
+++ b/tests/cluster/test_configuration_patch.py
@@ -27,7 +27,7 @@
     return [item["name"] for item in configuration[list_name]]
 
 
-def test_an_item_is_replaced_in_its_place_and_a_new_one_follows():
+def test_patch_replaces_items_in_position_and_appends_new_ones():
     before = samples.configuration()
     first = names(before)[0]
     after = patched({"generation": 9, "upsert": {"routes": [route("r-new", "/new/"), route(first, "/moved/")]}})
@@ -37,14 +37,14 @@
     assert after["services"] == before["services"]
 
 
-def test_an_item_is_removed_by_name_and_an_unknown_name_changes_nothing():
+def test_patch_deletes_by_name_and_ignores_unknown_names():
     before = samples.configuration()
     first = names(before)[0]
     after = patched({"generation": 9, "delete": {"routes": [first, "r-never-there"]}})
     assert names(after) == names(before)[1:]
 
 
-def test_a_name_that_is_deleted_and_put_is_there_afterwards():
+def test_name_deleted_and_upserted_exists_afterwards():
     before = samples.configuration()
     first = names(before)[0]
     change = {"generation": 9, "delete": {"routes": [first]}, "upsert": {"routes": [route(first, "/again/")]}}
@@ -52,7 +52,7 @@
     assert names(after) == [*names(before)[1:], first]
 
 
-def test_a_service_comes_and_goes_with_its_routes():
+def test_service_is_added_and_removed_with_its_routes():
     service = {"name": "svc-new", "health_path": "/health", "max_conns": 8}
     new_route = {**route("r-new", "/new/"), "backend": "svc-new"}
     new_route.pop("split", None)
@@ -62,17 +62,17 @@
     assert patched(without, after) == {**samples.configuration(), "generation": 10}
 
 
-def test_unknown_fields_stay_as_they_were_sent():
+def test_unknown_fields_are_kept():
     before = {**samples.configuration(), "comment": "\u00e9"}
     assert patched({"generation": 9, "upsert": {"routes": []}}, before) == {**before, "generation": 9}
 
 
-def test_a_patch_of_nothing_is_a_new_generation():
+def test_empty_patch_makes_a_new_generation():
     assert patched({"generation": 9}) == {**samples.configuration(), "generation": 9}
     assert patched({"generation": 9, "upsert": None, "delete": None}) == {**samples.configuration(), "generation": 9}
 
 
-def test_what_a_patch_makes_is_held_to_the_rules_of_a_configuration():
+def test_patched_configuration_is_validated():
     unknown_service = {**route("r-new", "/new/"), "backend": "svc-nowhere"}
     unknown_service.pop("split", None)
     same_place = route("r-new", samples.configuration()["routes"][0]["path_prefix"])
@@ -98,18 +98,18 @@
         ({"generation": 9, "upsert": {"limits": [{"name": "x"}]}}, "limits"),
     ],
 )
-def test_a_malformed_patch_is_refused_with_the_place_of_its_fault(patch, place):
+def test_malformed_patch_is_rejected_with_the_path_of_its_fault(patch, place):
     assert any(line.startswith(place) for line in faults_of(patch))
 
 
-def test_a_cut_body_is_refused():
+def test_truncated_patch_is_rejected():
     whole = json.dumps({"generation": 9, "delete": {"routes": ["a"]}}).encode()
     for length in range(len(whole)):
         with pytest.raises(InvalidConfigurationError):
             parse_patch(whole[:length])
 
 
-def test_a_long_list_is_patched_in_one_pass():
+def test_long_list_is_patched_in_one_pass():
     routes = [route(f"r-{number}", f"/{number}/") for number in range(2000)]
     before = {**samples.configuration(), "routes": routes}
     moved = [route(f"r-{number}", f"/moved-{number}/") for number in range(0, 2000, 2)]
--- a/tests/cluster/test_logs.py
+++ b/tests/cluster/test_logs.py
@@ -49,7 +49,7 @@
     assert set(logs.EVENT_LEVELS) == set(Event)
 
 
-def test_a_line_has_its_event_its_level_its_origin_and_its_fields(pipe: Pipe):
+def test_line_has_event_level_origin_and_fields(pipe: Pipe):
     logs.configure("notice", "front-1", "sender", pipe.writer)
     logs.log_event(Event.CONFIGURATION_ACCEPTED, generation=7, name="kept")
     (line,) = pipe.lines()
@@ -68,7 +68,7 @@
     ("level", "written"),
     [("debug", 3), ("info", 2), ("notice", 2), ("warning", 1), ("error", 1)],
 )
-def test_what_is_below_the_level_is_left_out(pipe: Pipe, level: str, written: int):
+def test_events_below_the_level_are_not_written(pipe: Pipe, level: str, written: int):
     logs.configure(level, "n", "r", pipe.writer)
     logs.log_event(Event.REQUEST_DONE)
     logs.log_event(Event.STARTED)
@@ -76,7 +76,7 @@
     assert len(pipe.lines()) == written
 
 
-def test_an_error_is_logged_at_the_level_of_its_kind(pipe: Pipe):
+def test_error_is_logged_at_the_level_of_its_kind(pipe: Pipe):
     logs.configure("notice", "n", "r", pipe.writer)
     logs.log_error(TierError(ErrorKind.NO_ROUTE, "quiet"))
     logs.log_error(TierError(ErrorKind.NO_QUORUM, "two of three are silent"), round=3)
@@ -84,14 +84,14 @@
     assert (line["kind"], line["detail"], line["round"]) == ("no_quorum", "two of three are silent", 3)
 
 
-def test_what_a_module_logs_by_its_own_name_is_a_line_too(pipe: Pipe):
+def test_module_loggers_write_lines_too(pipe: Pipe):
     logs.configure("warning", "n", "r", pipe.writer)
     logging.getLogger("dewpin.dataplane.example").warning("peer %s is silent", "10.0.0.1")
     (line,) = pipe.lines()
     assert (line["event"], line["level"]) == ("peer 10.0.0.1 is silent", "WARNING")
 
 
-def test_an_unexpected_exception_is_logged_with_its_trace(pipe: Pipe):
+def test_unexpected_exception_is_logged_with_traceback(pipe: Pipe):
     logs.configure("error", "n", "r", pipe.writer)
     try:
         raise ZeroDivisionError("by nothing")
@@ -101,7 +101,7 @@
     assert line["event"] == "unexpected" and "ZeroDivisionError: by nothing" in line["exc_info"]
 
 
-def test_a_full_pipe_blocks_nothing_and_the_lost_lines_are_counted(pipe: Pipe):
+def test_full_pipe_does_not_block_and_dropped_lines_are_counted(pipe: Pipe):
     fcntl.fcntl(pipe.writer, fcntl.F_SETPIPE_SZ, 4096)
     logs.configure("notice", "n", "r", pipe.writer)
     for _ in range(10):
@@ -114,19 +114,19 @@
     assert first["dropped_lines"] == 9 and "dropped_lines" not in second
 
 
-def test_a_line_is_never_longer_than_what_a_writable_pipe_takes_at_once(pipe: Pipe):
+def test_line_is_no_longer_than_an_atomic_pipe_write(pipe: Pipe):
     logs.configure("notice", "n", "r", pipe.writer)
     logs.log_event(Event.READY, **{f"filler_{index}": "x" * 900 for index in range(10)})
     assert len(pipe.read()) == 4096
 
 
-def test_a_long_text_is_shortened(pipe: Pipe):
+def test_long_text_is_truncated(pipe: Pipe):
     logs.configure("notice", "n", "r", pipe.writer)
     logs.log_event(Event.READY, filler="x" * 100_000)
     assert pipe.lines()[0]["filler"] == "x" * logs.LONGEST_TEXT + "..."
 
 
-def test_too_many_lines_in_a_second_are_dropped_and_counted(pipe: Pipe):
+def test_lines_over_the_rate_are_dropped_and_counted(pipe: Pipe):
     now = [100.0]
     handler = logs.BoundedHandler(pipe.writer, clock=lambda: now[0])
     record = logging.LogRecord("x", logging.ERROR, "", 0, "{}", None, None)
@@ -138,7 +138,7 @@
     assert len(pipe.lines()) == 1 and handler.dropped == 0
 
 
-def test_a_closed_reader_does_no_harm():
+def test_closed_reader_raises_nothing():
     reader, writer = os.pipe()
     handler = logs.BoundedHandler(writer)
     os.close(reader)
--- a/tests/cluster/test_netstring.py
+++ b/tests/cluster/test_netstring.py
@@ -16,26 +16,26 @@
 STREAM = b"".join(encode(message) for message in MESSAGES)
 
 
-def test_a_frame_is_a_length_a_colon_the_payload_and_a_comma():
+def test_frame_is_length_colon_payload_comma():
     assert encode({"a": 1}) == b'7:{"a":1},'
 
 
-def test_raw_bytes_stand_in_a_second_netstring_behind_the_json_that_tells_their_number():
+def test_raw_bytes_follow_as_second_netstring():
     assert encode({"a": 1, "raw": b"\x00\xff,"}) == b'15:{"a":1,"raw":3},3:\x00\xff,,'
 
 
 @pytest.mark.parametrize("cut", range(len(STREAM) + 1))
-def test_messages_come_out_whole_wherever_the_stream_is_cut(cut):
+def test_messages_are_decoded_wherever_the_stream_is_split(cut):
     decoder = Decoder()
     assert decoder.feed(STREAM[:cut]) + decoder.feed(STREAM[cut:]) == MESSAGES
 
 
-def test_messages_come_out_whole_byte_by_byte():
+def test_messages_are_decoded_byte_by_byte():
     decoder = Decoder()
     assert [message for byte in STREAM for message in decoder.feed(bytes([byte]))] == MESSAGES
 
 
-def test_nothing_comes_out_before_the_comma():
+def test_no_message_before_the_comma():
     decoder = Decoder()
     assert decoder.feed(b"2:{}") == []
     assert decoder.feed(b",") == [{}]
@@ -70,30 +70,30 @@
         b'18:{"raw":9999999999},',
     ],
 )
-def test_garbage_is_refused(garbage):
+def test_invalid_bytes_are_rejected(garbage):
     with pytest.raises(FrameError):
         Decoder().feed(garbage + b"," * 16)
 
 
-def test_a_frame_over_the_bound_is_refused_by_its_length_alone():
+def test_frame_over_the_limit_is_rejected_by_its_length():
     with pytest.raises(FrameError):
         Decoder(max_bytes=10).feed(b"11:")
     assert Decoder(max_bytes=10).feed(b'10:{"a":1234},') == [{"a": 1234}]
 
 
-def test_nothing_comes_out_before_the_raw_bytes_are_whole():
+def test_no_message_before_its_raw_bytes_are_complete():
     decoder = Decoder()
     assert decoder.feed(b'9:{"raw":2},2:ab') == []
     assert decoder.feed(b",2:{},") == [{"raw": b"ab"}, {}]
 
 
 @pytest.mark.parametrize("raw", [b"1:a,", b"3:abc,"])
-def test_raw_bytes_of_another_length_than_told_are_refused(raw):
+def test_raw_bytes_of_another_length_than_announced_are_rejected(raw):
     with pytest.raises(FrameError):
         Decoder().feed(b'9:{"raw":2},' + raw)
 
 
-def test_raw_bytes_over_the_bound_are_refused_at_either_end():
+def test_raw_bytes_over_the_limit_are_rejected_by_encoder_and_decoder():
     with pytest.raises(FrameError):
         encode({"raw": bytes(20)}, max_bytes=19)
     with pytest.raises(FrameError):
@@ -102,6 +102,6 @@
 
 
 @pytest.mark.parametrize("raw", [1, "text", [1]])
-def test_raw_bytes_are_bytes(raw):
+def test_encoder_rejects_raw_that_is_not_bytes(raw):
     with pytest.raises(FrameError):
         encode({"raw": raw})
--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -11,17 +11,17 @@
 MEMBERS = tuple(f"m{number}" for number in range(7))
 
 
-def test_few_members_hold_everything():
+def test_all_members_are_replicas_if_they_are_few():
     assert replicas("p", ("a", "b"), 3) == {"a", "b"}
 
 
-def test_keys_spread_evenly():
+def test_keys_are_distributed_evenly():
     held = Counter(member for key in range(3000) for member in replicas(f"p{key}", MEMBERS, 3))
     assert min(held.values()) > 0.9 * 3000 * 3 / 7
 
 
 @given(st.text(max_size=20), st.sampled_from(MEMBERS))
-def test_a_member_that_goes_moves_only_its_own_keys(key, gone):
+def test_removed_member_moves_only_its_own_keys(key, gone):
     before = replicas(key, MEMBERS, 3)
     after = replicas(key, tuple(member for member in MEMBERS if member != gone), 3)
     assert (before == after) == (gone not in before)
@@ -29,12 +29,12 @@
 
 
 @given(st.integers(1, 12), st.sampled_from([1, 3, 5, 7]))
-def test_with_the_most_silent_ones_left_out_every_key_has_a_majority(members, count):
+def test_every_key_has_a_majority_with_max_unreachable_members_left_out(members, count):
     size = min(members, count)
     assert size - max_unreachable(members, count) >= majority(size)
 
 
-def test_a_view_survives_json_and_names_the_sets_of_a_write():
+def test_view_round_trips_through_json_and_has_write_sets():
     members = tuple(Member(name, f"{name}:1") for name in "abcd")
     view = StoreView(4, members[:3], members[1:])
     assert StoreView.from_json(view.to_json()) == view
@@ -43,7 +43,7 @@
 
 
 @given(st.text(max_size=20), st.sampled_from(["one", "two", "three"]))
-def test_every_key_keeps_a_majority_without_a_zone(key, lost):
+def test_every_key_keeps_a_majority_after_loss_of_a_zone(key, lost):
     members = tuple(f"m{number}" for number in range(10))
     locations = tuple(location_of("r", ("one", "two", "three")[number % 3]) for number in range(10))
     for count in (3, 5):
@@ -53,18 +53,18 @@
 
 
 @given(st.text(max_size=20))
-def test_replicas_spread_over_regions_before_zones(key):
+def test_replicas_are_spread_over_regions_before_zones(key):
     locations = ("r/one", "r/two", "r/three", "s/one", "t/one")
     held = replicas(key, tuple("abcde"), 3, locations)
     assert len({locations["abcde".index(member)].partition("/")[0] for member in held}) == 3
 
 
-def test_the_replicas_bear_what_is_told():
+def test_replica_count_tolerates_the_configured_losses():
     assert replica_count(1, 0, 0) == 3
     assert replica_count(2, 1, 0) == 5
     assert replica_count(0, 1, 1) == 3
 
 
-def test_a_view_of_an_older_release_has_no_locations():
+def test_view_of_older_release_has_no_locations():
     view = StoreView.from_json({"epoch": 1, "stable": {"a": "a:1"}, "next": None})
     assert view.stable == (Member("a", "a:1"),)
--- a/tests/cluster/test_receivers.py
+++ b/tests/cluster/test_receivers.py
@@ -40,48 +40,48 @@
     return {receiver.id: receiver.draining for receiver in one.receivers.values()}
 
 
-def test_a_reading_that_changes_something_makes_a_version_and_one_that_does_not_makes_none():
+def test_listing_makes_a_version_only_if_it_changes_something():
     one = ReceiverDirectory()
     assert one.apply_listing(ready("1", "2"), "a") and one.version == DirectoryVersion(1, "a")
     assert not one.apply_listing(ready("1", "2"), "a") and one.version == DirectoryVersion(1, "a")
     assert one.apply_listing(ready("1"), "b") and one.version == DirectoryVersion(2, "b")
 
 
-def test_getting_warm_makes_no_version_but_is_taken():
+def test_warm_up_progress_is_applied_without_a_new_version():
     one = directory([receiver("1", warm_up_left_ms=500.0)])
     assert not one.apply_listing([receiver("1", warm_up_left_ms=100.0)], "a")
     assert one.receivers["1"].warm_up_left_ms == 100.0
 
 
-def test_the_first_reading_makes_a_version_even_of_an_empty_list():
+def test_first_listing_makes_a_version_even_if_empty():
     assert ReceiverDirectory().apply_listing([], "a")
 
 
-def test_draining_is_never_taken_back_by_an_older_reading():
+def test_draining_is_not_reverted_by_an_older_listing():
     one = directory(ready("1"), draining("1"))
     assert not one.apply_listing(ready("1"), "a")
     assert states(one) == {"1": True}
 
 
-def test_a_receiver_that_left_after_it_drained_stays_away():
+def test_receiver_that_left_after_draining_does_not_return():
     one = directory(ready("1", "2"), draining("1") + ready("2"), ready("2"))
     assert not one.apply_listing(ready("1", "2"), "a")
     assert states(one) == {"2": False}
 
 
-def test_a_receiver_that_was_missing_from_one_reading_comes_back():
+def test_receiver_missing_from_one_listing_returns():
     one = directory(ready("1", "2"), ready("2"))
     assert one.apply_listing(ready("1", "2"), "a")
     assert states(one) == {"1": False, "2": False}
 
 
-def test_an_address_used_again_by_another_service_is_another_receiver():
+def test_reused_address_is_another_receiver():
     one = directory(draining("1"))
     one.apply_listing([Receiver("9", "other", "10.1.0.1:80", "east", 8)], "a")
     assert {name: [found.id for found in all_of] for name, all_of in one.by_service().items()} == {"other": ["9"]}
 
 
-def test_a_copy_is_taken_only_if_it_is_newer():
+def test_update_is_applied_only_if_newer():
     source, target = directory(ready("1")), ReceiverDirectory()
     assert copy_to(target, source) and states(target) == {"1": False}
     assert not copy_to(target, source)
@@ -89,14 +89,14 @@
     assert copy_to(target, source) and states(target) == {"1": True}
 
 
-def test_a_copy_takes_back_no_end_that_is_known_here():
+def test_update_does_not_revert_known_draining():
     target = directory(draining("1"), reader="a")
     source = directory(ready("1"), reader="b")
     assert copy_to(target, source)
     assert states(target) == {"1": True}
 
 
-def test_an_end_that_a_newer_copy_lacks_is_told_on_with_the_next_reading():
+def test_draining_missing_from_newer_update_is_published_with_next_listing():
     """Two readers made versions side by side: the one that lost knew an end which the others must hear of."""
     loser, winner, third = directory(draining("1"), reader="a"), directory(ready("1"), reader="b"), ReceiverDirectory()
     copy_to(third, winner)
@@ -106,7 +106,7 @@
     assert not loser.apply_listing(draining("1"), "a")
 
 
-def test_versions_go_on_above_those_that_senders_still_hold_after_every_reader_started_again():
+def test_versions_exceed_observed_ones_after_restart_of_every_reader():
     sender = ReceiverDirectory()
     copy_to(sender, directory(*(ready(str(number)) for number in range(50))))
     restarted = directory(ready("99"), reader="z")
@@ -116,7 +116,7 @@
     assert copy_to(sender, restarted) and states(sender) == {"99": False}
 
 
-def test_a_private_reading_is_taken_under_the_version_as_it_is():
+def test_private_listing_keeps_the_version():
     one = directory(ready("1", "2"))
     version = one.version
     assert one.apply_private_listing(draining("1") + ready("2", "3"))
@@ -125,7 +125,7 @@
     assert ReceiverDirectory().version == NO_VERSION
 
 
-def test_a_shared_copy_after_a_private_reading_takes_back_no_end():
+def test_update_after_private_listing_does_not_revert_draining():
     source = directory(ready("1"))
     target = ReceiverDirectory()
     copy_to(target, source)
@@ -135,13 +135,13 @@
     assert states(target) == {"1": True, "2": False}
 
 
-def test_ends_are_remembered_up_to_a_bound():
+def test_draining_receivers_are_remembered_up_to_a_limit():
     one = directory(draining(*map(str, range(MAX_REMEMBERED_DRAINING + 10))), ready())
     one.apply_listing(ready("0", str(MAX_REMEMBERED_DRAINING)), "a")
     assert states(one) == {"0": False}
 
 
-def test_an_entry_of_the_platforms_list_is_read():
+def test_receiver_from_platform_entry():
     entry = {
         "backend": "engines",
         "address": "10.128.0.9:8080",
@@ -156,12 +156,12 @@
     assert receiver_from_platform(entry) == Receiver("i-1", "engines", "10.128.0.9:8080", "east", 16, True, 12.0, "v1")
 
 
-def test_a_record_gives_back_the_receiver():
+def test_receiver_round_trips_through_record():
     one = receiver("1", draining=True, warm_up_left_ms=3.0, generation="v2")
     assert receiver_from_record(one.to_record()) == one
 
 
 @pytest.mark.parametrize("entry", [{}, {"id": "1"}, [], {"id": "1", "backend": "x", "address": "y", "capacity": "z"}])
-def test_what_is_no_entry_is_refused(entry):
+def test_invalid_platform_entry_is_rejected(entry):
     with pytest.raises((KeyError, TypeError, ValueError)):
         receiver_from_platform(entry)
--- a/tests/cluster/test_rpc.py
+++ b/tests/cluster/test_rpc.py
@@ -57,7 +57,7 @@
     return caught.value.kind
 
 
-def test_a_call_gets_its_answer():
+def test_call_returns_its_reply():
     async def scene():
         async with Server() as there:
             return await there.call("echo", text="é")
@@ -65,7 +65,7 @@
     assert asyncio.run(scene()) == {"type": "echo", "text": "é"}
 
 
-def test_many_calls_share_one_connection_and_each_gets_its_own_answer():
+def test_concurrent_calls_share_one_connection():
     async def scene():
         async with Server() as there:
             held = asyncio.ensure_future(there.call("hold"))
@@ -79,7 +79,7 @@
     assert connections == 1 and held == {"type": "held"}
 
 
-def test_an_error_answer_raises_with_its_kind_and_fields():
+def test_error_reply_raises_rpc_error_with_kind_and_fields():
     async def scene():
         async with Server() as there:
             with pytest.raises(RpcError) as caught:
@@ -90,7 +90,7 @@
     assert (kind_of(caught), caught.value.detail, caught.value.message["view"]) == ("stale_epoch", "another one", 7)
 
 
-def test_an_error_answer_that_a_handler_got_from_another_process_goes_on_to_its_caller():
+def test_rpc_error_of_nested_call_is_forwarded_to_the_caller():
     async def scene():
         async with Server() as there:
 
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(("message_type", "kind"), [("fail", "internal"), ("nothing", "unknown_type")])
-def test_a_handler_that_fails_or_is_missing_is_an_error_and_the_connection_goes_on(message_type, kind):
+def test_failing_or_missing_handler_is_an_error_and_keeps_the_connection(message_type, kind):
     async def scene():
         async with Server() as there:
             with pytest.raises(RpcError) as caught:
@@ -118,7 +118,7 @@
     assert asyncio.run(scene()) == (kind, 1)
 
 
-def test_a_port_where_nobody_listens_is_an_error():
+def test_refused_connection_is_an_error():
     async def scene():
         async with Server() as there:
             await there.server.stop()
@@ -129,7 +129,7 @@
     assert asyncio.run(scene()) in {"connect", "closed"}
 
 
-def test_a_silent_peer_is_dropped_and_the_next_call_connects_anew():
+def test_unresponsive_peer_is_dropped_and_next_call_reconnects():
     async def scene():
         async with Server() as there:
             await there.call("echo", text="x")
@@ -142,7 +142,7 @@
     assert asyncio.run(scene()) == ("timeout", set())
 
 
-def test_a_late_answer_to_one_call_does_not_cost_the_connection_that_serves_others():
+def test_time_out_of_one_call_keeps_a_connection_that_serves_others():
     async def scene():
         async with Server() as there:
             await there.call("echo", text="x")
@@ -158,7 +158,7 @@
     assert asyncio.run(scene()) == ("timeout", True, "after")
 
 
-def test_a_connection_that_ends_fails_all_its_calls():
+def test_lost_connection_fails_all_its_calls():
     async def scene():
         async with Server() as there:
             calls = [asyncio.ensure_future(there.call("hold")) for _ in range(3)]
@@ -193,7 +193,7 @@
         encode({"v": 1, "n": 1, "m": ["echo"]}),
     ],
 )
-def test_a_server_closes_a_connection_that_speaks_something_else(data):
+def test_server_closes_connection_with_invalid_frames(data):
     async def scene():
         async with Server() as there:
             return await send_raw(there.address, data)
@@ -201,7 +201,7 @@
     assert asyncio.run(scene()) == b""
 
 
-def test_a_server_closes_a_connection_with_too_many_calls_unanswered(monkeypatch):
+def test_server_closes_connection_with_too_many_pending_requests(monkeypatch):
     monkeypatch.setattr(rpc_server, "MAX_PENDING_REQUESTS", 3)
 
     async def scene():
@@ -212,7 +212,7 @@
     assert asyncio.run(scene()) == b""
 
 
-def test_a_client_drops_a_peer_that_answers_garbage():
+def test_client_drops_peer_with_invalid_replies():
     async def scene():
         server = await asyncio.start_server(lambda reader, writer: answer_at_once(writer), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
@@ -248,7 +248,7 @@
         return self.written > 0
 
 
-def test_answers_that_become_ready_together_are_not_written_to_a_connection_that_has_ended():
+def test_replies_are_not_written_to_a_closing_connection():
     async def scene():
         held = asyncio.Event()
 
@@ -267,7 +267,7 @@
     assert asyncio.run(scene()) == 1
 
 
-def test_a_call_on_a_connection_that_has_ended_fails_at_once():
+def test_call_on_closing_connection_fails_at_once():
     async def scene():
         connection, transport = ClientConnection(is_compressed=True), EndedTransport()
         connection.connection_made(transport)
@@ -279,7 +279,7 @@
     assert asyncio.run(scene()) == ("closed", 1)
 
 
-def test_a_client_that_speaks_plain_netstrings_is_answered_in_them():
+def test_uncompressed_client_gets_uncompressed_replies():
     async def scene():
         async with Server() as there:
             reader, writer = await asyncio.open_connection(*there.address.split(":"))
@@ -315,7 +315,7 @@
         self._server.close()
 
 
-def test_a_process_of_an_earlier_release_is_asked_in_plain_netstrings_from_the_second_connection_on():
+def test_peer_that_rejects_compression_gets_uncompressed_requests():
     async def scene():
         server, client = PlainServer(), RpcClient()
         await server.start()
@@ -329,7 +329,7 @@
     assert asyncio.run(scene()) == ("plain", [False, True])
 
 
-def test_a_connection_that_was_answered_once_is_made_anew_in_the_same_form():
+def test_peer_that_replied_once_stays_compressed_after_reconnect():
     async def scene():
         async with Server() as there:
             await there.call("echo", text="x")
--- a/tests/cluster/test_rpc_cost.py
+++ b/tests/cluster/test_rpc_cost.py
@@ -36,5 +36,5 @@
     return turns
 
 
-def test_a_call_takes_no_more_turns_of_the_loop_than_its_steps():
+def test_call_takes_a_bounded_number_of_loop_iterations():
     assert asyncio.run(turns_of_calls()) <= MOST_TURNS_OF_A_CALL * CALLS
--- a/tests/cluster/test_rpc_endings.py
+++ b/tests/cluster/test_rpc_endings.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("how", ["timed out", "cancelled"])
-def test_the_late_answer_to_an_abandoned_call_reaches_nobody(how):
+def test_late_reply_to_abandoned_call_is_dropped(how):
     async def scene():
         async with scripted() as (server, client):
             abandoned = ask(client, server, "first", SHORT_S if how == "timed out" else LONG_S)
@@ -96,7 +96,7 @@
     assert asyncio.run(scene()) == ("later", "for later", True, [1, 2, 3])
 
 
-def test_answers_in_another_order_reach_their_callers():
+def test_replies_out_of_order_reach_their_callers():
     async def scene():
         async with scripted() as (server, client):
             calls = [ask(client, server, str(number)) for number in range(20)]
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.3, 0.99])
-def test_a_connection_that_dies_in_the_midst_of_an_answer_fails_its_calls_and_leaves_nothing_behind(share):
+def test_connection_lost_within_a_reply_fails_its_calls_and_leaks_nothing(share):
     async def scene():
         async with scripted() as (server, client):
             calls = [ask(client, server, str(number)) for number in range(3)]
@@ -142,7 +142,7 @@
         {"m": {"type": "said"}},
     ],
 )
-def test_an_answer_that_is_none_ends_the_connection(frame):
+def test_invalid_reply_ends_the_connection(frame):
     async def scene():
         async with scripted() as (server, client):
             call = ask(client, server, "x")
@@ -186,7 +186,7 @@
         ({"type": "unsendable"}, "internal"),
     ],
 )
-def test_a_frame_over_the_limit_fails_its_call_and_no_other(message, kind, monkeypatch):
+def test_frame_over_the_limit_fails_only_its_call(message, kind, monkeypatch):
     monkeypatch.setattr(rpc_frames, "encode", lambda frame: netstring.encode(frame, max_bytes=1000))
 
     async def scene():
@@ -200,7 +200,7 @@
     assert asyncio.run(scene()) == (kind, "after", True)
 
 
-def test_a_server_ends_a_connection_whose_peer_does_not_read(monkeypatch):
+def test_server_aborts_connection_whose_peer_does_not_read(monkeypatch):
     monkeypatch.setattr(rpc_connection, "MAX_UNSENT_BYTES", 100_000)
 
     async def answer_much(message):
@@ -228,7 +228,7 @@
     assert largest <= 100_000 + 60_000
 
 
-def test_a_client_ends_a_connection_whose_peer_does_not_read(monkeypatch):
+def test_client_aborts_connection_whose_peer_does_not_read(monkeypatch):
     monkeypatch.setattr(rpc_connection, "MAX_UNSENT_BYTES", 100_000)
 
     async def scene():
--- a/tests/cluster/test_rpc_frames.py
+++ b/tests/cluster/test_rpc_frames.py
@@ -15,7 +15,7 @@
     [(RequestFrame(7, MESSAGE), REQUEST), (ReplyFrame(7, MESSAGE), ANSWER)],
     ids=["request", "answer"],
 )
-def test_a_frame_is_these_bytes_and_comes_back_as_it_was(frame, wire):
+def test_frame_round_trips_through_recorded_bytes(frame, wire):
     assert frame.encode() == wire
     (read,) = Decoder().feed(wire)
     assert type(frame).decode(read) == frame
@@ -35,12 +35,12 @@
         {"v": 1, "n": 7},
     ],
 )
-def test_what_is_no_request_is_refused(wrong):
+def test_invalid_request_frame_is_rejected(wrong):
     with pytest.raises(InvalidFrameError):
         RequestFrame.decode(wrong)
 
 
-def test_raw_bytes_of_a_message_stand_behind_the_frame_and_come_back_in_the_message():
+def test_raw_bytes_round_trip_behind_the_frame():
     message = {"type": "store.pulled", "raw": bytes(range(256))}
     wire = ReplyFrame(7, message).encode()
     assert wire == b'51:{"v":1,"r":7,"m":{"type":"store.pulled"},"raw":256},256:' + message["raw"] + b","
@@ -49,6 +49,6 @@
     assert message["raw"] == bytes(range(256))
 
 
-def test_raw_bytes_in_the_json_part_are_refused():
+def test_raw_bytes_in_json_are_rejected():
     with pytest.raises(InvalidFrameError):
         RequestFrame.decode({"v": 1, "n": 7, "m": {"type": "a", "raw": 3}})
--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -38,7 +38,7 @@
     return caught.value.lines()
 
 
-def test_a_whole_file_is_read(tmp_path: Path):
+def test_complete_file_is_parsed(tmp_path: Path):
     path = tmp_path / "settings.toml"
     path.write_text(samples.SETTINGS)
     settings = load_settings(path)
@@ -56,14 +56,14 @@
     assert settings.log_level == "notice"
 
 
-def test_a_store_has_its_folder_and_needs_no_address_but_that_of_control():
+def test_store_needs_a_folder_and_only_the_control_address():
     settings = parse_settings(
         changed(serves=["store", "control"], data_dir="/data/control_server", listen={"control": "10.1.0.30:8144"})
     )
     assert settings.data_dir == Path("/data/control_server")
 
 
-def test_what_is_left_out_gets_a_default():
+def test_omitted_fields_get_defaults():
     raw = {
         "node_name": "n",
         "serves": [],
@@ -101,7 +101,7 @@
         (changed(zones={"east": 3}), ["zones.east: expected a string, got 3"]),
     ],
 )
-def test_a_fault_is_named_with_its_key_and_what_was_expected(raw: dict[str, Any], faults: list[str] | None):
+def test_fault_is_reported_with_key_and_expectation(raw: dict[str, Any], faults: list[str] | None):
     found = faults_of(raw)
     if faults is None:
         assert len(found) == 2
@@ -115,7 +115,7 @@
     assert keys == {"ip", "serves[1]", "bounds.ack_ms", "limits", "fault_tolerance.zones"}
 
 
-def test_a_process_without_usable_settings_exits_with_a_line_for_each_fault(tmp_path: Path, capsys: Any):
+def test_invalid_settings_exit_with_a_line_for_each_fault(tmp_path: Path, capsys: Any):
     path = tmp_path / "settings.toml"
     path.write_text(samples.SETTINGS.replace("7380", "0").replace('"10.1.0.30"', '"nowhere"'))
     with pytest.raises(SystemExit) as caught:
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("content", [None, "a = ", "\xff"])
-def test_a_file_that_cannot_be_read_is_a_fault(tmp_path: Path, content: str | None, capsys: Any):
+def test_unreadable_file_is_a_fault(tmp_path: Path, content: str | None, capsys: Any):
     path = tmp_path / "settings.toml"
     if content is not None:
         path.write_bytes(content.encode("latin-1"))
@@ -136,7 +136,7 @@
     assert len(capsys.readouterr().err.splitlines()) == 1
 
 
-def test_without_the_variable_a_process_exits(capsys: Any):
+def test_missing_variable_exits(capsys: Any):
     with pytest.raises(SystemExit):
         settings_or_exit({})
     assert capsys.readouterr().err.startswith("DEWPIN_BOOT: ")
@@ -150,7 +150,7 @@
 
 
 @given(st.data())
-def test_any_change_is_either_read_or_refused_by_name(data: st.DataObject):
+def test_any_modified_file_is_parsed_or_rejected_by_key(data: st.DataObject):
     raw = changed()
     for _ in range(data.draw(st.integers(1, 3))):
         raw[data.draw(st.sampled_from(sorted(raw)))] = data.draw(TOML_VALUES)
--- a/tests/cluster/test_settings_watch.py
+++ b/tests/cluster/test_settings_watch.py
@@ -25,28 +25,28 @@
     return logged
 
 
-def test_a_file_that_stays_tells_nothing(path):
+def test_unchanged_file_gives_nothing(path):
     watch = SettingsWatch(path, load_settings(path))
     assert watch.poll() is None
     path.write_text(samples.SETTINGS)
     assert watch.poll() is None
 
 
-def test_a_change_between_the_start_and_the_first_look_is_told(path, events):
+def test_change_before_the_first_poll_is_found(path, events):
     running = load_settings(path)
     path.write_text(OTHER_SEEDS)
     changed = SettingsWatch(path, running).poll()
     assert changed is not None and changed.seeds[0] == "10.1.0.99:8144"
 
 
-def test_another_spelling_of_the_same_settings_is_no_change(path, events):
+def test_reformatted_file_is_no_change(path, events):
     watch = SettingsWatch(path, load_settings(path))
     path.write_text("# written anew\n" + samples.SETTINGS)
     assert watch.poll() is None
     assert events == []
 
 
-def test_a_change_is_told_once(path, events):
+def test_change_is_returned_once(path, events):
     watch = SettingsWatch(path, load_settings(path))
     path.write_text(OTHER_SEEDS)
     changed = watch.poll()
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("content", ["", "node_name = ", samples.SETTINGS.replace("10.1.0.34:8144", "nowhere")])
-def test_a_faulty_file_is_reported_once_and_ignored(path, events, content):
+def test_invalid_file_is_logged_once_and_ignored(path, events, content):
     watch = SettingsWatch(path, load_settings(path))
     path.write_text(content)
     assert watch.poll() is None and watch.poll() is None
@@ -65,7 +65,7 @@
     assert watch.poll() is not None
 
 
-def test_a_file_that_is_away_for_a_moment_is_no_change(path):
+def test_missing_file_is_no_change(path):
     watch = SettingsWatch(path, load_settings(path))
     path.unlink()
     assert watch.poll() is None
@@ -73,7 +73,7 @@
     assert watch.poll() is None
 
 
-def test_a_running_process_takes_the_seeds_and_the_platforms_address_and_keeps_its_own(path):
+def test_reloaded_settings_take_seeds_and_platform_only(path):
     running = load_settings(path)
     path.write_text(ELSEWHERE)
     after = reloaded(running, load_settings(path))
--- a/tests/cluster/test_store_requests.py
+++ b/tests/cluster/test_store_requests.py
@@ -95,12 +95,12 @@
 
 
 @pytest.mark.parametrize(("request_", "text"), REQUESTS, ids=lambda value: type(value).__name__)
-def test_a_request_has_these_fields_and_comes_back_as_it_was(request_, text):
+def test_request_round_trips_through_recorded_fields(request_, text):
     assert json.dumps(request_.fields()) == text
     assert type(request_).decode(json.loads(text)) == request_
 
 
-def test_a_request_begins_with_its_epoch_and_member_and_ends_with_the_view_if_that_is_told():
+def test_request_header_has_epoch_member_and_optional_view():
     plain = RequestHeader(7, "a-1").encode("turn.chain", {"program": "p"})
     assert json.dumps(plain) == '{"type": "turn.chain", "epoch": 7, "to": "a-1", "program": "p"}'
     assert RequestHeader.decode(plain) == RequestHeader(7, "a-1")
@@ -109,14 +109,14 @@
     assert RequestHeader.decode(told) == RequestHeader(7, "a-1", VIEW)
 
 
-def test_the_answers_have_this_form():
+def test_replies_have_recorded_form():
     assert PutTurnsReply().encode() == {"type": "turn.stored"}
     assert PutTurnsReply.decode({"type": "turn.stored"}) == PutTurnsReply()
     assert HistoryPage.from_json(json.loads(json.dumps(LINKS.to_json()))) == LINKS
 
 
 @pytest.mark.parametrize("reply", [Accepted(Ballot(5, "s")), Conflict(Ballot(6, "t"))])
-def test_the_answer_to_a_turn_tells_the_reply_to_the_ballot_that_it_carried(reply):
+def test_put_turns_reply_has_the_reply_to_its_ballot(reply):
     message = PutTurnsReply(encode_reply(reply)).encode()
     told = PutTurnsReply.decode(json.loads(json.dumps(message))).reply
     assert told is not None
@@ -124,20 +124,20 @@
 
 
 @pytest.mark.parametrize("reply", [{}, {"type": "turn.stored"}, {"type": ACCEPTED}, {"type": ACCEPTED, "ballot": 5}])
-def test_what_is_no_reply_to_a_ballot_is_refused_as_malformed(reply):
+def test_invalid_ballot_reply_is_malformed(reply):
     with pytest.raises(MalformedMessageError, match="^reply: "):
         ledger_reply(reply)
 
 
 @pytest.mark.parametrize("field", ["program", "ballot", "value", "next_ballot"])
-def test_a_turn_that_carries_a_ballot_without_its_parts_is_refused(field):
+def test_put_turns_with_incomplete_ballot_is_rejected(field):
     message = PutTurnsRequest((TURN,), LedgerAcceptRequest("p", (5, "s"), None, None)).fields()
     del message["accept"][field]
     with pytest.raises(MalformedMessageError):
         PutTurnsRequest.decode(message)
 
 
-def test_fields_of_a_newer_release_are_left_alone():
+def test_unknown_fields_are_ignored():
     for kind, sound in SOUND.items():
         assert decode(kind, {**sound(), "newer": 1}) == decode(kind, sound())
 
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize(
     ("kind", "path", "value"), WRONG_FIELDS, ids=lambda value: getattr(value, "__name__", None) or repr(value)
 )
-def test_a_field_of_another_kind_is_refused_by_its_name(kind, path, value):
+def test_field_of_wrong_type_is_rejected_by_name(kind, path, value):
     message = json.loads(json.dumps(SOUND[kind]()))
     holder_of(message, path)[path[-1]] = value
     if path == ("view",) or path[0] == "links" or path[-1] == "links":
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize("kind", SOUND, ids=lambda kind: kind.__name__)
-def test_each_field_has_to_be_there_but_the_view(kind):
+def test_every_field_but_the_view_is_required(kind):
     for field in SOUND[kind]().keys() - {"view"}:
         if kind is RequestHeader and field == "type":
             continue
--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize(
     ("size", "mbit", "most_s"), [(4_096, 15, 0.1), (300_000, 15, 0.5), (LONG, 15, 3.0), (LONG, 86, 1)]
 )
-def test_a_restarted_member_catches_up_over_a_slow_link(size, mbit, most_s):
+def test_restarted_member_catches_up_over_a_slow_link(size, mbit, most_s):
     async def scene():
         world = await linked_world()
         await world.put(1, 7, 0)
@@ -79,7 +79,7 @@
     assert largest < PAGE_CHARACTERS + 10_000, "no message holds the link up for long"
 
 
-def test_the_others_are_heard_while_a_long_body_is_fetched_and_nobody_is_replaced():
+def test_heartbeats_arrive_while_a_long_body_is_fetched():
     async def scene():
         world = await linked_world()
         await world.put(1, 7, 0)
@@ -108,7 +108,7 @@
     assert longest_s < LIVE_S and changes == 0
 
 
-def test_a_restarted_member_knows_nothing_as_current_before_a_majority_spoke():
+def test_restarted_member_is_not_current_before_majority_contact():
     """Its disk holds a configuration. Alone, however long, it takes none for current; with a second member it does."""
 
     async def scene():
@@ -127,7 +127,7 @@
     assert run(scene()) is None
 
 
-def test_a_change_costs_the_same_bytes_after_few_and_after_many_changes():
+def test_bytes_of_a_change_do_not_depend_on_earlier_changes():
     async def scene(changes):
         world = await linked_world()
         base = 0
@@ -153,7 +153,7 @@
     return registers
 
 
-def test_a_change_of_members_and_a_read_ship_no_body():
+def test_member_change_and_read_send_no_body():
     async def scene():
         registers = linked_registers()
         await registers.begin()
@@ -168,7 +168,7 @@
     assert run(scene()) < 10_000
 
 
-def test_a_member_that_lacks_the_body_of_an_accepted_value_fetches_it():
+def test_member_fetches_the_missing_body_of_an_accepted_value():
     async def scene():
         registers = linked_registers()
         await registers.begin()
@@ -185,7 +185,7 @@
     assert body.encode() == body_of(7, 100_000) and rows == [(body,)]
 
 
-def test_a_fetch_that_broke_off_goes_on_where_it_was_at_another_process():
+def test_interrupted_fetch_continues_at_another_process():
     async def scene():
         registers = linked_registers()
         await registers.begin()
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize("answer", [("other", 5), ("x", 1), ("", 5)])
-def test_other_bytes_than_those_of_the_digest_are_not_taken(answer):
+def test_body_with_another_digest_is_rejected(answer):
     class Liar:
         async def call(self, address, message, timeout_s):
             return {"type": BODY, "part": answer[0], "length": answer[1]}
@@ -234,7 +234,7 @@
     assert run(scene()) == ()
 
 
-def test_a_body_that_was_replaced_meanwhile_can_still_be_fetched():
+def test_replaced_body_can_still_be_fetched():
     """A peer on a slow link may be halfway through it when the next configuration comes."""
 
     async def scene():
@@ -250,7 +250,7 @@
     assert run(scene()) == 7
 
 
-def test_bodies_held_in_memory_are_few_whatever_comes():
+def test_bodies_in_memory_are_bounded():
     bodies = ConfigurationBodies(None)
     state = genesis({}, {})
     for generation in range(1, 50):
@@ -261,7 +261,7 @@
 
 
 @pytest.mark.parametrize("mbit", [15, 86, 600])
-def test_an_order_of_four_megabytes_is_acknowledged_and_taken_once(mbit):
+def test_change_of_four_megabytes_is_acknowledged_and_applied_once(mbit):
     """The operator sends it to one process after the other until one acknowledges it."""
 
     async def scene():
@@ -287,7 +287,7 @@
 # On disk
 
 
-def test_the_body_stands_once_on_disk_and_is_there_after_a_restart():
+def test_body_is_stored_once_and_survives_a_restart():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -305,7 +305,7 @@
     assert "filling" not in value
 
 
-def test_a_body_whose_write_failed_is_written_with_the_next_value():
+def test_body_whose_write_failed_is_written_with_the_next_value():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -322,7 +322,7 @@
     assert run(scene()) == body_of(7, 1000)
 
 
-def test_a_value_with_its_body_inside_as_a_release_before_wrote_it_is_read():
+def test_value_of_earlier_release_with_embedded_body_is_read():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -335,7 +335,7 @@
     assert run(scene())
 
 
-def test_a_value_without_its_body_is_a_damaged_disk():
+def test_value_without_its_body_is_a_damaged_disk():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -347,7 +347,7 @@
     run(scene())
 
 
-def test_the_files_stay_the_same_size_after_many_changes(tmp_path):
+def test_files_do_not_grow_with_many_changes(tmp_path):
     """One member on a real database: its size, the write-ahead log's and the rows, after 60 and after 300 changes."""
     storage = Storage(tmp_path / "data", log=lambda text: None)
 
--- a/tests/controlplane/test_ledger_copies.py
+++ b/tests/controlplane/test_ledger_copies.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("finished", [False, True])
-def test_two_readers_see_one_history_where_a_copy_brings_what_a_minority_accepted(finished):
+def test_readers_agree_when_a_copy_brings_a_minority_value(finished):
     """`a` alone accepts a reservation. In the next view a proposer that has not seen it gets promises of `b` and `c`
     and dies once `c` has accepted; then `b` and `d` copy from `a`."""
 
@@ -76,7 +76,7 @@
     run(scene())
 
 
-def test_a_copied_value_is_no_vote_until_the_replica_accepts_it():
+def test_copied_value_is_no_vote_until_the_replica_accepts_it():
     async def scene():
         world = World(names="a", losses=0)
         disk = world.machines["a"].disk
@@ -91,7 +91,7 @@
     run(scene())
 
 
-def test_a_replica_that_voted_for_a_value_keeps_its_vote_when_it_reads_the_same_elsewhere():
+def test_vote_is_kept_when_the_same_value_is_merged():
     async def scene():
         world = World(names="a", losses=0)
         await accept(world, "a", 5, BEFORE)
@@ -104,7 +104,7 @@
     run(scene())
 
 
-def test_a_chosen_value_is_known_after_the_change_although_the_newcomer_promised_a_greater_ballot_first():
+def test_chosen_value_survives_a_change_with_a_newcomer_that_promised_a_greater_ballot():
     """The copy must not be refused for a promise: nobody else among the next replicas may have the value."""
 
     async def scene():
@@ -121,7 +121,7 @@
     run(scene())
 
 
-def test_a_copy_takes_back_no_promise_of_the_store_that_copies():
+def test_copy_does_not_revert_promises():
     """An older ballot accepted after the promise would be overwritten by the newer one, which has not read it."""
 
     async def scene():
--- a/tests/controlplane/test_ledger_losses.py
+++ b/tests/controlplane/test_ledger_losses.py
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("voters", list(itertools.combinations("abc", 2)))
 @pytest.mark.parametrize("first", "abc")
 @pytest.mark.parametrize("second", range(3))
-def test_a_second_loss_right_after_the_replacement_of_the_first_takes_nothing(voters, first, second):
+def test_second_loss_right_after_a_replacement_loses_nothing(voters, first, second):
     """`second` is any store of the view after the first loss: a voter, the one that missed the accept, the newcomer.
     Voters answer slowly, so that a copy that ended without them would be first."""
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("voters", list(itertools.combinations("abc", 2)))
 @pytest.mark.parametrize("first", "abc")
-def test_a_wiped_store_that_comes_back_empty_takes_nothing_before_it_has_copied(voters, first):
+def test_wiped_store_accepts_nothing_before_it_has_copied(voters, first):
     async def scene():
         world = World(names="abc")
         await spend_at(world, voters)
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("voters", list(itertools.combinations("abcde", 3)))
-def test_two_losses_at_once_and_two_more_right_after_take_nothing(voters):
+def test_two_losses_at_once_and_two_more_right_after_lose_nothing(voters):
     """f = 2: any two are lost at once, and right after their replacement those that voted, as far as they are left."""
 
     async def scene(first):
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("holders", ["ab", "abc"])
-def test_once_more_disks_are_lost_than_are_borne_no_budget_begins_anew_and_a_full_copy_changes_nothing(holders):
+def test_no_budget_restarts_after_more_losses_than_tolerated(holders):
     """Two of three disks are lost. What `c` holds, or not, is of no use: no majority of these incarnations is left."""
 
     async def scene():
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(("retain_s", "kept_ms"), [(7_200.0, 2 * HOUR_MS), (60.0, HOUR_MS), (100_000.0, 100_000_000)])
-def test_a_program_stopped_by_its_budget_is_stopped_again_until_the_longest_retain_s_is_over(retain_s, kept_ms):
+def test_program_stopped_by_its_budget_stays_stopped_for_the_longest_retain_s(retain_s, kept_ms):
     async def scene(later_ms):
         world = World()
         configure(world, retain_s)
@@ -61,7 +61,7 @@
     assert not run(scene(kept_ms + RETENTION_MARGIN_MS + 1))
 
 
-def test_each_refusal_counts_anew():
+def test_each_rejection_restarts_the_retention():
     async def scene():
         world = World()
         configure(world, 7_200.0)
@@ -74,7 +74,7 @@
     run(scene())
 
 
-def test_no_ledger_goes_before_a_configuration_is_known_and_what_one_said_outlives_a_restart():
+def test_no_ledger_is_purged_before_a_configuration_is_known():
     async def scene():
         world = World()
         await spend(world)
@@ -93,7 +93,7 @@
     run(scene())
 
 
-def test_a_ledger_is_kept_for_what_was_said_when_it_was_changed_although_less_is_said_later():
+def test_ledger_is_kept_for_the_retention_at_its_last_change():
     async def scene(later_ms):
         world = World()
         configure(world, 7_200.0)
@@ -109,7 +109,7 @@
     assert not run(scene(2 * HOUR_MS + RETENTION_MARGIN_MS + 1))
 
 
-def test_what_is_said_less_and_less_counts_for_as_long_as_any_ledger_was_promised():
+def test_decreasing_retentions_keep_every_promise():
     long = LedgerRetention(10 * HOUR_MS)
     shorter = long.followed_by(5 * 3600.0, 0)
     assert [shorter.max_idle_ms(now) // HOUR_MS for now in (0, 10 * HOUR_MS - 1, 10 * HOUR_MS)] == [10, 10, 5]
@@ -125,11 +125,11 @@
     ("retain_s", "kept_ms"),
     [(0.0, MIN_RETENTION_MS), (-5.0, MIN_RETENTION_MS), (1e300, MAX_RETENTION_MS), (1e999, MAX_RETENTION_MS)],
 )
-def test_whatever_the_operator_writes_the_time_is_one_that_the_database_holds(retain_s, kept_ms):
+def test_retention_is_limited_to_database_integers(retain_s, kept_ms):
     assert ledger_retention.retention_ms(retain_s) == kept_ms
 
 
-def test_what_stays_the_same_is_not_written_again():
+def test_unchanged_retention_is_not_written():
     async def scene():
         world = World(names="a", losses=0)
         machine = world.machines["a"]
@@ -143,14 +143,14 @@
     run(scene())
 
 
-def test_the_longest_retain_s_of_all_routes_counts_with_its_default():
+def test_longest_retain_s_includes_the_default():
     routes = [{"retain_s": 30}, {"retain_s": None}, {}]
     assert longest_retain_s(json.dumps({"routes": routes})) == 60.0
     assert longest_retain_s(json.dumps({"routes": [*routes, {"retain_s": 7200.5}]})) == 7200.5
     assert longest_retain_s(json.dumps({"routes": []})) == 0.0
 
 
-def test_the_store_of_a_process_follows_the_configuration_of_the_system_state():
+def test_store_of_a_process_follows_the_configuration():
     async def scene():
         disk, control_server, clock_ms = MemoryDisk(), SimpleNamespace(), [0]
         disk.incarnation = "a-1"
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -34,7 +34,7 @@
 # One store
 
 
-def test_a_request_of_another_epoch_is_refused_with_the_stores_own_view():
+def test_request_of_another_epoch_is_rejected_with_the_stores_view():
     async def scene():
         world = World(syncs=False)
         for epoch in (0, 2):
@@ -46,7 +46,7 @@
     run(scene())
 
 
-def test_a_write_of_an_older_epoch_leaves_nothing_on_the_disk():
+def test_write_of_an_older_epoch_stores_nothing():
     async def scene():
         world = World(syncs=False)
         store = world.machines["a"]
@@ -67,7 +67,7 @@
     run(scene())
 
 
-def test_a_request_meant_for_another_incarnation_is_refused():
+def test_request_for_another_incarnation_is_rejected():
     async def scene():
         world = World()
         old = world.machines["a"].store.member_id
@@ -81,7 +81,7 @@
     run(scene())
 
 
-def test_a_store_takes_no_record_of_a_key_that_it_does_not_hold():
+def test_store_rejects_records_of_programs_that_it_does_not_replicate():
     async def scene():
         world = World(names="abcdefg")
         program = next(f"p{n}" for n in range(99) if "a-1" not in world.view.stable_replicas(f"p{n}", 3))
@@ -92,7 +92,7 @@
     run(scene())
 
 
-def test_a_store_that_restarts_holds_the_view_that_it_answered_a_pull_under():
+def test_restarted_store_has_the_view_of_its_last_copy_reply():
     async def scene():
         world = World(names="abcd", in_view="abc", syncs=False)
         changing = StoreView(2, world.members("abc"), world.members("bcd"))
@@ -106,7 +106,7 @@
     run(scene())
 
 
-def test_a_long_chain_comes_in_several_answers(monkeypatch):
+def test_long_history_takes_several_replies(monkeypatch):
     monkeypatch.setattr("dewpin.controlplane.store.sender_handlers.MAX_HISTORY_BYTES", 10)
 
     async def scene():
@@ -121,7 +121,7 @@
     assert run(scene()) == b"".join(b"<t%d>" % number for number in range(9))
 
 
-def test_expired_turns_go_from_the_leaves_and_a_chain_stays_with_its_last_turn():
+def test_expired_turns_are_purged_from_the_end_of_a_history():
     async def scene():
         world = World(names="a", losses=0)
         store = world.machines["a"].store
@@ -143,7 +143,7 @@
     run(scene())
 
 
-def test_a_body_stays_while_any_program_holds_the_turn():
+def test_body_is_kept_while_any_program_holds_the_turn():
     async def scene():
         world = World(names="a", losses=0)
         disk = world.machines["a"].disk
@@ -158,7 +158,7 @@
     run(scene())
 
 
-def test_idle_ledgers_go_and_the_systems_own_register_stays():
+def test_idle_ledgers_are_purged_but_not_the_system_register():
     async def scene():
         world = World(names="a", losses=0)
         await world.client().reserve("p", "t1", 10, 100, 1.0)
@@ -176,7 +176,7 @@
     run(scene())
 
 
-def test_merging_ledgers_keeps_the_greatest_ballots_in_any_order():
+def test_merge_of_ledgers_keeps_the_greatest_ballots_in_any_order():
     async def scene():
         world = World(names="a", losses=0)
         disk = world.machines["a"].disk
@@ -203,7 +203,7 @@
     world.tell(StoreView(changing.epoch + 1, world.members(following)))
 
 
-def test_all_stores_may_be_replaced_and_nothing_is_lost():
+def test_replacing_all_stores_loses_nothing():
     async def scene():
         world = World(names="abcdef", in_view="abc")
         client = world.client()
@@ -227,7 +227,7 @@
     run(scene())
 
 
-def test_a_wiped_store_comes_back_as_another_member_and_copies_all():
+def test_wiped_store_returns_as_another_member_and_copies_everything():
     async def scene():
         world = World()
         world.machines["b"].refuses = {"turn.put"}
@@ -244,7 +244,7 @@
     run(scene())
 
 
-def test_a_copy_is_not_whole_before_a_majority_of_the_old_stores_was_read():
+def test_copy_is_incomplete_before_a_majority_of_sources_was_read():
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
@@ -261,7 +261,7 @@
     run(scene())
 
 
-def test_a_frozen_source_does_not_hold_the_copy_up():
+def test_unresponsive_source_does_not_delay_the_copy():
     async def scene():
         world = World(names="abcd", in_view="abc")
         client = world.client()
@@ -275,7 +275,7 @@
     run(scene())
 
 
-def test_writes_under_the_old_view_end_once_a_copy_began():
+def test_writes_under_the_old_view_fail_once_a_copy_began():
     async def scene():
         world = World(names="abcd", in_view="abc", syncs=False)
         old = world.view
@@ -302,7 +302,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_writes_go_on_while_the_view_changes_and_all_that_was_acknowledged_stays(seed):
+def test_writes_during_a_view_change_are_kept(seed):
     async def scene():
         world = World(names="abcdef", in_view="abc", delay_s=0.004)
         clients = [world.client(f"s{number}", seed=100 * seed + number) for number in range(3)]
@@ -353,7 +353,7 @@
     run(scene())
 
 
-def test_a_smaller_view_holds_what_a_kept_store_had_missed():
+def test_smaller_view_has_turns_that_a_remaining_store_had_missed():
     async def scene():
         world = World()
         world.machines["c"].refuses = {"turn.put"}
@@ -367,7 +367,7 @@
     run(scene())
 
 
-def test_a_change_under_way_gives_way_to_a_newer_one():
+def test_newer_view_replaces_a_copy_in_progress():
     async def scene():
         world = World(names="abcde", in_view="abc")
         await world.client().store_turn(turn("t1"), 1.0)
@@ -383,7 +383,7 @@
     run(scene())
 
 
-def test_members_know_where_they_listen():
+def test_members_have_addresses():
     member = Member("a", "1.2.3.4:5")
     assert StoreView(1, (member,)).members == {"a": member}
 
--- a/tests/controlplane/test_store_copy.py
+++ b/tests/controlplane/test_store_copy.py
@@ -50,7 +50,7 @@
         handlers[kind] = lambda message, handler=handler: wrapped(handler, message)
 
 
-def test_bodies_are_copied_byte_for_byte_and_raw():
+def test_bodies_are_copied_exactly_as_raw_bytes():
     async def scene():
         world = await filled()
         raw = []
@@ -70,7 +70,7 @@
     run(scene())
 
 
-def test_a_source_of_an_earlier_release_answers_in_json_and_is_understood():
+def test_source_of_earlier_release_replies_in_json():
     async def scene():
         world = await filled()
 
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("spoil", [cut_short, without_rows, never_asked_for])
-def test_an_answer_that_cannot_be_read_is_asked_for_again(spoil):
+def test_unreadable_reply_is_requested_again(spoil):
     async def scene():
         world = await filled()
         spoilt = []
@@ -121,7 +121,7 @@
     run(scene())
 
 
-def test_a_copy_that_was_interrupted_goes_on_with_what_lacks(monkeypatch):
+def test_interrupted_copy_continues_with_missing_turns(monkeypatch):
     monkeypatch.setattr(turn_copy, "TURNS_PER_REQUEST", 10)
 
     async def scene():
@@ -151,7 +151,7 @@
     run(scene())
 
 
-def test_one_batch_of_a_copy_at_most_waits_for_the_disk(monkeypatch):
+def test_at_most_one_batch_of_a_copy_waits_for_the_disk(monkeypatch):
     """A put shares its commit with what waits beside it, so it takes as long as all that."""
     monkeypatch.setattr(turn_copy, "TURNS_PER_REQUEST", 5)
 
@@ -176,7 +176,7 @@
     run(scene())
 
 
-def test_large_bodies_take_as_many_requests_as_they_need(monkeypatch):
+def test_large_bodies_take_several_requests(monkeypatch):
     monkeypatch.setattr(turn_transfer, "MAX_BODY_BYTES_PER_REPLY", 1000)
 
     async def scene():
@@ -188,7 +188,7 @@
     run(scene())
 
 
-def test_a_source_that_falls_silent_leaves_its_part_to_the_others():
+def test_turns_of_unresponsive_source_are_fetched_from_others():
     """The source that is asked first, whichever that is, never answers."""
 
     async def scene():
@@ -211,7 +211,7 @@
 
 
 @pytest.mark.parametrize("held", [0, 3, 200])
-def test_what_of_a_page_is_missing(held):
+def test_find_missing_of_page_agrees_with_find_missing(held):
     async def scene():
         world = await filled(turns=held)
         connection = world.machines["b"].disk.connection
@@ -226,6 +226,6 @@
     run(scene())
 
 
-def test_a_batch_of_a_copy_is_bounded():
+def test_batch_of_a_copy_is_bounded():
     assert TURNS_PER_REQUEST <= 500
     assert turn_transfer.MAX_BODY_BYTES_PER_REPLY <= 1024 * 1024
--- a/tests/controlplane/test_store_faults.py
+++ b/tests/controlplane/test_store_faults.py
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_faults_one_at_a_time_lose_nothing_and_pass_no_budget(seed):
+def test_single_faults_lose_nothing_and_exceed_no_budget(seed):
     async def scene():
         rng = random.Random(seed)
         world = World(delay_s=0.006)
--- a/tests/controlplane/test_store_leaving.py
+++ b/tests/controlplane/test_store_leaving.py
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("lost", "abc")
 @pytest.mark.parametrize("kind", [wire.PULL_INDEX, wire.PULL_TURNS, wire.PULL_LEDGERS])
 @pytest.mark.parametrize("number", [1, 2, 4])
-def test_a_leaving_store_goes_only_once_the_others_hold_all_that_it_held(lost, kind, number):
+def test_leaving_store_is_removed_only_after_others_have_its_records(lost, kind, number):
     """Each turn is on the leaving store `e` and one other, which may be the one that is lost during the copy."""
 
     async def scene():
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("lost", "abc")
-def test_while_a_store_leaves_and_another_is_lost_everything_is_readable_all_along(lost):
+def test_everything_is_readable_while_one_store_leaves_and_another_is_lost(lost):
     async def scene():
         world = World(names="abce", delay_s=0.01)
         for program in PROGRAMS:
@@ -117,7 +117,7 @@
     run(scene())
 
 
-def test_a_next_store_that_restarts_in_the_midst_of_its_copy_says_nothing_before_it_has_copied():
+def test_next_store_restarted_during_its_copy_reports_only_a_complete_copy():
     async def scene():
         world = World(names="abcd", in_view="abc")
         await world.client().store_turn(Turn("t1", "p", None, b"<t1", b">", 60.0), 1.0)
@@ -138,7 +138,7 @@
     run(scene())
 
 
-def test_a_next_store_that_was_frozen_through_later_changes_never_says_that_it_copied_for_the_first():
+def test_next_store_frozen_through_later_changes_never_reports_the_first_copy():
     async def scene():
         world = World(names="abcd", in_view="abc")
         newcomer = world.machines["d"]
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("copied", [False, True])
-def test_a_dropped_store_that_returns_with_an_old_ledger_hides_no_newer_one(copied):
+def test_returning_store_with_old_ledger_hides_no_newer_one(copied):
     """One of the other two replicas has missed the newer value as well."""
 
     async def scene():
--- a/tests/controlplane/test_transfer_messages.py
+++ b/tests/controlplane/test_transfer_messages.py
@@ -48,18 +48,18 @@
 
 
 @pytest.mark.parametrize(("request_", "text"), REQUESTS, ids=lambda value: type(value).__name__)
-def test_a_request_has_these_fields_and_comes_back_as_it_was(request_, text):
+def test_request_round_trips_through_recorded_fields(request_, text):
     assert json.dumps(request_.fields()) == text
     assert type(request_).decode(json.loads(text)) == request_
 
 
 @pytest.mark.parametrize(("answer", "text"), ANSWERS, ids=lambda value: type(value).__name__)
-def test_an_answer_is_this_text_and_comes_back_as_it_was(answer, text):
+def test_reply_round_trips_through_recorded_text(answer, text):
     assert json.dumps(answer.encode()) == text
     assert type(answer).decode(json.loads(text)) == answer
 
 
-def test_ledgers_are_told_in_their_own_form():
+def test_ledgers_page_round_trips():
     page = LedgersPage([LEDGER], "p")
     assert page.encode() == {"type": "store.pulled", "ledgers": [LEDGER.to_json()], "after": "p"}
     assert LedgersPage.decode(json.loads(json.dumps(page.encode()))) == page
@@ -73,7 +73,7 @@
 ]
 
 
-def test_bodies_of_every_byte_travel_raw_and_come_back_as_they_were():
+def test_raw_bodies_of_every_byte_round_trip():
     message = TurnsReply(TURNS, [("t4", "q")]).encode_with_raw_bodies()
     assert message["raw"] == b"\xe4out" + EVERY_BYTE + EVERY_BYTE
     (read,) = Decoder().feed(encode(message))
@@ -92,6 +92,6 @@
         ([], b"1"),
     ],
 )
-def test_rows_that_do_not_fit_the_raw_bytes_are_refused(rows, raw):
+def test_rows_that_do_not_match_the_raw_bytes_are_rejected(rows, raw):
     with pytest.raises((TypeError, ValueError)):
         TurnsReply.decode({"type": "store.pulled", "rows": rows, "unread": [], "raw": raw})
--- a/tests/mutations/test_mutations.py
+++ b/tests/mutations/test_mutations.py
@@ -78,16 +78,16 @@
 NO_ROUTE = (
     "tests.dataplane.test_request_handler::test_request_without_route_gets_503_while_configuration_is_unconfirmed"
 )
-COPIED_PROMISE = "tests.controlplane.test_ledger_copies::test_a_copy_takes_back_no_promise_of_the_store_that_copies"
+COPIED_PROMISE = "tests.controlplane.test_ledger_copies::test_copy_does_not_revert_promises"
 CARRIED = (
     "tests.dataplane.test_store_client_budgets::"
     "test_settlement_is_made_in_the_background_if_another_sender_changed_the_ledger"
 )
 OLD_SETS = "tests.consensus.test_register::test_a_value_needs_majorities_of_the_sets_of_the_value_that_it_follows"
-OLDER_EPOCH = "tests.controlplane.test_store::test_a_write_of_an_older_epoch_leaves_nothing_on_the_disk"
+OLDER_EPOCH = "tests.controlplane.test_store::test_write_of_an_older_epoch_stores_nothing"
 UNKNOWN_EFFECT = "tests.dataplane.test_retry::test_unknown_effect_ends_non_idempotent_request"
 USED_CONNECTION = "tests.dataplane.test_receiver_client::test_rejection_without_id_proves_nothing_on_reused_connection"
-LATE_ANSWER = "tests.cluster.test_rpc_endings::test_the_late_answer_to_an_abandoned_call_reaches_nobody"
+LATE_ANSWER = "tests.cluster.test_rpc_endings::test_late_reply_to_abandoned_call_is_dropped"
 
 MUTATIONS = [
     Mutation(variants.promise_anything, RACE, 20_000),
