--- a/dewpin/core/model.py
+++ b/dewpin/core/model.py
@@ -4,6 +4,8 @@
 withdrawn messages, the measurements of an attempt). The dispatcher never changes such a fact; what it derives from
 them it keeps in the attributes marked as its own.
 
+The classes are plain ones with slots: a dataclass costs each start of a process some 1 ms.
+
 All times are milliseconds, as floats. A name that ends in `_at` or `_until` is a point of time on the driver's clock,
 one that ends in `_ms` a duration.
 """
@@ -11,7 +13,6 @@
 from __future__ import annotations
 
 from collections.abc import Hashable
-from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import TYPE_CHECKING, Any, NamedTuple
 
@@ -83,7 +84,6 @@
 NO_PRIOR_ATTEMPTS = PriorAttempts()
 
 
-@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Destination:
     """An outside system with the receivers that serve it.
 
@@ -92,13 +92,15 @@
     queue, limits: the dispatcher's own, `UNSET` at first.
     """
 
-    destination_id: Any
-    receivers: list[Receiver] = field(default_factory=list)
-    queue: DestinationQueue = UNSET
-    limits: DestinationLimits = UNSET
+    __slots__ = ("destination_id", "limits", "queue", "receivers")
+
+    def __init__(self, destination_id: Any) -> None:
+        self.destination_id = destination_id
+        self.receivers: list[Receiver] = []
+        self.queue: DestinationQueue = UNSET
+        self.limits: DestinationLimits = UNSET
 
 
-@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Receiver:
     """One endpoint of a destination; creating it adds it to the destination.
 
@@ -112,22 +114,41 @@
     health, limits: the dispatcher's own, `UNSET` at first.
     """
 
-    receiver_id: Any
-    destination: Destination
-    kind: int = 0
-    zone: int = 0
-    weight: float = 0.0
-    state: str = ReceiverState.READY
-    address: Any = None
-    load_report: dict[str, float] = field(default_factory=dict)
-    health: ReceiverHealth = UNSET
-    limits: DestinationLimits = UNSET
-
-    def __post_init__(self) -> None:
-        self.destination.receivers.append(self)
+    __slots__ = (
+        "address",
+        "destination",
+        "health",
+        "kind",
+        "limits",
+        "load_report",
+        "receiver_id",
+        "state",
+        "weight",
+        "zone",
+    )
+
+    def __init__(
+        self,
+        receiver_id: Any,
+        destination: Destination,
+        kind: int = 0,
+        zone: int = 0,
+        weight: float = 0.0,
+        state: str = ReceiverState.READY,
+    ) -> None:
+        self.receiver_id = receiver_id
+        self.destination = destination
+        self.kind = kind
+        self.zone = zone
+        self.weight = weight
+        self.state = state
+        self.address: Any = None
+        self.load_report: dict[str, float] = {}
+        self.health: ReceiverHealth = UNSET
+        self.limits: DestinationLimits = UNSET
+        destination.receivers.append(self)
 
 
-@dataclass(slots=True, eq=False, repr=False, match_args=False)
 class Message:
     """A message for one destination.
 
@@ -144,15 +165,41 @@
     dispatch_state: the dispatcher's own, `UNSET` at first.
     """
 
-    message_id: Any
-    destination: Destination
-    arrived_at: float
-    expires_at: float
-    queue_class: int = 0
-    account: int = 0
-    ordering_key: Hashable = 0
-    prior_attempts: PriorAttempts = NO_PRIOR_ATTEMPTS
-    is_withdrawn: bool = False
-    retry_after_ms: float = 0.0
-    duration_ms: float = 0.0
-    dispatch_state: MessageState = UNSET
+    __slots__ = (
+        "account",
+        "arrived_at",
+        "destination",
+        "dispatch_state",
+        "duration_ms",
+        "expires_at",
+        "is_withdrawn",
+        "message_id",
+        "ordering_key",
+        "prior_attempts",
+        "queue_class",
+        "retry_after_ms",
+    )
+
+    def __init__(
+        self,
+        message_id: Any,
+        destination: Destination,
+        arrived_at: float,
+        expires_at: float,
+        queue_class: int = 0,
+        account: int = 0,
+        ordering_key: Hashable = 0,
+        prior_attempts: PriorAttempts = NO_PRIOR_ATTEMPTS,
+    ) -> None:
+        self.message_id = message_id
+        self.destination = destination
+        self.arrived_at = arrived_at
+        self.expires_at = expires_at
+        self.queue_class = queue_class
+        self.account = account
+        self.ordering_key = ordering_key
+        self.prior_attempts = prior_attempts
+        self.is_withdrawn = False
+        self.retry_after_ms = 0.0
+        self.duration_ms = 0.0
+        self.dispatch_state: MessageState = UNSET
--- a/dewpin/net/connection_table.py
+++ b/dewpin/net/connection_table.py
@@ -1,9 +1,10 @@
 """The HTTP server's open connections: how many there may be, which give way to others, and their time-outs."""
 
 import asyncio
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+import msgspec
+
 if TYPE_CHECKING:
     from .client_connection import ClientConnection
 
@@ -18,8 +19,7 @@
 CROWDED_DIVISOR = 4
 
 
-@dataclass(slots=True)
-class ServerLimits:
+class ServerLimits(msgspec.Struct):
     """Limits and time-outs of clients' connections.
 
     Attributes:
--- a/dewpin/net/http_messages.py
+++ b/dewpin/net/http_messages.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 messages: requests and responses as the parser returns them, and the bytes of a response."""
 
-from dataclasses import dataclass
+import msgspec
 
 REASON_PHRASES = {
     100: "Continue",
@@ -21,8 +21,7 @@
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-@dataclass(slots=True)
-class Request:
+class Request(msgspec.Struct):
     """A request.
 
     Attributes:
@@ -40,8 +39,7 @@
     closes_connection: bool = False
 
 
-@dataclass(slots=True)
-class Response:
+class Response(msgspec.Struct):
     """A response.
 
     Attributes:
