--- a/dewpin/core/dispatcher.py
+++ b/dewpin/core/dispatcher.py
@@ -104,17 +104,16 @@
 
     def __init__(self, settings: Mapping[str, Any], seed: int) -> None:
         """Raises KeyError if a setting is missing or has an unknown value."""
-        self.settings = DispatcherSettings(settings)
         self.random = RandomSource(seed)
         drawn_number = int(self.random.uniform(0.0, 1e6))
-        number = drawn_number if self.settings.slot_number is None else self.settings.slot_number
+        self.settings = DispatcherSettings(settings, drawn_number)
         self.sender = SenderState()
         self.queues: list[DestinationQueue] = []
         self.key_order = KeyOrder(self.settings)
         traffic = TrafficShare(self.settings)
         self.breaker = CircuitBreaker(self.settings, self.random, self.sender, traffic)
         self.rates = RateControl(self.random, traffic)
-        self.selector = ReceiverSelector(self.settings, self.sender, self.breaker, number)
+        self.selector = ReceiverSelector(self.settings, self.sender, self.breaker)
         self.calls = CallTracker(self.settings, self.random, self.sender, traffic, self.selector)
         self.outcomes = OutcomeRecorder(self.settings, self.random, self.sender, self.breaker, self.rates)
         self.retry_policy = RetryPolicy(self.settings, self.random)
--- a/dewpin/core/model.py
+++ b/dewpin/core/model.py
@@ -30,7 +30,7 @@
     """What the dispatcher decided on a message."""
 
     SEND = "send"  # to a receiver, now
-    NOT_YET = "not yet"  # it stays queued; `Dispatcher.wait` says when to ask again
+    NOT_YET = "not yet"  # it stays queued; `Dispatcher.next_due` says when to ask again
     RELAYED = "relayed"  # done, by a receiver that took it
     DEFERRED = "deferred"  # given up; the client may safely submit it again
     BOUNCED = "bounced"  # given up for good, without any promise about its effect
--- a/dewpin/core/receiver_selection.py
+++ b/dewpin/core/receiver_selection.py
@@ -31,15 +31,13 @@
     zone_offset: its place in the order that decides for which of its messages it stays in its own zone.
     """
 
-    def __init__(
-        self, settings: DispatcherSettings, sender: SenderState, breaker: CircuitBreaker, sender_number: float
-    ) -> None:
+    def __init__(self, settings: DispatcherSettings, sender: SenderState, breaker: CircuitBreaker) -> None:
         self.settings = settings
         self.sender = sender
         self.breaker = breaker
         self.kinds_with_own_limits = settings.kinds_with_own_limits
-        self.rotation_offset = sender_number * GOLDEN_RATIO % 1.0
-        self.zone_offset = sender_number * SILVER_RATIO % 1.0
+        self.rotation_offset = settings.sender_number * GOLDEN_RATIO % 1.0
+        self.zone_offset = settings.sender_number * SILVER_RATIO % 1.0
         self.idle_ms = max(1.0, settings.idle_close_ms)
 
     def select(self, queue: DestinationQueue, message: Message, now: float) -> Receiver | None:
--- a/dewpin/core/settings.py
+++ b/dewpin/core/settings.py
@@ -77,7 +77,7 @@
     kinds_with_own_limits: kinds of receivers that have rate and concurrency limits, and outages, of their own.
     fleet_size: senders that share the destinations.
     clients_mark_retries: messages that are submitted again are marked as such.
-    slot_number: this sender's number in the fleet; None if it has none.
+    sender_number: this sender's number in the fleet; one that was drawn if the settings have none.
     zone, zone_count: this sender's zone and how many there are.
     tick_ms: the longest delay of a timer.
     deadline_margin_ms: what a timer and the answer to the client may need of a message's lifetime.
@@ -88,8 +88,8 @@
     turn_gap_ms: pause before the next message of an ordering key where work may still be going on.
     """
 
-    def __init__(self, keys: Mapping[str, Any]) -> None:
-        """Reads the settings of a deployment.
+    def __init__(self, keys: Mapping[str, Any], drawn_number: int) -> None:
+        """Reads the settings of a deployment; `drawn_number` stands in for a number of the sender.
 
         Raises KeyError if a key is missing or an effect is unknown.
         """
@@ -100,7 +100,7 @@
         self.clients_mark_retries: bool = keys.get("Callers", {}).get("MarksRetry", False)
         _check(services, allowed, rules, family)
         self.classes = tuple(QueueClass(service) for service in services)
-        self.slot_number: Any = keys.get("SlotNo")
+        self.sender_number: float = keys.get("SlotNo", drawn_number)
         self.zone: Any = keys.get("Az")
         self.zone_count = max(1, len(keys.get("Zones", ())))
         self.weights_are_limits = keys.get("Weights") in ("nominal", "rough")
