--- a/tests/dataplane/agent_world.py
+++ b/tests/dataplane/agent_world.py
@@ -1,4 +1,4 @@
-"""A sender's agent among scripted control servers and parents, on a clock that jumps: the world of its tests."""
+"""A cluster agent among scripted control servers and parents in the relay tree, in simulated time."""
 
 import asyncio
 import random
@@ -37,8 +37,8 @@
     )
 
 
-def receiver(draining=False, one="i-1"):
-    return Receiver(one, "engines", "10.9.0.1:80", "east", 4, draining)
+def receiver(draining=False, receiver_id="i-1"):
+    return Receiver(receiver_id, "engines", "10.9.0.1:80", "east", 4, draining)
 
 
 class Source:
@@ -157,8 +157,8 @@
     def add_parent(self):
         parent = Source(self, "10.5.0.9:7381")
         self.sources[parent.address] = parent
-        for one in self.control_servers:
-            one.parents = [parent.address]
+        for server in self.control_servers:
+            server.parents = [parent.address]
         return parent
 
     async def call(self, address, message, timeout_s):
--- a/tests/dataplane/test_body_fetch.py
+++ b/tests/dataplane/test_body_fetch.py
@@ -1,4 +1,4 @@
-"""The fetch of one configuration's body, from a source whose calls are scripted."""
+"""The fetch of a configuration's body, from a source with scripted calls."""
 
 import asyncio
 
--- a/tests/dataplane/test_cluster_agent.py
+++ b/tests/dataplane/test_cluster_agent.py
@@ -1,4 +1,4 @@
-"""A sender's agent among scripted control servers and parents, on a clock that jumps."""
+"""The cluster agent among scripted control servers and parents, in simulated time."""
 
 import asyncio
 
@@ -19,11 +19,11 @@
         await asyncio.sleep(5.0)
         world.control_server(2).senders = 1
         await asyncio.sleep(5.0)
-        for one in world.control_servers:
-            one.senders = 6
+        for server in world.control_servers:
+            server.senders = 6
         await asyncio.sleep(5.0)
-        for one in world.control_servers:
-            one.senders = 5
+        for server in world.control_servers:
+            server.senders = 5
         await asyncio.sleep(5.0)
         return world.counts
 
@@ -46,8 +46,8 @@
 def test_change_is_pushed_at_once():
     async def scene(world):
         await asyncio.sleep(1.0)
-        for one in world.control_servers:
-            one.set_version(2)
+        for server in world.control_servers:
+            server.set_version(2)
         return await world.until(lambda: world.states[-1] == 2)
 
     assert play(scene) < 0.05
@@ -63,13 +63,13 @@
     assert play(scene) < APPLY_S / 1.5
 
 
-@pytest.mark.parametrize("trouble", ["up", "frozen"])
-@pytest.mark.parametrize("gone", [1, 2, 3])
-def test_change_is_in_force_in_time_while_one_control_server_is_lost_and_one_is_stale(gone, trouble):
+@pytest.mark.parametrize("fault", ["up", "frozen"])
+@pytest.mark.parametrize("lost", [1, 2, 3])
+def test_change_is_in_force_in_time_while_one_control_server_is_lost_and_one_is_stale(lost, fault):
     async def scene(world):
         await asyncio.sleep(1.0)
-        setattr(world.control_server(gone), trouble, trouble == "frozen")
-        world.control_server(1 + gone % 3).set_version(2)
+        setattr(world.control_server(lost), fault, fault == "frozen")
+        world.control_server(1 + lost % 3).set_version(2)
         return await world.until(lambda: world.states[-1] == 2)
 
     assert play(scene) < APPLY_S
@@ -80,8 +80,8 @@
         parent = world.add_parent()
         await asyncio.sleep(1.0)
         parent.frozen = True
-        for one in world.control_servers:
-            one.set_version(2)
+        for server in world.control_servers:
+            server.set_version(2)
         return await world.until(lambda: world.states[-1] == 2)
 
     assert play(scene) < APPLY_S / 2
@@ -94,9 +94,9 @@
     async def scene(world):
         world.add_parent()
         await asyncio.sleep(1.0)
-        for one in world.control_servers:
-            one.set_version(2)
-            one.read(receiver(draining=True))
+        for server in world.control_servers:
+            server.set_version(2)
+            server.read(receiver(draining=True))
         return await world.until(lambda: world.states[-1] == 2 and world.drained[-1] == [True])
 
     assert play(scene) < APPLY_S / 2
@@ -161,8 +161,8 @@
 
 def test_failing_control_servers_are_not_asked_without_a_pause():
     async def scene(world):
-        for one in world.control_servers:
-            one.up = False
+        for server in world.control_servers:
+            server.up = False
         began_s = world.now_s
         await asyncio.sleep(10.0)
         return world.count("lease.renew", began_s)
@@ -176,8 +176,8 @@
         version = {"state_version": 1, "receivers_version": world.agent.directory.version}
         child = asyncio.ensure_future(world.agent.handlers["relay.watch"]({"wait": True, **version}))
         await asyncio.sleep(0.01)
-        for one in world.control_servers:
-            one.set_version(2)
+        for server in world.control_servers:
+            server.set_version(2)
         began_s = world.now_s
         news = await child
         return news["state"]["version"], world.now_s - began_s
@@ -193,11 +193,11 @@
             raise ZeroDivisionError("a fault of the callback")
 
         world.on_state = fail
-        for one in world.control_servers:
-            one.set_version(2)
+        for server in world.control_servers:
+            server.set_version(2)
         await asyncio.sleep(2.0)
-        for one in world.control_servers:
-            one.set_version(3)
+        for server in world.control_servers:
+            server.set_version(3)
         return await world.until(lambda: world.states[-1] == 3)
 
     assert play(scene) < APPLY_S
--- a/tests/dataplane/test_control_server_list.py
+++ b/tests/dataplane/test_control_server_list.py
@@ -1,4 +1,4 @@
-"""Which control plane process a sender asks next."""
+"""Which control server a sender asks next."""
 
 import random
 
--- a/tests/dataplane/test_quorum_round.py
+++ b/tests/dataplane/test_quorum_round.py
@@ -96,12 +96,12 @@
         for number in range(40):
             client = clients[number % len(clients)]
             try:
-                held = await client.reserve("p", f"t{number}", 10, 100, 1.0)
+                reservation = await client.reserve("p", f"t{number}", 10, 100, 1.0)
             except Exception as refusal:
                 assert type(refusal).__name__ == "BudgetExceededError"
                 continue
             taken += 10
-            client.settle(held, 5)
+            client.settle(reservation, 5)
             await client.wait_until_settled()
             taken -= 5
         ledger = await clients[0].read_ledger("p")
--- a/tests/dataplane/test_sender_count.py
+++ b/tests/dataplane/test_sender_count.py
@@ -1,4 +1,4 @@
-"""How many senders live, from counts that differ."""
+"""The number of live senders, from counts of several control servers."""
 
 from dewpin.dataplane.membership.sender_count import SETTLING_SHARE, SenderCount
 
--- a/tests/dataplane/test_sender_readiness.py
+++ b/tests/dataplane/test_sender_readiness.py
@@ -1,4 +1,4 @@
-"""When a sender is ready: a control process answered a short while ago, and a majority has confirmed what it knows."""
+"""When a sender is ready: it has contact to the control plane, and a majority has confirmed its state."""
 
 import random
 from types import SimpleNamespace
--- a/tests/dataplane/test_state_confirmation.py
+++ b/tests/dataplane/test_state_confirmation.py
@@ -1,4 +1,4 @@
-"""What a sender's agent takes for confirmed, and how old it takes a list to be, among scripted control processes."""
+"""What the cluster agent considers confirmed, and which age it gives to a list of receivers."""
 
 import asyncio
 
@@ -11,16 +11,16 @@
 def test_copy_replaces_own_reading_together_with_its_age():
     async def scene(world):
         await asyncio.sleep(1.0)
-        for one in world.control_servers:
-            one.up = False
+        for server in world.control_servers:
+            server.up = False
         world.platform_down = False
         await world.until(lambda: world.own_readings)
         read_s = world.now_s - 1.5
         world.platform_down = True
-        for one in world.control_servers:
-            one.read_s = read_s
-            one.read(receiver(), receiver(one="i-2"))
-            one.up = True
+        for server in world.control_servers:
+            server.read_s = read_s
+            server.read(receiver(), receiver(receiver_id="i-2"))
+            server.up = True
         await world.until(lambda: len(world.drained[-1]) == 2)
         return world.agent.receiver_list_age_s() - (world.now_s - read_s)
 
@@ -30,8 +30,8 @@
 def test_received_age_counts_from_the_time_of_the_request():
     async def scene(world):
         await asyncio.sleep(1.0)
-        for one in world.control_servers:
-            one.latency_s = 0.3
+        for server in world.control_servers:
+            server.latency_s = 0.3
         await asyncio.sleep(3.0)
         ages_s = []
         for _ in range(300):
@@ -43,7 +43,7 @@
 
 
 async def is_confirmed_soon(world):
-    """Starts the agent; whether a majority has confirmed its state three seconds after it knows one."""
+    """Starts the agent; whether a majority has confirmed its state three seconds after it knows server."""
     world.agent.start()
     await world.until(lambda: world.states)
     await asyncio.sleep(3.0)
@@ -55,8 +55,8 @@
 def test_state_older_than_the_granted_version_is_not_confirmed():
     async def begin():
         world = World()
-        for one in world.control_servers:
-            one.told_version, one.news_age_s = 9, 60.0
+        for server in world.control_servers:
+            server.told_version, server.news_age_s = 9, 60.0
         return await is_confirmed_soon(world)
 
     assert run(begin()) is False
@@ -90,8 +90,8 @@
         world = World()
         parent = world.add_parent()
         parent.news_age_s = None
-        for one in world.control_servers:
-            one.refuses = True
+        for server in world.control_servers:
+            server.refuses = True
         world.agent.knowledge.sources.set_parents([parent.address])
         return await is_confirmed_soon(world)
 
--- a/tests/dataplane/test_store_client.py
+++ b/tests/dataplane/test_store_client.py
@@ -1,4 +1,4 @@
-"""A sender's use of the stores: quorums, budgets, chains; what is lost, slow, wiped or changing meanwhile."""
+"""The client of the stores: turns written and read by quorums, under faults and changes of the store view."""
 
 import asyncio
 import threading
@@ -41,11 +41,11 @@
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
         await client.store_turn(turn("t2", "t1"), 1.0)
-        chain = await client.read_history("p", "t2", 1.0)
-        return chain, [kind for machine in world.machines.values() for kind in machine.seen]
+        history = await client.read_history("p", "t2", 1.0)
+        return history, [kind for machine in world.machines.values() for kind in machine.seen]
 
-    chain, seen = run(scene())
-    assert chain == b"<t1><t2>"
+    history, seen = run(scene())
+    assert history == b"<t1><t2>"
     assert "turn.chain" not in seen
 
 
@@ -61,37 +61,37 @@
     assert run(scene()) == (b"<t1><left>", b"<t1><right>")
 
 
-@pytest.mark.parametrize("trouble", ["up", "frozen", "loses_answers"])
-def test_unmet_faulty_replica_delays_operations_by_one_hedge_at_most(trouble):
+@pytest.mark.parametrize("fault", ["up", "frozen", "loses_answers"])
+def test_unmet_faulty_replica_delays_operations_by_one_hedge_at_most(fault):
     async def scene():
         world = World()
-        setattr(world.machines["a"], trouble, trouble != "up")
+        setattr(world.machines["a"], fault, fault != "up")
         client, reader = world.client("one"), world.client("two")
-        begun = now_s()
+        started_s = now_s()
         await client.reserve("p", "t1", 10, 100, 1.0)
         await client.store_turn(turn("t1"), 1.0)
-        written = now_s() - begun
-        begun = now_s()
+        written = now_s() - started_s
+        started_s = now_s()
         assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
-        return written, now_s() - begun
+        return written, now_s() - started_s
 
     written, read = run(scene())
-    assert written < 0.02 + (0.0 if trouble == "up" else MIN_HEDGE_DELAY_S)
-    assert read < (0.02 if trouble == "up" else 0.1)
+    assert written < 0.02 + (0.0 if fault == "up" else MIN_HEDGE_DELAY_S)
+    assert read < (0.02 if fault == "up" else 0.1)
 
 
-@pytest.mark.parametrize("trouble", ["up", "frozen", "loses_answers"])
-def test_replica_known_to_be_faulty_delays_no_operation(trouble):
+@pytest.mark.parametrize("fault", ["up", "frozen", "loses_answers"])
+def test_replica_known_to_be_faulty_delays_no_operation(fault):
     async def scene():
         world = World()
         client = world.client("one")
         await client.store_turn(turn("before"), 1.0)
-        setattr(world.machines["a"], trouble, trouble != "up")
+        setattr(world.machines["a"], fault, fault != "up")
         await client.store_turn(turn("meets"), 1.0)
-        begun = now_s()
+        started_s = now_s()
         await client.reserve("p", "t1", 10, 100, 1.0)
         await client.store_turn(turn("t1"), 1.0)
-        return now_s() - begun
+        return now_s() - started_s
 
     assert run(scene()) < 0.02
 
@@ -108,9 +108,9 @@
             await client.store_turn(turn(f"t{number}"), 1.0)
             await asyncio.sleep(1.0)
         world.machines["b"].up = False
-        begun = now_s()
+        started_s = now_s()
         await client.store_turn(turn("last"), 1.0)
-        return now_s() - begun
+        return now_s() - started_s
 
     assert run(scene()) < 0.02
 
@@ -162,8 +162,8 @@
         world = World()
         world.machines["a"].refuses = {"turn.put"}
         await world.client("one").store_turn(turn("t1"), 1.0)
-        chains = {await world.client("two", seed).read_history("p", "t1", 1.0) for seed in range(10)}
-        return chains, "turn.chain" in world.machines["a"].seen
+        histories = {await world.client("two", seed).read_history("p", "t1", 1.0) for seed in range(10)}
+        return histories, "turn.chain" in world.machines["a"].seen
 
     assert run(scene()) == ({b"<t1>"}, True)
 
@@ -223,19 +223,19 @@
             ),
         )
         await writer.store_turn(turn("t1", program=old), 1.0)
-        chain = await reader.read_history(new, "t1", 1.0)
-        held = [
+        history = await reader.read_history(new, "t1", 1.0)
+        holders = [
             machine.store.member_id
             for machine in world.machines.values()
             if machine.disk.connection.execute(
                 "SELECT 1 FROM turns WHERE turn = 't1' AND program = ?", (new,)
             ).fetchone()
         ]
-        return chain, len(held), set(held) <= world.view.stable_replicas(new, 3)
+        return history, len(holders), set(holders) <= world.view.stable_replicas(new, 3)
 
-    chain, held, at_its_replicas = run(scene())
-    assert chain == b"<t1>"
-    assert held >= 2 and at_its_replicas
+    history, holders, are_replicas = run(scene())
+    assert history == b"<t1>"
+    assert holders >= 2 and are_replicas
 
 
 def test_turn_not_found_among_many_stores_needs_all_but_a_minority():
@@ -256,10 +256,10 @@
     async def scene():
         world = World()
         client = StoreClient(world.link("x"), 3)
-        begun = now_s()
+        started_s = now_s()
         with pytest.raises(StoreUnavailableError):
             await client.store_turn(turn("t1"), 0.5)
-        return now_s() - begun
+        return now_s() - started_s
 
     assert run(scene()) == pytest.approx(0.5)
 
@@ -329,7 +329,7 @@
     run(scene())
 
 
-# The face towards threads
+# The blocking client
 
 
 def test_blocking_client_works_from_another_thread():
@@ -369,7 +369,7 @@
     assert cache.get("p", "t9") is None
 
 
-# A turn that goes on from another one
+# Beginning a turn that continues another one
 
 
 def test_beginning_a_turn_reserves_and_reads_concurrently():
@@ -384,8 +384,8 @@
         await world.client("three").reserve("q", "t", 10, 100, 1.0)
         return start.history, start.reservation.max_tokens, took_s, now_s() - began_s
 
-    chain, most, both_s, reserve_s = run(scene())
-    assert (chain, most) == (b"<t1>", 10)
+    history, max_tokens, both_s, reserve_s = run(scene())
+    assert (history, max_tokens) == (b"<t1>", 10)
     assert both_s < reserve_s + 0.005
 
 
--- a/tests/dataplane/test_store_client_budgets.py
+++ b/tests/dataplane/test_store_client_budgets.py
@@ -15,11 +15,11 @@
 def test_budget_can_be_reserved_to_the_last_token():
     async def scene():
         client = World().client()
-        held = await client.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         await client.reserve("p", "t2", 40, 100, 1.0)
         with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t3", 1, 100, 1.0)
-        client.settle(held, 59)
+        client.settle(reservation, 59)
         await client.reserve("p", "t3", 1, 100, 1.0)
         with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t4", 1, 100, 1.0)
@@ -78,10 +78,10 @@
     async def scene():
         world = World()
         one, two = world.client("one"), world.client("two")
-        held = await one.reserve("p", "t1", 100, 100, 1.0)
+        reservation = await one.reserve("p", "t1", 100, 100, 1.0)
         with pytest.raises(BudgetExceededError):
             await two.reserve("p", "t2", 100, 100, 1.0)
-        one.settle(held, 0)
+        one.settle(reservation, 0)
         await one.wait_until_settled()
         return await two.reserve("p", "t2", 100, 100, 1.0)
 
@@ -189,20 +189,20 @@
     run(scene())
 
 
-async def kept_with_its_settlement(client, name, previous=None, most=60, used=7, budget=100):
+async def store_with_settlement(client, name, previous=None, max_tokens=60, used=7, budget=100):
     """Let a turn be reserved, kept and settled at once."""
-    held = await client.reserve("p", name, most, budget, 1.0)
-    await client.store_turn(turn(name, previous), 1.0, Settlement(held, used))
+    reservation = await client.reserve("p", name, max_tokens, budget, 1.0)
+    await client.store_turn(turn(name, previous), 1.0, Settlement(reservation, used))
 
 
 def test_settlement_is_piggybacked_on_the_write_of_its_turn():
     async def scene():
         world = World()
         client = world.client()
-        held = await client.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         for machine in world.machines.values():
             machine.seen.clear()
-        await client.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
         seen = sorted(machine.seen for machine in world.machines.values())
         assert seen == [[], ["turn.put"], ["turn.put"]]
@@ -216,10 +216,10 @@
     async def scene():
         world = World()
         client = world.client()
-        await kept_with_its_settlement(client, "t1")
+        await store_with_settlement(client, "t1")
         for machine in world.machines.values():
             machine.seen.clear()
-        await kept_with_its_settlement(client, "t2", "t1")
+        await store_with_settlement(client, "t2", "t1")
         await client.wait_until_settled()
         return sorted(machine.seen for machine in world.machines.values())
 
@@ -230,9 +230,9 @@
     async def scene():
         world = World()
         one, two = world.client("one"), world.client("two")
-        held = await one.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await one.reserve("p", "t1", 60, 100, 1.0)
         await two.reserve("p", "t2", 20, 100, 1.0)
-        await one.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await one.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await one.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": 20}}
 
@@ -243,11 +243,11 @@
     async def scene():
         world = World()
         client = world.client()
-        held = await client.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         for machine in world.machines.values():
             machine.refuses = {"turn.put"}
         with pytest.raises(StoreUnavailableError):
-            await client.store_turn(turn("t1"), 0.3, Settlement(held, 7))
+            await client.store_turn(turn("t1"), 0.3, Settlement(reservation, 7))
         await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
         client.close()
@@ -267,7 +267,7 @@
             machine.store.handlers["turn.put"] = without_ballots
             world.network.handlers[machine.address] = machine.store.handlers
         client = world.client()
-        await kept_with_its_settlement(client, "t1")
+        await store_with_settlement(client, "t1")
         await client.wait_until_settled()
         reader = world.client("reader")
         assert await reader.read_ledger("p") == {"spent": 7, "open": {}}
@@ -280,9 +280,9 @@
     async def scene():
         world = World()
         client = world.client()
-        held = await client.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         _, other = await asyncio.gather(
-            client.store_turn(turn("t1"), 1.0, Settlement(held, 7)), client.reserve("p", "t2", 50, 100, 1.0)
+            client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7)), client.reserve("p", "t2", 50, 100, 1.0)
         )
         await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": other.max_tokens}}
@@ -294,10 +294,10 @@
     async def scene():
         world = World(names=("a", "b", "c", "d"), in_view=("a", "b", "c"))
         client = world.client()
-        held = await client.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         changing = StoreView(2, world.view.stable, world.members("abd"))
         world.tell(changing)
-        await client.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
 
@@ -313,9 +313,9 @@
 
         async def one_turn(number):
             client = rng.choice(clients)
-            held = await client.reserve("p", f"t{number}", 10, 1000, 5.0)
+            reservation = await client.reserve("p", f"t{number}", 10, 1000, 5.0)
             await asyncio.sleep(rng.random() * 0.01)
-            await client.store_turn(turn(f"t{number}"), 5.0, Settlement(held, number))
+            await client.store_turn(turn(f"t{number}"), 5.0, Settlement(reservation, number))
 
         await asyncio.gather(*(one_turn(number) for number in range(20)))
         for client in clients:
@@ -331,7 +331,7 @@
     async def scene():
         world = World(names=("a", "b", "c", "d"), in_view=("a", "b", "c"))
         client = world.client()
-        held = await client.reserve("p", "t1", 60, 100, 1.0)
+        reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         world.tell(StoreView(2, world.view.stable, world.members("abd")))
         carried = []
         for machine in world.machines.values():
@@ -342,7 +342,7 @@
                 return put(message)
 
             world.network.handlers[machine.address] = {**machine.store.handlers, "turn.put": noted}
-        await client.store_turn(turn("t1"), 1.0, Settlement(held, 7))
+        await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
         return set(carried)
 
--- a/tests/dataplane/test_stream_resumption.py
+++ b/tests/dataplane/test_stream_resumption.py
@@ -1,4 +1,4 @@
-"""Streams that are taken up at another receiver, by the client after a cut or by the system inside one answer."""
+"""Streams that are resumed at another receiver, by the client or within one response."""
 
 import pytest
 from dataplane.peers import END, ScriptedReceiver, chunk, event, receivers, reset, stream
--- a/tests/dataplane/test_turns.py
+++ b/tests/dataplane/test_turns.py
@@ -52,9 +52,9 @@
     ],
 )
 def test_invalid_turn_headers_are_rejected(fields):
-    with pytest.raises(TierError) as told:
+    with pytest.raises(TierError) as raised:
         plan(*fields)
-    assert told.value.kind is ErrorKind.BAD_REQUEST
+    assert raised.value.kind is ErrorKind.BAD_REQUEST
 
 
 def test_turn_reserves_its_maximum_and_settles_the_forwarded_tokens():
