--- a/benchmarks/capacity/measures/leases.py
+++ b/benchmarks/capacity/measures/leases.py
@@ -1,10 +1,11 @@
-"""Leases and the greetings between control servers: bytes of records and answers, processor time of a renewal."""
+"""Leases, and heartbeats between control servers: bytes of records and replies, processor time of a renewal."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from benchmarks.capacity import shapes
-from benchmarks.capacity.series import ONCE, Effort, Series, sample
-from benchmarks.capacity.timing import processor_us_per_call
+from benchmarks.capacity.series import ONCE, Effort, Series, processor_series, sample
 from dewpin.cluster.netstring import encode
 from dewpin.controlplane.membership.leases import LeaseTable
 from dewpin.controlplane.membership.peers import PeerRecord
@@ -27,9 +28,9 @@
 
 
 def lease_renew(effort: Effort) -> Series:
-    """Processor time of a control server to renew one lease and find its sender's place in the relay tree."""
+    """Processor time of a control server to renew one lease and find its sender's parents in the relay tree."""
 
-    def at(senders: int) -> float:
+    def prepare(senders: int) -> Callable[[], object]:
         table = LeaseTable(RENEWAL_S)
         names = [f"sender-{number:04d}/{number:012x}" for number in range(senders)]
         for number, name in enumerate(names):
@@ -40,24 +41,25 @@
             table.parents(names[0], 1.0)
             table.live(1.0)
 
-        return processor_us_per_call(renew, effort.seconds)
+        return renew
 
-    return Series(
+    return processor_series(
         "lease-renew",
         "renew a lease and find its sender's parents",
         LEASES_MODULE,
         "senders",
         "processor time a renewal",
-        "µs",
-        sample(SENDERS, effort, at),
+        SENDERS,
+        effort,
+        prepare,
     )
 
 
-def lease_answer_bytes(_: Effort) -> Series:
-    """Bytes of the answer to a renewal, by the control servers it names."""
+def lease_reply_bytes(_: Effort) -> Series:
+    """Bytes of the reply to a renewal, by the control servers that it names."""
 
     def at(control_servers: int) -> float:
-        answer = {
+        reply = {
             "type": "lease.granted",
             "duration_s": LEASE_S,
             "state_version": 851,
@@ -67,7 +69,7 @@
             "keepers": [f"10.0.{number}.4:7380" for number in range(control_servers)],
             "senders": 350,
         }
-        return float(len(encode({"v": 1, "r": 12345, "m": answer})))
+        return float(len(encode({"v": 1, "r": 12345, "m": reply})))
 
     return Series(
         "lease-answer-bytes",
@@ -80,8 +82,8 @@
     )
 
 
-def hello_bytes(_: Effort) -> Series:
-    """Bytes of one greeting between control servers, both ways, when nothing is new, by those that greet each other."""
+def heartbeat_bytes(_: Effort) -> Series:
+    """Bytes of a round of heartbeats of one control server, both ways, without any change, by their number."""
     record = PeerRecord(
         id="0123456789abcdef",
         name="core-zone-1-1",
@@ -95,10 +97,10 @@
         list_fails=False,
     )
     version = [4711, "0123456789abcdef"]
-    asked = encode({"v": 1, "n": 12345, "m": {"type": "keeper.hello", "from": record, "receivers": version}})
-    told = encode({"v": 1, "r": 12345, "m": {"type": "keeper.hello", "from": record, "list_age_s": 0.123456789012}})
+    request = encode({"v": 1, "n": 12345, "m": {"type": "keeper.hello", "from": record, "receivers": version}})
+    reply = encode({"v": 1, "r": 12345, "m": {"type": "keeper.hello", "from": record, "list_age_s": 0.123456789012}})
     points = sample(
-        CONTROL_SERVERS, ONCE, lambda control_servers: float(control_servers - 1) * (len(asked) + len(told))
+        CONTROL_SERVERS, ONCE, lambda control_servers: float(control_servers - 1) * (len(request) + len(reply))
     )
     return Series(
         "hello-bytes",
--- a/benchmarks/capacity/measures/storage.py
+++ b/benchmarks/capacity/measures/storage.py
@@ -20,7 +20,7 @@
 
 TURNS = "dewpin/controlplane/storage/storage.py, turn_table.py"
 LEDGERS = "dewpin/controlplane/storage/storage.py, ledger_replica.py"
-CHAIN_MESSAGE = "dewpin/cluster/store_messages.py, netstring.py"
+HISTORY_MESSAGE = "dewpin/cluster/store_messages.py, netstring.py"
 
 RECORD_BYTES = 5_000
 RETAIN_MS = 3_600_000
@@ -29,21 +29,23 @@
 GROUP = 32
 RECORD_SIZES = (500, 5_000, 20_000, 50_000)
 ROWS = (500, 1_000, 2_000, 4_000)
-CHAIN_TURNS = (1, 10, 30, 100)
-CHAIN_BYTES = (10_000, 100_000, 500_000, 1_000_000, 2_000_000)
+HISTORY_TURNS = (1, 10, 30, 100)
+HISTORY_BYTES = (10_000, 100_000, 500_000, 1_000_000, 2_000_000)
 INDEX_ROWS = (100, 200, 300, 400)
 INDEX_PROGRAMS = 100
 VIEW_MEMBERS = 27
 REPLICAS = 3
-ENOUGH_BYTES = 1 << 30
+UNLIMITED_BYTES = 1 << 30
+OPEN_RESERVATIONS = (0, 2, 5, 10)
 
 R = TypeVar("R")
 WriteOne = Callable[[int, int], Awaitable[object]]
 """Writes one record: the writer's number, and how many it has written before."""
+WriterFactory = Callable[[Storage], WriteOne]
 
 
 def turn(program: str, number: int, size: int) -> TurnRecord:
-    """A turn with a body of so many bytes that goes on from the one before it."""
+    """A turn with a body of so many bytes that continues the previous one."""
     previous = f"{program}{number - 1:08x}" if number else None
     return TurnRecord(f"{program}{number:08x}", program, previous, RETAIN_MS, b"x" * (size // 2), b"y" * (size // 2))
 
@@ -58,40 +60,88 @@
             storage.close()
 
 
-async def keep(storage: Storage, records: list[TurnRecord]) -> None:
+async def commit_turns(storage: Storage, records: list[TurnRecord]) -> None:
     """Commit turns together."""
     now_ms = int(time.time() * 1000)
     await storage.transact(lambda connection: turn_table.put(connection, records, now_ms, 0))
 
 
-async def write_at_once(writers: int, seconds: float, write: WriteOne) -> tuple[int, float, float]:
+async def write_concurrently(writers: int, seconds: float, write: WriteOne) -> tuple[int, float, float]:
     """Writers that each wait for their own record: records in all, seconds, processor seconds of the process."""
     end = time.perf_counter() + seconds
     counts = [0] * writers
 
-    async def write_in_turn(index: int) -> None:
+    async def write_repeatedly(index: int) -> None:
         while time.perf_counter() < end:
             await write(index, counts[index])
             counts[index] += 1
 
     start, used = time.perf_counter(), time.process_time()
-    await asyncio.gather(*(write_in_turn(index) for index in range(writers)))
+    await asyncio.gather(*(write_repeatedly(index) for index in range(writers)))
     return sum(counts), time.perf_counter() - start, time.process_time() - used
 
 
-def turn_commit(effort: Effort) -> Series:
-    """Time of a round in which each waiting writer has one turn committed; the slope is the least time a turn."""
+def turn_writer(size: int) -> WriterFactory:
+    """Writers of turns of so many bytes."""
 
-    def at(writers: int) -> float:
-        async def run(storage: Storage) -> float:
-            async def write(writer: int, number: int) -> None:
-                await keep(storage, [turn(f"{writer:06x}", number, RECORD_BYTES)])
+    def create_writer(storage: Storage) -> WriteOne:
+        async def write(writer: int, number: int) -> None:
+            await commit_turns(storage, [turn(f"{writer:06x}", number, size)])
 
-            records, took, _ = await write_at_once(writers, effort.seconds * WRITER_SECONDS_FACTOR, write)
-            return writers * took * MICROSECONDS / records
+        return write
 
-        return with_storage(run)
+    return create_writer
+
+
+def ledger_writer(value_of: Callable[[int], dict[str, Any]]) -> WriterFactory:
+    """Writers of accepts of a ledger each; `value_of` returns the value of the n-th accept."""
+
+    def create_writer(storage: Storage) -> WriteOne:
+        async def write(writer: int, number: int) -> None:
+            program, ballot, value = f"{writer:06x}", Ballot(number + 1, "sender"), value_of(number)
+            await storage.transact(
+                lambda connection: ledger_replica.accept(connection, program, ballot, value, None, number)
+            )
+
+        return write
+
+    return create_writer
+
+
+def round_time_us(writers: int, effort: Effort, create_writer: WriterFactory) -> float:
+    """Microseconds in which each of the waiting writers has one record committed."""
+
+    async def run(storage: Storage) -> float:
+        seconds = effort.seconds * WRITER_SECONDS_FACTOR
+        records, took, _ = await write_concurrently(writers, seconds, create_writer(storage))
+        return writers * took * MICROSECONDS / records
+
+    return with_storage(run)
 
+
+def processor_us_per_record(effort: Effort, create_writer: WriterFactory) -> float:
+    """Processor microseconds of a record, written by GROUP concurrent writers."""
+
+    async def run(storage: Storage) -> float:
+        records, _, used = await write_concurrently(GROUP, effort.seconds, create_writer(storage))
+        return used * MICROSECONDS / records
+
+    return with_storage(run)
+
+
+async def processor_us_per_read(seconds: float, read: Callable[[], Awaitable[object]]) -> float:
+    """Processor microseconds of one read, repeated for so many seconds."""
+    end = time.perf_counter() + seconds
+    reads = 0
+    used = time.process_time()
+    while time.perf_counter() < end:
+        await read()
+        reads += 1
+    return (time.process_time() - used) * MICROSECONDS / reads
+
+
+def turn_commit(effort: Effort) -> Series:
+    """Time of a round in which each waiting writer has one turn committed; the slope is the least time a turn."""
     return Series(
         "turn-commit",
         f"one turn of {RECORD_BYTES} bytes for each writer, committed and synced",
@@ -99,27 +149,13 @@
         "writers waiting at once",
         "time a round",
         "µs",
-        sample(WRITERS, effort, at),
+        sample(WRITERS, effort, lambda writers: round_time_us(writers, effort, turn_writer(RECORD_BYTES))),
     )
 
 
 def ledger_commit(effort: Effort) -> Series:
     """Time of a round in which each waiting writer has one accept of its ledger committed."""
-
-    def at(writers: int) -> float:
-        async def run(storage: Storage) -> float:
-            async def write(writer: int, number: int) -> None:
-                program, ballot = f"{writer:06x}", Ballot(number + 1, "sender")
-                value = {"spent": number, "open": {f"{number:016x}": 325}}
-                await storage.transact(
-                    lambda connection: ledger_replica.accept(connection, program, ballot, value, None, number)
-                )
-
-            records, took, _ = await write_at_once(writers, effort.seconds * WRITER_SECONDS_FACTOR, write)
-            return writers * took * MICROSECONDS / records
-
-        return with_storage(run)
-
+    create_writer = ledger_writer(lambda number: {"spent": number, "open": {f"{number:016x}": 325}})
     return Series(
         "ledger-commit",
         "one accept of a ledger for each writer, committed and synced",
@@ -127,23 +163,12 @@
         "writers waiting at once",
         "time a round",
         "µs",
-        sample(WRITERS, effort, at),
+        sample(WRITERS, effort, lambda writers: round_time_us(writers, effort, create_writer)),
     )
 
 
 def turn_cost(effort: Effort) -> Series:
     """Processor time of a turn, in groups of GROUP waiting writers, by its size."""
-
-    def at(size: int) -> float:
-        async def run(storage: Storage) -> float:
-            async def write(writer: int, number: int) -> None:
-                await keep(storage, [turn(f"{writer:06x}", number, size)])
-
-            records, _, used = await write_at_once(GROUP, effort.seconds, write)
-            return used * MICROSECONDS / records
-
-        return with_storage(run)
-
     return Series(
         "turn-cost",
         f"processor time of a turn written, {GROUP} writers waiting",
@@ -151,28 +176,16 @@
         "bytes of the turn",
         "processor time a turn",
         "µs",
-        sample(RECORD_SIZES, effort, at),
+        sample(RECORD_SIZES, effort, lambda size: processor_us_per_record(effort, turn_writer(size))),
     )
 
 
 def ledger_cost(effort: Effort) -> Series:
-    """Processor time of a ledger's accept, by the reservations open in it."""
-    opens = (0, 2, 5, 10)
+    """Processor time of a ledger's accept, by its open reservations."""
 
     def at(reservations: int) -> float:
         value = {"spent": 1000, "open": {f"{one:016x}": 325 for one in range(reservations)}}
-
-        async def run(storage: Storage) -> float:
-            async def write(writer: int, number: int) -> None:
-                program, ballot = f"{writer:06x}", Ballot(number + 1, "sender")
-                await storage.transact(
-                    lambda connection: ledger_replica.accept(connection, program, ballot, value, None, number)
-                )
-
-            records, _, used = await write_at_once(GROUP, effort.seconds, write)
-            return used * MICROSECONDS / records
-
-        return with_storage(run)
+        return processor_us_per_record(effort, ledger_writer(lambda _: value))
 
     return Series(
         "ledger-cost",
@@ -181,7 +194,7 @@
         "open reservations",
         "processor time an accept",
         "µs",
-        sample(opens, effort, at),
+        sample(OPEN_RESERVATIONS, effort, at),
     )
 
 
@@ -191,7 +204,9 @@
     def at(rows: int) -> float:
         with tempfile.TemporaryDirectory() as folder:
             storage = Storage(folder)
-            asyncio.run(keep(storage, [turn(f"{one % 50:06x}", one // 50, RECORD_BYTES) for one in range(rows)]))
+            asyncio.run(
+                commit_turns(storage, [turn(f"{one % 50:06x}", one // 50, RECORD_BYTES) for one in range(rows)])
+            )
             storage.close()
             return float((Path(folder) / DATABASE_NAME).stat().st_size)
 
@@ -206,23 +221,21 @@
     )
 
 
-def chain_read(effort: Effort) -> Series:
-    """Processor time of a store to read a chain and make its answer, by the turns in it."""
+def history_read(effort: Effort) -> Series:
+    """Processor time of a store to read a conversation history and encode its reply, by its turns."""
 
     def at(turns: int) -> float:
         async def run(storage: Storage) -> float:
-            await keep(storage, [turn("a" * 6, number, RECORD_BYTES) for number in range(turns)])
+            await commit_turns(storage, [turn("a" * 6, number, RECORD_BYTES) for number in range(turns)])
             last = turn("a" * 6, turns - 1, 0).turn
-            end = time.perf_counter() + effort.seconds
-            reads = 0
-            used = time.process_time()
-            while time.perf_counter() < end:
-                links = await storage.transact(
-                    lambda connection: turn_table.read_history(connection, "a" * 6, last, ENOUGH_BYTES)
+
+            async def read() -> None:
+                page = await storage.transact(
+                    lambda connection: turn_table.read_history(connection, "a" * 6, last, UNLIMITED_BYTES)
                 )
-                encode(links.to_json())
-                reads += 1
-            return (time.process_time() - used) * MICROSECONDS / reads
+                encode(page.to_json())
+
+            return await processor_us_per_read(effort.seconds, read)
 
         return with_storage(run)
 
@@ -233,34 +246,32 @@
         "turns in the chain",
         "processor time a chain",
         "µs",
-        sample(CHAIN_TURNS, effort, at),
+        sample(HISTORY_TURNS, effort, at),
     )
 
 
-def chain_take(effort: Effort) -> Series:
-    """Processor time of a sender to decode a chain's answer, by its bytes."""
+def history_decode(effort: Effort) -> Series:
+    """Processor time of a sender to decode a reply with a conversation history, by its bytes."""
     turns = 100
 
     def at(size: int) -> float:
         links = tuple(turn("a" * 6, number, size // turns) for number in range(turns))
         frame = encode(HistoryPage(links, None, False, frozenset()).to_json())
-        end = time.perf_counter() + effort.seconds
-        reads = 0
-        used = time.process_time()
-        while time.perf_counter() < end:
-            found = HistoryPage.from_json(Decoder().feed(frame)[0])
-            b"".join(link.input + link.output for link in reversed(found.turns))
-            reads += 1
-        return (time.process_time() - used) * MICROSECONDS / reads
+
+        async def read() -> None:
+            page = HistoryPage.from_json(Decoder().feed(frame)[0])
+            b"".join(turn.input + turn.output for turn in reversed(page.turns))
+
+        return asyncio.run(processor_us_per_read(effort.seconds, read))
 
     return Series(
         "chain-take",
         f"a sender's processor time for a chain's answer of {turns} turns, decoded and joined",
-        CHAIN_MESSAGE,
+        HISTORY_MESSAGE,
         "bytes of text",
         "processor time a chain",
         "µs",
-        sample(CHAIN_BYTES, effort, at),
+        sample(HISTORY_BYTES, effort, at),
     )
 
 
@@ -275,7 +286,7 @@
     return Series(
         "text-growth",
         f"bytes of a message with {whole} bytes of text",
-        CHAIN_MESSAGE,
+        HISTORY_MESSAGE,
         "bytes that are not ASCII",
         "bytes on the wire",
         "B",
@@ -284,25 +295,25 @@
 
 
 def index_scan(effort: Effort) -> Series:
-    """Processor time of a source to answer a page of its index for a store that copies, by the rows in the page."""
+    """Processor time of a source to send a page of its index to a store that copies, by the rows of the page."""
     members = tuple(Member(f"{number:016x}", f"10.0.0.{number}:7380") for number in range(VIEW_MEMBERS))
 
     def at(rows: int) -> float:
         view = StoreView(2, members, members[1:])
 
         async def run(storage: Storage) -> float:
-            await keep(storage, [turn(f"{one % INDEX_PROGRAMS:06x}", one // INDEX_PROGRAMS, 50) for one in range(rows)])
-            end = time.perf_counter() + effort.seconds
-            pages = 0
-            used = time.process_time()
-            while time.perf_counter() < end:
+            await commit_turns(
+                storage, [turn(f"{one % INDEX_PROGRAMS:06x}", one // INDEX_PROGRAMS, 50) for one in range(rows)]
+            )
+
+            async def read() -> None:
                 page = await storage.transact(
                     lambda connection: turn_table.read_index_page(connection, ("", ""), rows, 0)
                 )
                 for entry in page:
                     view.next_replicas(entry.program, REPLICAS)
-                pages += 1
-            return (time.process_time() - used) * MICROSECONDS / pages
+
+            return await processor_us_per_read(effort.seconds, read)
 
         return with_storage(run)
 
--- a/benchmarks/capacity/measures/system_state.py
+++ b/benchmarks/capacity/measures/system_state.py
@@ -2,9 +2,12 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from functools import partial
+
 from benchmarks.capacity import shapes
-from benchmarks.capacity.series import ONCE, Effort, Series, memory_series, message_series, sample
-from benchmarks.capacity.timing import processor_us_per_call, resident_bytes
+from benchmarks.capacity.series import ONCE, Effort, Series, memory_series, message_series, processor_series, sample
+from benchmarks.capacity.timing import resident_bytes
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.cluster.netstring import Decoder, encode
 from dewpin.controlplane.register.system_state import SystemState, configuration_digest, genesis, put_configuration
@@ -25,20 +28,20 @@
     return state
 
 
-def state_news(state: SystemState) -> bytes:
-    """The frame by which a relay tells a sender a new state."""
+def state_update(state: SystemState) -> bytes:
+    """The frame by which a relay sends a new state to a sender."""
     return encode({"v": 1, "r": 1, "m": {"type": "relay.news", "list_age_s": 0.1, "state": state}})
 
 
 def state_bytes(_: Effort) -> Series:
     """Bytes of the frame that brings a new system state, by the routes of its configuration."""
-    points = sample(ROUTES, ONCE, lambda routes: float(len(state_news(system_state(routes)))))
+    points = sample(ROUTES, ONCE, lambda routes: float(len(state_update(system_state(routes)))))
     return Series("state-bytes", "bytes of the system state on the wire", STATE, "routes", "bytes", "B", points)
 
 
 def accepted_bytes(_: Effort) -> Series:
-    """Bytes that the remembered changes add to the system state."""
-    points = sample(ACCEPTED, ONCE, lambda accepted: float(len(state_news(system_state(0, accepted)))))
+    """Bytes that the stored changes add to the system state."""
+    points = sample(ACCEPTED, ONCE, lambda accepted: float(len(state_update(system_state(0, accepted)))))
     return Series(
         "accepted-bytes",
         "bytes of the system state on the wire, without routes",
@@ -53,9 +56,8 @@
 def state_send(effort: Effort) -> Series:
     """Processor time to make the frame of a state, once for each child in the relay tree."""
 
-    def at(routes: int) -> float:
-        state = system_state(routes)
-        return processor_us_per_call(lambda: state_news(state), effort.seconds)
+    def prepare(routes: int) -> Callable[[], object]:
+        return partial(state_update, system_state(routes))
 
     return message_series(
         "state-send",
@@ -64,30 +66,31 @@
         "routes",
         ROUTES,
         effort,
-        at,
+        prepare,
     )
 
 
 def state_take(effort: Effort) -> Series:
-    """Processor time of a sender to take up a state: decode its frame, read and check the configuration."""
+    """Processor time of a sender to apply a state: decode its frame, parse and validate the configuration."""
 
-    def at(routes: int) -> float:
-        frame = state_news(system_state(routes))
+    def prepare(routes: int) -> Callable[[], object]:
+        frame = state_update(system_state(routes))
 
-        def take() -> None:
+        def apply() -> None:
             state = Decoder().feed(frame)[0]["m"]["state"]
             parse_configuration(state["configuration"]["body"].encode())
 
-        return processor_us_per_call(take, effort.seconds)
+        return apply
 
-    return Series(
+    return processor_series(
         "state-take",
         "take up a system state: decode, read and check the configuration",
         "dewpin/cluster/configuration, netstring.py",
         "routes",
         "processor time a state",
-        "µs",
-        sample(ROUTES, effort, at),
+        ROUTES,
+        effort,
+        prepare,
     )
 
 
@@ -110,8 +113,8 @@
     import dewpin.dataplane.__main__  # noqa: F401
 
     state = system_state(routes)
-    held = parse_configuration(shapes.configuration(routes))
-    return float(resident_bytes()) if held.generation and state["version"] else 0.0
+    configuration = parse_configuration(shapes.configuration(routes))
+    return float(resident_bytes()) if configuration.generation and state["version"] else 0.0
 
 
 def sender_memory(effort: Effort) -> Series:
--- a/benchmarks/capacity/measures/wire.py
+++ b/benchmarks/capacity/measures/wire.py
@@ -7,18 +7,19 @@
 import resource
 import time
 from collections.abc import Callable
+from functools import partial
 from multiprocessing.connection import Connection
 from types import TracebackType
 
 from benchmarks.capacity import shapes
 from benchmarks.capacity.series import Effort, Series, message_series, sample
-from benchmarks.capacity.timing import MICROSECONDS, free_port, processor_us_per_call
+from benchmarks.capacity.timing import MICROSECONDS, free_port
 from dewpin.cluster.netstring import Decoder, encode
 from dewpin.cluster.rpc import Message, RpcClient, RpcServer
 
 TEXT_BYTES = (100, 1_000, 5_000, 20_000, 50_000)
 CALL_TEXT_BYTES = (100, 1_000, 5_000, 20_000)
-CALLS_AT_ONCE = 16
+CONCURRENT_CALLS = 16
 CALL_TIMEOUT_S = 5.0
 NETSTRING = "dewpin/cluster/netstring.py"
 RPC = "dewpin/cluster/rpc"
@@ -27,9 +28,8 @@
 def encode_cost(effort: Effort) -> Series:
     """Processor time to make a framed message, by the bytes of its text."""
 
-    def at(size: int) -> float:
-        message = shapes.turn(1, size)
-        return processor_us_per_call(lambda: encode(message), effort.seconds)
+    def prepare(size: int) -> Callable[[], object]:
+        return partial(encode, shapes.turn(1, size))
 
     return message_series(
         "encode",
@@ -38,16 +38,16 @@
         "bytes of text",
         TEXT_BYTES,
         effort,
-        at,
+        prepare,
     )
 
 
 def decode_cost(effort: Effort) -> Series:
     """Processor time to read a framed message, by the bytes of its text."""
 
-    def at(size: int) -> float:
+    def prepare(size: int) -> Callable[[], object]:
         frame = encode(shapes.turn(1, size))
-        return processor_us_per_call(lambda: Decoder().feed(frame), effort.seconds)
+        return lambda: Decoder().feed(frame)
 
     return message_series(
         "decode",
@@ -56,17 +56,20 @@
         "bytes of text",
         TEXT_BYTES,
         effort,
-        at,
+        prepare,
     )
 
 
 async def acknowledge(message: Message) -> Message:
-    """Answer a call at once."""
+    """Reply to a call at once."""
     return {"type": "ok", "turn": message["turn"]}
 
 
 def serve_calls(pipe: Connection) -> None:
-    """A server process: tells its address, and its processor time whenever it is asked; ends with the pipe."""
+    """Run a server process until the pipe is closed.
+
+    It sends its address over the pipe, then its processor time on each request.
+    """
 
     async def serve() -> None:
         server = RpcServer({"append": acknowledge})
@@ -75,7 +78,7 @@
         pipe.send(f"127.0.0.1:{port}")
         ended = asyncio.Event()
 
-        def asked() -> None:
+        def send_usage() -> None:
             try:
                 pipe.recv()
                 usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -84,7 +87,7 @@
                 asyncio.get_running_loop().remove_reader(pipe.fileno())
                 ended.set()
 
-        asyncio.get_running_loop().add_reader(pipe.fileno(), asked)
+        asyncio.get_running_loop().add_reader(pipe.fileno(), send_usage)
         await ended.wait()
         await server.stop()
 
@@ -96,10 +99,10 @@
 
     def __init__(self) -> None:
         context = multiprocessing.get_context("spawn")
-        self._pipe, theirs = context.Pipe()
-        self._process = context.Process(target=serve_calls, args=(theirs,))
+        self._pipe, child_pipe = context.Pipe()
+        self._process = context.Process(target=serve_calls, args=(child_pipe,))
         self._process.start()
-        theirs.close()
+        child_pipe.close()
         self.address: str = self._pipe.recv()
 
     def processor_seconds(self) -> float:
@@ -108,7 +111,7 @@
         return float(self._pipe.recv())
 
     def __enter__(self) -> CallServer:
-        """Return the server; its process is ended behind the block."""
+        """Return the server; its process ends with the block."""
         return self
 
     def __exit__(
@@ -123,7 +126,7 @@
 """Takes a server, the bytes of a call's text and the seconds to call for; returns the microseconds of one call."""
 
 
-async def call_in_turn(client: RpcClient, address: str, size: int, seconds: float) -> tuple[int, float]:
+async def call_repeatedly(client: RpcClient, address: str, size: int, seconds: float) -> tuple[int, float]:
     """Calls one after the other: how many, and the seconds they took."""
     message = shapes.turn(1, size)
     await client.call(address, message, CALL_TIMEOUT_S)
@@ -135,10 +138,10 @@
     return calls, time.perf_counter() - start
 
 
-async def call_at_once(address: str, size: int, seconds: float, callers: int) -> tuple[int, float]:
+async def call_concurrently(address: str, size: int, seconds: float, callers: int) -> tuple[int, float]:
     """Calls of several callers at once on one connection: how many in all, and the seconds they took."""
     client = RpcClient()
-    runs = await asyncio.gather(*(call_in_turn(client, address, size, seconds) for _ in range(callers)))
+    runs = await asyncio.gather(*(call_repeatedly(client, address, size, seconds) for _ in range(callers)))
     await client.close()
     return sum(calls for calls, _ in runs), max(took for _, took in runs)
 
@@ -154,31 +157,31 @@
     """Time of one call over loopback, by the bytes of its text."""
 
     def cost(server: CallServer, size: int, seconds: float) -> float:
-        calls, took = asyncio.run(call_at_once(server.address, size, seconds, callers=1))
+        calls, took = asyncio.run(call_concurrently(server.address, size, seconds, callers=1))
         return took * MICROSECONDS / calls
 
     return call_series(effort, "round-trip", "a call and its answer over loopback, one at a time", "time a call", cost)
 
 
-def server_call_cost(effort: Effort) -> Series:
-    """Processor time of the serving process for one call, by the bytes of its text."""
+def call_processor_series(
+    effort: Effort, name: str, subject: str, processor_seconds: Callable[[CallServer], float]
+) -> Series:
+    """Processor time of one call in one of its two processes, by the bytes of its text."""
 
     def cost(server: CallServer, size: int, seconds: float) -> float:
-        before = server.processor_seconds()
-        calls, _ = asyncio.run(call_at_once(server.address, size, seconds, CALLS_AT_ONCE))
-        return (server.processor_seconds() - before) * MICROSECONDS / calls
+        before = processor_seconds(server)
+        calls, _ = asyncio.run(call_concurrently(server.address, size, seconds, CONCURRENT_CALLS))
+        return (processor_seconds(server) - before) * MICROSECONDS / calls
 
-    title = f"processor time of the server for a call, {CALLS_AT_ONCE} at once"
-    return call_series(effort, "server-call", title, "processor time a call", cost)
+    title = f"processor time of the {subject} for a call, {CONCURRENT_CALLS} at once"
+    return call_series(effort, name, title, "processor time a call", cost)
 
 
-def client_call_cost(effort: Effort) -> Series:
-    """Processor time of the calling process for one call, by the bytes of its text."""
+def server_call_cost(effort: Effort) -> Series:
+    """Processor time of the serving process for one call, by the bytes of its text."""
+    return call_processor_series(effort, "server-call", "server", CallServer.processor_seconds)
 
-    def cost(server: CallServer, size: int, seconds: float) -> float:
-        before = time.process_time()
-        calls, _ = asyncio.run(call_at_once(server.address, size, seconds, CALLS_AT_ONCE))
-        return (time.process_time() - before) * MICROSECONDS / calls
 
-    title = f"processor time of the caller for a call, {CALLS_AT_ONCE} at once"
-    return call_series(effort, "client-call", title, "processor time a call", cost)
+def client_call_cost(effort: Effort) -> Series:
+    """Processor time of the calling process for one call, by the bytes of its text."""
+    return call_processor_series(effort, "client-call", "caller", lambda _: time.process_time())
--- a/benchmarks/capacity/series.py
+++ b/benchmarks/capacity/series.py
@@ -1,4 +1,4 @@
-"""A measured series: what was varied, what came out, and of which code."""
+"""A measured series: the variable, the measured values, and the code that was measured."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from benchmarks.capacity.fit import Line, fit_line
-from benchmarks.capacity.timing import in_fresh_process
+from benchmarks.capacity.timing import in_fresh_process, processor_us_per_call
 
 
 @dataclass(frozen=True)
@@ -24,7 +24,7 @@
 FULL = Effort(seconds=0.5, repeats=5)
 QUICK = Effort(seconds=0.05, repeats=2)
 ONCE = Effort(seconds=0, repeats=1)
-"""For figures that come out the same each time, as bytes do."""
+"""For figures that are the same each time, such as numbers of bytes."""
 
 
 @dataclass(frozen=True)
@@ -51,25 +51,44 @@
         return asdict(self)
 
     @classmethod
-    def from_json(cls, held: dict[str, Any]) -> Series:
+    def from_json(cls, record: dict[str, Any]) -> Series:
         """Read what to_json wrote; TypeError or KeyError when a field is missing or unknown."""
-        points = tuple((float(x), float(y)) for x, y in held["points"])
-        return cls(**{**held, "points": points})
+        points = tuple((float(x), float(y)) for x, y in record["points"])
+        return cls(**{**record, "points": points})
 
 
 Measure = Callable[[Effort], Series]
 
 
 def sample(xs: Sequence[int], effort: Effort, measure_at: Callable[[int], float]) -> tuple[tuple[float, float], ...]:
-    """Points of measure_at at each x; rounds go over all x in turn, so that a slow moment harms no single x."""
+    """Points of measure_at at each x; rounds go over all x in turn, so that a short disturbance affects no single x."""
     return tuple((float(x), measure_at(x)) for _ in range(effort.repeats) for x in xs)
 
 
+PrepareCall = Callable[[int], Callable[[], object]]
+"""Makes, outside the time that is measured, the call to be timed at x."""
+
+
+def processor_series(
+    name: str,
+    title: str,
+    subject: str,
+    x_name: str,
+    y_name: str,
+    xs: Sequence[int],
+    effort: Effort,
+    prepare: PrepareCall,
+) -> Series:
+    """Processor time of one call, which `prepare` makes for each x."""
+    points = sample(xs, effort, lambda x: processor_us_per_call(prepare(x), effort.seconds))
+    return Series(name, title, subject, x_name, y_name, "µs", points)
+
+
 def message_series(
-    name: str, title: str, subject: str, x_name: str, xs: Sequence[int], effort: Effort, at: Callable[[int], float]
+    name: str, title: str, subject: str, x_name: str, xs: Sequence[int], effort: Effort, prepare: PrepareCall
 ) -> Series:
-    """Processor time that a message takes, by its size."""
-    return Series(name, title, subject, x_name, "processor time a message", "µs", sample(xs, effort, at))
+    """Processor time of one message, by its size."""
+    return processor_series(name, title, subject, x_name, "processor time a message", xs, effort, prepare)
 
 
 def memory_series(
