--- a/benchmarks/register_catch_up.py
+++ b/benchmarks/register_catch_up.py
@@ -1,9 +1,8 @@
 """Bytes and time of one change of the system state and of a restarted member's catch-up.
 
-Three control processes of `tests/controlplane/control_server_world.py` on a simulated loop; each machine's outgoing
-link
-carries its messages one after the other at the given rate. Link time is computed, processor time is
-measured, of all three processes together. Prints one row of JSON for each case:
+Three control servers of `tests/controlplane/control_server_world.py` run on a simulated event loop; each machine's
+outgoing link carries its messages one after the other at the given rate. Link time is computed; processor time, of all
+three together, is measured. Prints one row of JSON for each case:
 
     python -m benchmarks.register_catch_up [--changes 10,100] [--bodies 4096] [--mbit 15,86,600]
 """
@@ -19,36 +18,35 @@
 from pathlib import Path
 from typing import Any
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
+sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))  # the simulated control servers are those of the tests
 
 from controlplane.control_server_world import World  # noqa: E402
 from scripted.clock import run  # noqa: E402
 from scripted.rated_links import LinkNetwork  # noqa: E402
 
+from benchmarks.control_server_runs import (  # noqa: E402
+    OPERATOR_PAUSE_S,
+    PROPOSAL_TIMEOUT_S,
+    configuration_body,
+    parse_list,
+)
 from dewpin.controlplane.register.register import RegisterUnavailable  # noqa: E402
 from dewpin.controlplane.register.system_state import put_configuration  # noqa: E402
 
 FILLING_BODY_BYTES = 4096
 GIVE_UP_S = 15.0
-ANSWER_S = 0.85
-OPERATOR_PAUSE_S = 0.2
 KILLED_FOR_S = 0.5
 
 
-def body_of(size: int, generation: int) -> bytes:
-    """A configuration's body of that size."""
-    return json.dumps({"generation": generation, "filling": "x" * max(size - 40, 0)}).encode()
-
-
 async def put(world: World, number: int, generation: int, base: int, size: int) -> tuple[int, float]:
-    """Sends an order to one process after the other, as operators do; calls and seconds until it is acknowledged."""
+    """Put a configuration, at one control server after the other; return calls and seconds until it is acknowledged."""
     clock = asyncio.get_running_loop().time
     began_s = clock()
-    body = body_of(size, generation)
+    body = configuration_body(size, generation)
     for call in itertools.count():
         target = world.control_servers[[1, 2, 3][(number - 1 + call) % 3]]
         try:
-            await target.register.propose(put_configuration(body, generation, base), ANSWER_S)
+            await target.register.propose(put_configuration(body, generation, base), PROPOSAL_TIMEOUT_S)
             return call + 1, clock() - began_s
         except RegisterUnavailable:
             if clock() - began_s > GIVE_UP_S:
@@ -58,7 +56,7 @@
 
 
 async def until_equal(world: World, numbers: tuple[int, ...], generation: int) -> float:
-    """Seconds until these processes know the generation as chosen; infinite if they never do."""
+    """Return the seconds until these control servers have the generation as chosen; infinite if they never do."""
     clock = asyncio.get_running_loop().time
     began_s = clock()
     while any(world.generation(number) != generation for number in numbers):
@@ -69,7 +67,7 @@
 
 
 class Meter:
-    """Bytes on the links and processor time since it began."""
+    """Bytes on the links and processor time since its creation."""
 
     def __init__(self, network: LinkNetwork) -> None:
         self.network = network
@@ -77,10 +75,10 @@
         self.cpu_s = time.process_time()
         network.largest = 0
 
-    def row(self, name: str, **figures: Any) -> dict[str, Any]:
+    def row(self, step: str, **figures: Any) -> dict[str, Any]:
         used_s = time.process_time() - self.cpu_s
         sent = self.network.bytes - self.bytes
-        return {"step": name, "kilobytes": round(sent / 1000, 1), "cpu_ms": round(1000 * used_s, 1), **figures}
+        return {"step": step, "kilobytes": round(sent / 1000, 1), "cpu_ms": round(1000 * used_s, 1), **figures}
 
 
 async def measure(changes: int, sizes: list[int], rates: list[float]) -> list[dict[str, Any]]:
@@ -126,16 +124,16 @@
 
 
 def main() -> None:
-    """Prints the rows."""
+    """Print the rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--changes", default="10,100,1000,3000")
     parser.add_argument("--bodies", default="4096,300000,4000000")
     parser.add_argument("--mbit", default="15,86,600")
-    told = parser.parse_args()
-    sizes = [int(one) for one in told.bodies.split(",")]
-    rates = [float(one) for one in told.mbit.split(",")]
-    for changes in told.changes.split(","):
-        for row in run(measure(int(changes), sizes, rates)):
+    options = parser.parse_args()
+    sizes = parse_list(options.bodies, int)
+    rates = parse_list(options.mbit, float)
+    for changes in parse_list(options.changes, int):
+        for row in run(measure(changes, sizes, rates)):
             print(json.dumps(row), flush=True)
 
 
--- a/benchmarks/relay_changes.py
+++ b/benchmarks/relay_changes.py
@@ -20,12 +20,18 @@
 from pathlib import Path
 from typing import Any
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
+sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))  # the simulated control servers are those of the tests
 
 from controlplane.control_server_world import Platform, World  # noqa: E402
 from scripted.clock import run  # noqa: E402
 from scripted.rated_links import LinkNetwork  # noqa: E402
 
+from benchmarks.control_server_runs import (  # noqa: E402
+    OPERATOR_PAUSE_S,
+    PROPOSAL_TIMEOUT_S,
+    configuration_body,
+    parse_list,
+)
 from dewpin.cluster.receivers import Receiver  # noqa: E402
 from dewpin.cluster.settings import parse_settings  # noqa: E402
 from dewpin.controlplane.register.register import RegisterUnavailable  # noqa: E402
@@ -39,13 +45,8 @@
 PERIOD_S = 0.01
 
 
-def body_of(size: int, generation: int) -> bytes:
-    """A configuration's body of that size."""
-    return json.dumps({"generation": generation, "filling": "x" * max(size - 40, 0)}).encode()
-
-
 class Senders:
-    """The senders' agents, and what each has in force."""
+    """The agents of all senders, and the generation that each has in force."""
 
     def __init__(self, world: World, count: int, rng: random.Random) -> None:
         self._world = world
@@ -69,19 +70,19 @@
             }
         )
 
-        def take_state(state: dict[str, Any]) -> None:
+        def record_state(state: dict[str, Any]) -> None:
             if state["configuration"]:
                 self.generations[number] = state["configuration"]["generation"]
 
-        def take_receivers(directory: Any) -> None:
+        def record_receivers(directory: Any) -> None:
             self.drained[number] = directory.receivers["i-1"].draining
 
         agent = ClusterAgent(
             settings,
             self._world.network.client(f"{ip}:7381"),
             random.Random(rng.random()),
-            take_state,
-            take_receivers,
+            record_state,
+            record_receivers,
             asyncio.get_running_loop().time,
             Platform(self._world, f"sender {number}"),
         )
@@ -91,19 +92,19 @@
 
 
 async def put(world: World, generation: int, size: int) -> None:
-    """Sends an order to one control server after the other until it is acknowledged."""
-    change = put_configuration(body_of(size, generation), generation, generation - 1)
+    """Put a configuration, at one control server after the other until it is acknowledged."""
+    change = put_configuration(configuration_body(size, generation), generation, generation - 1)
     for number in [1, 2, 3] * 20:
         try:
-            await world.control_servers[number].register.propose(change, 0.85)
+            await world.control_servers[number].register.propose(change, PROPOSAL_TIMEOUT_S)
             return
         except RegisterUnavailable:
-            await asyncio.sleep(0.2)
+            await asyncio.sleep(OPERATOR_PAUSE_S)
     raise RegisterUnavailable("not acknowledged")
 
 
 async def until(condition: Callable[[], bool], began_s: float) -> float | None:
-    """Seconds until something holds; None if it doesn't in GIVE_UP_S."""
+    """Return the seconds until a condition holds; None if it doesn't within GIVE_UP_S."""
     clock = asyncio.get_running_loop().time
     while not condition():
         await asyncio.sleep(PERIOD_S)
@@ -156,15 +157,15 @@
 
 
 def main() -> None:
-    """Prints the rows."""
+    """Print the rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--senders", default="30,100,300")
     parser.add_argument("--bodies", default="4096,300000,4000000")
     parser.add_argument("--mbit", default="15")
-    told = parser.parse_args()
-    for count in map(int, told.senders.split(",")):
-        for size in map(int, told.bodies.split(",")):
-            for mbit in map(float, told.mbit.split(",")):
+    options = parser.parse_args()
+    for count in parse_list(options.senders, int):
+        for size in parse_list(options.bodies, int):
+            for mbit in parse_list(options.mbit, float):
                 print(json.dumps(run(measure(count, size, mbit))), flush=True)
 
 
