--- a/benchmarks/capacity/context.py
+++ b/benchmarks/capacity/context.py
@@ -129,5 +129,5 @@
     @property
     def state_bytes(self) -> Estimate:
         """Bytes of the whole system state on the wire, the remembered changes included."""
-        remembered = design.MOST_REMEMBERED_CONFIGURATIONS * self.each("accepted-bytes")
+        remembered = design.MAX_CHANGES_IN_STATE * self.each("accepted-bytes")
         return self.at("state-bytes", self.routes) + remembered
--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -4,28 +4,28 @@
 
 from dewpin.cluster.netstring import encode
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
+from dewpin.controlplane.membership.cluster_observation import REMOVAL_TIMEOUT_S, REPLACEMENT_TIMEOUT_S
 from dewpin.controlplane.membership.heartbeat import HEARTBEAT_PERIOD_S
-from dewpin.controlplane.membership.leases import LEASE_PERIODS, LEASE_ROUNDS, RELAY_FAN_OUT, LeaseTable
-from dewpin.controlplane.membership.reconfiguration import GONE_S, GONE_WITH_SUCCESSOR_S
+from dewpin.controlplane.membership.leases import LEASE_CYCLES, LEASE_PERIODS, RELAY_FAN_OUT, LeaseTable
 from dewpin.controlplane.platform_list_reader import READINGS_IN_DRAIN
-from dewpin.controlplane.register.system_state import MOST_REMEMBERED_CONFIGURATIONS
+from dewpin.controlplane.register.system_state import MAX_CHANGES_IN_STATE
 from dewpin.controlplane.storage import MAX_JOBS_IN_COMMIT
 from dewpin.dataplane.membership.lease_renewer import RENEWALS_PER_APPLY_TIME as RENEWALS_IN_BOUND
 from dewpin.dataplane.programs.history_cache import DEFAULT_MAX_BYTES as CHAIN_CACHE_BYTES
 
 __all__ = [
     "CHAIN_CACHE_BYTES",
-    "GONE_S",
-    "GONE_WITH_SUCCESSOR_S",
     "HEARTBEAT_PERIOD_S",
+    "LEASE_CYCLES",
     "LEASE_PERIODS",
-    "LEASE_ROUNDS",
+    "MAX_CHANGES_IN_STATE",
     "MAX_JOBS_IN_COMMIT",
-    "MOST_REMEMBERED_CONFIGURATIONS",
     "READINGS_IN_DRAIN",
     "RELAY_FAN_OUT",
+    "REMOVAL_TIMEOUT_S",
     "RENEWALS_IN_BOUND",
     "RENEWAL_REQUEST_BYTES",
+    "REPLACEMENT_TIMEOUT_S",
     "WATCH_BYTES",
     "WATCH_HEARTBEAT_S",
     "relay_depth",
--- a/benchmarks/capacity/measures/leases.py
+++ b/benchmarks/capacity/measures/leases.py
@@ -8,7 +8,7 @@
 from benchmarks.capacity.series import ONCE, Effort, Series, processor_series, sample
 from dewpin.cluster.netstring import encode
 from dewpin.controlplane.membership.leases import LeaseTable
-from dewpin.controlplane.membership.peers import PeerRecord
+from dewpin.controlplane.membership.peers import PeerDescription
 
 LEASES_MODULE = "dewpin/controlplane/membership/leases.py"
 SENDERS = (30, 100, 350, 1_000)
@@ -84,18 +84,18 @@
 
 def heartbeat_bytes(_: Effort) -> Series:
     """Bytes of a round of heartbeats of one control server, both ways, without any change, by their number."""
-    record = PeerRecord(
+    record = PeerDescription(
         id="0123456789abcdef",
         name="core-zone-1-1",
         address="10.0.1.4:7380",
-        control=True,
-        store=False,
+        serves_control=True,
+        serves_store=False,
         version=851,
         synced_epoch=17,
-        leaving=False,
-        bootstrap=True,
-        list_fails=False,
-    )
+        is_leaving=False,
+        is_bootstrap=True,
+        has_list_failed=False,
+    ).encode()
     version = [4711, "0123456789abcdef"]
     request = encode({"v": 1, "n": 12345, "m": {"type": "keeper.hello", "from": record, "receivers": version}})
     reply = encode({"v": 1, "r": 12345, "m": {"type": "keeper.hello", "from": record, "list_age_s": 0.123456789012}})
--- a/benchmarks/capacity/measures/register.py
+++ b/benchmarks/capacity/measures/register.py
@@ -15,7 +15,7 @@
 from benchmarks.capacity.timing import MICROSECONDS, free_port
 from dewpin.cluster.rpc import RpcClient, RpcServer
 from dewpin.controlplane.register.register import SystemRegister
-from dewpin.controlplane.register.system_state import genesis, put_configuration
+from dewpin.controlplane.register.system_state import initial_state, put_configuration
 from dewpin.controlplane.storage import Storage
 
 REGISTER = "dewpin/controlplane/register/register.py, dewpin/consensus"
@@ -23,14 +23,14 @@
 REGISTER_ROUTES = (50, 500, 1_000, 2_000)
 
 
-class Change(NamedTuple):
+class ChangeFunction(NamedTuple):
     """What one change of the register takes, all its members together."""
 
     seconds: float
     processor_seconds: float
 
 
-async def change_registers(routes: int, seconds: float) -> Change:
+async def change_registers(routes: int, seconds: float) -> ChangeFunction:
     """Change a register of REGISTER_MEMBERS members in one process over loopback, each with its own file."""
     with tempfile.TemporaryDirectory() as folder:
         async with AsyncExitStack() as stack:
@@ -47,10 +47,10 @@
                 stack.push_async_callback(server.stop)
                 registers.append(register)
             members = {register.member: register.address for register in registers}
-            first = genesis(members, {member: member for member in members})
+            first = initial_state(members, {member: member for member in members})
             for register in registers:
                 await register.load()
-                await register.begin(first)
+                await register.bootstrap(first)
             body = shapes.configuration(routes)
             generation = 1
             await registers[0].propose(put_configuration(body, generation, 0), 10.0)
@@ -59,10 +59,12 @@
                 await registers[0].propose(put_configuration(body, generation + 1, generation), 10.0)
                 generation += 1
             changes = max(generation - 1, 1)
-            return Change((time.perf_counter() - start) / changes, (time.process_time() - used) / changes)
+            return ChangeFunction((time.perf_counter() - start) / changes, (time.process_time() - used) / changes)
 
 
-def register_series(effort: Effort, name: str, title: str, y_name: str, figure: Callable[[Change], float]) -> Series:
+def register_series(
+    effort: Effort, name: str, title: str, y_name: str, figure: Callable[[ChangeFunction], float]
+) -> Series:
     """A figure of one change of the register, by the routes of the configuration in it."""
 
     def at(routes: int) -> float:
--- a/benchmarks/capacity/measures/system_state.py
+++ b/benchmarks/capacity/measures/system_state.py
@@ -10,7 +10,12 @@
 from benchmarks.capacity.timing import resident_bytes
 from dewpin.cluster.configuration import parse_configuration
 from dewpin.cluster.netstring import Decoder, encode
-from dewpin.controlplane.register.system_state import SystemState, configuration_digest, genesis, put_configuration
+from dewpin.controlplane.register.system_state import (
+    SystemState,
+    configuration_digest,
+    initial_state,
+    put_configuration,
+)
 
 STATE = "dewpin/controlplane/register/system_state.py"
 ROUTES = (50, 200, 500, 1_000, 2_000)
@@ -21,7 +26,7 @@
 def system_state(routes: int, accepted: int = 0) -> SystemState:
     """A system state whose configuration has so many routes, after so many accepted changes."""
     members = {f"{number:016x}": f"10.0.{number}.4:7380" for number in range(MEMBERS)}
-    state = genesis(members, {member: f"core-{member[-2:]}" for member in members})
+    state = initial_state(members, {member: f"core-{member[-2:]}" for member in members})
     state = put_configuration(shapes.configuration(routes), 7, 0)(state)
     entries: list[list[int | str]] = [[number, configuration_digest(b"", number)] for number in range(accepted)]
     state["accepted"] = entries
--- a/benchmarks/capacity/roles/control.py
+++ b/benchmarks/capacity/roles/control.py
@@ -87,7 +87,7 @@
         context.row(
             "time between a sender's visits to one control server",
             f"{target.control_machines} control servers × {plain(context.renewal_s)} s, against a lease of "
-            f"max({design.LEASE_PERIODS}, {design.LEASE_ROUNDS} × {target.control_machines}) × "
+            f"max({design.LEASE_PERIODS}, {design.LEASE_CYCLES} × {target.control_machines}) × "
             f"{plain(context.renewal_s)} s",
             lambda: target.control_machines * context.renewal_s,
             "s",
@@ -113,7 +113,7 @@
     return [
         context.row(
             "bytes of the system state",
-            f"state-bytes at {context.routes:,} routes + {design.MOST_REMEMBERED_CONFIGURATIONS:,} × accepted-bytes",
+            f"state-bytes at {context.routes:,} routes + {design.MAX_CHANGES_IN_STATE:,} × accepted-bytes",
             lambda: context.state_bytes,
             "B",
             STATE,
--- a/benchmarks/capacity/roles/failures.py
+++ b/benchmarks/capacity/roles/failures.py
@@ -67,7 +67,7 @@
     return [
         context.row(
             "time until a lost sender's lease is over (its children leave it after a second)",
-            f"max({design.LEASE_PERIODS}, {design.LEASE_ROUNDS} × {target.control_machines}) × "
+            f"max({design.LEASE_PERIODS}, {design.LEASE_CYCLES} × {target.control_machines}) × "
             f"{plain(context.renewal_s)} s",
             lambda: context.lease_s(target.control_machines),
             "s",
@@ -119,8 +119,8 @@
     return [
         context.row(
             "time until a lost store leaves the view, a successor there / none",
-            f"{plain(design.GONE_WITH_SUCCESSOR_S)} s / {plain(design.GONE_S)} s",
-            lambda: design.GONE_S,
+            f"{plain(design.REPLACEMENT_TIMEOUT_S)} s / {plain(design.REMOVAL_TIMEOUT_S)} s",
+            lambda: design.REMOVAL_TIMEOUT_S,
             "s",
             VIEW,
         ),
--- a/benchmarks/capacity/roles/sender.py
+++ b/benchmarks/capacity/roles/sender.py
@@ -146,7 +146,7 @@
         context.row(
             "bytes of whole states, taken and passed on",
             f"{target.changes_a_day}/day × (state-bytes at {context.routes:,} routes + "
-            f"{design.MOST_REMEMBERED_CONFIGURATIONS:,} × accepted-bytes) × (1 + {fan_out})",
+            f"{design.MAX_CHANGES_IN_STATE:,} × accepted-bytes) × (1 + {fan_out})",
             lambda: changes * (1 + fan_out) * context.state_bytes,
             "B/s",
             AGENT,
--- a/benchmarks/register_catch_up.py
+++ b/benchmarks/register_catch_up.py
@@ -30,7 +30,7 @@
     configuration_body,
     parse_list,
 )
-from dewpin.controlplane.register.register import RegisterUnavailable  # noqa: E402
+from dewpin.controlplane.register.proposer import RegisterUnavailableError  # noqa: E402
 from dewpin.controlplane.register.system_state import put_configuration  # noqa: E402
 
 FILLING_BODY_BYTES = 4096
@@ -48,7 +48,7 @@
         try:
             await target.register.propose(put_configuration(body, generation, base), PROPOSAL_TIMEOUT_S)
             return call + 1, clock() - began_s
-        except RegisterUnavailable:
+        except RegisterUnavailableError:
             if clock() - began_s > GIVE_UP_S:
                 return call + 1, float("inf")
             await asyncio.sleep(OPERATOR_PAUSE_S)
--- a/benchmarks/register_week.py
+++ b/benchmarks/register_week.py
@@ -18,7 +18,7 @@
 
 from dewpin.cluster.rpc import RpcClient
 from dewpin.controlplane.register.register import SystemRegister
-from dewpin.controlplane.register.system_state import genesis, put_configuration
+from dewpin.controlplane.register.system_state import initial_state, put_configuration
 from dewpin.controlplane.storage import DATABASE_NAME, Storage
 
 MEMBER = "a"
@@ -37,7 +37,7 @@
     """Makes the changes and prints a row for each day."""
     register = SystemRegister(MEMBER, "127.0.0.1:1", storage, RpcClient(), random.Random(0))
     await register.load()
-    await register.begin(genesis({MEMBER: "127.0.0.1:1"}, {}))
+    await register.bootstrap(initial_state({MEMBER: "127.0.0.1:1"}, {}))
     generation = 0
     for day in range(1, count + 1):
         began_s = time.monotonic()
--- a/benchmarks/relay_changes.py
+++ b/benchmarks/relay_changes.py
@@ -34,7 +34,7 @@
 )
 from dewpin.cluster.receivers import Receiver  # noqa: E402
 from dewpin.cluster.settings import parse_settings  # noqa: E402
-from dewpin.controlplane.register.register import RegisterUnavailable  # noqa: E402
+from dewpin.controlplane.register.proposer import RegisterUnavailableError  # noqa: E402
 from dewpin.controlplane.register.system_state import put_configuration  # noqa: E402
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent  # noqa: E402
 
@@ -98,9 +98,9 @@
         try:
             await world.control_servers[number].register.propose(change, PROPOSAL_TIMEOUT_S)
             return
-        except RegisterUnavailable:
+        except RegisterUnavailableError:
             await asyncio.sleep(OPERATOR_PAUSE_S)
-    raise RegisterUnavailable("not acknowledged")
+    raise RegisterUnavailableError("not acknowledged")
 
 
 async def until(condition: Callable[[], bool], began_s: float) -> float | None:
--- a/dewpin/consensus/messages.py
+++ b/dewpin/consensus/messages.py
@@ -1,4 +1,4 @@
-"""A replica's replies as JSON objects."""
+"""The replies of a replica as JSON objects, and back."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def ballot_from_json(pair: Sequence[Any]) -> Ballot:
-    """The ballot of a JSON pair of its counter and proposer."""
+    """The ballot in a JSON pair of its counter and proposer. TypeError or ValueError if it is none."""
     counter, proposer = pair
     return Ballot(int(counter), str(proposer))
 
 
 def encode_reply(reply: Reply) -> dict[str, Any]:
-    """The answer that tells a replica's reply."""
+    """The message for a replica's reply."""
     if isinstance(reply, Promise):
         return {"type": PROMISE, "accepted": list(reply.accepted), "value": reply.value, "copied": reply.copied}
     if isinstance(reply, Accepted):
@@ -28,7 +28,7 @@
 
 
 def decode_reply(message: dict[str, Any]) -> Reply:
-    """The reply that an answer tells. KeyError, TypeError or ValueError if it tells none."""
+    """The reply in a message. KeyError, TypeError or ValueError if it is none."""
     if message["type"] == PROMISE:
         return Promise(ballot_from_json(message["accepted"]), message["value"], bool(message.get("copied", False)))
     if message["type"] == ACCEPTED:
--- a/dewpin/consensus/proposal.py
+++ b/dewpin/consensus/proposal.py
@@ -1,11 +1,12 @@
-"""One proposal to a replicated register: two quorum rounds as a state machine.
+"""One proposal to a replicated register: the proposer of CASPaxos as a state machine without I/O.
 
-`Proposal` says which requests to send to which members and takes their replies. It never waits: whoever drives it owns
-the time-out. The quorum rule is given by `quorum_sets`, which reads from a value the member sets that must each give a
-majority: for a register that carries its own members these are its members and the members of the value before it.
+`Proposal` returns which requests to send to which members and processes their replies. It never waits: its driver sends
+the requests and owns the time-out. The quorum rule is the function `quorum_sets`, which reads from a value the sets of
+members that must each give a majority: for a register that carries its own members these are its members and the
+members of the value before it.
 
 A value whose sets differ (a change of members) is confirmed unchanged before anything is built on it; the proposal
-then ends with `Outcome.CONFIRMED` and the change is to be proposed anew.
+then ends with `Outcome.CONFIRMED` and the change is to be proposed again.
 """
 
 from __future__ import annotations
@@ -19,7 +20,8 @@
 
 JsonValue = Any
 MemberSet = frozenset[str]
-Change = Callable[[JsonValue], JsonValue]
+ChangeFunction = Callable[[JsonValue], JsonValue]
+"""The next value for the present one, as in CASPaxos; the same object for a read."""
 QuorumSets = Callable[[JsonValue], Sequence[MemberSet]]
 
 
@@ -33,34 +35,37 @@
     return all(len(members.intersection(voters)) >= majority_of(members) for members in sets)
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Prepare:
-    """First round of a ballot. `known`: the ballot of the proposer's value; a promise needs to tell a value only if
-    it was accepted above that, since `Proposal` looks at no other."""
+    """First round of a ballot.
+
+    `known`: the ballot of the proposer's value. A promise needs to contain a value only if it was accepted above that,
+    since `Proposal` uses no other.
+    """
 
     ballot: Ballot
     known: Ballot = ZERO_BALLOT
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Accept:
-    """Second round of a ballot."""
+    """Second round of a ballot. `next_ballot`: to be promised as well, for the proposer's next change."""
 
     ballot: Ballot
     value: JsonValue
-    next_ballot: Ballot | None = None  # promised beside, for the proposer's next change
+    next_ballot: Ballot | None = None
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Request:
-    """What is to be sent to one member."""
+    """A request to be sent to one member."""
 
     member: str
     body: Prepare | Accept
 
 
 class Outcome(enum.Enum):
-    """How a proposal ended."""
+    """How a proposal has ended."""
 
     CHOSEN = "chosen"  # the result of the change is the register's value
     UNCHANGED = "unchanged"  # the change left the value as it was, and that value is chosen
@@ -68,9 +73,9 @@
     CONFLICT = "conflict"  # a greater ballot is under way; propose again above `Result.ballot`
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Result:
-    """The end of a proposal: its value where there is one, and the greatest ballot that was seen."""
+    """The end of a proposal: the register's value, None after a conflict, and the greatest ballot that was seen."""
 
     outcome: Outcome
     value: JsonValue
@@ -80,12 +85,17 @@
 class Proposal:
     """One change of a register under one ballot.
 
-    `change` gets the present value and returns the new one; returning the same object is a read. What it raises ends
-    the proposal by that exception. `initial` is the greatest value known beforehand (its ballot beside it): the members
-    asked first are read from it.
-
-    With `prepared`, the members have promised this ballot beside the proposer's last accept, and `initial` is what was
-    chosen there: the first round is left out. `next_ballot` asks for the same promise again.
+    Args:
+        ballot: greater than all that this proposer has used.
+        initial: the newest value known beforehand; its members are asked first.
+        quorum_sets: the sets of members of a value that must each give a majority.
+        change: what it raises is raised by `start` or `receive`, and ends the proposal.
+        initial_ballot: the ballot of `initial`.
+        prepared: the members promised this ballot with the proposer's last accept, and `initial` is what was chosen
+            there: the first round is left out.
+        next_ballot: asks for such a promise in the second round.
+
+    `result` is None until the proposal has ended.
     """
 
     def __init__(
@@ -93,7 +103,7 @@
         ballot: Ballot,
         initial: JsonValue,
         quorum_sets: QuorumSets,
-        change: Change,
+        change: ChangeFunction,
         initial_ballot: Ballot,
         *,
         prepared: bool = False,
@@ -119,7 +129,7 @@
         return self._begin_accept() if self._prepared else self._ask_members()
 
     def receive(self, member: str, reply: Reply) -> list[Request]:
-        """Takes a member's reply; returns what to send next. Sets `result` at the end."""
+        """Processes a member's reply; returns what to send next. Sets `result` at the end."""
         if self.result is not None:
             return []
         if isinstance(reply, Conflict):
@@ -159,8 +169,10 @@
         return self._send_accept(value, [*sets, *self._quorum_sets(value)])
 
     def _is_chosen(self, sets: Sequence[MemberSet]) -> bool:
-        """Whether the highest value is known to be accepted by majorities, so that nothing needs finishing. A copy of
-        it is no vote: its holder may have promised a greater ballot before."""
+        """Whether the highest value is known to be accepted by majorities, so that nothing has to be finished.
+
+        A copied value is no vote: its holder may have promised a greater ballot before.
+        """
         if self._prepared or self._highest_ballot == ZERO_BALLOT:
             return True
         holders = [member for member, accepted in self._promised.items() if accepted == self._highest_ballot]
--- a/dewpin/consensus/replica.py
+++ b/dewpin/consensus/replica.py
@@ -1,7 +1,7 @@
-"""One replica of a compare-and-swap register (the acceptor of single-value Paxos).
+"""One replica of a compare-and-swap register: the acceptor of CASPaxos as a state machine without I/O.
 
-A replica promises not to take part in older ballots and remembers the value it accepted last. Whoever runs it must make
-the state after each call durable before the reply leaves: a replica that forgets a promise breaks the register.
+A replica promises to take part in no older ballot and stores the value that it accepted last. Its user must make the
+state after each call durable before the reply is sent: a replica that forgets a promise breaks the register.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a proposal: greater ones win, the proposer's id makes them unique."""
+    """The number of a proposal: the greater one wins, the id of the proposer makes it unique."""
 
     counter: int
     proposer: str
@@ -22,12 +22,14 @@
 ZERO_BALLOT = Ballot(0, "")
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Promise:
-    """The replica takes part in no older ballot from here on; it tells what it accepted last. The value is left out
-    where the proposer knows one as new.
+    """The replica takes part in no older ballot from now on.
 
-    `copied`: it took that from another replica and never voted for it, so it counts for no majority.
+    Attributes:
+        accepted: the ballot of the value that it accepted last.
+        value: that value; None where the proposer knows one that is as new.
+        copied: it copied the value from another replica and never voted for it: no vote for a majority.
     """
 
     accepted: Ballot
@@ -35,14 +37,14 @@
     copied: bool = False
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Accepted:
-    """The replica holds the value of this ballot."""
+    """The replica has accepted the value of this ballot."""
 
     ballot: Ballot
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Conflict:
     """The replica has promised a greater ballot."""
 
@@ -52,9 +54,16 @@
 Reply = Promise | Accepted | Conflict
 
 
-@dataclass
+@dataclass(slots=True)
 class Replica:
-    """State of one replica. `value` is None until something was accepted; `copied`: by another replica, not by this."""
+    """The state of one replica.
+
+    Attributes:
+        promised: the greatest ballot that it has promised or accepted.
+        accepted: the ballot of `value`.
+        value: the value that was accepted last, None before the first.
+        copied: `value` was accepted by another replica, and copied from there.
+    """
 
     promised: Ballot = ZERO_BALLOT
     accepted: Ballot = ZERO_BALLOT
@@ -62,8 +71,10 @@
     copied: bool = False
 
     def prepare(self, ballot: Ballot, known: Ballot | None = None) -> Promise | Conflict:
-        """First round: promises `ballot` if nothing as great was promised before. `known`: the ballot of the newest
-        value that the proposer has; it looks at none that isn't above it."""
+        """First round: promises `ballot` if none as great was promised before.
+
+        `known`: the ballot of the newest value that the proposer has; it needs none that isn't above it.
+        """
         if ballot <= self.promised:
             return Conflict(self.promised)
         self.promised = ballot
@@ -71,8 +82,10 @@
         return Promise(self.accepted, None if is_known else self.value, self.copied)
 
     def accept(self, ballot: Ballot, value: JsonValue, next_ballot: Ballot | None = None) -> Accepted | Conflict:
-        """Second round: accepts `value`. `next_ballot` is promised beside, so that the proposer may skip its next
-        first round."""
+        """Second round: accepts `value` unless a greater ballot was promised.
+
+        `next_ballot` is promised as well, so that the proposer may skip its next first round.
+        """
         if ballot < self.promised:
             return Conflict(self.promised)
         self.accepted = ballot
--- a/dewpin/controlplane/operator_api.py
+++ b/dewpin/controlplane/operator_api.py
@@ -1,300 +1,208 @@
-"""The operator's API over HTTP: Config.Put, Config.Patch, Config.Get, Retire.Start, Retire.Get."""
+"""The operator's API: Config.Put, Config.Patch, Config.Get, Retire.Start, Retire.Get. `operator_http` serves it."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import logging
-import threading
 import time
 from collections.abc import Callable
 from concurrent.futures import Future
 from concurrent.futures import TimeoutError as FutureTimeout
 from dataclasses import dataclass
-from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from dewpin.cluster.body_messages import patch_digest
 from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration, parse_patch
-from dewpin.controlplane.register.register import RegisterUnavailable, SystemRegister
+from dewpin.cluster.errors import DewpinError
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
+from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.register.system_state import (
-    AnotherVersionIsCurrent,
-    Change,
-    ChangeRefused,
-    GenerationNotAbove,
-    OrderForgotten,
-    PatchInvalid,
+    ChangeForgottenError,
+    ChangeFunction,
+    ChangeRejectedError,
+    GenerationTooLowError,
+    InvalidPatchError,
     SystemState,
-    TooFewWouldRemain,
-    UnknownMachine,
+    TooFewStoresRemainError,
+    UnknownMachineError,
+    VersionMismatchError,
     configuration_digest,
+    is_retired,
     patch_configuration,
     put_configuration,
-    retirement_is_done,
     start_retirement,
 )
 
-log = logging.getLogger(__name__)
 Parsed = TypeVar("Parsed")
 
-ANSWER_WITHIN_S = 0.85
-LEAST_LOOKUP_S = 0.05
-"""For a look into the history of orders, also where the register took the whole time."""
-IDLE_TIMEOUT_S = 20.0
-MOST_BODY_BYTES = 16 * 1024 * 1024
+RESPONSE_TIMEOUT_S = 0.85
+SHORTEST_LOOKUP_S = 0.05
+"""For a look into the history of changes, also where the register took the whole time."""
 BASE_VERSION_HEADER = "X-Dewpin-Base-Version"
 
-_STATUS_OF_REFUSAL: dict[type[ChangeRefused], int] = {
-    AnotherVersionIsCurrent: 412,
-    GenerationNotAbove: 400,
-    UnknownMachine: 404,
-    TooFewWouldRemain: 409,
+_STATUS_OF_REJECTION: dict[type[ChangeRejectedError], int] = {
+    VersionMismatchError: 412,
+    GenerationTooLowError: 400,
+    UnknownMachineError: 404,
+    TooFewStoresRemainError: 409,
 }
 
 
-class Answer(Exception):
-    """Ends a call with a status and a JSON body."""
+@dataclass(frozen=True, slots=True)
+class ApiResponse:
+    """The response to a request: the HTTP status and a JSON body."""
+
+    status: int
+    body: bytes
+
 
-    def __init__(self, status: int, body: bytes) -> None:
-        super().__init__(status)
-        self.status = status
-        self.body = body
+def error_response(status: int, *errors: str) -> ApiResponse:
+    """The response that tells why a request failed."""
+    return ApiResponse(status, json.dumps({"errors": list(errors)}).encode())
 
 
-def _fault(status: int, *faults: str) -> Answer:
-    return Answer(status, json.dumps({"errors": list(faults)}).encode())
+class _InvalidRequestError(DewpinError):
+    """The request can't be parsed; `errors` has a line for each reason."""
+
+    def __init__(self, *errors: str) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = errors
 
 
 @dataclass(frozen=True, slots=True)
-class _Order:
-    """What tells an order that changes the configuration from all others."""
+class _ChangeIdentity:
+    """What tells a change of the configuration from all others."""
 
     generation: int
     digest: str
 
 
-def _base_version(header: str | None) -> int:
-    """The version that an order builds on. Raises the answer that refuses the order."""
+def _parse_base_version(header: str | None) -> int:
+    """The generation that a change builds on. Raises _InvalidRequestError."""
     try:
         return int(header or "0")
     except ValueError:
-        raise _fault(400, f"{BASE_VERSION_HEADER}: expected a whole number, got {header!r}") from None
+        raise _InvalidRequestError(f"{BASE_VERSION_HEADER}: expected a whole number, got {header!r}") from None
 
 
-def _checked(parse: Callable[[bytes], Parsed], body: bytes) -> Parsed:
-    """What an order's body says. Raises the answer that refuses the order."""
+def _parse_body(parse: Callable[[bytes], Parsed], body: bytes) -> Parsed:
+    """What a request's body says. Raises _InvalidRequestError."""
     try:
         body.decode("utf-8")
         return parse(body)
     except InvalidConfigurationError as invalid:
-        raise _fault(400, *invalid.lines()) from None
-    except UnicodeDecodeError:
-        raise _fault(400, "the body is not UTF-8") from None
+        raise _InvalidRequestError(*invalid.lines()) from invalid
+    except UnicodeDecodeError as invalid:
+        raise _InvalidRequestError("the body is not UTF-8") from invalid
 
 
 class OperatorApi:
-    """Turns the operator's calls into changes and reads of the register, which lives on `loop`."""
+    """Turns the operator's requests into changes and reads of the register, which lives on the loop `loop`.
+
+    The methods block, and are called in threads of their own. `least_stores`: how many have to remain when a machine is
+    emptied.
+    """
 
     def __init__(self, register: SystemRegister, loop: asyncio.AbstractEventLoop, least_stores: int) -> None:
         self._register = register
         self._loop = loop
         self._least_stores = least_stores
 
-    def put(self, body: bytes, base_header: str | None) -> Answer:
-        """Config.Put."""
-        base = _base_version(base_header)
-        configuration = _checked(parse_configuration, body)
-        order = _Order(configuration.generation, configuration_digest(body, base))
-        return self._take(order, put_configuration(body, configuration.generation, base))
-
-    def patch(self, body: bytes, base_header: str | None) -> Answer:
-        """Config.Patch."""
-        base = _base_version(base_header)
-        patch = _checked(parse_patch, body)
-        order = _Order(patch.generation, patch_digest(body, base))
-        return self._take(order, patch_configuration(patch, order.digest, base))
-
-    def _take(self, order: _Order, change: Change) -> Answer:
-        """Makes the change of an order. One that is too old to be remembered is looked up."""
-        began_s = time.monotonic()
+    def put(self, body: bytes, base_header: str | None) -> ApiResponse:
+        """Config.Put: stores a configuration."""
         try:
-            answer = self._change(change)
-        except OrderForgotten:
-            left_s = ANSWER_WITHIN_S - (time.monotonic() - began_s)
-            answer = self._answer_from_history(order, left_s)
-        return answer or Answer(200, json.dumps({"generation": order.generation}).encode())
-
-    def get(self) -> Answer:
-        """Config.Get: the newest configuration, by a quorum's word."""
-        state = self._agreed(lambda present: present)
-        if isinstance(state, Answer):
+            base = _parse_base_version(base_header)
+            configuration = _parse_body(parse_configuration, body)
+        except _InvalidRequestError as invalid:
+            return error_response(400, *invalid.errors)
+        identity = _ChangeIdentity(configuration.generation, configuration_digest(body, base))
+        return self._change_configuration(identity, put_configuration(body, configuration.generation, base))
+
+    def patch(self, body: bytes, base_header: str | None) -> ApiResponse:
+        """Config.Patch: changes a part of the present configuration."""
+        try:
+            base = _parse_base_version(base_header)
+            patch = _parse_body(parse_patch, body)
+        except _InvalidRequestError as invalid:
+            return error_response(400, *invalid.errors)
+        identity = _ChangeIdentity(patch.generation, patch_digest(body, base))
+        return self._change_configuration(identity, patch_configuration(patch, identity.digest, base))
+
+    def get(self) -> ApiResponse:
+        """Config.Get: the newest configuration, read by a quorum."""
+        state = self._propose(_read)
+        if isinstance(state, ApiResponse):
             return state
         configuration = state["configuration"]
         if configuration is None:
-            return _fault(404, "no configuration yet")
-        return Answer(200, configuration["body"].encode())
-
-    def start_retirement(self, name: str) -> Answer:
-        """Retire.Start."""
-        answer = self._change(start_retirement(name, self._least_stores))
-        return answer or Answer(200, b'{"state":"running"}')
-
-    def retirement(self, name: str) -> Answer:
-        """Retire.Get."""
-        state = self._agreed(lambda present: present)
-        if isinstance(state, Answer):
+            return error_response(404, "no configuration yet")
+        return ApiResponse(200, configuration["body"].encode())
+
+    def start_retirement(self, name: str) -> ApiResponse:
+        """Retire.Start: has the machine of that name emptied."""
+        state = self._propose(start_retirement(name, self._least_stores))
+        if isinstance(state, ApiResponse):
             return state
-        if retirement_is_done(state, name):
-            return Answer(200, b'{"state":"done"}')
-        if name in state["retiring"]:
-            return Answer(200, b'{"state":"running"}')
-        return _fault(404, f"{name} is not being retired")
+        return ApiResponse(200, b'{"state":"running"}')
 
-    def _change(self, change: Change) -> Answer | None:
-        """Makes a change; None if it stands, else the answer that tells why not."""
-        result = self._agreed(change)
-        return result if isinstance(result, Answer) else None
+    def retirement(self, name: str) -> ApiResponse:
+        """Retire.Get: whether the machine of that name is empty."""
+        state = self._propose(_read)
+        if isinstance(state, ApiResponse):
+            return state
+        if is_retired(state, name):
+            return ApiResponse(200, b'{"state":"done"}')
+        if name in state["retiring"]:
+            return ApiResponse(200, b'{"state":"running"}')
+        return error_response(404, f"{name} is not being retired")
 
-    def _answer_from_history(self, order: _Order, left_s: float) -> Answer | None:
-        """None if the order was taken. It is refused only if it surely wasn't."""
-        generation = order.generation
+    def _change_configuration(self, identity: _ChangeIdentity, change: ChangeFunction) -> ApiResponse:
+        """Makes a change. One that is older than all that the register's value tells of is looked up in the history."""
+        began_at_s = time.monotonic()
+        try:
+            state = self._propose(change)
+            failure = state if isinstance(state, ApiResponse) else None
+        except ChangeForgottenError:
+            remaining_s = RESPONSE_TIMEOUT_S - (time.monotonic() - began_at_s)
+            failure = self._failure_by_history(identity, remaining_s)
+        return failure or ApiResponse(200, json.dumps({"generation": identity.generation}).encode())
+
+    def _failure_by_history(self, identity: _ChangeIdentity, remaining_s: float) -> ApiResponse | None:
+        """None if the change was accepted. It is rejected only if it surely wasn't."""
+        generation = identity.generation
         future: Future[bool | None] = asyncio.run_coroutine_threadsafe(
-            self._register.was_taken(generation, order.digest, max(left_s, LEAST_LOOKUP_S)), self._loop
+            self._register.was_accepted(generation, identity.digest, max(remaining_s, SHORTEST_LOOKUP_S)), self._loop
         )
         try:
-            was_taken = future.result(ANSWER_WITHIN_S)
+            was_accepted = future.result(RESPONSE_TIMEOUT_S)
         except FutureTimeout:
-            was_taken = None
-        if was_taken is None:
-            return _fault(503, f"generation {generation} is too old to tell whether it was taken")
-        return None if was_taken else _fault(412, f"generation {generation} is not the one that was taken")
-
-    def _agreed(self, change: Change) -> SystemState | Answer:
+            was_accepted = None
+        if was_accepted is None:
+            return error_response(503, f"generation {generation} is too old to tell whether it was taken")
+        if was_accepted:
+            return None
+        return error_response(412, f"generation {generation} is not the one that was taken")
+
+    def _propose(self, change: ChangeFunction) -> SystemState | ApiResponse:
+        """Makes a change by the register: the chosen state, or the response that tells why there is none.
+
+        Raises ChangeForgottenError.
+        """
         future: Future[SystemState] = asyncio.run_coroutine_threadsafe(
-            self._register.propose(change, ANSWER_WITHIN_S), self._loop
+            self._register.propose(change, RESPONSE_TIMEOUT_S), self._loop
         )
         try:
-            return future.result(ANSWER_WITHIN_S + 0.1)
-        except OrderForgotten:
+            return future.result(RESPONSE_TIMEOUT_S + 0.1)
+        except ChangeForgottenError:
             raise
-        except PatchInvalid as invalid:
-            return _fault(400, *invalid.faults)
-        except ChangeRefused as refused:
-            return _fault(_STATUS_OF_REFUSAL.get(type(refused), 503), str(refused))
-        except (RegisterUnavailable, FutureTimeout) as fault:
-            return _fault(503, f"no quorum: {fault}")
-
-
-class _Handler(BaseHTTPRequestHandler):
-    protocol_version = "HTTP/1.1"
-    timeout = IDLE_TIMEOUT_S
-    disable_nagle_algorithm = True
-    api: OperatorApi
+        except InvalidPatchError as invalid:
+            return error_response(400, *invalid.errors)
+        except ChangeRejectedError as rejection:
+            return error_response(_STATUS_OF_REJECTION.get(type(rejection), 503), str(rejection))
+        except (RegisterUnavailableError, FutureTimeout) as error:
+            return error_response(503, f"no quorum: {error}")
 
-    def do_GET(self) -> None:
-        self._serve()
 
-    def do_POST(self) -> None:
-        self._serve()
-
-    def _serve(self) -> None:
-        try:
-            answer = self._answer(self._body())
-        except Answer as unread:
-            answer = unread
-            self.close_connection = True
-        except Exception as fault:
-            log.exception("operator.call_failed")
-            answer = _fault(500, repr(fault))
-            self.close_connection = True
-        self._reply(answer)
-
-    def _answer(self, body: bytes) -> Answer:
-        try:
-            return self._route(body)
-        except Answer as refusal:
-            return refusal
-
-    def _route(self, body: bytes) -> Answer:
-        path = self.path.partition("?")[0]
-        if path == "/dewpin/Config.Put" and self.command == "POST":
-            return self.api.put(body, self.headers.get(BASE_VERSION_HEADER))
-        if path == "/dewpin/Config.Patch" and self.command == "POST":
-            return self.api.patch(body, self.headers.get(BASE_VERSION_HEADER))
-        if path == "/dewpin/Config.Get":
-            return self.api.get()
-        if path.startswith("/dewpin/Retire.Start/") and self.command == "POST":
-            return self.api.start_retirement(path.rpartition("/")[2])
-        if path.startswith("/dewpin/Retire.Get/"):
-            return self.api.retirement(path.rpartition("/")[2])
-        return _fault(404, f"no such call: {path}")
-
-    def _body(self) -> bytes:
-        if "chunked" in (self.headers.get("Transfer-Encoding") or "").lower():
-            return self._chunked_body()
-        try:
-            length = int(self.headers.get("Content-Length") or "0")
-        except ValueError:
-            raise _fault(400, "Content-Length is no number") from None
-        if not 0 <= length <= MOST_BODY_BYTES:
-            raise _fault(413, "the body is too large")
-        body = self.rfile.read(length)
-        if len(body) < length:
-            raise _fault(400, "the body is cut short")
-        return body
-
-    def _chunked_body(self) -> bytes:
-        body = b""
-        while True:
-            size = self._chunk_size()
-            if size == 0:
-                break
-            if len(body) + size > MOST_BODY_BYTES:
-                raise _fault(413, "the body is too large")
-            chunk = self.rfile.read(size)
-            if len(chunk) < size or self.rfile.readline(4).strip():
-                raise _fault(400, "a chunk is cut short")
-            body += chunk
-        while self.rfile.readline(1024).strip():
-            pass
-        return body
-
-    def _chunk_size(self) -> int:
-        digits = self.rfile.readline(64).partition(b";")[0].strip()
-        if not digits or set(digits) - set(b"0123456789abcdefABCDEF"):
-            raise _fault(400, "bad chunk")
-        return int(digits, 16)
-
-    def _reply(self, answer: Answer) -> None:
-        self.send_response(answer.status)
-        self.send_header("Content-Type", "application/json")
-        self.send_header("Content-Length", str(len(answer.body)))
-        if self.close_connection:
-            self.send_header("Connection", "close")
-        self.end_headers()
-        self.wfile.write(answer.body)
-
-    def log_message(self, format: str, *args: Any) -> None:
-        log.debug("operator.http", extra={"line": format % args})
-
-
-class _Server(ThreadingHTTPServer):
-    daemon_threads = True
-    request_queue_size = 256
-
-    def server_bind(self) -> None:
-        """Binds without looking the host's name up."""
-        self.socket.setsockopt(1, 2, 1)  # SOL_SOCKET, SO_REUSEADDR
-        self.socket.bind(self.server_address)
-        self.server_name, self.server_port = self.server_address[:2]  # type: ignore[assignment]
-
-    def handle_error(self, request: Any, client_address: Any) -> None:
-        log.debug("operator.connection_failed", exc_info=True)
-
-
-def serve_operator(address: tuple[str, int], api: OperatorApi) -> ThreadingHTTPServer:
-    """Begins to serve the API in threads. OSError if the address can't be had."""
-    handler = type("OperatorHandler", (_Handler,), {"api": api})
-    server = _Server(address, handler)
-    threading.Thread(target=server.serve_forever, args=(0.5,), name="operator", daemon=True).start()
-    return server
+def _read(state: SystemState) -> SystemState:
+    """The change that changes nothing: a read."""
+    return state
--- /dev/null
+++ b/dewpin/controlplane/operator_http.py
@@ -0,0 +1,142 @@
+"""The HTTP server of the operator's API: a thread for each connection."""
+
+from __future__ import annotations
+
+import logging
+import socket
+import threading
+from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
+from typing import Any
+
+from dewpin.cluster.errors import DewpinError
+from dewpin.controlplane.operator_api import BASE_VERSION_HEADER, ApiResponse, OperatorApi, error_response
+
+log = logging.getLogger(__name__)
+
+IDLE_TIMEOUT_S = 20.0
+MAX_BODY_BYTES = 16 * 1024 * 1024
+_HEX_DIGITS = frozenset(b"0123456789abcdefABCDEF")
+
+
+class _UnreadableRequestError(DewpinError):
+    """The body of a request can't be read: where the next request begins is unknown."""
+
+    def __init__(self, status: int, message: str) -> None:
+        super().__init__(message)
+        self.response = error_response(status, message)
+
+
+class _RequestHandler(BaseHTTPRequestHandler):
+    """Serves the requests of one connection."""
+
+    protocol_version = "HTTP/1.1"
+    timeout = IDLE_TIMEOUT_S
+    disable_nagle_algorithm = True
+    api: OperatorApi
+
+    def do_GET(self) -> None:  # noqa: N802 (the name that the base class calls)
+        """Serves a GET request."""
+        self._serve()
+
+    def do_POST(self) -> None:  # noqa: N802
+        """Serves a POST request."""
+        self._serve()
+
+    def _serve(self) -> None:
+        try:
+            response = self._route(self._read_body())
+        except _UnreadableRequestError as error:
+            response = error.response
+            self.close_connection = True
+        except Exception as error:
+            log.exception("operator.call_failed")
+            response = error_response(500, repr(error))
+            self.close_connection = True
+        self._send(response)
+
+    def _route(self, body: bytes) -> ApiResponse:
+        path = self.path.partition("?")[0]
+        is_post = self.command == "POST"
+        if path == "/dewpin/Config.Put" and is_post:
+            return self.api.put(body, self.headers.get(BASE_VERSION_HEADER))
+        if path == "/dewpin/Config.Patch" and is_post:
+            return self.api.patch(body, self.headers.get(BASE_VERSION_HEADER))
+        if path == "/dewpin/Config.Get":
+            return self.api.get()
+        if path.startswith("/dewpin/Retire.Start/") and is_post:
+            return self.api.start_retirement(path.rpartition("/")[2])
+        if path.startswith("/dewpin/Retire.Get/"):
+            return self.api.retirement(path.rpartition("/")[2])
+        return error_response(404, f"no such call: {path}")
+
+    def _read_body(self) -> bytes:
+        if "chunked" in (self.headers.get("Transfer-Encoding") or "").lower():
+            return self._read_chunked_body()
+        try:
+            length = int(self.headers.get("Content-Length") or "0")
+        except ValueError:
+            raise _UnreadableRequestError(400, "Content-Length is no number") from None
+        if not 0 <= length <= MAX_BODY_BYTES:
+            raise _UnreadableRequestError(413, "the body is too large")
+        body = self.rfile.read(length)
+        if len(body) < length:
+            raise _UnreadableRequestError(400, "the body is cut short")
+        return body
+
+    def _read_chunked_body(self) -> bytes:
+        body = b""
+        while True:
+            size = self._read_chunk_size()
+            if size == 0:
+                break
+            if len(body) + size > MAX_BODY_BYTES:
+                raise _UnreadableRequestError(413, "the body is too large")
+            chunk = self.rfile.read(size)
+            if len(chunk) < size or self.rfile.readline(4).strip():
+                raise _UnreadableRequestError(400, "a chunk is cut short")
+            body += chunk
+        while self.rfile.readline(1024).strip():  # trailer fields are ignored
+            pass
+        return body
+
+    def _read_chunk_size(self) -> int:
+        digits = self.rfile.readline(64).partition(b";")[0].strip()
+        if not digits or set(digits) - _HEX_DIGITS:
+            raise _UnreadableRequestError(400, "bad chunk")
+        return int(digits, 16)
+
+    def _send(self, response: ApiResponse) -> None:
+        self.send_response(response.status)
+        self.send_header("Content-Type", "application/json")
+        self.send_header("Content-Length", str(len(response.body)))
+        if self.close_connection:
+            self.send_header("Connection", "close")
+        self.end_headers()
+        self.wfile.write(response.body)
+
+    def log_message(self, format: str, *args: Any) -> None:
+        """Logs a request, at the level of debugging."""
+        log.debug("operator.http", extra={"line": format % args})
+
+
+class _HttpServer(ThreadingHTTPServer):
+    daemon_threads = True
+    request_queue_size = 256
+
+    def server_bind(self) -> None:
+        """Binds without looking the host's name up."""
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.socket.bind(self.server_address)
+        self.server_name, self.server_port = self.server_address[:2]  # type: ignore[assignment]
+
+    def handle_error(self, request: Any, client_address: Any) -> None:
+        """Logs a connection that failed, at the level of debugging."""
+        log.debug("operator.connection_failed", exc_info=True)
+
+
+def serve_operator(address: tuple[str, int], api: OperatorApi) -> ThreadingHTTPServer:
+    """Starts to serve the API in threads. OSError if the address can't be bound."""
+    handler = type("OperatorRequestHandler", (_RequestHandler,), {"api": api})
+    server = _HttpServer(address, handler)
+    threading.Thread(target=server.serve_forever, args=(0.5,), name="operator", daemon=True).start()
+    return server
--- a/dewpin/controlplane/register/change_history.py
+++ b/dewpin/controlplane/register/change_history.py
@@ -1,7 +1,9 @@
-"""The orders of the operator that were taken, longer than the register's value remembers them: rows on this disk.
+"""The operator's changes that were accepted, further back than the register's value tells of them: rows on this disk.
 
 Every row comes from a state that was chosen, here or at a peer, so it never changes and needs no majority. A process
-that slept through more orders than the state remembers has a gap, which it fills by pages from its peers.
+that was away for more changes than the state tells of has a gap, which it fills by pages from its peers.
+
+Messages and the database call a change an *order*, and its table `orders`.
 """
 
 from __future__ import annotations
@@ -12,28 +14,34 @@
 from typing import Any, Protocol
 
 from dewpin.cluster.rpc import Message
-from dewpin.controlplane.register.system_state import SystemState, orders_taken
+from dewpin.controlplane.register.system_state import SystemState, accepted_change_count
 
-MOST_ORDERS = 32_768
-"""Orders that are remembered: 38 days of 850 changes."""
-ORDERS_IN_PAGE = 500
-ORDERS = "register.orders"
+MAX_CHANGES_IN_HISTORY = 32_768
+"""38 days of 850 changes."""
+CHANGES_PER_PAGE = 500
+CHANGE_HISTORY = "register.orders"
+"""The type of both messages."""
 
-AsksPeers = Callable[["OrdersRequest"], Awaitable["OrderPage | None"]]
-"""The answer of the peer that knows most of what is asked for; None where no peer answers."""
+PeerQuery = Callable[["ChangeHistoryRequest"], Awaitable["ChangeHistoryPage | None"]]
+"""The reply of the peer that knows most of what is asked for; None where no peer answers."""
 
 
-class OrdersStorage(Protocol):
+class HistoryDatabase(Protocol):
     """The part of the storage that the history needs."""
 
-    async def write(self, statements: list[tuple[str, tuple[Any, ...]]]) -> None: ...
+    async def write(self, statements: list[tuple[str, tuple[Any, ...]]]) -> None:
+        """Writes in one transaction; returns once it is synced."""
 
-    async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]: ...
+    async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+        """The rows that a statement selects."""
 
 
 @dataclass(frozen=True, slots=True)
-class TakenOrder:
-    """An order that was taken; numbers run from 1 without a gap, generations rise with them."""
+class AcceptedChange:
+    """A change that was accepted. Numbers run from 1 without a gap, generations rise with them.
+
+    `digest` is that of the request's body and base generation.
+    """
 
     number: int
     generation: int
@@ -41,110 +49,123 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrdersRequest:
-    """Asks a peer for orders with numbers above `after` and below `before`."""
+class ChangeHistoryRequest:
+    """Asks a peer for changes with numbers above `after` and below `before`."""
 
     after: int
     before: int
 
     def encode(self) -> Message:
         """The form on the wire."""
-        return {"type": ORDERS, "after": self.after, "before": self.before}
+        return {"type": CHANGE_HISTORY, "after": self.after, "before": self.before}
 
     @classmethod
-    def decode(cls, message: Message) -> OrdersRequest:
-        """The request of a message. KeyError, TypeError or ValueError if it is none."""
+    def decode(cls, message: Message) -> ChangeHistoryRequest:
+        """The request in a message. KeyError, TypeError or ValueError if it is none."""
         return cls(int(message["after"]), int(message["before"]))
 
 
 @dataclass(frozen=True, slots=True)
-class OrderPage:
-    """Orders in the order of their numbers."""
+class ChangeHistoryPage:
+    """Changes, ascending by number."""
 
-    orders: tuple[TakenOrder, ...]
+    changes: tuple[AcceptedChange, ...]
 
     def encode(self) -> Message:
         """The form on the wire."""
-        return {"type": ORDERS, "orders": [[one.number, one.generation, one.digest] for one in self.orders]}
+        rows = [[change.number, change.generation, change.digest] for change in self.changes]
+        return {"type": CHANGE_HISTORY, "orders": rows}
 
     @classmethod
-    def decode(cls, message: Message) -> OrderPage:
-        """The page of a message. KeyError, TypeError or ValueError if it is none."""
-        return cls(tuple(TakenOrder(int(row[0]), int(row[1]), str(row[2])) for row in message["orders"]))
+    def decode(cls, message: Message) -> ChangeHistoryPage:
+        """The page in a message. KeyError, TypeError or ValueError if it is none."""
+        return cls(tuple(AcceptedChange(int(row[0]), int(row[1]), str(row[2])) for row in message["orders"]))
 
+    def starts_before(self, other: ChangeHistoryPage) -> bool:
+        """Whether the page has changes, and older ones than another page or any where that has none."""
+        if not self.changes:
+            return False
+        return not other.changes or self.changes[0].number < other.changes[0].number
 
-def remembered_orders(state: SystemState) -> list[TakenOrder]:
-    """The orders that a state tells of."""
+
+def changes_in_state(state: SystemState) -> list[AcceptedChange]:
+    """The changes that a state tells of, ascending by number."""
     entries = state["accepted"]
-    first = orders_taken(state) - len(entries) + 1
-    return [TakenOrder(first + place, int(entry[0]), str(entry[1])) for place, entry in enumerate(entries)]
+    first_number = accepted_change_count(state) - len(entries) + 1
+    return [
+        AcceptedChange(number, int(entry[0]), str(entry[1]))  # an entry: generation, digest
+        for number, entry in enumerate(entries, first_number)
+    ]
 
 
-class OrderHistory:
-    """The rows of one process."""
+class ChangeHistory:
+    """The history on one process's disk."""
 
-    def __init__(self, storage: OrdersStorage, ask_peers: AsksPeers) -> None:
+    def __init__(self, storage: HistoryDatabase, query_peers: PeerQuery) -> None:
         self._storage = storage
-        self._ask_peers = ask_peers
-        self._newest = 0
+        self._query_peers = query_peers
+        self._newest_number = 0
         self._may_have_gaps = True
         self._filling = asyncio.Lock()
 
     async def load(self) -> None:
-        """Takes up what the disk holds."""
+        """Reads from disk how far the history reaches."""
         rows = await self._storage.query("SELECT coalesce(max(number), 0) FROM orders")
-        self._newest = int(rows[0][0])
+        self._newest_number = int(rows[0][0])
 
-    async def note(self, state: SystemState) -> None:
-        """Writes down what a chosen state tells; what it no longer tells is asked of peers."""
-        orders = [order for order in remembered_orders(state) if order.number > self._newest]
-        if not orders:
+    async def record(self, state: SystemState) -> None:
+        """Writes the changes that a chosen state tells of, and fetches those before them that are missing."""
+        changes = [change for change in changes_in_state(state) if change.number > self._newest_number]
+        if not changes:
             return
-        if orders[0].number > self._newest + 1:
+        if changes[0].number > self._newest_number + 1:
             self._may_have_gaps = True
-        await self._write(orders)
+        await self._write(changes)
         if self._may_have_gaps:
             await self.fill_gaps()
 
-    async def was_taken(self, generation: int, digest: str) -> bool | None:
-        """Whether the order was taken; None where neither this disk nor a peer can tell."""
-        known = await self._is_known(generation, digest)
+    async def was_accepted(self, generation: int, digest: str) -> bool | None:
+        """Whether a change was accepted; None where neither this disk nor a peer can tell."""
+        known = await self._look_up(generation, digest)
         if known is None:
             await self.fill_gaps()
-            known = await self._is_known(generation, digest)
+            known = await self._look_up(generation, digest)
         return known
 
     async def fill_gaps(self) -> None:
-        """Asks peers for the orders that are missing here, page by page; what came stays if the rest doesn't."""
+        """Asks peers for the changes that are missing here; the pages received stay if a later one fails."""
         async with self._filling:
             for gap in await self._gaps():
                 if not await self._fill(gap):
                     return
             self._may_have_gaps = False
 
-    async def _fill(self, gap: OrdersRequest) -> bool:
-        """Whether a peer answered to the end, be it that it has no more either."""
+    async def _fill(self, gap: ChangeHistoryRequest) -> bool:
+        """Fetches a gap page by page. Whether peers answered to the end, be it that they know no more either."""
         after = gap.after
         while after + 1 < gap.before:
-            page = await self._ask_peers(OrdersRequest(after, gap.before))
+            page = await self._query_peers(ChangeHistoryRequest(after, gap.before))
             if page is None:
                 return False
-            if not page.orders:
+            if not page.changes:
                 return True
-            await self._write(page.orders)
-            after = page.orders[-1].number
+            await self._write(page.changes)
+            after = page.changes[-1].number
         return True
 
-    async def page(self, request: OrdersRequest) -> OrderPage:
-        """The first orders of those that a peer asks for."""
+    async def page(self, request: ChangeHistoryRequest) -> ChangeHistoryPage:
+        """The oldest of the changes that a peer asks for."""
         rows = await self._storage.query(
             "SELECT number, generation, digest FROM orders WHERE number > ? AND number < ? ORDER BY number LIMIT ?",
-            (request.after, request.before, ORDERS_IN_PAGE),
+            (request.after, request.before, CHANGES_PER_PAGE),
         )
-        return OrderPage(tuple(TakenOrder(*row) for row in rows))
+        return ChangeHistoryPage(tuple(AcceptedChange(*row) for row in rows))
+
+    async def _look_up(self, generation: int, digest: str) -> bool | None:
+        """Whether a change was accepted, by the rows on this disk; None where they can't tell.
 
-    async def _is_known(self, generation: int, digest: str) -> bool | None:
-        """By the order of that generation, or by two orders, one right after the other, that leave it no place."""
+        The row of that generation tells; so do two rows with consecutive numbers around it, which leave it no place.
+        """
         below = await self._nearest("generation <= ? ORDER BY generation DESC", generation)
         if below is not None and below.generation == generation:
             return below.digest == digest
@@ -153,31 +174,31 @@
             return False
         return None
 
-    async def _nearest(self, condition: str, generation: int) -> TakenOrder | None:
+    async def _nearest(self, condition: str, generation: int) -> AcceptedChange | None:
         rows = await self._storage.query(
             f"SELECT number, generation, digest FROM orders WHERE {condition} LIMIT 1", (generation,)
         )
-        return TakenOrder(*rows[0]) if rows else None
+        return AcceptedChange(*rows[0]) if rows else None
 
-    async def _gaps(self) -> list[OrdersRequest]:
-        """The ranges of numbers that are missing below the newest, as far back as orders are remembered."""
-        oldest = max(0, self._newest - MOST_ORDERS)
+    async def _gaps(self) -> list[ChangeHistoryRequest]:
+        """The ranges of numbers that are missing below the newest, as far back as the history reaches."""
+        oldest = max(0, self._newest_number - MAX_CHANGES_IN_HISTORY)
         rows = await self._storage.query(
             "SELECT number, (SELECT coalesce(max(number), 0) FROM orders AS lower WHERE lower.number < upper.number)"
             " FROM orders AS upper WHERE number > 1"
             " AND NOT EXISTS (SELECT 1 FROM orders AS lower WHERE lower.number = upper.number - 1) ORDER BY number",
         )
-        return [OrdersRequest(max(after, oldest), before) for before, after in rows if before > oldest + 1]
+        return [ChangeHistoryRequest(max(after, oldest), before) for before, after in rows if before > oldest + 1]
 
-    async def _write(self, orders: Sequence[TakenOrder]) -> None:
+    async def _write(self, changes: Sequence[AcceptedChange]) -> None:
         statements: list[tuple[str, tuple[Any, ...]]] = [
             (
                 "INSERT OR IGNORE INTO orders(number, generation, digest) VALUES (?, ?, ?)",
-                (order.number, order.generation, order.digest),
+                (change.number, change.generation, change.digest),
             )
-            for order in orders
+            for change in changes
         ]
-        newest = max(self._newest, orders[-1].number)
-        statements.append(("DELETE FROM orders WHERE number <= ?", (newest - MOST_ORDERS,)))
+        newest_number = max(self._newest_number, changes[-1].number)
+        statements.append(("DELETE FROM orders WHERE number <= ?", (newest_number - MAX_CHANGES_IN_HISTORY,)))
         await self._storage.write(statements)
-        self._newest = max(self._newest, newest)
+        self._newest_number = max(self._newest_number, newest_number)
--- a/dewpin/controlplane/register/messages.py
+++ b/dewpin/controlplane/register/messages.py
@@ -1,4 +1,7 @@
-"""Messages of the register between control processes. The replies of its two rounds are those of `dewpin.consensus`."""
+"""Requests of the register between control servers. The replies of its rounds are those of `dewpin.consensus`.
+
+`encode` and `decode` map the names here to the fields on the wire, which earlier releases read as well.
+"""
 
 from __future__ import annotations
 
@@ -19,59 +22,78 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PrepareCall:
-    """First round, to member `to`. `known`: the ballot of the caller's value; `held`: digests of its bodies."""
+class PrepareRequest:
+    """First round of a ballot.
+
+    Attributes:
+        member: the member that is asked; another incarnation at its address refuses.
+        ballot: the ballot to promise.
+        known_ballot: the ballot of the proposer's value; the promise tells no value that is not above it.
+        body_digests: the bodies that the proposer has; the promise leaves them out.
+    """
 
-    to: str
+    member: str
     ballot: Ballot
-    known: Ballot | None = None
-    held: tuple[str, ...] = ()
+    known_ballot: Ballot | None = None
+    body_digests: tuple[str, ...] = ()
 
     def encode(self) -> Message:
         """The form on the wire."""
-        known = None if self.known is None else list(self.known)
-        return {"type": PREPARE, "to": self.to, "ballot": list(self.ballot), "known": known, "held": list(self.held)}
+        return {
+            "type": PREPARE,
+            "to": self.member,
+            "ballot": list(self.ballot),
+            "known": None if self.known_ballot is None else list(self.known_ballot),
+            "held": list(self.body_digests),
+        }
 
     @classmethod
-    def decode(cls, message: Message) -> PrepareCall:
-        """The call of a message. KeyError, TypeError or ValueError if it is none."""
+    def decode(cls, message: Message) -> PrepareRequest:
+        """The request in a message. KeyError, TypeError or ValueError if it is none."""
         known = message.get("known")
         return cls(
-            to=str(message["to"]),
+            member=str(message["to"]),
             ballot=ballot_from_json(message["ballot"]),
-            known=None if known is None else ballot_from_json(known),
-            held=digests(message.get("held", ())),
+            known_ballot=None if known is None else ballot_from_json(known),
+            body_digests=digests_from_json(message.get("held", ())),
         )
 
 
 @dataclass(frozen=True, slots=True)
-class AcceptCall:
-    """Second round, to member `to`. `source`: the address that has the body of the value's configuration."""
+class AcceptRequest:
+    """Second round of a ballot.
+
+    Attributes:
+        member: the member that is asked; another incarnation at its address refuses.
+        ballot: the ballot of the value.
+        value: the state to accept, perhaps without the body of its configuration.
+        body_source: the address of a process that has this body.
+    """
 
-    to: str
+    member: str
     ballot: Ballot
     value: WireState
-    source: str = ""
+    body_source: str = ""
 
     def encode(self) -> Message:
         """The form on the wire."""
         return {
             "type": ACCEPT,
-            "to": self.to,
+            "to": self.member,
             "ballot": list(self.ballot),
             "value": self.value,
-            "source": self.source,
+            "source": self.body_source,
         }
 
     @classmethod
-    def decode(cls, message: Message) -> AcceptCall:
-        """The call of a message. KeyError, TypeError or ValueError if it is none."""
+    def decode(cls, message: Message) -> AcceptRequest:
+        """The request in a message. KeyError, TypeError or ValueError if it is none."""
         value = message["value"]
         if not isinstance(value, dict):
             raise ValueError("the value is no state")
         return cls(str(message["to"]), ballot_from_json(message["ballot"]), value, str(message.get("source", "")))
 
 
-def digests(words: Iterable[object]) -> tuple[str, ...]:
-    """The digests of a message's field."""
-    return tuple(str(word) for word in words)
+def digests_from_json(values: Iterable[object]) -> tuple[str, ...]:
+    """The digests in a message's field."""
+    return tuple(str(value) for value in values)
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -1,4 +1,4 @@
-"""The register's replica on disk: the value without its configuration's body, which stands once in a row of its own."""
+"""The register's replica on disk: the value without its configuration's body, which has a row of its own."""
 
 from __future__ import annotations
 
@@ -20,25 +20,27 @@
 _REPLACE = "INSERT OR REPLACE INTO register_replica(key, promised, accepted_ballot, value) VALUES (?,?,?,?)"
 
 
-class WritesRows(Protocol):
+class RegisterDatabase(Protocol):
     """The part of the storage that the register needs."""
 
-    async def write(self, statements: list[Statement]) -> None: ...
+    async def write(self, statements: list[Statement]) -> None:
+        """Writes in one transaction; returns once it is synced. StorageError if it may not be."""
 
-    async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]: ...
+    async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+        """The rows that a statement selects."""
 
 
 class ReplicaStorage:
     """Reads and writes one replica. `durable_version`: of the newest value that was accepted and is on disk."""
 
-    def __init__(self, storage: WritesRows, replica: Replica) -> None:
+    def __init__(self, storage: RegisterDatabase, replica: Replica) -> None:
         self._storage = storage
         self._replica = replica
         self.durable_version = -1
         self._durable_ballot = ZERO_BALLOT
 
     async def load(self) -> None:
-        """Takes up what the disk holds."""
+        """Reads the replica from disk. StorageDamagedError if the body of its configuration is missing."""
         rows = await self._storage.query(
             "SELECT promised, accepted_ballot, value FROM register_replica WHERE key IN (?, ?)",
             (REGISTER_KEY, PROMISE_KEY),
@@ -52,7 +54,7 @@
         self._durable_ballot = self._replica.accepted
 
     async def persist(self) -> None:
-        """Writes the whole replica as it stands now; returns once it is synced. StorageError if it may not be."""
+        """Writes the complete replica as it is now; returns once it is synced. StorageError if it may not be."""
         replica, accepted = self._replica, self._replica.accepted
         value, bodies = _without_body(replica.value)
         row = (REGISTER_KEY, json.dumps(replica.promised), json.dumps(accepted), json.dumps(value))
@@ -62,14 +64,14 @@
             self.durable_version = value["version"]
 
     async def persist_promise(self) -> None:
-        """Writes the promise alone, unless what was accepted is not on disk yet: the reply tells of that as well."""
+        """Writes the promise alone, unless the accepted value is not on disk yet: the reply tells of that as well."""
         if self._replica.accepted > self._durable_ballot:
             await self.persist()
             return
         await self._storage.write([(_REPLACE, (PROMISE_KEY, json.dumps(self._replica.promised), None, None))])
 
     async def _with_body(self, value: dict[str, Any]) -> SystemState:
-        """The value with its body; a release before wrote it into the value."""
+        """The value with its body; earlier releases wrote the body into the value."""
         configuration = value["configuration"]
         if configuration is not None and "body" not in configuration:
             digest = configuration["digest"]
@@ -82,9 +84,10 @@
 
 
 def _without_body(state: SystemState | None) -> tuple[WireState | None, list[Statement]]:
-    """What stands in the replica's row, and the statements that keep its body, and no other, in the same commit.
+    """The value for the replica's row, and the statements that keep its body, and no other, in the same transaction.
 
-    Whether the body is there already is left to the statement: an earlier write may yet turn out to have failed."""
+    The statement checks whether the body is there already: an earlier write may yet turn out to have failed.
+    """
     if state is None or state["configuration"] is None:
         return cast("WireState | None", state), []
     configuration = state["configuration"]
--- a/dewpin/controlplane/register/system_state.py
+++ b/dewpin/controlplane/register/system_state.py
@@ -12,13 +12,17 @@
 
 from dewpin.cluster.body_messages import configuration_digest as configuration_digest
 from dewpin.cluster.configuration import ConfigurationPatch, InvalidConfigurationError
+from dewpin.cluster.errors import DewpinError
 
-MOST_REMEMBERED_CONFIGURATIONS = 128
-"""Orders of the operator that the state itself remembers; older ones are in each process's `OrderHistory`."""
-MOST_REMEMBERED_BEFORE = 2000
-"""What releases before `orders_taken` remembered at most."""
+MAX_CHANGES_IN_STATE = 128
+"""Changes by the operator that the state itself tells of; older ones are in each process's `ChangeHistory`."""
+MAX_CHANGES_IN_UNCOUNTED_STATE = 2000
+"""What releases that did not count the changes (`orders_taken`) kept at most."""
+
+MAX_RETIRED_NAMES = 64
 
 Addresses = dict[str, str]
+"""Addresses by id of the incarnation."""
 
 
 class StoredConfiguration(TypedDict):
@@ -39,8 +43,23 @@
 
 
 class SystemState(TypedDict):
-    """The register's value. Members and stores are incarnations, by id, with the address of each. `accepted`: the
-    newest orders that were taken, generation and digest of each; `orders_taken` counts all of them."""
+    """The register's value. Members and stores are incarnations, by id, with the address of each.
+
+    The keys are those of the wire and of stored data.
+
+    Attributes:
+        version: rises by one with each change.
+        members: the members of the register; the next value needs a majority of them and of `former_members`.
+        former_members: the members before the last change.
+        names: the name of the machine of each member and store.
+        stores: the stores, and the change of them that is under way.
+        retiring: names of the machines that are to be emptied.
+        retired: names of the machines that were emptied, the newest last.
+        configuration: the operator's configuration, None before the first.
+        accepted: the newest changes by the operator that were accepted, generation and digest of each.
+        orders_taken: how many changes by the operator were ever accepted.
+        note: of earlier releases; nothing reads it.
+    """
 
     version: int
     members: Addresses
@@ -55,46 +74,46 @@
     note: NotRequired[str]
 
 
-Change = Callable[[SystemState], SystemState]
+ChangeFunction = Callable[[SystemState], SystemState]
 
 
-class ChangeRefused(Exception):
-    """A change that may not be made to the state as it is."""
+class ChangeRejectedError(DewpinError):
+    """The change may not be made to the state as it is."""
 
 
-class AnotherVersionIsCurrent(ChangeRefused):
-    """The order builds on a version that is not the present one."""
+class VersionMismatchError(ChangeRejectedError):
+    """The operator's change builds on a configuration that is not the present one."""
 
 
-class GenerationNotAbove(ChangeRefused):
-    """The order's generation is not above the present one."""
+class GenerationTooLowError(ChangeRejectedError):
+    """The generation of the operator's change is not above the present one."""
 
 
-class OrderForgotten(ChangeRefused):
-    """The order's generation is older than all that the state remembers: it may have been taken."""
+class ChangeForgottenError(ChangeRejectedError):
+    """The change is older than all that the state tells of: it may have been accepted before."""
 
 
-class StateMoved(ChangeRefused):
-    """The state is no longer the one that the change was planned on."""
+class StateVersionChangedError(ChangeRejectedError):
+    """The state is no longer the version that the change was planned on."""
 
 
-class PatchInvalid(ChangeRefused):
-    """The patch would make an invalid configuration; `faults` has a line for each fault."""
+class InvalidPatchError(ChangeRejectedError):
+    """The patch would make an invalid configuration; `errors` has a line for each reason."""
 
-    def __init__(self, faults: list[str]) -> None:
-        super().__init__("; ".join(faults))
-        self.faults = faults
+    def __init__(self, errors: list[str]) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = errors
 
 
-class UnknownMachine(ChangeRefused):
+class UnknownMachineError(ChangeRejectedError):
     """No store machine has that name."""
 
 
-class TooFewWouldRemain(ChangeRefused):
-    """Without the machine the stores could not bear the losses that they have to bear."""
+class TooFewStoresRemainError(ChangeRejectedError):
+    """Without the machine there would be too few stores for the losses that they have to tolerate."""
 
 
-def genesis(members: Addresses, names: Mapping[str, str]) -> SystemState:
+def initial_state(members: Addresses, names: Mapping[str, str]) -> SystemState:
     """The state before the first change: the same at every member that makes it."""
     return SystemState(
         version=0,
@@ -115,8 +134,8 @@
     return [frozenset(state["members"]), frozenset(state["former_members"])]
 
 
-def is_settled(state: SystemState) -> bool:
-    """Whether no change of members is under way."""
+def is_membership_stable(state: SystemState) -> bool:
+    """Whether no change of the register's members is under way."""
     return state["members"] == state["former_members"]
 
 
@@ -128,83 +147,93 @@
     return following
 
 
-def base_of(state: SystemState) -> int:
-    """The version that the present configuration was built on."""
+def base_generation_of(state: SystemState) -> int:
+    """The generation that the present configuration was built on; 0 for the first one."""
     remembered = state["accepted"]
     return int(remembered[-2][0]) if len(remembered) > 1 else 0
 
 
-def orders_taken(state: SystemState) -> int:
-    """How many orders were ever taken. A state of an earlier release, which didn't count, may have forgotten some."""
+def accepted_change_count(state: SystemState) -> int:
+    """How many changes by the operator were ever accepted.
+
+    A state of an earlier release, which did not count, is taken to have dropped some once it was full.
+    """
     remembered = len(state["accepted"])
-    return state.get("orders_taken", remembered + (remembered >= MOST_REMEMBERED_BEFORE))
+    return state.get("orders_taken", remembered + (remembered >= MAX_CHANGES_IN_UNCOUNTED_STATE))
 
 
 def is_forgotten(state: SystemState, generation: int, base: int) -> bool:
-    """Whether an order of that generation may have been taken before all that the state remembers. Generations rise
-    from order to order, and one that was taken is above its base."""
+    """Whether a change of that generation may have been accepted before all that the state tells of.
+
+    Generations rise from change to change, and an accepted one is above its base.
+    """
     remembered = state["accepted"]
-    if generation <= base or orders_taken(state) == len(remembered):
+    if generation <= base or accepted_change_count(state) == len(remembered):
         return False
     return generation < int(remembered[0][0])
 
 
-def put_configuration(body: bytes, generation: int, base: int) -> Change:
-    """The change that takes a checked configuration in. The same order sent again changes nothing."""
+def put_configuration(body: bytes, generation: int, base: int) -> ChangeFunction:
+    """The change that stores a valid configuration. The same request sent again changes nothing."""
     digest = configuration_digest(body, base)
-    return _take_configuration(generation, base, digest, lambda current: body)
+    return _accept_configuration(generation, base, digest, lambda current: body)
 
 
-def patch_configuration(patch: ConfigurationPatch, order_digest: str, base: int) -> Change:
-    """The change that patches the configuration of version `base`. The same order sent again changes nothing. It raises
-    PatchInvalid where the patched configuration would be invalid."""
+def patch_configuration(patch: ConfigurationPatch, request_digest: str, base: int) -> ChangeFunction:
+    """The change that patches the configuration of generation `base`. The same request sent again changes nothing.
+
+    It raises InvalidPatchError where the patched configuration would be invalid.
+    """
 
     def patched(current: StoredConfiguration | None) -> bytes:
         if current is None:
-            raise PatchInvalid(["there is no configuration to patch yet"])
+            raise InvalidPatchError(["there is no configuration to patch yet"])
         try:
             return patch.apply(current["body"])
         except InvalidConfigurationError as invalid:
-            raise PatchInvalid(invalid.lines()) from None
+            raise InvalidPatchError(invalid.lines()) from None
+
+    return _accept_configuration(patch.generation, base, request_digest, patched)
 
-    return _take_configuration(patch.generation, base, order_digest, patched)
 
+def _accept_configuration(
+    generation: int, base: int, request_digest: str, body_after: Callable[[StoredConfiguration | None], bytes]
+) -> ChangeFunction:
+    """The change that stores the body that `body_after` makes. `request_digest` identifies the operator's request.
 
-def _take_configuration(
-    generation: int, base: int, order_digest: str, body_after: Callable[[StoredConfiguration | None], bytes]
-) -> Change:
-    """The change that takes an order in. `order_digest` tells the order from others, `body_after` makes the body."""
+    It raises ChangeForgottenError, VersionMismatchError or GenerationTooLowError.
+    """
 
     def change(state: SystemState) -> SystemState:
-        if [generation, order_digest] in state["accepted"]:
+        if [generation, request_digest] in state["accepted"]:
             return state
         if is_forgotten(state, generation, base):
-            raise OrderForgotten(f"generation {generation} is older than all that is remembered")
+            raise ChangeForgottenError(f"generation {generation} is older than all that is remembered")
         configuration = state["configuration"]
         current = configuration["generation"] if configuration else 0
         if base != current:
-            raise AnotherVersionIsCurrent(f"version {current} is in place, not {base}")
+            raise VersionMismatchError(f"version {current} is in place, not {base}")
         if generation <= current:
-            raise GenerationNotAbove(f"generation {generation} is not above {current}")
+            raise GenerationTooLowError(f"generation {generation} is not above {current}")
         body = body_after(configuration)
         following = successor(state)
         following["configuration"] = StoredConfiguration(
             generation=generation, digest=configuration_digest(body, base), body=body.decode("utf-8")
         )
-        entry: list[int | str] = [generation, order_digest]
-        following["orders_taken"] = orders_taken(state) + 1
-        following["accepted"] = [*state["accepted"], entry][-MOST_REMEMBERED_CONFIGURATIONS:]
+        entry: list[int | str] = [generation, request_digest]
+        following["orders_taken"] = accepted_change_count(state) + 1
+        following["accepted"] = [*state["accepted"], entry][-MAX_CHANGES_IN_STATE:]
         return following
 
     return change
 
 
-def on_version(version: int, make: Callable[[SystemState], SystemState]) -> Change:
-    """`make` for exactly the state of `version`; StateMoved for any other."""
+def on_version(version: int, make: Callable[[SystemState], SystemState]) -> ChangeFunction:
+    """Applies `make` to the state of exactly `version`; StateVersionChangedError for any other."""
 
     def change(state: SystemState) -> SystemState:
         if state["version"] != version:
-            raise StateMoved(f"version {state['version']}, planned on {version}")
+            raise StateVersionChangedError(f"version {state['version']}, planned on {version}")
         return make(state)
 
     return change
@@ -222,10 +251,10 @@
     return make
 
 
-def begin_stores(
+def set_initial_stores(
     stores: Addresses, names: Mapping[str, str], locations: Mapping[str, str] = MappingProxyType({})
 ) -> Callable[[SystemState], SystemState]:
-    """The first stores; there is nothing yet that they could lack."""
+    """Sets the first stores, which have nothing to copy."""
 
     def make(state: SystemState) -> SystemState:
         view = StoreViewState(epoch=state["stores"]["epoch"] + 1, stable=dict(sorted(stores.items())), next=None)
@@ -234,10 +263,10 @@
     return make
 
 
-def move_stores(
+def start_store_change(
     stores: Addresses, names: Mapping[str, str], locations: Mapping[str, str] = MappingProxyType({})
 ) -> Callable[[SystemState], SystemState]:
-    """Begins a change of the stores to `stores`, or gives one under way another end."""
+    """Starts a change of the stores to `stores`, or gives the change under way another target."""
 
     def make(state: SystemState) -> SystemState:
         present = state["stores"]
@@ -247,28 +276,31 @@
     return make
 
 
-def finish_stores(state: SystemState) -> SystemState:
-    """Ends the change of the stores that is under way."""
+def finish_store_change(state: SystemState) -> SystemState:
+    """Ends the change of the stores that is under way: all next stores have copied."""
     present = state["stores"]
     assert present["next"] is not None
     view = StoreViewState(epoch=present["epoch"] + 1, stable=present["next"], next=None)
     return _with_view(state, view, {}, {})
 
 
-def start_retirement(name: str, least_stores: int) -> Change:
-    """Marks a store machine, by its name, to be emptied."""
+def start_retirement(name: str, least_stores: int) -> ChangeFunction:
+    """Marks a store machine, by its name, to be emptied. `least_stores` have to remain.
+
+    It raises UnknownMachineError or TooFewStoresRemainError; a machine that is marked already changes nothing.
+    """
 
     def change(state: SystemState) -> SystemState:
-        if name in state["retiring"] or retirement_is_done(state, name):
+        if name in state["retiring"] or is_retired(state, name):
             return state
         view = state["stores"]
         held = {**view["stable"], **(view["next"] or {})}
         if name not in {state["names"].get(store) for store in held}:
-            raise UnknownMachine(name)
+            raise UnknownMachineError(name)
         leaving = {*state["retiring"], name}
         remaining = [store for store in view["next"] or view["stable"] if state["names"].get(store) not in leaving]
         if len(remaining) < least_stores:
-            raise TooFewWouldRemain(f"{len(remaining)} stores would remain, {least_stores} are needed")
+            raise TooFewStoresRemainError(f"{len(remaining)} stores would remain, {least_stores} are needed")
         following = successor(state)
         following["retiring"] = [*state["retiring"], name]
         return following
@@ -277,18 +309,18 @@
 
 
 def finish_retirement(name: str) -> Callable[[SystemState], SystemState]:
-    """Notes that a machine holds nothing any more."""
+    """Records that a machine holds nothing any more."""
 
     def make(state: SystemState) -> SystemState:
         following = successor(state)
         following["retiring"] = [one for one in state["retiring"] if one != name]
-        following["retired"] = [*state["retired"], name][-64:]
+        following["retired"] = [*state["retired"], name][-MAX_RETIRED_NAMES:]
         return following
 
     return make
 
 
-def retirement_is_done(state: SystemState, name: str) -> bool:
+def is_retired(state: SystemState, name: str) -> bool:
     """Whether a machine has been emptied."""
     return name in state["retired"] and name not in state["retiring"]
 
--- a/dewpin/controlplane/sender_service.py
+++ b/dewpin/controlplane/sender_service.py
@@ -1,4 +1,4 @@
-"""What a control process does for senders: it grants their leases and answers their watches."""
+"""The service of a control server to senders: it grants their leases and replies to their watches."""
 
 from __future__ import annotations
 
@@ -19,36 +19,38 @@
 from dewpin.cluster.relay_service import RelayedKnowledge, RelayService
 from dewpin.cluster.rpc import Handler, Message, RpcError
 from dewpin.controlplane.membership.leases import LeaseTable
-from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.membership.majority_contact import StateFreshness
 from dewpin.controlplane.membership.peers import PeerTable
-from dewpin.controlplane.platform_list_reader import ListReader
+from dewpin.controlplane.platform_list_reader import PlatformListReader
 from dewpin.controlplane.register.register import SystemRegister
-from dewpin.controlplane.register.system_state import SystemState, base_of
+from dewpin.controlplane.register.system_state import SystemState, base_generation_of
 
-CONTROL_KNOWN_S = 5.0
+CONTROL_SERVER_LISTED_S = 5.0
+"""Senders are told the address of a control server for this time after it was last heard."""
 
 
 class SenderService:
-    """Leases, and news down the relay tree."""
+    """Leases of senders, and updates at the top of the relay tree."""
 
     def __init__(
         self,
         leases: LeaseTable,
         register: SystemRegister,
-        confirmation: RegisterConfirmation,
-        receivers: ListReader,
+        freshness: StateFreshness,
+        list_reader: PlatformListReader,
         peers: PeerTable,
         clock: Callable[[], float],
     ) -> None:
         self._leases = leases
         self._register = register
-        self._confirmation = confirmation
-        self._receivers = receivers
+        self._freshness = freshness
+        self._list_reader = list_reader
         self._peers = peers
         self._clock = clock
-        self._relay = RelayService(self._knowledge)
+        self._relay = RelayService(self._relayed_knowledge)
         self._pages = BodyPageService(self._known_body, clock)
-        self._relayed: tuple[SystemState, StateJson] | None = None
+        self._state_cache: tuple[SystemState, StateJson] | None = None
+        """The newest chosen state, and its form for senders."""
 
     @property
     def handlers(self) -> dict[str, Handler]:
@@ -61,26 +63,26 @@
         }
 
     def announce(self) -> None:
-        """Tells the senders that wait that there is something new."""
+        """Completes the watches that wait for something new."""
         self._relay.announce()
         self._pages.announce()
 
     async def _handle_renew(self, message: Message) -> Message:
         request = RenewRequest.decode(message)
-        if not self._confirmation.is_current():
+        if not self._freshness.is_current():
             raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed what is known here")
         now_s = self._clock()
         control_addresses = self._control_addresses()
         grantors = len(control_addresses)
         self._leases.renew(request.sender, request.address, request.zone, now_s, grantors)
-        self._receivers.directory.observe_version(request.receivers_version)
+        self._list_reader.directory.observe_version(request.receivers_version)
         state = self._register.chosen
         grant = LeaseGrant(
             duration_s=self._leases.duration_s(grantors),
             state_version=state["version"] if state is not None else -1,
-            receivers_version=self._receivers.directory.version,
-            list_age_s=self._receivers.age_s(),
-            knowledge_age_s=rounded_up_s(self._confirmation.age_s()),
+            receivers_version=self._list_reader.directory.version,
+            list_age_s=self._list_reader.age_s(),
+            knowledge_age_s=rounded_up_s(self._freshness.age_s()),
             parents=tuple(self._leases.parents(request.sender, now_s)),
             control_addresses=control_addresses,
             senders=self._leases.count(now_s),
@@ -96,28 +98,30 @@
         live = [
             peer.address
             for peer in self._peers.peers.values()
-            if peer.control and peer.silent_s(now_s) < CONTROL_KNOWN_S
+            if peer.serves_control and peer.unheard_s(now_s) < CONTROL_SERVER_LISTED_S
         ]
         return tuple(sorted({self._register.address, *live}))
 
-    def _knowledge(self) -> RelayedKnowledge:
+    def _relayed_knowledge(self) -> RelayedKnowledge:
         return RelayedKnowledge(
             state=self._state_for_senders(),
-            directory=self._receivers.directory,
-            list_age_s=self._receivers.age_s(),
-            age_s=self._confirmation.age_s(),
-            is_current=self._confirmation.is_current(),
+            directory=self._list_reader.directory,
+            list_age_s=self._list_reader.age_s(),
+            age_s=self._freshness.age_s(),
+            is_current=self._freshness.is_current(),
         )
 
     def _state_for_senders(self) -> StateJson | None:
-        """The chosen state without the orders that were taken before: senders have no use for them. Of these, they
-        need the version that the configuration builds on, to check a body that they fetch."""
+        """The chosen state without the operator's accepted changes, which senders have no use for.
+
+        Of these they need the generation that the configuration was built on, to check a body that they fetch.
+        """
         state = self._register.chosen
         if state is None:
             return None
-        if self._relayed is None or self._relayed[0] is not state:
-            self._relayed = state, _for_senders(state)
-        return self._relayed[1]
+        if self._state_cache is None or self._state_cache[0] is not state:
+            self._state_cache = state, _for_senders(state)
+        return self._state_cache[1]
 
     def _known_body(self, digest: str) -> KnownBody | None:
         body = self._register.body(digest)
@@ -125,7 +129,7 @@
 
 
 def _for_senders(state: SystemState) -> StateJson:
-    told: StateJson = {name: value for name, value in state.items() if name != "accepted"}
+    relayed: StateJson = {name: value for name, value in state.items() if name != "accepted"}
     if state["configuration"] is not None:
-        told["configuration"] = {**state["configuration"], "base": base_of(state)}
-    return told
+        relayed["configuration"] = {**state["configuration"], "base": base_generation_of(state)}
+    return relayed
--- a/tests/controlplane/control_server_world.py
+++ b/tests/controlplane/control_server_world.py
@@ -33,6 +33,17 @@
         return list(self.world.receivers)
 
 
+class QuickStore:
+    """A store that copies all records within a tenth of a second."""
+
+    def __init__(self, control_server):
+        self.control_server = control_server
+
+    def adopt(self, state):
+        epoch = state["stores"]["epoch"]
+        asyncio.get_running_loop().call_later(0.1, self.control_server.record_synced_epoch, epoch)
+
+
 class World:
     """Machines by number; machine 1 to 3 are the seeds."""
 
@@ -92,22 +103,12 @@
             lambda: self.frozen_s.get(number, loop.time()),
             Platform(self, number),
         )
-        control_server.on_state = lambda state: self.copy_stores(control_server, state)
+        control_server.attach_store(QuickStore(control_server))
         self.control_servers[number] = control_server
         await control_server.load()
         self.network.handlers[address] = control_server.handlers
         control_server.start()
 
-    def copy_stores(self, control_server, state):
-        """The stores of these machines copy within a tenth of a second."""
-        epoch = state["stores"]["epoch"]
-
-        def done():
-            control_server.synced_epoch = lambda: epoch
-            control_server.send_heartbeats()
-
-        asyncio.get_running_loop().call_later(0.1, done)
-
     def freeze(self, number):
         """Stops a machine's clock and cuts it off: what it does meanwhile takes no time and reaches nobody."""
         self.frozen_s[number] = asyncio.get_running_loop().time()
@@ -199,7 +200,7 @@
 
 
 def shows_drain(world, number):
-    known = world.control_servers[number].directory.receivers.get("i-1")
+    known = world.control_servers[number].list_reader.directory.receivers.get("i-1")
     return known is not None and known.draining
 
 
@@ -214,7 +215,7 @@
 
 async def listed(world):
     await world.until(
-        lambda: all(control_server.directory.receivers for control_server in world.control_servers.values())
+        lambda: all(control_server.list_reader.directory.receivers for control_server in world.control_servers.values())
     )
 
 
--- a/tests/controlplane/order_scenes.py
+++ b/tests/controlplane/order_scenes.py
@@ -3,11 +3,11 @@
 from scripted.clock import run
 from scripted.registers import Registers
 
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import (
-    AnotherVersionIsCurrent,
-    GenerationNotAbove,
-    OrderForgotten,
+    ChangeForgottenError,
+    GenerationTooLowError,
+    VersionMismatchError,
     configuration_digest,
     put_configuration,
 )
@@ -42,14 +42,14 @@
     body = body or body_of(generation)
     try:
         await register.propose(put(generation, base, body), timeout_s)
-    except OrderForgotten:
-        was_taken = await register.was_taken(generation, configuration_digest(body, base), timeout_s)
-        return 503 if was_taken is None else 200 if was_taken else 412
-    except AnotherVersionIsCurrent:
+    except ChangeForgottenError:
+        was_accepted = await register.was_accepted(generation, configuration_digest(body, base), timeout_s)
+        return 503 if was_accepted is None else 200 if was_accepted else 412
+    except VersionMismatchError:
         return 412
-    except GenerationNotAbove:
+    except GenerationTooLowError:
         return 400
-    except RegisterUnavailable:
+    except RegisterUnavailableError:
         return 503
     return 200
 
--- a/tests/controlplane/reconfiguration_scene.py
+++ b/tests/controlplane/reconfiguration_scene.py
@@ -1,8 +1,9 @@
 """Scripted knowledge of peers, at times of a clock made up here, for the tests of which change is due."""
 
-from dewpin.controlplane.membership.peers import Peer, PeerTable
-from dewpin.controlplane.membership.reconfiguration import Knowledge, due_change
-from dewpin.controlplane.register.system_state import begin_stores, genesis, successor
+from dewpin.controlplane.membership.cluster_observation import ClusterObservation
+from dewpin.controlplane.membership.peers import Peer, PeerDescription, PeerTable
+from dewpin.controlplane.membership.reconfiguration import next_change
+from dewpin.controlplane.register.system_state import initial_state, set_initial_stores, successor
 
 STARTED_S = 1000.0
 SETTLED_S = 1040.0
@@ -14,12 +15,12 @@
 
     def __init__(self, members="abc", stores="abc", full=3):
         addresses = {one: f"{one}:1" for one in members}
-        self.state = genesis(addresses, {one: f"machine-{one}" for one in members})
+        self.state = initial_state(addresses, {one: f"machine-{one}" for one in members})
         if stores:
             ids = {one: f"{one}:1" for one in stores}
-            self.state = begin_stores(ids, {one: f"machine-{one}" for one in stores})(self.state)
+            self.state = set_initial_stores(ids, {one: f"machine-{one}" for one in stores})(self.state)
             self.state = successor(self.state)
-        self.full_count = full
+        self.replica_count = full
         self.peers = PeerTable()
         self.synced = {}
         self.contact_since_s = STARTED_S
@@ -30,25 +31,26 @@
         for one in sorted({*members, *stores}):
             self.hear(one)
 
-    def record(self, one, name=None, address=None, leaving=False, location=""):
-        return {
-            "id": one,
-            "name": name or f"machine-{one[0]}",
-            "address": address or f"{one[0]}:1",
-            "control": True,
-            "store": True,
-            "version": self.state["version"],
-            "synced_epoch": self.synced.get(one, 0),
-            "leaving": leaving,
-            "bootstrap": False,
-            "list_fails": False,
-            "location": location,
-        }
+    def description(self, one, name=None, address=None, leaving=False, location="", reaches_majority=None):
+        return PeerDescription(
+            id=one,
+            name=name or f"machine-{one[0]}",
+            address=address or f"{one[0]}:1",
+            serves_control=True,
+            serves_store=True,
+            version=self.state["version"],
+            synced_epoch=self.synced.get(one, 0),
+            is_leaving=leaving,
+            is_bootstrap=False,
+            has_list_failed=False,
+            location=location,
+            reaches_majority=reaches_majority,
+        )
 
     def hear(self, *ids, **fields):
         for one in ids:
             if one != "a":
-                self.peers.hear(self.record(one, **fields), self.now_s)
+                self.peers.record_heard(self.description(one, **fields), self.now_s)
 
     def after(self, seconds, *heard):
         """Lets time go by; those named spoke just now."""
@@ -56,13 +58,13 @@
         self.hear(*heard)
 
     @property
-    def knowledge(self):
-        me = Peer(**self.record("a"), last_heard_s=self.now_s)
-        return Knowledge(me, self.peers, self.full_count, STARTED_S, self.now_s, self.contact_since_s)
+    def observation(self):
+        me = Peer.from_description(self.description("a"), last_heard_s=self.now_s)
+        return ClusterObservation(me, self.peers, self.replica_count, STARTED_S, self.now_s, self.contact_since_s)
 
     def step(self):
         """Makes the due change; the keys that it changed."""
-        change = due_change(self.state, self.knowledge)
+        change = next_change(self.state, self.observation)
         if change is None:
             return set()
         before, self.state = self.state, change(self.state)
@@ -77,7 +79,7 @@
                 self.synced = dict.fromkeys({*self.peers.peers, "a"}, epoch)
                 for peer in list(self.peers.peers.values()):
                     if self.now_s - peer.last_heard_s < 0.5:
-                        self.hear(peer.id, name=peer.name, address=peer.address, leaving=peer.leaving)
+                        self.hear(peer.id, name=peer.name, address=peer.address, leaving=peer.is_leaving)
             if not self.step():
                 return
         raise AssertionError("changes without end")
--- a/tests/controlplane/test_bodies_for_senders.py
+++ b/tests/controlplane/test_bodies_for_senders.py
@@ -16,7 +16,7 @@
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.membership.leases import RELAY_FAN_OUT
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import put_configuration, start_retirement
 
 LONG = 600_000
@@ -54,7 +54,7 @@
             try:
                 await self.control_servers[number].register.propose(change, 0.85)
                 return body
-            except RegisterUnavailable:
+            except RegisterUnavailableError:
                 await asyncio.sleep(0.1)
         raise AssertionError
 
--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -11,15 +11,15 @@
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.consensus.replica import ZERO_BALLOT
-from dewpin.controlplane.membership.peers import LIVE_S
+from dewpin.controlplane.membership.peers import ALIVE_WITHIN_S
 from dewpin.controlplane.register import configuration_bodies
 from dewpin.controlplane.register.configuration_bodies import PAGE_CHARACTERS, ConfigurationBodies
 from dewpin.controlplane.register.messages import BODY
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import (
-    MOST_REMEMBERED_CONFIGURATIONS,
-    genesis,
-    orders_taken,
+    MAX_CHANGES_IN_STATE,
+    accepted_change_count,
+    initial_state,
     put_configuration,
     successor,
 )
@@ -96,16 +96,15 @@
         while world.generation(3) != 8:
             now_s = clock()
             assert now_s < until_s
-            silences += [peer.silent_s(now_s) for peer in world.control_servers[3].peers.peers.values()]
-            silences += [
-                world.control_servers[one].peers.silent_s(world.control_servers[3].member, now_s) for one in (1, 2)
-            ]
+            third = world.control_servers[3]
+            silences += [peer.unheard_s(now_s) for peer in third.heartbeats.peers.peers.values()]
+            silences += [world.control_servers[one].heartbeats.peers.unheard_s(third.member, now_s) for one in (1, 2)]
             await asyncio.sleep(0.05)
         await stop(world)
         return max(silences), world.newest()["version"] - before
 
     longest_s, changes = run(scene())
-    assert longest_s < LIVE_S and changes == 0
+    assert longest_s < ALIVE_WITHIN_S and changes == 0
 
 
 def test_restarted_member_is_not_current_before_majority_contact():
@@ -142,7 +141,7 @@
         await stop(world)
         return sent
 
-    few, many = run(scene(MOST_REMEMBERED_CONFIGURATIONS)), run(scene(5 * MOST_REMEMBERED_CONFIGURATIONS))
+    few, many = run(scene(MAX_CHANGES_IN_STATE)), run(scene(5 * MAX_CHANGES_IN_STATE))
     assert many < few * 1.2
 
 
@@ -206,10 +205,10 @@
         member = registers.members["c"]
         wire = registers.members["a"].to_wire(state, ())
         with pytest.raises(RpcError):
-            await member.take(ZERO_BALLOT, wire, "a")
+            await member.adopt_chosen(ZERO_BALLOT, wire, "a")
         assert member.chosen["configuration"] is None
         broken_at = offsets[-1][1]
-        await member.take(ZERO_BALLOT, wire, "b")
+        await member.adopt_chosen(ZERO_BALLOT, wire, "b")
         return member.chosen == state, offsets, broken_at
 
     is_whole, offsets, broken_at = run(scene())
@@ -225,11 +224,11 @@
 
     async def scene():
         bodies = ConfigurationBodies(Liar())
-        state = put(7, 0, PAGE_CHARACTERS)(genesis({}, {}))
+        state = put(7, 0, PAGE_CHARACTERS)(initial_state({}, {}))
         wire = ConfigurationBodies(Liar()).to_wire(state, ())
         with pytest.raises(RpcError):
             await bodies.from_wire(wire, "a")
-        return bodies.held()
+        return bodies.digests()
 
     assert run(scene()) == ()
 
@@ -244,7 +243,7 @@
         old = registers.members["a"].to_wire(await registers.members["a"].propose(put(7, 0, LONG), WAIT_S), ())
         await registers.members["a"].propose(put(8, 7, LONG), WAIT_S)
         registers.network.join()
-        await registers.members["c"].take(ZERO_BALLOT, old, "a")
+        await registers.members["c"].adopt_chosen(ZERO_BALLOT, old, "a")
         return registers.members["c"].chosen["configuration"]["generation"]
 
     assert run(scene()) == 7
@@ -252,12 +251,12 @@
 
 def test_bodies_in_memory_are_bounded():
     bodies = ConfigurationBodies(None)
-    state = genesis({}, {})
+    state = initial_state({}, {})
     for generation in range(1, 50):
         state = put(generation, generation - 1, 3_000_000)(state)
         bodies.add(state)
-        assert len(bodies.held()) <= configuration_bodies.MOST_BODIES
-        assert sum(map(len, bodies._bodies.values())) <= configuration_bodies.MOST_CHARACTERS
+        assert len(bodies.digests()) <= configuration_bodies.MAX_BODIES
+        assert sum(map(len, bodies._bodies.values())) <= configuration_bodies.MAX_CHARACTERS
 
 
 @pytest.mark.parametrize("mbit", [15, 86, 600])
@@ -273,12 +272,12 @@
             try:
                 await world.control_servers[number].register.propose(put(7, 0, LONG), ANSWER_S)
                 break
-            except RegisterUnavailable:
+            except RegisterUnavailableError:
                 await asyncio.sleep(0.2)
         took_s = clock() - began_s
         state = await world.control_servers[3].register.propose(read, WAIT_S)
         await stop(world)
-        return took_s, orders_taken(state)
+        return took_s, accepted_change_count(state)
 
     took_s, taken = run(scene())
     assert took_s < 4.0 and taken == 1
@@ -310,12 +309,12 @@
         registers = Registers()
         await registers.begin()
         member, disk = registers.members["b"], registers.disks["b"]
-        state = put(7, 0, 1000)(registers.genesis)
+        state = put(7, 0, 1000)(registers.initial_state)
         disk.fails = True
         with pytest.raises(RpcError):
-            await member.handle_accept({"to": "b", "ballot": [5, "a"], "value": state})
+            await member.acceptor.handle_accept({"to": "b", "ballot": [5, "a"], "value": state})
         disk.fails = False
-        await member.handle_accept({"to": "b", "ballot": [6, "a"], "value": successor(state)})
+        await member.acceptor.handle_accept({"to": "b", "ballot": [6, "a"], "value": successor(state)})
         member = await registers.restart("b")
         return member.newest["configuration"]["body"].encode()
 
@@ -326,7 +325,7 @@
     async def scene():
         registers = Registers()
         await registers.begin()
-        state = put(7, 0, 1000)(registers.genesis)
+        state = put(7, 0, 1000)(registers.initial_state)
         row = ("system", '[3, "a"]', '[3, "a"]', json.dumps(state))
         sql = "INSERT OR REPLACE INTO register_replica(key, promised, accepted_ballot, value) VALUES (?,?,?,?)"
         await registers.disks["a"].write([(sql, row)])
--- a/tests/controlplane/test_configuration_bodies.py
+++ b/tests/controlplane/test_configuration_bodies.py
@@ -5,8 +5,8 @@
 import pytest
 
 from dewpin.cluster.body_messages import BodyPage
-from dewpin.controlplane.register.configuration_bodies import BodyUnavailable, ConfigurationBodies
-from dewpin.controlplane.register.system_state import configuration_digest, genesis
+from dewpin.controlplane.register.configuration_bodies import BodyUnavailableError, ConfigurationBodies
+from dewpin.controlplane.register.system_state import configuration_digest, initial_state
 
 BODY = '{"services":{}}'
 BASE = 0
@@ -26,16 +26,16 @@
 
 def state_without_body():
     digest = configuration_digest(BODY.encode(), BASE)
-    state = genesis({"a": SOURCE}, {})
+    state = initial_state({"a": SOURCE}, {})
     return {**state, "accepted": [[1, digest]], "configuration": {"generation": 1, "digest": digest}}
 
 
 def test_a_body_of_other_bytes_than_its_digest_says_is_not_taken_and_is_fetched_anew():
     async def scene():
         bodies = ConfigurationBodies(Source(BODY.replace("{}", "[]"), BODY))
-        with pytest.raises(BodyUnavailable):
+        with pytest.raises(BodyUnavailableError):
             await bodies.from_wire(state_without_body(), SOURCE)
-        assert bodies.held() == ()
+        assert bodies.digests() == ()
         whole = await bodies.from_wire(state_without_body(), SOURCE)
         assert whole["configuration"]["body"] == BODY
 
--- a/tests/controlplane/test_control_server.py
+++ b/tests/controlplane/test_control_server.py
@@ -20,7 +20,7 @@
 from dewpin.cluster.relay_service import WATCH_HEARTBEAT_S
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.membership.heartbeat import HEARTBEAT_PERIOD_S
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import start_retirement
 
 
@@ -80,7 +80,7 @@
 def test_either_side_of_a_cut_may_be_asked_and_only_the_greater_one_acknowledges():
     async def scene(world):
         world.network.cut(world.address(1))
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await world.put(1, 7, 0)
         await world.put(2, 8, 0)
         world.network.join()
@@ -168,7 +168,7 @@
     async def scene(world):
         control_server = world.control_servers[1]
         world.seeds = (9,)
-        control_server.take_settings(world.settings(1, False))
+        control_server.apply_settings(world.settings(1, False))
         await asyncio.sleep(0.01)
         return (world.address(1), world.address(9), "keeper.hello") in world.network.calls
 
@@ -235,7 +235,7 @@
             ages_s = []
             for _ in range(100):
                 await asyncio.sleep(0.05)
-                ages_s += [control_server.list.age_s() for control_server in world.control_servers.values()]
+                ages_s += [control_server.list_reader.age_s() for control_server in world.control_servers.values()]
             oldest_s.append(max(ages_s))
         return oldest_s
 
@@ -246,7 +246,7 @@
     async def scene(world):
         await listed(world)
         await world.control_servers[1].handlers["lease.renew"](renewal(version=(40, "z")))
-        await world.until(lambda: world.control_servers[1].directory.version.counter > 40)
+        await world.until(lambda: world.control_servers[1].list_reader.directory.version.counter > 40)
 
     play(scene)
 
@@ -256,7 +256,10 @@
         await listed(world)
         await asyncio.sleep(2.0)
         control_server, clock = world.control_servers[2], asyncio.get_running_loop().time
-        versions = {"state_version": world.newest()["version"], "receivers_version": control_server.directory.version}
+        versions = {
+            "state_version": world.newest()["version"],
+            "receivers_version": control_server.list_reader.directory.version,
+        }
         began_s = clock()
         watch = asyncio.ensure_future(control_server.handlers["relay.watch"]({**versions, "wait": True}))
         await asyncio.sleep(0.1)
@@ -264,7 +267,10 @@
         news = await watch
         assert news["state"]["configuration"]["generation"] == 7 and clock() - began_s < 0.2
         began_s = clock()
-        versions = {"state_version": news["state"]["version"], "receivers_version": control_server.directory.version}
+        versions = {
+            "state_version": news["state"]["version"],
+            "receivers_version": control_server.list_reader.directory.version,
+        }
         quiet = await control_server.handlers["relay.watch"]({**versions, "wait": True})
         assert "state" not in quiet and "receivers" not in quiet
         return clock() - began_s
--- a/tests/controlplane/test_control_server_random.py
+++ b/tests/controlplane/test_control_server_random.py
@@ -8,12 +8,12 @@
 from controlplane.control_server_world import World
 from scripted.clock import run
 
-from dewpin.controlplane.register.change_history import remembered_orders
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.change_history import changes_in_state
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import (
-    ChangeRefused,
+    ChangeRejectedError,
+    accepted_change_count,
     configuration_digest,
-    orders_taken,
     put_configuration,
 )
 
@@ -52,10 +52,10 @@
                 continue
             try:
                 state = await control_server.register.propose(change, 0.85)
-            except RegisterUnavailable:
+            except RegisterUnavailableError:
                 await asyncio.sleep(self.rng.uniform(0.0, 0.2))
                 continue
-            except ChangeRefused:
+            except ChangeRejectedError:
                 self.refused.append([generation, configuration_digest(body, base)])
                 return
             self.acknowledged.append((generation, base, configuration_digest(body, base)))
@@ -122,10 +122,10 @@
         return operators, state, histories
 
     operators, state, histories = run(scene())
-    newest = [(order.number, order.generation, order.digest) for order in remembered_orders(state)]
+    newest = [(order.number, order.generation, order.digest) for order in changes_in_state(state)]
     whole = [sorted({*history, *newest}) for history in histories]
     orders = [[generation, digest] for _, generation, digest in whole[0]]
-    assert [number for number, _, _ in whole[0]] == list(range(1, orders_taken(state) + 1))
+    assert [number for number, _, _ in whole[0]] == list(range(1, accepted_change_count(state) + 1))
     assert whole[0] == whole[1] == whole[2], "a member that was wiped or away took what it missed"
     assert orders[-len(newest) :] == state["accepted"]
     generations = [generation for generation, _ in orders]
--- a/tests/controlplane/test_currency_random.py
+++ b/tests/controlplane/test_currency_random.py
@@ -8,9 +8,9 @@
 from controlplane.test_senders_and_control_servers import Fleet
 from scripted.clock import run
 
-from dewpin.controlplane.control_server import knowledge_bound_s
-from dewpin.controlplane.register.register import RegisterUnavailable
-from dewpin.controlplane.register.system_state import ChangeRefused
+from dewpin.controlplane.control_server import max_state_age_s
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
+from dewpin.controlplane.register.system_state import ChangeRejectedError
 
 SEEDS = range(10)
 SCENE_S = 40.0
@@ -26,7 +26,7 @@
         self.acknowledged = [(float("-inf"), 0)]
         self.started_s = {}
         self.ready = {}
-        self.bound_s = knowledge_bound_s(fleet.settings(1, False).bounds)
+        self.bound_s = max_state_age_s(fleet.settings(1, False).bounds)
         self.looks = {"control": 0, "sender": 0}
 
     def newest_before(self, at_s):
@@ -37,8 +37,8 @@
         for number, control_server in self.fleet.control_servers.items():
             if number in self.fleet.frozen_s:
                 continue
-            assert self.fleet.generation(number) >= self.newest_before(now_s - control_server.confirmation.age_s())
-            if control_server.confirmation.is_current():
+            assert self.fleet.generation(number) >= self.newest_before(now_s - control_server.freshness.age_s())
+            if control_server.freshness.is_current():
                 self.looks["control"] += 1
                 assert self.fleet.generation(number) >= self.newest_before(now_s - self.bound_s)
         for number, agent in self.fleet.agents.items():
@@ -103,9 +103,9 @@
         generation = self.generation
         try:
             await self.fleet.put(number, generation, self.base)
-        except RegisterUnavailable:
+        except RegisterUnavailableError:
             return
-        except ChangeRefused:
+        except ChangeRejectedError:
             self.base = self.fleet.newest()["configuration"]["generation"]
             self.generation = max(self.generation, self.base)
             return
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -9,9 +9,9 @@
 
 from dewpin.cluster.errors import ErrorKind
 from dewpin.cluster.rpc import RpcError
-from dewpin.controlplane.control_server import knowledge_bound_s
+from dewpin.controlplane.control_server import max_state_age_s
 from dewpin.controlplane.operator_api import OperatorApi
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 
 CUT_S = 20.0
 WATCH = {"state_version": -1, "receivers_version": [0, ""], "wait": False}
@@ -26,7 +26,7 @@
 
 
 def bound_s(world):
-    return knowledge_bound_s(world.settings(1, False).bounds)
+    return max_state_age_s(world.settings(1, False).bounds)
 
 
 async def is_refused(world, number, kind):
@@ -63,7 +63,7 @@
         for other in {1, 2, 3} - {number}:
             assert await refusals(world, other) == [False, False]
         world.network.join()
-        took_s = await world.until(lambda: world.control_servers[number].confirmation.is_current())
+        took_s = await world.until(lambda: world.control_servers[number].freshness.is_current())
         assert world.generation(number) == 8
         return took_s
 
@@ -99,7 +99,7 @@
         cut(world, how, 3)
         await world.put(1, 8, 7)
         for generation, base in ((9, 7), (9, 8), (7, 0), (3, 2)):
-            with pytest.raises(RegisterUnavailable):
+            with pytest.raises(RegisterUnavailableError):
                 await world.put(3, generation, base)
 
     play(scene)
@@ -151,7 +151,7 @@
                 assert await read_configuration(world, other) == (200, 8)
             assert await read_configuration(world, number) == ((200, 8) if how is None else (503, None))
         world.network.join()
-        await world.until(lambda: world.control_servers[number].confirmation.is_current())
+        await world.until(lambda: world.control_servers[number].freshness.is_current())
         assert await read_configuration(world, number) == (200, 8)
 
     play(scene)
@@ -167,9 +167,7 @@
             await asyncio.sleep(0.1)
             assert await refusals(world, 3) == [True, True]
         await world.start(1)
-        return await world.until(
-            lambda: all(world.control_servers[number].confirmation.is_current() for number in (1, 3))
-        )
+        return await world.until(lambda: all(world.control_servers[number].freshness.is_current() for number in (1, 3)))
 
     assert play(scene) < 1.0
 
@@ -181,7 +179,7 @@
         for number in (1, 2, 3):
             await world.start(number)
         return await world.until(
-            lambda: all(world.control_servers[number].confirmation.is_current() for number in (1, 2, 3))
+            lambda: all(world.control_servers[number].freshness.is_current() for number in (1, 2, 3))
         )
 
     assert play(scene) < 0.4
@@ -221,7 +219,7 @@
     while True:
         try:
             return await world.put(1, generation, base)
-        except RegisterUnavailable:
+        except RegisterUnavailableError:
             await asyncio.sleep(0.1)
 
 
@@ -238,7 +236,7 @@
         for _ in range(300):
             await asyncio.sleep(0.01)
             for number in (2, 3):
-                confirmation = world.control_servers[number].confirmation
+                confirmation = world.control_servers[number].freshness
                 if world.generation(number) < 8:
                     assert asyncio.get_running_loop().time() - confirmation.age_s() <= acknowledged_s
         return world.generation(2), world.generation(3)
@@ -248,7 +246,7 @@
 
 async def told_version(world, number):
     """The version that a process tells in its answer to a heartbeat."""
-    heartbeat = {"from": world.control_servers[1].record(), "receivers": [0, ""]}
+    heartbeat = {"from": world.control_servers[1].local_peer.description().encode(), "receivers": [0, ""]}
     return (await world.control_servers[number].handlers["keeper.hello"](heartbeat))["accepted_version"]
 
 
@@ -343,8 +341,8 @@
         ages_s = []
         for _ in range(500):
             await asyncio.sleep(0.01)
-            ages_s += [world.control_servers[number].list.age_s() for number in others]
-        return max(ages_s) / world.control_servers[1].list.period_s
+            ages_s += [world.control_servers[number].list_reader.age_s() for number in others]
+        return max(ages_s) / world.control_servers[1].list_reader.period_s
 
     assert play(scene) < 1.5
 
@@ -358,7 +356,7 @@
         ages_s = []
         for _ in range(2000):
             await asyncio.sleep(0.001)
-            ages_s += [control_server.confirmation.age_s() for control_server in world.control_servers.values()]
+            ages_s += [control_server.freshness.age_s() for control_server in world.control_servers.values()]
         return min(ages_s)
 
     assert play(scene) >= 2 * latency_s - 1e-6
@@ -389,13 +387,13 @@
         await asyncio.sleep(4.0)
         drain(world)
         await drain_known(world, (1, 2, 3))
-        versions = [world.control_servers[number].directory.version for number in (1, 2, 3)]
+        versions = [world.control_servers[number].list_reader.directory.version for number in (1, 2, 3)]
         world.network.join()
         seen = []
         for _ in range(300):
             await asyncio.sleep(0.01)
             seen += [shows_drain(world, number) for number in (1, 2, 3)]
-        after = [world.control_servers[number].directory.version for number in (1, 2, 3)]
+        after = [world.control_servers[number].list_reader.directory.version for number in (1, 2, 3)]
         return versions, after, seen
 
     versions, after, seen = play(scene)
@@ -416,7 +414,8 @@
         now_s = asyncio.get_running_loop().time()
         last_read_s = max(at_s for at_s, _ in world.readings if at_s <= began_s)
         return [
-            control_server.list.age_s() - (now_s - last_read_s) for control_server in world.control_servers.values()
+            control_server.list_reader.age_s() - (now_s - last_read_s)
+            for control_server in world.control_servers.values()
         ]
 
     assert min(play(scene)) >= -0.01
--- a/tests/controlplane/test_leases.py
+++ b/tests/controlplane/test_leases.py
@@ -5,10 +5,10 @@
 import pytest
 
 from dewpin.controlplane.membership.leases import (
+    LEASE_CYCLES,
     LEASE_PERIODS,
-    LEASE_ROUNDS,
     RELAY_FAN_OUT,
-    RELEASES_COUNT_S,
+    RELEASE_MEMORY_S,
     LeaseTable,
 )
 
@@ -34,7 +34,7 @@
     grantors = 3 * LEASE_PERIODS
     table = LeaseTable(PERIOD_S)
     table.renew("sender-0", "10.0.0.0:1", "east", 0.0, grantors)
-    assert table.live((LEASE_ROUNDS - 0.5) * grantors * PERIOD_S)
+    assert table.live((LEASE_CYCLES - 0.5) * grantors * PERIOD_S)
 
 
 def test_a_lease_that_is_released_is_gone():
@@ -50,9 +50,9 @@
     table.renew("sender-1", "10.0.0.1:1", "east", 1.5)
     assert [lease.sender for lease in table.live(1.5)] == ["sender-0"]
     assert table.parents("sender-1", 1.5) == []
-    table.release("sender-1", 1.0 + RELEASES_COUNT_S)  # again: the first one counts, and has counted for long enough
-    table.renew("sender-1", "10.0.0.1:1", "east", 1.0 + RELEASES_COUNT_S)
-    assert [lease.sender for lease in table.live(1.0 + RELEASES_COUNT_S)] == ["sender-1"]  # nothing is kept for ever
+    table.release("sender-1", 1.0 + RELEASE_MEMORY_S)  # again: the first one counts, and has counted for long enough
+    table.renew("sender-1", "10.0.0.1:1", "east", 1.0 + RELEASE_MEMORY_S)
+    assert [lease.sender for lease in table.live(1.0 + RELEASE_MEMORY_S)] == ["sender-1"]  # nothing is kept for ever
 
 
 @pytest.mark.parametrize("count", [1, 2, 4, 5, 20, 21, 85, 200])
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -10,7 +10,7 @@
 from scripted.stores import World
 
 from dewpin.cluster.configuration import longest_retain_s
-from dewpin.controlplane.__main__ import start_store
+from dewpin.controlplane.local_store import LocalStore
 from dewpin.controlplane.store import ledger_replica, ledger_retention
 from dewpin.controlplane.store.ledger_retention import MAX_RETENTION_MS, MIN_RETENTION_MS, LedgerRetention
 from dewpin.controlplane.store.sender_handlers import RETENTION_MARGIN_MS
@@ -152,22 +152,23 @@
 
 def test_store_of_a_process_follows_the_configuration():
     async def scene():
-        disk, control_server, clock_ms = MemoryDisk(), SimpleNamespace(), [0]
+        disk, clock_ms = MemoryDisk(), [0]
         disk.incarnation = "a-1"
         settings = SimpleNamespace(fault_tolerance=SimpleNamespace(replica_count=1))
-        await start_store(settings, disk, None, control_server, lambda: clock_ms[0])
+        store = LocalStore(settings, disk, None, lambda epoch: None, lambda: clock_ms[0])
+        await store.start()
         record = ledger_replica.LedgerRecord("p", (5, "s"), (5, "s"), {"spent": 1, "open": {}})
         await disk.transact(lambda connection: ledger_replica.merge(connection, [record], 0))
 
         async def ledgers_after(hours, retain_s, digest):
             body = json.dumps({"routes": [{"retain_s": retain_s}]})
             stores = {"epoch": 0, "stable": {}, "next": None}
-            control_server.on_state({"stores": stores, "configuration": {"digest": digest, "body": body}})
+            store.adopt({"stores": stores, "configuration": {"digest": digest, "body": body}})
             clock_ms[0] = hours * HOUR_MS
             await asyncio.sleep(2 * PURGE_PERIOD_S)
             return len(ledger_replica.read_page(disk.connection, "", 9))
 
-        control_server.on_state({"stores": {"epoch": 0, "stable": {}, "next": None}, "configuration": None})
+        store.adopt({"stores": {"epoch": 0, "stable": {}, "next": None}, "configuration": None})
         assert await ledgers_after(5, 10 * 3600, "one") == 1
         assert await ledgers_after(9, 20 * 3600, "two") == 1
         assert await ledgers_after(19, 20 * 3600, "two") == 1
--- a/tests/controlplane/test_list_reader.py
+++ b/tests/controlplane/test_list_reader.py
@@ -2,11 +2,11 @@
 
 from dewpin.cluster.receivers import DirectoryVersion, Receiver
 from dewpin.controlplane.platform_list_reader import (
-    LOOKS_IN_PERIOD,
+    CHECKS_PER_PERIOD,
     READINGS_IN_DRAIN,
     STALE_READINGS,
     UNKNOWN_AGE_S,
-    ListReader,
+    PlatformListReader,
 )
 
 DRAIN_S = 4.0
@@ -23,7 +23,7 @@
 
 def made(member="a"):
     clock = Clock()
-    return ListReader(member, DRAIN_S, clock), clock
+    return PlatformListReader(member, DRAIN_S, clock), clock
 
 
 def test_nothing_was_read_yet():
@@ -34,7 +34,7 @@
 
 def test_the_one_with_the_duty_reads_every_period_and_the_others_where_the_list_grows_stale():
     reader, clock = made()
-    reader.take_reading([ONE], clock())
+    reader.apply_listing([ONE], clock())
     clock.now_s += 0.99 * PERIOD_S
     assert not reader.is_due(True)
     clock.now_s += 0.02 * PERIOD_S
@@ -47,36 +47,36 @@
     reader, clock = made()
     began_s = clock()
     clock.now_s += 0.4
-    reader.take_reading([ONE], began_s)
+    reader.apply_listing([ONE], began_s)
     assert round(reader.age_s(), 6) == 0.4
 
 
 def test_the_wait_ends_when_a_reading_is_due_and_looks_for_the_duty_meanwhile():
     reader, clock = made()
-    reader.take_reading([ONE], clock())
-    assert reader.wait_s(True) == PERIOD_S / LOOKS_IN_PERIOD
+    reader.apply_listing([ONE], clock())
+    assert reader.wait_s(True) == PERIOD_S / CHECKS_PER_PERIOD
     clock.now_s += 0.9 * PERIOD_S
     assert round(reader.wait_s(True), 6) == round(0.1 * PERIOD_S, 6)
 
 
 def test_another_process_age_counts_only_for_the_version_held_here():
     reader, clock = made()
-    reader.take_copy(DirectoryVersion(5, "b"), [ONE], clock() - 2.0)
+    reader.apply_update(DirectoryVersion(5, "b"), [ONE], clock() - 2.0)
     assert reader.age_s() == 2.0
-    reader.note_read(DirectoryVersion(5, "c"), clock() - 0.1)
-    reader.note_read(DirectoryVersion(4, "b"), clock() - 0.1)
-    reader.note_read(DirectoryVersion(6, "b"), clock() - 0.1)
+    reader.record_read_time(DirectoryVersion(5, "c"), clock() - 0.1)
+    reader.record_read_time(DirectoryVersion(4, "b"), clock() - 0.1)
+    reader.record_read_time(DirectoryVersion(6, "b"), clock() - 0.1)
     assert reader.age_s() == 2.0
-    reader.note_read(DirectoryVersion(5, "b"), clock() - 0.1)
+    reader.record_read_time(DirectoryVersion(5, "b"), clock() - 0.1)
     assert round(reader.age_s(), 6) == 0.1
-    reader.note_read(DirectoryVersion(5, "b"), clock() - 3.0)
+    reader.record_read_time(DirectoryVersion(5, "b"), clock() - 3.0)
     assert round(reader.age_s(), 6) == 0.1
 
 
 def test_a_newer_directory_brings_its_own_age_also_if_it_was_read_earlier():
     reader, clock = made()
-    reader.take_reading([ONE], clock())
-    assert reader.take_copy(DirectoryVersion(5, "b"), [ONE], clock() - 1.5)
+    reader.apply_listing([ONE], clock())
+    assert reader.apply_update(DirectoryVersion(5, "b"), [ONE], clock() - 1.5)
     assert reader.age_s() == 1.5
-    assert not reader.take_copy(DirectoryVersion(4, "b"), [ONE], clock())
+    assert not reader.apply_update(DirectoryVersion(4, "b"), [ONE], clock())
     assert reader.age_s() == 1.5
--- a/tests/controlplane/test_majority_contact.py
+++ b/tests/controlplane/test_majority_contact.py
@@ -2,14 +2,19 @@
 
 import pytest
 
-from dewpin.controlplane.membership.majority_contact import CONTACT_LIVE_S, NEVER_S, MajorityContact, MemberWord
-from dewpin.controlplane.register.system_state import genesis
+from dewpin.controlplane.membership.majority_contact import (
+    CONTACT_WITHIN_S,
+    NEVER_S,
+    MajorityContact,
+    MemberAcknowledgement,
+)
+from dewpin.controlplane.register.system_state import initial_state
 
 VERSION = 7
 
 
 def state_of(members="abc", former=None, version=VERSION):
-    state = genesis({one: one for one in members}, {})
+    state = initial_state({one: one for one in members}, {})
     return {**state, "version": version, "former_members": {one: one for one in former or members}}
 
 
@@ -22,12 +27,12 @@
         self.own_accepted = VERSION
 
     def answered(self, member, asked_s, accepted=VERSION, now_s=None):
-        self.contact.answered(member, MemberWord(asked_s, accepted))
+        self.contact.record_acknowledgement(member, MemberAcknowledgement(asked_s, accepted))
         return self.update(asked_s if now_s is None else now_s)
 
     def update(self, now_s):
         self.contact.update(self.state, self.own_accepted, now_s)
-        return self.contact.confirmed_s
+        return self.contact.confirmed_at_s
 
 
 def test_nothing_is_confirmed_by_this_process_alone():
@@ -65,7 +70,7 @@
     scene = Scene()
     for number in range(100):
         scene.answered(f"stranger-{number}", 100.0 + number)
-    assert not scene.contact._words
+    assert not scene.contact._acknowledgements
 
 
 def test_a_newer_version_that_a_member_accepted_leaves_what_is_held_here_unconfirmed():
@@ -104,7 +109,7 @@
 
 def test_a_read_confirms_as_of_its_beginning():
     scene = Scene()
-    scene.contact.confirmed_by_read(50.0)
+    scene.contact.record_quorum_read(50.0)
     assert scene.update(60.0) == 50.0
 
 
@@ -113,7 +118,7 @@
     for tenth in range(0, 50, 5):
         scene.answered("b", 100.0 + tenth / 10)
     assert scene.contact.contact_since_s(104.5) == 100.0
-    assert scene.contact.contact_since_s(104.5 + 2 * CONTACT_LIVE_S) is None
+    assert scene.contact.contact_since_s(104.5 + 2 * CONTACT_WITHIN_S) is None
     scene.answered("c", 110.0)
     assert scene.contact.contact_since_s(110.0) == 110.0
 
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -13,15 +13,16 @@
 
 from dewpin.cluster.body_messages import patch_digest
 from dewpin.controlplane import operator_api
-from dewpin.controlplane.operator_api import OperatorApi, serve_operator
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.operator_api import OperatorApi
+from dewpin.controlplane.operator_http import serve_operator
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import (
-    MOST_REMEMBERED_CONFIGURATIONS,
-    begin_stores,
+    MAX_CHANGES_IN_STATE,
     configuration_digest,
     finish_retirement,
-    genesis,
+    initial_state,
     put_configuration,
+    set_initial_stores,
 )
 
 LEAST_STORES = 3
@@ -33,17 +34,17 @@
     def __init__(self):
         ids = {one: f"{one}:1" for one in "abcd"}
         names = {one: f"store-{one}" for one in "abcd"}
-        self.state = begin_stores(ids, names)(genesis(ids, names))
+        self.state = set_initial_stores(ids, names)(initial_state(ids, names))
         self.available = True
         self.history = None
 
     async def propose(self, change, timeout_s):
         if not self.available:
-            raise RegisterUnavailable("no majority in time")
+            raise RegisterUnavailableError("no majority in time")
         self.state = change(self.state)
         return self.state
 
-    async def was_taken(self, generation, digest, timeout_s):
+    async def was_accepted(self, generation, digest, timeout_s):
         if self.history is None:
             await asyncio.sleep(timeout_s)
             return None
@@ -202,20 +203,20 @@
 
 def take_more_than_the_state_remembers(operator):
     state = operator.register.state
-    for generation in range(7, 7 + MOST_REMEMBERED_CONFIGURATIONS + 5):
+    for generation in range(7, 7 + MAX_CHANGES_IN_STATE + 5):
         base = generation - 1 if generation > 7 else 0
         state = put_configuration(json.dumps(sample(generation)).encode(), generation, base)(state)
     operator.register.state = state
 
 
-@pytest.mark.parametrize("was_taken", [True, False])
-def test_an_order_that_the_state_has_forgotten_is_answered_from_the_history(operator, was_taken):
+@pytest.mark.parametrize("was_accepted", [True, False])
+def test_an_order_that_the_state_has_forgotten_is_answered_from_the_history(operator, was_accepted):
     take_more_than_the_state_remembers(operator)
     body = json.dumps(sample(8)).encode()
     operator.register.history = (
-        [[8, configuration_digest(body, 7)]] if was_taken else [[8, configuration_digest(b"other", 7)]]
+        [[8, configuration_digest(body, 7)]] if was_accepted else [[8, configuration_digest(b"other", 7)]]
     )
-    assert operator.put(body, 7) == (200 if was_taken else 412)
+    assert operator.put(body, 7) == (200 if was_accepted else 412)
 
 
 def test_a_forgotten_order_that_no_history_tells_of_gets_no_clear_answer_in_time(operator):
@@ -321,7 +322,7 @@
 
 
 def test_a_proposal_that_never_ends_is_answered_in_time(operator, monkeypatch):
-    monkeypatch.setattr(operator_api, "ANSWER_WITHIN_S", 0.01)
+    monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.01)
 
     async def never(change, timeout_s):
         await asyncio.wait_for(asyncio.Event().wait(), 1.0)
--- a/tests/controlplane/test_order_history.py
+++ b/tests/controlplane/test_order_history.py
@@ -6,32 +6,32 @@
 from controlplane.order_scenes import ANSWER_S, WAIT_S, answer, body_of, play, put, read, take
 
 from dewpin.controlplane.register import change_history as order_history
-from dewpin.controlplane.register.change_history import OrderHistory, OrdersRequest, TakenOrder
+from dewpin.controlplane.register.change_history import AcceptedChange, ChangeHistory, ChangeHistoryRequest
 from dewpin.controlplane.register.system_state import (
-    MOST_REMEMBERED_CONFIGURATIONS,
-    AnotherVersionIsCurrent,
-    OrderForgotten,
+    MAX_CHANGES_IN_STATE,
+    ChangeForgottenError,
+    VersionMismatchError,
+    accepted_change_count,
     configuration_digest,
-    genesis,
-    orders_taken,
+    initial_state,
 )
 
 
 def test_an_order_older_than_all_that_the_state_remembers_is_acknowledged_again_everywhere():
-    last = 3 * MOST_REMEMBERED_CONFIGURATIONS
+    last = 3 * MAX_CHANGES_IN_STATE
 
     async def scene(registers):
         await take(registers.members["a"], 1, last)
         state = await registers.members["b"].propose(read, WAIT_S)
-        assert len(state["accepted"]) == MOST_REMEMBERED_CONFIGURATIONS and orders_taken(state) == last
+        assert len(state["accepted"]) == MAX_CHANGES_IN_STATE and accepted_change_count(state) == last
         return [
             await answer(registers.members[name], generation, generation - 1)
             for name in "abc"
             for generation in (
                 1,
                 2,
-                MOST_REMEMBERED_CONFIGURATIONS,
-                last - MOST_REMEMBERED_CONFIGURATIONS,
+                MAX_CHANGES_IN_STATE,
+                last - MAX_CHANGES_IN_STATE,
                 last - 1,
                 last,
             )
@@ -44,7 +44,7 @@
     async def scene(registers):
         member = registers.members["a"]
         base = 0
-        for generation in range(10, 10 * (MOST_REMEMBERED_CONFIGURATIONS + 20), 10):
+        for generation in range(10, 10 * (MAX_CHANGES_IN_STATE + 20), 10):
             await member.propose(put(generation, base), WAIT_S)
             base = generation
         return (
@@ -58,21 +58,21 @@
 
 
 def test_an_order_that_nobody_remembers_gets_no_clear_answer(monkeypatch):
-    monkeypatch.setattr(order_history, "MOST_ORDERS", MOST_REMEMBERED_CONFIGURATIONS + 10)
+    monkeypatch.setattr(order_history, "MAX_CHANGES_IN_HISTORY", MAX_CHANGES_IN_STATE + 10)
 
     async def scene(registers):
         member = registers.members["a"]
-        await take(member, 1, MOST_REMEMBERED_CONFIGURATIONS + 50)
+        await take(member, 1, MAX_CHANGES_IN_STATE + 50)
         await asyncio.sleep(1.0)
         rows = [await disk.query("SELECT count(*) FROM orders") for disk in registers.disks.values()]
         return await answer(member, 3, 2), await answer(member, 3, 2, b"other"), await answer(member, 45, 44), rows[0]
 
-    assert play(scene) == (503, 503, 200, [(MOST_REMEMBERED_CONFIGURATIONS + 10,)])
+    assert play(scene) == (503, 503, 200, [(MAX_CHANGES_IN_STATE + 10,)])
 
 
 def test_a_generation_not_above_its_base_was_never_taken_however_old():
     async def scene(registers):
-        await take(registers.members["a"], 1, MOST_REMEMBERED_CONFIGURATIONS + 50)
+        await take(registers.members["a"], 1, MAX_CHANGES_IN_STATE + 50)
         return await answer(registers.members["a"], 3, 3), await answer(registers.members["a"], 3, 9)
 
     assert play(scene) == (412, 412)
@@ -84,32 +84,32 @@
 
     async def scene(registers):
         history = registers.members["a"]._history
-        state = genesis({}, {})
+        state = initial_state({}, {})
         for generation in range(1, changes + 1):
             state = put(generation, generation - 1)(state)
-            if generation % MOST_REMEMBERED_CONFIGURATIONS == 0 or generation == changes:
-                await history.note(state)
+            if generation % MAX_CHANGES_IN_STATE == 0 or generation == changes:
+                await history.record(state)
         pages = []
 
         async def ask(request):
             pages.append(request)
             return await history.page(request)
 
-        late = OrderHistory(registers.disks["b"], ask)
+        late = ChangeHistory(registers.disks["b"], ask)
         await late.load()
-        await late.note(state)
+        await late.record(state)
         return [
-            await late.was_taken(generation, configuration_digest(body_of(generation), generation - 1))
-            for generation in (1, 12_345, changes - MOST_REMEMBERED_CONFIGURATIONS, changes)
+            await late.was_accepted(generation, configuration_digest(body_of(generation), generation - 1))
+            for generation in (1, 12_345, changes - MAX_CHANGES_IN_STATE, changes)
         ], len(pages)
 
     taken, pages = play(scene)
     assert taken == [True] * 4
-    assert pages <= changes / order_history.ORDERS_IN_PAGE + 2
+    assert pages <= changes / order_history.CHANGES_PER_PAGE + 2
 
 
 def test_a_member_that_slept_through_more_than_the_state_remembers_takes_the_rest_from_its_peers():
-    last = 2 * MOST_REMEMBERED_CONFIGURATIONS
+    last = 2 * MAX_CHANGES_IN_STATE
 
     async def scene(registers):
         registers.network.cut("c")
@@ -121,20 +121,20 @@
         await asyncio.sleep(1.0)
         registers.network.cut("c")
         rows = await registers.disks["c"].query("SELECT count(*) FROM orders")
-        return rows, await member.was_taken(5, configuration_digest(body_of(5), 4), ANSWER_S)
+        return rows, await member.was_accepted(5, configuration_digest(body_of(5), 4), ANSWER_S)
 
     assert play(scene) == ([(last,)], True)
 
 
 def test_a_page_that_was_lost_is_asked_for_again_and_those_before_it_are_kept(monkeypatch):
-    monkeypatch.setattr(order_history, "ORDERS_IN_PAGE", 50)
+    monkeypatch.setattr(order_history, "CHANGES_PER_PAGE", 50)
 
     async def scene(registers):
         history = registers.members["a"]._history
-        state = genesis({}, {})
+        state = initial_state({}, {})
         for generation in range(1, 401):
             state = put(generation, generation - 1)(state)
-            await history.note(state)
+            await history.record(state)
         answers = 0
 
         async def ask(request):
@@ -142,11 +142,11 @@
             answers += 1
             return None if answers == 3 else await history.page(request)
 
-        late = OrderHistory(registers.disks["b"], ask)
-        await late.note(state)
-        before = await late._is_known(80, "?"), await late._is_known(120, "?")
+        late = ChangeHistory(registers.disks["b"], ask)
+        await late.record(state)
+        before = await late._look_up(80, "?"), await late._look_up(120, "?")
         await late.fill_gaps()
-        return before, await late._is_known(120, "?"), answers
+        return before, await late._look_up(120, "?"), answers
 
     before, after, answers = play(scene)
     assert before == (False, None) and after is False
@@ -159,7 +159,7 @@
         await take(member, 1, 5)
         disk.fails = True
         await registers.members["b"].propose(put(6, 5), WAIT_S)
-        member.observe(registers.members["b"].chosen_ballot, registers.members["b"].chosen)
+        member.record_chosen(registers.members["b"].chosen_ballot, registers.members["b"].chosen)
         await asyncio.sleep(0.1)
         disk.fails = False
         await take(member, 7, 7)
@@ -174,17 +174,21 @@
     entries = [
         [generation, configuration_digest(body_of(generation), generation - 1)] for generation in range(501, 2501)
     ]
-    old = {**genesis({}, {}), "accepted": entries, "configuration": {"generation": 2500, "digest": "", "body": "{}"}}
+    old = {
+        **initial_state({}, {}),
+        "accepted": entries,
+        "configuration": {"generation": 2500, "digest": "", "body": "{}"},
+    }
     del old["orders_taken"]
-    with pytest.raises(OrderForgotten):
+    with pytest.raises(ChangeForgottenError):
         put(3, 2)(old)
     assert put(501, 500)(old) is old
     few = {**old, "accepted": entries[-5:]}
-    with pytest.raises(AnotherVersionIsCurrent):
+    with pytest.raises(VersionMismatchError):
         put(3, 2)(few)
     state = put(2501, 2500)(old)
-    assert orders_taken(state) == 2002 and len(state["accepted"]) == MOST_REMEMBERED_CONFIGURATIONS
-    with pytest.raises(OrderForgotten):
+    assert accepted_change_count(state) == 2002 and len(state["accepted"]) == MAX_CHANGES_IN_STATE
+    with pytest.raises(ChangeForgottenError):
         put(501, 500)(state)
 
 
@@ -192,10 +196,10 @@
     async def scene(registers):
         await take(registers.members["a"], 1, 9)
         await asyncio.sleep(0.1)
-        return await registers.members["a"]._history.page(OrdersRequest(3, 6))
+        return await registers.members["a"]._history.page(ChangeHistoryRequest(3, 6))
 
     page = play(scene)
-    assert page.orders == (
-        TakenOrder(4, 4, configuration_digest(body_of(4), 3)),
-        TakenOrder(5, 5, configuration_digest(body_of(5), 4)),
+    assert page.changes == (
+        AcceptedChange(4, 4, configuration_digest(body_of(4), 3)),
+        AcceptedChange(5, 5, configuration_digest(body_of(5), 4)),
     )
--- a/tests/controlplane/test_orders.py
+++ b/tests/controlplane/test_orders.py
@@ -7,12 +7,12 @@
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.register.system_state import (
-    MOST_REMEMBERED_CONFIGURATIONS,
-    TooFewWouldRemain,
-    UnknownMachine,
-    begin_stores,
+    MAX_CHANGES_IN_STATE,
+    TooFewStoresRemainError,
+    UnknownMachineError,
+    accepted_change_count,
     on_version,
-    orders_taken,
+    set_initial_stores,
     start_retirement,
 )
 
@@ -33,7 +33,7 @@
             (await answer(member, 7, 0, b"one"), await answer(member, 7, 0, b"two"))
             for member in registers.members.values()
         ]
-        await take(first, 8, 8 + MOST_REMEMBERED_CONFIGURATIONS)
+        await take(first, 8, 8 + MAX_CHANGES_IN_STATE)
         later = [
             (await answer(member, 7, 0, b"one"), await answer(member, 7, 0, b"two"))
             for member in registers.members.values()
@@ -54,7 +54,7 @@
 
         answers = await asyncio.gather(answer(registers.members["a"], 7, 0), late())
         state = await registers.members["c"].propose(read, WAIT_S)
-        return answers, orders_taken(state)
+        return answers, accepted_change_count(state)
 
     assert play(scene) == ([200, 200], 1)
 
@@ -110,7 +110,9 @@
 
     async def scene(registers):
         await lose_proposer(registers, reached, answer(registers.members["a"], 7, 0))
-        return await answer(registers.members[asked_next], 7, 0), orders_taken(registers.members[asked_next].chosen)
+        return await answer(registers.members[asked_next], 7, 0), accepted_change_count(
+            registers.members[asked_next].chosen
+        )
 
     assert play(scene) == (200, 1)
 
@@ -160,7 +162,7 @@
             *(answer(registers.members["abc"[n % 3]], 7 + n, 0, b"order %d" % n) for n in range(8))
         )
         took_s = clock() - began_s
-        return answers, took_s, orders_taken(await registers.members["a"].propose(read, WAIT_S))
+        return answers, took_s, accepted_change_count(await registers.members["a"].propose(read, WAIT_S))
 
     answers, took_s, taken = play(scene)
     assert answers.count(200) == 1 and set(answers) == {200, 412}
@@ -195,7 +197,7 @@
         for name in "bc":
             registers.disks[name].delay_s = 0.0
         await asyncio.sleep(1.0)
-        return first, await answer(registers.members["b"], 7, 0), orders_taken(registers.members["b"].chosen)
+        return first, await answer(registers.members["b"], 7, 0), accepted_change_count(registers.members["b"].chosen)
 
     assert play(scene) == (503, 200, 1)
 
@@ -233,13 +235,13 @@
     async def scene(registers):
         stores = {name: name for name in "abc"}
         names = {name: f"machine-{name}" for name in "abc"}
-        await registers.members["a"].propose(on_version(0, begin_stores(stores, names)), WAIT_S)
+        await registers.members["a"].propose(on_version(0, set_initial_stores(stores, names)), WAIT_S)
 
         await lose_proposer(registers, reached, registers.members["a"].propose(retire("machine-b"), WAIT_S))
         states = [await registers.members[name].propose(retire("machine-b"), WAIT_S) for name in "bcb"]
-        with pytest.raises(TooFewWouldRemain):
+        with pytest.raises(TooFewStoresRemainError):
             await registers.members["c"].propose(retire("machine-c"), WAIT_S)
-        with pytest.raises(UnknownMachine):
+        with pytest.raises(UnknownMachineError):
             await registers.members["c"].propose(retire("machine-x"), WAIT_S)
         return [state["retiring"] for state in states]
 
--- a/tests/controlplane/test_reconfiguration.py
+++ b/tests/controlplane/test_reconfiguration.py
@@ -3,14 +3,13 @@
 import pytest
 from controlplane.reconfiguration_scene import STARTED_S, Scene
 
-from dewpin.controlplane.membership.peers import PeerTable
-from dewpin.controlplane.membership.reconfiguration import (
-    GONE_S,
-    GONE_WITH_SUCCESSOR_S,
-    SUCCESSOR_JOINED_WITHIN_S,
-    drives,
-    due_change,
+from dewpin.controlplane.membership.cluster_observation import (
+    REMOVAL_TIMEOUT_S,
+    REPLACEMENT_JOINED_WITHIN_S,
+    REPLACEMENT_TIMEOUT_S,
 )
+from dewpin.controlplane.membership.peers import PeerTable
+from dewpin.controlplane.membership.reconfiguration import is_coordinator, next_change
 from dewpin.controlplane.register.system_state import start_retirement, successor
 
 
@@ -57,14 +56,14 @@
 
 def test_a_silent_member_without_a_spare_stays():
     scene = Scene()
-    scene.after(GONE_S + 5, "b")
+    scene.after(REMOVAL_TIMEOUT_S + 5, "b")
     assert scene.step() == set()
     assert (scene.members, scene.stores) == ("abc", ["a", "b", "c"])
 
 
 def test_a_silent_member_is_replaced_by_a_spare_once_it_is_gone_for_long_enough():
     scene = Scene()
-    scene.after(GONE_WITH_SUCCESSOR_S - 0.2, "b", "d")
+    scene.after(REPLACEMENT_TIMEOUT_S - 0.2, "b", "d")
     scene.step()
     assert scene.members == "abc"
     scene.after(0.4, "b", "d")
@@ -105,7 +104,7 @@
     scene.hear("c", leaving=True)
     scene.settle()
     assert scene.stores == ["a", "b", "c", "d"], "it may still be asked"
-    scene.after(GONE_WITH_SUCCESSOR_S + 0.1, "b", "d")
+    scene.after(REPLACEMENT_TIMEOUT_S + 0.1, "b", "d")
     scene.settle()
     assert (scene.members, scene.stores) == ("abd", ["a", "b", "d"])
 
@@ -122,12 +121,12 @@
     scene = Scene()
     scene.after(1.0, "b", "c", "d")
     scene.settle()
-    scene.after(SUCCESSOR_JOINED_WITHIN_S, "b", "d")
+    scene.after(REPLACEMENT_JOINED_WITHIN_S, "b", "d")
     scene.hear("c", leaving=True)
-    scene.after(GONE_WITH_SUCCESSOR_S + 0.1, "b", "d")
+    scene.after(REPLACEMENT_TIMEOUT_S + 0.1, "b", "d")
     scene.settle()
     assert scene.stores == ["a", "b", "c", "d"]
-    scene.after(GONE_S, "b", "d")
+    scene.after(REMOVAL_TIMEOUT_S, "b", "d")
     scene.settle()
     assert scene.stores == ["a", "b", "d"]
 
@@ -169,7 +168,7 @@
     scene = Scene()
     scene.after(0.3, "b", "c", "d")
     scene.step()
-    scene.after(GONE_WITH_SUCCESSOR_S + 0.1, "b", "c")
+    scene.after(REPLACEMENT_TIMEOUT_S + 0.1, "b", "c")
     scene.settle()
     assert (scene.stores, scene.next_stores) == (["a", "b", "c"], [])
 
@@ -189,7 +188,7 @@
     scene.after(5.0, "b", "c")
     scene.settle()
     assert scene.stores == ["a", "b", "c", "d"]
-    scene.after(GONE_S, "b", "c")
+    scene.after(REMOVAL_TIMEOUT_S, "b", "c")
     scene.settle()
     assert scene.stores == ["a", "b", "c"]
     scene.after(1.0, "b", "c", "d")
@@ -199,7 +198,7 @@
 
 def test_no_store_is_dropped_where_too_few_would_be_left():
     scene = Scene()
-    scene.after(GONE_S + 1, "b")
+    scene.after(REMOVAL_TIMEOUT_S + 1, "b")
     scene.settle()
     assert scene.stores == ["a", "b", "c"]
 
@@ -233,21 +232,21 @@
 
 def test_the_live_member_with_the_least_id_drives():
     scene = Scene()
-    assert drives(scene.state, scene.knowledge)
+    assert is_coordinator(scene.state, scene.observation)
     scene.state = {**scene.state, "members": {"b": "b:1", "c": "c:1", "d": "d:1"}}
-    assert not drives(scene.state, scene.knowledge), "a is no member"
+    assert not is_coordinator(scene.state, scene.observation), "a is no member"
     scene.state = {**scene.state, "members": {"A": "A:1", "a": "a:1", "b": "b:1"}}
-    assert drives(scene.state, scene.knowledge), "A was never heard"
+    assert is_coordinator(scene.state, scene.observation), "A was never heard"
     scene.hear("A")
-    assert not drives(scene.state, scene.knowledge)
+    assert not is_coordinator(scene.state, scene.observation)
     scene.after(1.5, "b")
-    assert drives(scene.state, scene.knowledge)
+    assert is_coordinator(scene.state, scene.observation)
 
 
 def test_a_change_planned_on_a_state_that_moved_is_not_made():
     scene = Scene()
     scene.after(0.3, "b", "c", "d")
-    change = due_change(scene.state, scene.knowledge)
+    change = next_change(scene.state, scene.observation)
     with pytest.raises(Exception, match="planned on"):
         change(successor(scene.state))
 
@@ -275,26 +274,26 @@
 
 def test_a_process_that_reaches_no_majority_drives_no_changes():
     scene = Scene()
-    assert drives(scene.state, scene.knowledge)
+    assert is_coordinator(scene.state, scene.observation)
     scene.contact_since_s = None
-    assert not drives(scene.state, scene.knowledge)
+    assert not is_coordinator(scene.state, scene.observation)
 
 
 def test_the_next_one_drives_while_the_first_reaches_no_majority_by_its_own_word():
     scene = Scene(members="0bc", stores="0bc")
     scene.state["members"] = {"0": "0:1", "a": "a:1", "c": "c:1"}
-    assert not drives(scene.state, scene.knowledge)
-    scene.peers.hear({**scene.record("0"), "reaches_majority": False}, scene.now_s)
-    assert drives(scene.state, scene.knowledge)
+    assert not is_coordinator(scene.state, scene.observation)
+    scene.hear("0", reaches_majority=False)
+    assert is_coordinator(scene.state, scene.observation)
 
 
 def test_silence_from_before_the_own_contact_drops_nobody():
     scene = Scene()
-    scene.after(2 * GONE_S, "d")
+    scene.after(2 * REMOVAL_TIMEOUT_S, "d")
     scene.contact_since_s = scene.now_s - 0.5
     scene.synced = dict.fromkeys("abcd", scene.state["stores"]["epoch"])
     scene.step()
     assert scene.members == "abc" and {"a", "b", "c"} <= set(scene.next_stores or scene.stores)
-    scene.contact_since_s = scene.now_s - GONE_S - 1.0
+    scene.contact_since_s = scene.now_s - REMOVAL_TIMEOUT_S - 1.0
     scene.settle()
     assert scene.members != "abc"
--- a/tests/controlplane/test_register_driver.py
+++ b/tests/controlplane/test_register_driver.py
@@ -9,9 +9,9 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.consensus.messages import CONFLICT, PROMISE
 from dewpin.consensus.replica import ZERO_BALLOT
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import (
-    AnotherVersionIsCurrent,
+    VersionMismatchError,
     put_configuration,
     set_members,
     successor,
@@ -61,9 +61,9 @@
         registers = Registers()
         await registers.begin()
         registers.network.cut("a")
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(put(7, 0), WAIT_S)
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(read, WAIT_S)
         return generation_of(await registers.members["b"].propose(read, WAIT_S))
 
@@ -74,7 +74,7 @@
     async def scene():
         registers = Registers()
         await registers.members["a"].load()
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(read, WAIT_S)
 
     run(scene())
@@ -115,7 +115,7 @@
         registers = Registers()
         await registers.begin()
         only(registers, "a", "register.accept", ())
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(put(7, 0), 0.1)
         call_off(registers)
         registers.network.down.add("c")
@@ -133,11 +133,11 @@
         registers = Registers()
         await registers.begin()
         only(registers, "a", "register.accept", ())
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(put(7, 0), 0.1)
         call_off(registers)
         registers.network.down.add("c")
-        with pytest.raises(AnotherVersionIsCurrent):
+        with pytest.raises(VersionMismatchError):
             await registers.members["b"].propose(put(8, 0, b"other"), WAIT_S)
         registers.network.down = {"a"}
         return generation_of(await registers.members["c"].propose(read, WAIT_S))
@@ -157,7 +157,7 @@
 
         results = await asyncio.gather(propose("a", 7, 0.0), propose("b", 8, delay_s), return_exceptions=True)
         states = [one for one in results if not isinstance(one, Exception)]
-        refusals = [one for one in results if isinstance(one, AnotherVersionIsCurrent)]
+        refusals = [one for one in results if isinstance(one, VersionMismatchError)]
         final = await registers.members["c"].propose(read, WAIT_S)
         return len(states), len(refusals), final == states[0]
 
@@ -205,14 +205,14 @@
         await registers.begin()
         await registers.members["a"].propose(put(7, 0), WAIT_S)
         early = registers._member("b")
-        for handler in (early.handle_prepare, early.handle_accept):
+        for handler in (early.acceptor.handle_prepare, early.acceptor.handle_accept):
             with pytest.raises(RpcError) as caught:
-                await handler({"to": "b", "ballot": [90, "z"], "value": registers.genesis})
+                await handler({"to": "b", "ballot": [90, "z"], "value": registers.initial_state})
             assert caught.value.kind == "starting"
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await early.propose(read, WAIT_S)
         await early.load()
-        promise = await early.handle_prepare({"to": "b", "ballot": [91, "z"]})
+        promise = await early.acceptor.handle_prepare({"to": "b", "ballot": [91, "z"]})
         return generation_of(promise["value"])
 
     assert run(scene()) == 7
@@ -229,7 +229,7 @@
         await asyncio.sleep(0.1)
         sizes = dict(await registers.disks["b"].query(rows))
         member = await registers.restart("c")
-        promise = await member.handle_prepare({"to": "c", "ballot": [90, "z"]})
+        promise = await member.acceptor.handle_prepare({"to": "c", "ballot": [90, "z"]})
         return sizes, generation_of(promise["value"]), promise["accepted"][1]
 
     assert run(scene()) == ({"system": 0, "system/promise": None}, 7, "a")
@@ -240,14 +240,14 @@
         registers = Registers()
         await registers.begin()
         member, disk = registers.members["b"], registers.disks["b"]
-        value = put(7, 0)(registers.genesis)
+        value = put(7, 0)(registers.initial_state)
         disk.fails = True
         with pytest.raises(RpcError):
-            await member.handle_accept({"to": "b", "ballot": [5, "a"], "value": value})
+            await member.acceptor.handle_accept({"to": "b", "ballot": [5, "a"], "value": value})
         disk.fails = False
-        promise = await member.handle_prepare({"to": "b", "ballot": [6, "c"]})
+        promise = await member.acceptor.handle_prepare({"to": "b", "ballot": [6, "c"]})
         member = await registers.restart("b")
-        again = await member.handle_prepare({"to": "b", "ballot": [7, "c"]})
+        again = await member.acceptor.handle_prepare({"to": "b", "ballot": [7, "c"]})
         return promise["accepted"], promise["value"], again["accepted"], again["value"]
 
     accepted, value, accepted_after, value_after = run(scene())
@@ -260,10 +260,15 @@
         await registers.begin()
         member = registers.members["b"]
         prepare = {"type": "register.prepare", "to": "b", "ballot": [50, "z"]}
-        assert (await member.handle_prepare(prepare))["type"] == PROMISE
+        assert (await member.acceptor.handle_prepare(prepare))["type"] == PROMISE
         member = await registers.restart("b")
-        accept = {"type": "register.accept", "to": "b", "ballot": [49, "y"], "value": successor(registers.genesis)}
-        return await member.handle_accept(accept)
+        accept = {
+            "type": "register.accept",
+            "to": "b",
+            "ballot": [49, "y"],
+            "value": successor(registers.initial_state),
+        }
+        return await member.acceptor.handle_accept(accept)
 
     assert run(scene())["type"] == CONFLICT
 
@@ -276,7 +281,7 @@
         registers.network.cut("c")
         await registers.members["a"].propose(put(8, 7), WAIT_S)
         member = await registers.restart("c")
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await member.propose(read, 1.0)
         assert member.chosen is None
         registers.network.join()
@@ -291,11 +296,11 @@
         await registers.begin()
         registers.disks["b"].fails = True
         with pytest.raises(RpcError) as caught:
-            await registers.members["b"].handle_prepare({"to": "b", "ballot": [90, "z"]})
+            await registers.members["b"].acceptor.handle_prepare({"to": "b", "ballot": [90, "z"]})
         assert caught.value.kind == "storage_failed"
         state = await registers.members["a"].propose(put(7, 0), WAIT_S)
         registers.network.down.add("c")
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(put(8, 7), WAIT_S)
         return generation_of(state)
 
@@ -319,9 +324,9 @@
     async def scene():
         registers = Registers()
         await registers.begin()
-        registers.members["c"].member = "c2"
+        registers.members["c"].acceptor.member = "c2"
         registers.network.down.add("b")
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["a"].propose(put(7, 0), WAIT_S)
 
     run(scene())
@@ -339,7 +344,7 @@
         registers.network.down.add("a")
         state = await registers.members["b"].propose(put(8, 7), WAIT_S)
         registers.network.down = {"a", "c"}
-        registers.members["d"].observe(ZERO_BALLOT, registers.genesis)
+        registers.members["d"].record_chosen(ZERO_BALLOT, registers.initial_state)
         return state["members"], generation_of(await registers.members["d"].propose(read, WAIT_S))
 
     assert run(scene()) == ({"a": "a", "b": "b", "d": "d"}, 8)
@@ -355,10 +360,10 @@
         await registers.members["a"].propose(put(7, 0), WAIT_S)
         registers.network.join()
         registers.network.down = {"a", "d"}
-        with pytest.raises(RegisterUnavailable):
+        with pytest.raises(RegisterUnavailableError):
             await registers.members["c"].propose(put(8, 0), WAIT_S)
         registers.network.down = {"a"}
-        with pytest.raises(AnotherVersionIsCurrent):
+        with pytest.raises(VersionMismatchError):
             await registers.members["c"].propose(put(8, 0, b"other"), WAIT_S)
 
     run(scene())
@@ -372,9 +377,9 @@
         await registers.begin()
         state = await registers.members["a"].propose(put(7, 0), WAIT_S)
         for member in registers.members.values():
-            member.observe(registers.members["a"].chosen_ballot, state)
+            member.record_chosen(registers.members["a"].chosen_ballot, state)
         accept = {"type": "register.accept", "to": "b", "ballot": [60, "c"], "value": state}
-        await registers.members["b"].handle_accept(accept)
+        await registers.members["b"].acceptor.handle_accept(accept)
         return registers.members["b"].has_unfinished_value
 
     assert run(scene()) is False
--- a/tests/controlplane/test_repeated_requests.py
+++ b/tests/controlplane/test_repeated_requests.py
@@ -14,7 +14,7 @@
 from scripted.stores import World
 
 from dewpin.cluster.rpc import RpcError
-from dewpin.controlplane.register.register import RegisterUnavailable
+from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.dataplane.programs.errors import BudgetExceededError
 from dewpin.dataplane.programs.program_store import Turn
 
@@ -230,6 +230,6 @@
         try:
             await fleet.put(number, generation, base)
             return
-        except RegisterUnavailable:
+        except RegisterUnavailableError:
             await asyncio.sleep(0.1)
     raise AssertionError("never acknowledged")
--- a/tests/controlplane/test_system_state.py
+++ b/tests/controlplane/test_system_state.py
@@ -3,24 +3,24 @@
 import pytest
 
 from dewpin.controlplane.register.system_state import (
-    AnotherVersionIsCurrent,
-    GenerationNotAbove,
-    StateMoved,
-    TooFewWouldRemain,
-    UnknownMachine,
-    begin_stores,
+    GenerationTooLowError,
+    StateVersionChangedError,
+    TooFewStoresRemainError,
+    UnknownMachineError,
+    VersionMismatchError,
     configuration_digest,
     finish_retirement,
-    finish_stores,
-    genesis,
-    is_settled,
-    move_stores,
+    finish_store_change,
+    initial_state,
+    is_membership_stable,
+    is_retired,
     on_version,
     put_configuration,
     quorum_sets,
-    retirement_is_done,
+    set_initial_stores,
     set_members,
     start_retirement,
+    start_store_change,
     successor,
 )
 
@@ -29,13 +29,13 @@
 
 
 def first():
-    return genesis(MEMBERS, NAMES)
+    return initial_state(MEMBERS, NAMES)
 
 
 def with_stores(count=4):
     ids = "abcdefgh"[:count]
     names = {one: f"store-{number}" for number, one in enumerate(ids, 1)}
-    return begin_stores({one: f"10.0.0.{number}:1" for number, one in enumerate(ids, 1)}, names)(first())
+    return set_initial_stores({one: f"10.0.0.{number}:1" for number, one in enumerate(ids, 1)}, names)(first())
 
 
 def put(state, generation, base, body=b"{}"):
@@ -43,7 +43,7 @@
 
 
 def test_the_first_state_is_the_same_in_whatever_order_the_members_are_told():
-    assert list(first().items()) == list(genesis(dict(reversed(MEMBERS.items())), NAMES).items())
+    assert list(first().items()) == list(initial_state(dict(reversed(MEMBERS.items())), NAMES).items())
     assert quorum_sets(first()) == [frozenset("abc"), frozenset("abc")]
 
 
@@ -67,26 +67,26 @@
 
 def test_only_one_of_two_configurations_on_the_same_version_is_taken():
     state = put(first(), 7, 0, b"one")
-    with pytest.raises(AnotherVersionIsCurrent):
+    with pytest.raises(VersionMismatchError):
         put(state, 8, 0, b"two")
 
 
 def test_another_configuration_under_a_number_that_was_taken_is_refused():
     state = put(first(), 7, 0, b"one")
-    with pytest.raises(AnotherVersionIsCurrent):
+    with pytest.raises(VersionMismatchError):
         put(state, 7, 0, b"two")
-    with pytest.raises(GenerationNotAbove):
+    with pytest.raises(GenerationTooLowError):
         put(state, 7, 7, b"two")
 
 
 @pytest.mark.parametrize("generation", [1, 6, 7])
 def test_a_generation_has_to_be_above_the_present_one(generation):
-    with pytest.raises(GenerationNotAbove):
+    with pytest.raises(GenerationTooLowError):
         put(put(first(), 7, 0), generation, 7, b"two")
 
 
 def test_a_base_above_the_present_version_is_refused():
-    with pytest.raises(AnotherVersionIsCurrent):
+    with pytest.raises(VersionMismatchError):
         put(first(), 9, 5)
 
 
@@ -97,31 +97,31 @@
 
 
 def test_the_present_configuration_sent_as_a_change_of_itself_is_not_the_order_that_was_taken():
-    with pytest.raises(GenerationNotAbove):
+    with pytest.raises(GenerationTooLowError):
         put(put(first(), 7, 0), 7, 7)
 
 
 def test_a_planned_change_is_made_on_its_own_version_only():
     change = on_version(0, successor)
     assert change(first())["version"] == 1
-    with pytest.raises(StateMoved):
+    with pytest.raises(StateVersionChangedError):
         change(successor(first()))
 
 
 def test_a_change_of_members_is_settled_by_the_next_version():
     changed = set_members({"a": "x", "b": "y", "d": "z"}, {"d": "store-9"})(first())
-    assert not is_settled(changed)
+    assert not is_membership_stable(changed)
     assert quorum_sets(changed) == [frozenset("abd"), frozenset("abc")]
     assert changed["names"] == {**NAMES, "d": "store-9"}
     settled = successor(changed)
-    assert is_settled(settled) and quorum_sets(settled) == [frozenset("abd"), frozenset("abd")]
+    assert is_membership_stable(settled) and quorum_sets(settled) == [frozenset("abd"), frozenset("abd")]
 
 
 def test_every_change_of_the_stores_raises_the_epoch():
     state = with_stores(3)
-    moving = move_stores({"a": "1", "b": "2", "d": "4"}, {"d": "store-4"})(state)
-    redirected = move_stores({"a": "1", "b": "2"}, {})(moving)
-    done = finish_stores(moving)
+    moving = start_store_change({"a": "1", "b": "2", "d": "4"}, {"d": "store-4"})(state)
+    redirected = start_store_change({"a": "1", "b": "2"}, {})(moving)
+    done = finish_store_change(moving)
     assert [one["stores"]["epoch"] for one in (state, moving, redirected, done)] == [1, 2, 3, 3]
     assert moving["stores"]["stable"] == state["stores"]["stable"]
     assert redirected["stores"]["stable"] == state["stores"]["stable"]
@@ -130,9 +130,9 @@
 
 def test_a_machine_is_retired_by_its_name():
     state = start_retirement("store-2", 3)(with_stores(4))
-    assert state["retiring"] == ["store-2"] and not retirement_is_done(state, "store-2")
+    assert state["retiring"] == ["store-2"] and not is_retired(state, "store-2")
     done = finish_retirement("store-2")(state)
-    assert done["retiring"] == [] and retirement_is_done(done, "store-2")
+    assert done["retiring"] == [] and is_retired(done, "store-2")
 
 
 def test_an_order_to_retire_that_comes_again_changes_nothing():
@@ -143,9 +143,9 @@
 
 
 def test_an_unknown_machine_and_one_too_many_are_not_retired():
-    with pytest.raises(UnknownMachine):
+    with pytest.raises(UnknownMachineError):
         start_retirement("store-9", 3)(with_stores(4))
-    with pytest.raises(TooFewWouldRemain):
+    with pytest.raises(TooFewStoresRemainError):
         start_retirement("store-2", 3)(with_stores(3))
-    with pytest.raises(TooFewWouldRemain):
+    with pytest.raises(TooFewStoresRemainError):
         start_retirement("store-2", 3)(start_retirement("store-1", 3)(with_stores(4)))
--- a/tests/controlplane/test_unsteady_machines.py
+++ b/tests/controlplane/test_unsteady_machines.py
@@ -3,7 +3,7 @@
 import pytest
 from controlplane.reconfiguration_scene import Scene
 
-from dewpin.controlplane.membership.reconfiguration import GONE_S, GONE_WITH_SUCCESSOR_S
+from dewpin.controlplane.membership.cluster_observation import REMOVAL_TIMEOUT_S, REPLACEMENT_TIMEOUT_S
 from dewpin.controlplane.register.system_state import start_retirement
 
 # Machines that freeze again and again
@@ -58,7 +58,7 @@
 
 def test_the_wait_for_a_machine_that_froze_often_ends_at_the_usual_bound():
     scene = scene_after_freezes(8)
-    scene.after(GONE_S - 0.5, "b", "d", "e", "f")
+    scene.after(REMOVAL_TIMEOUT_S - 0.5, "b", "d", "e", "f")
     scene.settle()
     assert scene.members == "abcde"
     scene.after(0.6, "b", "d", "e", "f")
@@ -73,7 +73,7 @@
     assert scene.members == "abcde", "there is no other"
     for _ in range(2 * steady_s):
         scene.after(0.5, *"bcdef")
-    scene.after(GONE_WITH_SUCCESSOR_S + 0.1, *"bcef")
+    scene.after(REPLACEMENT_TIMEOUT_S + 0.1, *"bcef")
     scene.settle(synced=False)
     assert scene.members == ("abcef" if replaced else "abcde")
 
@@ -101,7 +101,7 @@
 
 def test_a_store_that_comes_back_while_it_is_being_dropped_stays():
     scene = Scene(stores="abcd")
-    scene.after(GONE_S + 0.1, "b", "c")
+    scene.after(REMOVAL_TIMEOUT_S + 0.1, "b", "c")
     scene.settle(synced=False)
     assert (scene.stores, scene.next_stores) == (["a", "b", "c", "d"], ["a", "b", "c"])
     scene.after(0.25, "b", "c", "d")
@@ -111,7 +111,7 @@
 
 def test_a_store_that_was_dropped_and_comes_back_is_no_replica_before_it_has_copied():
     scene = Scene(stores="abcd")
-    scene.after(GONE_S + 0.1, "b", "c")
+    scene.after(REMOVAL_TIMEOUT_S + 0.1, "b", "c")
     scene.settle()
     assert scene.stores == ["a", "b", "c"]
     old = scene.state["stores"]["epoch"] - 1
@@ -137,7 +137,7 @@
     while scene.state["stores"]["next"] is None:
         scene.step()
     others = [one for one in "bcde" if one != lost]
-    scene.after(GONE_WITH_SUCCESSOR_S + 0.1, *others)
+    scene.after(REPLACEMENT_TIMEOUT_S + 0.1, *others)
     for _ in range(6):
         scene.step()
     assert "e" in scene.stores, "nobody has copied yet"
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -47,19 +47,21 @@
 from dewpin.consensus import Accepted, Ballot, Conflict, Promise
 from dewpin.consensus.messages import decode_reply, encode_reply
 from dewpin.controlplane.control_server import ControlServer
-from dewpin.controlplane.membership.heartbeat_messages import ChosenState, Heartbeat, HeartbeatAnswer
-from dewpin.controlplane.operator_api import OperatorApi, serve_operator
-from dewpin.controlplane.register.change_history import OrderPage, OrdersRequest, TakenOrder
-from dewpin.controlplane.register.messages import BODY, AcceptCall, PrepareCall
+from dewpin.controlplane.membership.heartbeat_messages import ChosenState, Heartbeat, HeartbeatReply
+from dewpin.controlplane.membership.peers import PeerDescription
+from dewpin.controlplane.operator_api import OperatorApi
+from dewpin.controlplane.operator_http import serve_operator
+from dewpin.controlplane.register.change_history import AcceptedChange, ChangeHistoryPage, ChangeHistoryRequest
+from dewpin.controlplane.register.messages import BODY, AcceptRequest, PrepareRequest
 from dewpin.controlplane.register.system_state import (
-    begin_stores,
     finish_retirement,
-    finish_stores,
-    genesis,
-    move_stores,
+    finish_store_change,
+    initial_state,
     patch_configuration,
     put_configuration,
+    set_initial_stores,
     start_retirement,
+    start_store_change,
 )
 from dewpin.controlplane.storage import Storage
 from dewpin.controlplane.store.ledger_replica import LedgerRecord
@@ -159,7 +161,7 @@
     "configuration": None,
     "accepted": [],
 }
-PEER: Json = {
+PEER_RECORD: Json = {
     "id": "m1",
     "name": "control-1",
     "address": "10.0.0.1:8144",
@@ -173,7 +175,9 @@
     "location": "north/east",
     "reaches_majority": True,
 }
-BARE_PEER = {name: value for name, value in PEER.items() if name not in ("location", "reaches_majority")}
+BARE_PEER_RECORD = {name: value for name, value in PEER_RECORD.items() if name not in ("location", "reaches_majority")}
+PEER = PeerDescription.decode(PEER_RECORD)
+BARE_PEER = PeerDescription.decode(BARE_PEER_RECORD)
 
 
 def _whole(name: str, value: Any, is_answer: bool) -> MessageCase:
@@ -270,22 +274,30 @@
         _whole("keeper.hello/full", Heartbeat(PEER, VERSION, ("0123456789abcdef01234567",)), False),
         _whole("keeper.hello/least", Heartbeat(BARE_PEER, NO_VERSION), False),
         _whole(
-            "keeper.hello.answer/full", HeartbeatAnswer(PEER, VERSION, 0.25, 9, chosen, (COLD, PLAIN)), is_answer=True
+            "keeper.hello.answer/full",
+            HeartbeatReply(PEER, VERSION, 0.25, 9, chosen, (COLD, PLAIN)),
+            is_answer=True,
         ),
-        _whole("keeper.hello.answer/least", HeartbeatAnswer(BARE_PEER, NO_VERSION, 0.0), is_answer=True),
         _whole(
-            "register.prepare/full", PrepareCall("m2", BALLOT, NEXT_BALLOT, ("0123456789abcdef01234567", "89")), False
+            "keeper.hello.answer/least",
+            HeartbeatReply(BARE_PEER, NO_VERSION, 0.0),
+            is_answer=True,
         ),
-        _whole("register.prepare/least", PrepareCall("m2", ZERO), False),
-        _whole("register.accept/full", AcceptCall("m2", BALLOT, STATE, "10.0.0.1:8144"), False),
-        _whole("register.accept/least", AcceptCall("m2", ZERO, BARE_STATE), False),
-        _whole("register.orders/request", OrdersRequest(3, 900), False),
+        _whole(
+            "register.prepare/full",
+            PrepareRequest("m2", BALLOT, NEXT_BALLOT, ("0123456789abcdef01234567", "89")),
+            False,
+        ),
+        _whole("register.prepare/least", PrepareRequest("m2", ZERO), False),
+        _whole("register.accept/full", AcceptRequest("m2", BALLOT, STATE, "10.0.0.1:8144"), False),
+        _whole("register.accept/least", AcceptRequest("m2", ZERO, BARE_STATE), False),
+        _whole("register.orders/request", ChangeHistoryRequest(3, 900), False),
         _whole(
             "register.orders/full",
-            OrderPage((TakenOrder(4, 6, "89abcdef"), TakenOrder(5, 7, "01234567"))),
+            ChangeHistoryPage((AcceptedChange(4, 6, "89abcdef"), AcceptedChange(5, 7, "01234567"))),
             is_answer=True,
         ),
-        _whole("register.orders/least", OrderPage(()), is_answer=True),
+        _whole("register.orders/least", ChangeHistoryPage(()), is_answer=True),
     ]
 
 
@@ -336,7 +348,7 @@
 
 def earlier_forms() -> dict[str, tuple[Json, Any, Callable[[Json], Any]]]:
     """Messages as releases before wrote them, without the fields that came later: only decoded."""
-    peer = dict(BARE_PEER)
+    peer = dict(BARE_PEER_RECORD)
     renewed = {
         "type": "lease.granted",
         "duration_s": 3.4,
@@ -376,18 +388,18 @@
         ),
         "keeper.hello.answer": (
             {"type": "keeper.hello", "from": peer, "receivers_version": [12, "keeper-a"], "list_age_s": 0.25},
-            HeartbeatAnswer(BARE_PEER, VERSION, 0.25, None, None, None),
-            HeartbeatAnswer.decode,
+            HeartbeatReply(BARE_PEER, VERSION, 0.25, None, None, None),
+            HeartbeatReply.decode,
         ),
         "register.prepare": (
             {"type": "register.prepare", "to": "m2", "ballot": [3, "a"]},
-            PrepareCall("m2", Ballot(3, "a"), None, ()),
-            PrepareCall.decode,
+            PrepareRequest("m2", Ballot(3, "a"), None, ()),
+            PrepareRequest.decode,
         ),
         "register.accept": (
             {"type": "register.accept", "to": "m2", "ballot": [3, "a"], "value": BARE_STATE},
-            AcceptCall("m2", Ballot(3, "a"), BARE_STATE, ""),
-            AcceptCall.decode,
+            AcceptRequest("m2", Ballot(3, "a"), BARE_STATE, ""),
+            AcceptRequest.decode,
         ),
         "store.view": (
             {"epoch": 1, "stable": {"m1": "10.0.0.1:8144"}, "next": None},
@@ -576,8 +588,8 @@
     machine = _Machine(folder)
     try:
         await machine.server.load()
-        first = genesis({MEMBER: "10.0.0.1:8144"}, {MEMBER: "control-1"})
-        await machine.server.register.begin(first)
+        first = initial_state({MEMBER: "10.0.0.1:8144"}, {MEMBER: "control-1"})
+        await machine.server.register.bootstrap(first)
         states = [copy.deepcopy(first)]
         if scene == "full":
             states += await _write_register(machine)
@@ -594,20 +606,22 @@
     for body in (_configuration(3), accented):
         parse_configuration(body)
     changes = [
-        begin_stores(_STORES, _STORE_NAMES, _LOCATIONS),
+        set_initial_stores(_STORES, _STORE_NAMES, _LOCATIONS),
         put_configuration(_configuration(3), 3, 0),
         put_configuration(_configuration(5), 5, 3),
         patch_configuration(parse_patch(_PATCH), patch_digest(_PATCH, 5), 5),
         start_retirement("store-4", 3),
-        move_stores({name: _STORES[name] for name in ("s1", "s2", "s3")}, {}),
-        finish_stores,
+        start_store_change({name: _STORES[name] for name in ("s1", "s2", "s3")}, {}),
+        finish_store_change,
         finish_retirement("store-4"),
         put_configuration(accented, 9, 8),
-        move_stores({"s1": _STORES["s1"], "s5": "10.0.1.5:8144", "s3": _STORES["s3"]}, _STORE_NAMES, {"s5": "south/w"}),
+        start_store_change(
+            {"s1": _STORES["s1"], "s5": "10.0.1.5:8144", "s3": _STORES["s3"]}, _STORE_NAMES, {"s5": "south/w"}
+        ),
         start_retirement("store-3", 2),
     ]
     states = [copy.deepcopy(await register.propose(change, PATIENCE_S)) for change in changes]
-    assert await register.was_taken(9, configuration_digest(accented, 8), PATIENCE_S)
+    assert await register.was_accepted(9, configuration_digest(accented, 8), PATIENCE_S)
     newest = states[-1]
     unfinished = {
         **newest,
@@ -722,7 +736,7 @@
         view = machine.store.view
         found = {
             "incarnation": machine.storage.incarnation,
-            "record": dict(machine.server.record()),
+            "record": machine.server.local_peer.description().encode(),
             "view": None if view is None else view.to_json(),
             "register": await _read_register(machine),
         }
@@ -735,7 +749,7 @@
 
 async def _read_register(machine: _Machine) -> Json:
     register = machine.server.register
-    held = list(register.held_bodies())
+    held = list(register.body_digests())
     found = {
         "newest": copy.deepcopy(register.newest),
         "durable_version": register.durable_version,
@@ -745,10 +759,10 @@
         "high_ballot": await machine.ask("register.prepare", to=MEMBER, ballot=[60, "m4"], known=None, held=[]),
         "other_member": await machine.ask("register.prepare", to="m2", ballot=[61, "m4"]),
     }
-    register.observe(Ballot(50, "m2"), register.newest)
+    register.record_chosen(Ballot(50, "m2"), register.newest)
     orders = found["orders"]["orders"]
     asked = [(generation, digest) for _, generation, digest in orders] + [(4, "0" * 24), (8, "0" * 24)]
-    found["was_taken"] = [[*order, await register.was_taken(*order, PATIENCE_S)] for order in asked]
+    found["was_taken"] = [[*order, await register.was_accepted(*order, PATIENCE_S)] for order in asked]
     return found
 
 
@@ -805,8 +819,8 @@
     async def _begin(self, folder: Path) -> _Machine:
         machine = _Machine(folder)
         await machine.server.load()
-        await machine.server.register.begin(genesis({MEMBER: "10.0.0.1:8144"}, {MEMBER: "control-1"}))
-        await machine.server.register.propose(begin_stores(_STORES, _STORE_NAMES, _LOCATIONS), PATIENCE_S)
+        await machine.server.register.bootstrap(initial_state({MEMBER: "10.0.0.1:8144"}, {MEMBER: "control-1"}))
+        await machine.server.register.propose(set_initial_stores(_STORES, _STORE_NAMES, _LOCATIONS), PATIENCE_S)
         return machine
 
     def finish_retirement(self, name: str) -> None:
--- a/tests/model/contact_model.py
+++ b/tests/model/contact_model.py
@@ -10,8 +10,8 @@
 - an answer tells some version that the member held between the question and the arrival. Which one is decided when it
   arrives, so a heartbeat on its way carries the versions that it may tell;
 - a heartbeat that was never sent, or is lost on either way, is one whose answer never arrives;
-- a heartbeat is left out once a later one of the same member was heard: `MajorityContact.answered` takes none that was
-  asked earlier. Only a member that votes no more is forgotten, and here none comes back;
+- a heartbeat is left out once a later one of the same member was heard: `MajorityContact.record_acknowledgement` takes
+  none that was asked earlier. Only a member that votes no more is forgotten, and here none comes back;
 - once the process holds the last version nothing follows: no newer one can be chosen, so that none can be missed;
 - with `tells_least` an answer tells what the member held when it was asked. A word counts where its version is not
   above the one held, so one that tells more never confirms more: `_majority_time` rises with each time in `confirming`.
@@ -24,8 +24,8 @@
 from typing import Any, NamedTuple
 
 from dewpin.consensus.proposal import has_majorities
-from dewpin.controlplane.membership.majority_contact import MajorityContact, MemberWord
-from dewpin.controlplane.register.system_state import SystemState, genesis, quorum_sets
+from dewpin.controlplane.membership.majority_contact import MajorityContact, MemberAcknowledgement
+from dewpin.controlplane.register.system_state import SystemState, initial_state, quorum_sets
 from tests.model.component import Component, Event, freeze
 from tests.model.explorer import Label
 
@@ -59,10 +59,10 @@
         kind, *rest = event
         if kind == "answered":
             member, asked_s, version, *rest = rest
-            self._contact.answered(member, MemberWord(asked_s, version))
+            self._contact.record_acknowledgement(member, MemberAcknowledgement(asked_s, version))
         now_s, held, own = rest
         self._contact.update(_state_of(self._versions, held), own, now_s)
-        return self._contact.confirmed_s
+        return self._contact.confirmed_at_s
 
     def fingerprint(self) -> Any:
         """All that it keeps."""
@@ -164,19 +164,18 @@
 
     def _judged(self, state: World, event: Event) -> World:
         own_accepted = state.accepted[self._members.index(OWN)]
-        number, confirmed_s = self._contact.step(state.contact, (*event, state.now_s, state.held, own_accepted))
+        number, confirmed_at_s = self._contact.step(state.contact, (*event, state.now_s, state.held, own_accepted))
         fault = None
         for newer, chosen_s in enumerate(state.chosen_s, 1):
-            if newer > state.held and chosen_s is not None and chosen_s < confirmed_s:
-                fault = (
-                    f"version {state.held} counts as the newest as of {confirmed_s}, {newer} was chosen at {chosen_s}"
-                )
+            if newer > state.held and chosen_s is not None and chosen_s < confirmed_at_s:
+                counted = f"version {state.held} counts as the newest as of {confirmed_at_s}"
+                fault = f"{counted}, {newer} was chosen at {chosen_s}"
         return state._replace(contact=number, fault=fault)
 
 
 @functools.cache
 def _state_of(versions: Versions, number: int) -> SystemState:
-    state = genesis({member: member for member in versions[number].members}, {})
+    state = initial_state({member: member for member in versions[number].members}, {})
     state["former_members"] = {member: member for member in versions[number].former_members}
     state["version"] = number
     return state
--- a/tests/model/ledger_model.py
+++ b/tests/model/ledger_model.py
@@ -22,8 +22,9 @@
 from dewpin.cluster import store_messages as wire
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import Ballot
+from dewpin.controlplane.membership.cluster_observation import ClusterObservation
 from dewpin.controlplane.membership.peers import Peer, PeerTable
-from dewpin.controlplane.membership.reconfiguration import Knowledge, _all_synced
+from dewpin.controlplane.membership.reconfiguration import _have_all_synced
 from dewpin.controlplane.store import replica_sync
 from tests.model.component import Component
 from tests.model.explorer import Label
@@ -225,7 +226,7 @@
     # The change of the view
 
     def _view_steps(self, state: World) -> Iterator[tuple[Label, World]]:
-        if state.epoch == CHANGING and self._all_synced(state):
+        if state.epoch == CHANGING and self._have_all_synced(state):
             yield ("the change ends",), state._replace(epoch=CHANGING + 1)
 
     def _copy_steps(self, state: World) -> Iterator[tuple[Label, World]]:
@@ -260,7 +261,7 @@
         sources = [STORES.index(source) for source in VIEWS[CHANGING].stable_ids]
         return noted | {(target, source) for source in sources if source != target}
 
-    def _all_synced(self, state: World) -> bool:
+    def _have_all_synced(self, state: World) -> bool:
         """Whether the planner's rule lets the change end, by the copies that the rule of the copy calls whole."""
         synced = frozenset(target for target in range(len(STORES)) if self._is_whole(state, target))
         if synced not in self._may_finish:
@@ -311,11 +312,25 @@
     peers = PeerTable()
     for number, name in enumerate(STORES):
         epoch = CHANGING if number in synced else 1
-        peer = Peer(name, name, f"{name}:1", True, True, 1, epoch, False, False, False, last_heard_s=0.0)
-        peers.peers[name] = peer
-    me = Peer("planner", "planner", "planner:1", True, False, 1, 0, False, False, False, last_heard_s=0.0)
-    knowledge = Knowledge(me, peers, REPLICA_COUNT, 0.0, 0.0, 0.0)
-    return _all_synced({name: f"{name}:1" for name in VIEWS[CHANGING].next_ids}, CHANGING, knowledge)
+        peers.peers[name] = _peer(name, epoch)
+    observation = ClusterObservation(_peer("planner", 0), peers, REPLICA_COUNT, 0.0, 0.0, 0.0)
+    return _have_all_synced({name: f"{name}:1" for name in VIEWS[CHANGING].next_ids}, CHANGING, observation)
+
+
+def _peer(name: str, synced_epoch: int) -> Peer:
+    return Peer(
+        id=name,
+        name=name,
+        address=f"{name}:1",
+        serves_control=True,
+        serves_store=name != "planner",
+        version=1,
+        synced_epoch=synced_epoch,
+        is_leaving=False,
+        is_bootstrap=False,
+        has_list_failed=False,
+        last_heard_s=0.0,
+    )
 
 
 def _covers(stages: Stages, floor: Stages) -> bool:
