--- a/tests/model/register_parts.py
+++ b/tests/model/register_parts.py
@@ -16,13 +16,14 @@
 from dewpin.cluster.rpc import RpcError
 from dewpin.consensus import Ballot, Prepare, Proposal, Request
 from dewpin.consensus.messages import decode_reply
-from dewpin.controlplane.register.messages import AcceptCall, PrepareCall
+from dewpin.controlplane.register.messages import AcceptRequest, PrepareRequest
+from dewpin.controlplane.register.proposer import RegisterProposer
 from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.register.system_state import (
-    Change,
-    ChangeRefused,
+    ChangeFunction,
+    ChangeRejectedError,
     SystemState,
-    genesis,
+    initial_state,
     on_version,
     put_configuration,
     set_members,
@@ -100,20 +101,29 @@
         return -0.5
 
 
-class _ModelRegister(SystemRegister):
-    """The register whose ballots wait for the model."""
+class _ModelProposer(RegisterProposer):
+    """The proposer whose ballots wait for the model."""
 
     proposal: Proposal | None = None
     ballots = 0
 
-    async def _drive(self, proposal: Proposal, held: tuple[str, ...]) -> None:
+    async def _drive(self, proposal: Proposal, body_digests: tuple[str, ...]) -> None:
         self.ballots += 1
         self.proposal = proposal
         self.waiting = proposal.start()
         if proposal.result is None:
             await _Answers()
 
-    def _note_orders(self, state: SystemState) -> Any:
+
+class _ModelRegister(SystemRegister):
+    """The register with that proposer."""
+
+    def __init__(self, member: str, address: str, disk: Any, client: Any, rng: random.Random) -> None:
+        super().__init__(member, address, disk, client, rng)
+        self.proposer = _ModelProposer(address, client, rng, self.acceptor, self._learner)
+        self._proposer = self.proposer
+
+    def _record_changes(self, state: SystemState) -> Any:
         return _Noted()  # the history of orders decides nothing here
 
 
@@ -126,7 +136,7 @@
         """Takes a callback that is never called."""
 
 
-def change_of(operation: Operation, newest: SystemState | None) -> Change:
+def change_of(operation: Operation, newest: SystemState | None) -> ChangeFunction:
     """The change that an operation makes; a change of members is planned on the newest state known."""
     kind, *rest = operation
     if kind == "put":
@@ -157,8 +167,8 @@
         self._running: Coroutine[Any, Any, SystemState] | None = None
         self._start(name)
         if name in first_members:
-            first = genesis({member: f"{member}:1" for member in first_members}, {})
-            finish(self._register.begin(first))
+            first = initial_state({member: f"{member}:1" for member in first_members}, {})
+            finish(self._register.bootstrap(first))
 
     def add(self, operation: Operation) -> None:
         """One more operation, after all others."""
@@ -166,7 +176,7 @@
 
     def _start(self, member: str, ballots: int = 0) -> None:
         self._register = _ModelRegister(member, f"{member}:1", self._disk, None, _NoPauses())
-        self._register.ballots = ballots
+        self._register.proposer.ballots = ballots
         finish(self._register.load())
 
     def apply(self, event: Event) -> Any:
@@ -177,15 +187,15 @@
         if kind == "request":
             return self._answer(json.loads(rest[0]))
         if kind == "hear":
-            self._register.observe(Ballot(*rest[0]), json.loads(rest[1]))
+            self._register.record_chosen(Ballot(*rest[0]), json.loads(rest[1]))
             return None
         if kind in ("crash", "wipe"):
             return self._end(*rest)
-        self._register.waiting = []
+        self._register.proposer.waiting = []
         if kind == "begin":
-            self._register._counter += rest[0]
+            self._register.proposer._counter += rest[0]
             change = change_of(self._operations[self._done], self._register.newest)
-            self._running = self._register._propose_in_turn(change)
+            self._running = self._register.proposer.propose_in_turn(change)
             return self._resume()
         if kind == "reply":
             return self._reply(*rest)
@@ -199,12 +209,12 @@
         self._running = None
         if new_name is not None:
             self._disk = _Rows()
-        self._start(new_name or self._register.member, self._register.ballots)
+        self._start(new_name or self._register.member, self._register.proposer.ballots)
 
     def _answer(self, message: dict[str, Any]) -> str | None:
         handlers = {
-            "register.prepare": self._register.handle_prepare,
-            "register.accept": self._register.handle_accept,
+            "register.prepare": self._register.acceptor.handle_prepare,
+            "register.accept": self._register.acceptor.handle_accept,
         }
         try:
             return json.dumps(finish(handlers[message["type"]](message)))
@@ -212,11 +222,11 @@
             return None
 
     def _reply(self, member: str, text: str) -> Any:
-        proposal = self._register.proposal
+        proposal = self._register.proposer.proposal
         assert proposal is not None
         try:
             requests = proposal.receive(member, decode_reply(json.loads(text)))
-        except ChangeRefused as refusal:  # it would rise through the driver of the ballot
+        except ChangeRejectedError as refusal:  # it would rise through the driver of the ballot
             return self._resume(refusal)
         return self._resume() if proposal.result is not None else (_texts(requests), None)
 
@@ -230,53 +240,53 @@
                 else:
                     thrown, failure = failure, None
                     self._running.throw(thrown)
-                if self._register.ballots > self._most_ballots:
+                if self._register.proposer.ballots > self._most_ballots:
                     failure = asyncio.CancelledError()
                 elif position(self._running)[-1][0] == "_drive":
-                    return _texts(self._register.waiting), None
+                    return _texts(self._register.proposer.waiting), None
         except StopIteration:
             outcome = "made"
-        except ChangeRefused as refusal:
+        except ChangeRejectedError as refusal:
             outcome = type(refusal).__name__
         except asyncio.CancelledError:
             outcome = "unclear"
-        proposal = self._register.proposal
+        proposal = self._register.proposer.proposal
         value = None
         if outcome != "unclear" and proposal is not None and proposal.result is not None:
             value = _text_of(proposal.result.value)
-        self._register.proposal, self._running = None, None
+        self._register.proposer.proposal, self._running = None, None
         self._done += 1
         return (), (outcome, value)
 
     def fingerprint(self) -> ProcessFingerprint:
         """Where the process stands, and all that it keeps."""
         register = self._register
-        replica, proposal = register._replica, register.proposal if self._running is not None else None
-        refusal = None if proposal is None else type(_attempt_of(proposal).refusal).__name__
+        replica, proposal = register.acceptor.replica, register.proposer.proposal if self._running is not None else None
+        rejection = None if proposal is None else type(_guarded_change_of(proposal).rejection).__name__
         return ProcessFingerprint(
             register.member,
             replica.promised,
             None if proposal is None else proposal.ballot,
             proposal is not None and proposal._accept is not None,
-            register.ballots,
+            register.proposer.ballots,
             self._done,
             None if register.chosen is None else _text_of(register.chosen),
             register.chosen_ballot,
             None if replica.value is None else _text_of(replica.value),
             (
                 replica.accepted,
-                register._counter,
-                register._disk._durable_ballot,
+                register.proposer._counter,
+                register.acceptor._storage._durable_ballot,
                 freeze(self._disk.rows),
                 freeze(self._disk.bodies),
-                refusal,
+                rejection,
                 position(self._running),
                 freeze_proposal(proposal),
             ),
         )
 
 
-def _attempt_of(proposal: Proposal) -> Any:
+def _guarded_change_of(proposal: Proposal) -> Any:
     return proposal._change.__self__  # type: ignore[attr-defined]
 
 
@@ -288,9 +298,9 @@
     return tuple(json.dumps(_call_of(request).encode(), sort_keys=True) for request in requests)
 
 
-def _call_of(request: Request) -> PrepareCall | AcceptCall:
+def _call_of(request: Request) -> PrepareRequest | AcceptRequest:
     """The call of a request, with bodies: where the other side has to fetch one is no matter here."""
     body = request.body
     if isinstance(body, Prepare):
-        return PrepareCall(request.member, body.ballot, body.known)
-    return AcceptCall(request.member, body.ballot, body.value)
+        return PrepareRequest(request.member, body.ballot, body.known)
+    return AcceptRequest(request.member, body.ballot, body.value)
--- a/tests/model/retirement_model.py
+++ b/tests/model/retirement_model.py
@@ -1,7 +1,7 @@
 """The model of a retirement: four stores of which d is retired, copies in any order, a store that loses its disk at any
 moment and comes back as another incarnation, drivers that were just started.
 
-Changes come from the real `due_change` and `system_state`, the end of a copy from the real
+Changes come from the real `next_change` and `system_state`, the end of a copy from the real
 `has_read_enough_sources`, the replicas of a key from the real `StoreView`. There is one record; a write is one step,
 under the present view or the one before it.
 """
@@ -16,9 +16,10 @@
 
 from dewpin.cluster.store_view import StoreView
 from dewpin.consensus import majority_of
-from dewpin.controlplane.membership.peers import Peer, PeerTable
-from dewpin.controlplane.membership.reconfiguration import GONE_S, LIVE_S, Knowledge, due_change
-from dewpin.controlplane.register.system_state import begin_stores, genesis, start_retirement, successor
+from dewpin.controlplane.membership.cluster_observation import REMOVAL_TIMEOUT_S, ClusterObservation
+from dewpin.controlplane.membership.peers import ALIVE_WITHIN_S, PeerDescription, PeerTable
+from dewpin.controlplane.membership.reconfiguration import next_change
+from dewpin.controlplane.register.system_state import initial_state, set_initial_stores, start_retirement, successor
 from dewpin.controlplane.store import replica_sync
 from tests.model.explorer import Label
 
@@ -33,7 +34,7 @@
 """What the others know of the store that lost its disk."""
 EPOCH = 2
 """Stands for the present one, whatever its number."""
-SILENT_S = {SILENT: LIVE_S + 0.2, GONE: GONE_S + 10, RETURNED: LIVE_S + 2}
+SILENT_S = {SILENT: ALIVE_WITHIN_S + 0.2, GONE: REMOVAL_TIMEOUT_S + 10, RETURNED: ALIVE_WITHIN_S + 2}
 
 
 class World(NamedTuple):
@@ -64,9 +65,9 @@
 
     def initial(self) -> World:
         """Four stores, one of them to be retired."""
-        state = genesis({one: f"{one}:1" for one in MEMBERS}, {one: f"machine-{one}" for one in MEMBERS})
+        state = initial_state({one: f"{one}:1" for one in MEMBERS}, {one: f"machine-{one}" for one in MEMBERS})
         stores = {one: f"{one}:1" for one in STORES}
-        state = begin_stores(stores, {one: f"machine-{one}" for one in STORES})(state)
+        state = set_initial_stores(stores, {one: f"machine-{one}" for one in STORES})(state)
         state = start_retirement(f"machine-{RETIRED}", REPLICA_COUNT)(successor(state))
         nothing: frozenset[Any] = frozenset()
         text = _system_text(state)
@@ -157,11 +158,11 @@
 def _after_change(system: str, synced: frozenset[str], wiped: str, fate: int, is_new: bool) -> str | None:
     """The system state after the change that is due, by what a driver knows; `is_new`: it was started just now."""
     state = json.loads(system)
-    change = due_change(state, _knowledge(dict.fromkeys(synced, state["stores"]["epoch"]), wiped, fate, is_new))
+    change = next_change(state, _observation(dict.fromkeys(synced, state["stores"]["epoch"]), wiped, fate, is_new))
     return None if change is None else _system_text(change(state))
 
 
-def _knowledge(synced: dict[str, int], wiped: str, fate: int, is_new: bool) -> Knowledge:
+def _observation(synced: dict[str, int], wiped: str, fate: int, is_new: bool) -> ClusterObservation:
     peers, live = PeerTable(), [one for one in STORES if one != wiped]
     if not is_new:
         _hear(peers, [*MEMBERS, *STORES], synced, KNOWN_S)
@@ -173,17 +174,27 @@
             _hear(peers, live[-1:], synced, RETURNED_S)
     _hear(peers, [*MEMBERS, *live], synced, NOW_S)
     me = peers.peers.pop("m")
-    since_s = NOW_S - LIVE_S if is_new else 0.0
-    return Knowledge(me, peers, REPLICA_COUNT, since_s, NOW_S, since_s)
+    since_s = NOW_S - ALIVE_WITHIN_S if is_new else 0.0
+    return ClusterObservation(me, peers, REPLICA_COUNT, since_s, NOW_S, since_s)
 
 
 def _hear(peers: PeerTable, names: list[str], synced: dict[str, int], now_s: float) -> None:
     for one in names:
         name, is_member = f"machine-{one.lower()}", one in MEMBERS
         epoch, address = synced.get(one, 0), f"{one.lower()}:1"
-        peer = Peer(one, name, address, is_member, not is_member, 1, epoch, False, False, False, last_heard_s=now_s)
-        told = {field: value for field, value in vars(peer).items() if field != "last_heard_s"}
-        peers.hear(told, now_s)  # type: ignore[arg-type]
+        description = PeerDescription(
+            id=one,
+            name=name,
+            address=address,
+            serves_control=is_member,
+            serves_store=not is_member,
+            version=1,
+            synced_epoch=epoch,
+            is_leaving=False,
+            is_bootstrap=False,
+            has_list_failed=False,
+        )
+        peers.record_heard(description, now_s)
 
 
 @functools.cache
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -13,10 +13,10 @@
 from dewpin.consensus import Promise, Proposal, Replica, proposal
 from dewpin.consensus.replica import ZERO_BALLOT, Accepted
 from dewpin.controlplane.membership import majority_contact, reconfiguration
-from dewpin.controlplane.membership.majority_contact import MajorityContact, MemberWord, RegisterConfirmation
-from dewpin.controlplane.register import register, replica_storage, system_state
+from dewpin.controlplane.membership.majority_contact import MajorityContact, MemberAcknowledgement, StateFreshness
+from dewpin.controlplane.register import proposer, replica_storage, system_state
+from dewpin.controlplane.register.acceptor import RegisterAcceptor
 from dewpin.controlplane.register.configuration_bodies import ConfigurationBodies
-from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.register.replica_storage import ReplicaStorage
 from dewpin.controlplane.store import ledger_replica, replica_sync
 from dewpin.controlplane.store.view_guard import ViewGuard
@@ -77,7 +77,7 @@
 
 
 def leave_the_former_members_out(patch: Patch) -> None:
-    patch.setattr(register, "quorum_sets", lambda state: [frozenset(state["members"])])
+    patch.setattr(proposer, "quorum_sets", lambda state: [frozenset(state["members"])])
 
 
 def forget_promises_over_a_restart(patch: Patch) -> None:
@@ -103,11 +103,11 @@
 
 
 def count_a_wiped_member_under_its_former_id(patch: Patch) -> None:
-    patch.setattr(SystemRegister, "_check_addressee", lambda self, member: None)
+    patch.setattr(RegisterAcceptor, "_check_addressee", lambda self, member: None)
 
 
 def refuse_from_a_state_that_is_not_chosen(patch: Patch) -> None:
-    patch.setattr(register._Attempt, "make", lambda self, state: self._change(state))
+    patch.setattr(proposer._GuardedChange, "apply", lambda self, state: self._change(state))
 
 
 def refuse_a_repeated_order(patch: Patch) -> None:
@@ -125,7 +125,7 @@
         def lenient(state: Any) -> Any:
             try:
                 return change(state)
-            except system_state.ChangeRefused:
+            except system_state.ChangeRejectedError:
                 return state
 
         return lenient
@@ -138,7 +138,7 @@
 
 
 def end_the_view_before_all_have_copied(patch: Patch) -> None:
-    patch.setattr(ledger_model, "_all_synced", lambda stores, epoch, knowledge: True)
+    patch.setattr(ledger_model, "_have_all_synced", lambda stores, epoch, knowledge: True)
 
 
 def answer_under_another_epoch(patch: Patch) -> None:
@@ -201,12 +201,12 @@
 
 
 def overlook_the_version_that_is_told(patch: Patch) -> None:
-    original = MajorityContact.answered
+    original = MajorityContact.record_acknowledgement
 
-    def answered(self: MajorityContact, member: str, word: MemberWord) -> None:
-        original(self, member, MemberWord(word.asked_s, 0))
+    def record(self: MajorityContact, member: str, acknowledgement: MemberAcknowledgement) -> None:
+        original(self, member, MemberAcknowledgement(acknowledgement.asked_at_s, 0))
 
-    patch.setattr(MajorityContact, "answered", answered)
+    patch.setattr(MajorityContact, "record_acknowledgement", record)
 
 
 def leave_the_new_members_out_of_contact(patch: Patch) -> None:
@@ -309,31 +309,31 @@
         synced = {peer.id: peer.synced_epoch for peer in knowledge.everyone()}
         return sum(synced.get(store, -1) >= epoch for store in stores) >= len(stores) - 1
 
-    patch.setattr(reconfiguration, "_all_synced", all_but_one)
+    patch.setattr(reconfiguration, "_have_all_synced", all_but_one)
 
 
 def let_a_store_go_before_any_has_copied(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_all_synced", lambda stores, epoch, knowledge: True)
+    patch.setattr(reconfiguration, "_have_all_synced", lambda stores, epoch, knowledge: True)
 
 
 def let_a_retiring_store_go_at_once(patch: Patch) -> None:
     def at_once(state: Any, knowledge: Any) -> Any:
         return next((system_state.finish_retirement(name) for name in state["retiring"]), None)
 
-    patch.setattr(reconfiguration, "_retirement_that_is_done", at_once)
+    patch.setattr(reconfiguration, "_finish_completed_retirement", at_once)
 
 
 def grant_and_tell_without_a_majority(patch: Patch) -> None:
-    patch.setattr(RegisterConfirmation, "is_current", lambda self: True)
+    patch.setattr(StateFreshness, "is_current", lambda self: True)
 
 
 def serve_from_the_disk(patch: Patch) -> None:
-    original = RegisterConfirmation.age_s
+    original = StateFreshness.age_s
 
-    def age_s(self: RegisterConfirmation) -> float:
-        return 0.0 if self._contact.confirmed_s == majority_contact.NEVER_S else original(self)
+    def age_s(self: StateFreshness) -> float:
+        return 0.0 if self._contact.confirmed_at_s == majority_contact.NEVER_S else original(self)
 
-    patch.setattr(RegisterConfirmation, "age_s", age_s)
+    patch.setattr(StateFreshness, "age_s", age_s)
 
 
 def answer_404_while_unconfirmed(patch: Patch) -> None:
@@ -351,11 +351,11 @@
 
 
 def take_a_body_without_its_digest(patch: Patch) -> None:
-    async def body(self: ConfigurationBodies, digest: str, base: int, source: str) -> str:
+    async def get_or_fetch(self: ConfigurationBodies, digest: str, base_generation: int, source: str) -> str:
         self._bodies[digest] = await self._fetch(digest, source)
         return self._bodies[digest]
 
-    patch.setattr(ConfigurationBodies, "_body", body)
+    patch.setattr(ConfigurationBodies, "_get_or_fetch", get_or_fetch)
 
 
 def take_the_copied_promise_in_place_of_the_greater(patch: Patch) -> None:
--- a/tests/scripted/registers.py
+++ b/tests/scripted/registers.py
@@ -3,7 +3,7 @@
 import random
 
 from dewpin.controlplane.register.register import SystemRegister
-from dewpin.controlplane.register.system_state import genesis
+from dewpin.controlplane.register.system_state import initial_state
 from scripted.disk import Disk
 from scripted.network import Network
 
@@ -14,7 +14,9 @@
     def __init__(self, names="abc", members="abc"):
         self.network = Network()
         self.disks = {name: Disk() for name in names}
-        self.genesis = genesis({name: name for name in members}, {name: f"machine-{name}" for name in members})
+        self.initial_state = initial_state(
+            {name: name for name in members}, {name: f"machine-{name}" for name in members}
+        )
         self.members = {}
         for name in names:
             self.members[name] = self._member(name)
@@ -27,8 +29,8 @@
     async def begin(self):
         for member in self.members.values():
             await member.load()
-        for name in self.genesis["members"]:
-            await self.members[name].begin(self.genesis)
+        for name in self.initial_state["members"]:
+            await self.members[name].bootstrap(self.initial_state)
 
     async def restart(self, name, wiped=False):
         """Starts a member's process anew, from its disk or (under another id) from an empty one."""
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -5,8 +5,9 @@
 
 from dewpin.cluster.rpc import RpcClient, RpcServer, split_address
 from dewpin.cluster.settings import parse_settings
-from dewpin.controlplane.__main__ import LEAVE_NOTICE_S, start_store
+from dewpin.controlplane.__main__ import LEAVE_NOTICE_S
 from dewpin.controlplane.control_server import ControlServer
+from dewpin.controlplane.local_store import LocalStore
 from dewpin.controlplane.operator_api import OperatorApi
 from dewpin.dataplane.cluster_state_updater import ClusterStateUpdater
 from dewpin.dataplane.membership import sender_readiness
@@ -117,8 +118,11 @@
             platform=self.world.platform(self),
         )
         server = RpcServer(control_server.handlers)
-        store = await start_store(settings, self.disk, client, control_server, self.time_of_day_ms)
-        server.handlers.update(store)
+        on_synced = control_server.record_synced_epoch
+        store = LocalStore(settings, self.disk, client, on_synced, self.time_of_day_ms)
+        await store.start()
+        control_server.attach_store(store)
+        server.handlers.update(store.handlers)
         server.handlers = self.world.disturbed(server.handlers)
         await control_server.load()
         await server.start(*split_address(control_server.address))
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -17,7 +17,7 @@
 from dewpin.consensus import proposal
 from dewpin.controlplane import operator_api
 from dewpin.controlplane.membership import reconfiguration
-from dewpin.controlplane.membership.majority_contact import RegisterConfirmation
+from dewpin.controlplane.membership.majority_contact import StateFreshness
 from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.store import ledger_replica
 from dewpin.controlplane.store.replica_sync import StoreSync
@@ -76,9 +76,10 @@
 
     async def loaded(self):
         await load(self)
-        _deviates(self._replica.promised != self._replica.accepted)
-        self._replica.promised = self._replica.accepted
-        self._counter = self._replica.promised.counter
+        replica = self.acceptor.replica
+        _deviates(replica.promised != replica.accepted)
+        replica.promised = replica.accepted
+        self._proposer.resume()
 
     SystemRegister.load = loaded
 
@@ -107,7 +108,7 @@
 
 
 def _read_without_a_majority():
-    operator_api.OperatorApi._agreed = _from_what_is_known(operator_api.OperatorApi._agreed)
+    operator_api.OperatorApi._propose = _from_what_is_known(operator_api.OperatorApi._propose)
 
 
 def _from_what_is_known(agreed):
@@ -122,14 +123,14 @@
 
 
 def _renew_without_a_majority():
-    is_current = RegisterConfirmation.is_current
+    is_current = StateFreshness.is_current
 
     def current(self):
         _deviates(not is_current(self))
         return True
 
-    RegisterConfirmation.is_current = current
-    RegisterConfirmation.age_s = lambda self: 0.0
+    StateFreshness.is_current = current
+    StateFreshness.age_s = lambda self: 0.0
 
 
 def _refuse_a_repeated_order():
@@ -141,7 +142,7 @@
         def changed(state):
             if [state["configuration"] and state["configuration"]["generation"]] == [given[1]]:
                 _deviates()
-                raise operator_api.AnotherVersionIsCurrent("refused again")
+                raise operator_api.VersionMismatchError("refused again")
             return change(state)
 
         return changed
@@ -150,13 +151,13 @@
 
 
 def _finish_a_view_before_all_have_copied():
-    all_synced = reconfiguration._all_synced
+    all_synced = reconfiguration._have_all_synced
 
     def synced(stores, epoch, knowledge):
         _deviates(not all_synced(stores, epoch, knowledge))
         return True
 
-    reconfiguration._all_synced = synced
+    reconfiguration._have_all_synced = synced
 
 
 def _copy_nothing():
@@ -168,7 +169,7 @@
 
 
 def _let_a_leaving_store_go_early():
-    done = reconfiguration._retirement_that_is_done
+    done = reconfiguration._finish_completed_retirement
 
     def early(state, knowledge):
         for name in state["retiring"]:
@@ -176,7 +177,7 @@
             return reconfiguration.finish_retirement(name)
         return None
 
-    reconfiguration._retirement_that_is_done = early
+    reconfiguration._finish_completed_retirement = early
 
 
 def _write_a_turn_to_one_replica():
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -40,7 +40,9 @@
         "store",
         "sender_service",
         "control_server",
+        "local_store",
         "operator_api",
+        "operator_http",
         "__main__",
     ),
     "dataplane": (
