--- a/tests/consensus/test_register.py
+++ b/tests/consensus/test_register.py
@@ -51,27 +51,27 @@
     return value
 
 
-def test_a_change_is_chosen_and_read_back():
+def test_chosen_change_is_read_back():
     fleet = Fleet("a", "b", "c")
     assert fleet.propose("p", lambda value: successor(value, word="x")).outcome is Outcome.CHOSEN
     result = fleet.propose("q", read)
     assert result.value["word"] == "x"
 
 
-def test_a_minority_chooses_nothing():
+def test_minority_chooses_no_value():
     fleet = Fleet("a", "b", "c")
     fleet.down = {"b", "c"}
     assert fleet.propose("p", lambda value: successor(value, word="x")) is None
 
 
-def test_a_replica_that_promised_more_refuses_older_ballots():
+def test_replica_rejects_ballots_below_its_promise():
     replica = Replica()
     assert isinstance(replica.prepare(Ballot(2, "p")), Promise)
     assert replica.accept(Ballot(1, "q"), "old") == Conflict(Ballot(2, "p"))
     assert replica.prepare(Ballot(2, "p")) == Conflict(Ballot(2, "p"))
 
 
-def test_a_value_left_at_a_minority_is_finished_or_replaced_once():
+def test_value_at_minority_is_finished_or_replaced_once():
     fleet = Fleet("a", "b", "c")
     only_a = fleet.propose(
         "p",
@@ -85,7 +85,7 @@
     assert fleet.propose("r", read).value["word"] == "other"
 
 
-def test_a_read_that_meets_an_unfinished_value_finishes_it():
+def test_read_finishes_unfinished_value():
     fleet = Fleet("a", "b", "c")
     fleet.propose(
         "p",
@@ -98,7 +98,7 @@
     assert fleet.propose("r", read).value["word"] == "half"
 
 
-def test_a_proposer_with_a_lower_ballot_hears_of_the_conflict():
+def test_proposer_with_lower_ballot_gets_conflict():
     fleet = Fleet("a", "b", "c")
     for replica in fleet.replicas.values():
         replica.prepare(Ballot(9, "z"))
@@ -110,7 +110,7 @@
     return successor(value, members=["a", "b", "d"])
 
 
-def test_a_change_of_members_needs_majorities_of_both_sets():
+def test_member_change_needs_majorities_of_both_sets():
     fleet = Fleet("a", "b", "c", "d")
     fleet.down = {"c"}
     assert fleet.propose("p", swap).outcome is Outcome.CHOSEN
@@ -118,7 +118,7 @@
     assert fleet.propose("q", read) is None
 
 
-def test_a_value_needs_majorities_of_the_sets_of_the_value_that_it_follows():
+def test_value_needs_majorities_of_sets_of_previous_value():
     """Also where the new value does not name them: whoever reads by the former sets would miss it otherwise."""
 
     def only_members(value):
@@ -139,7 +139,7 @@
     assert proposal.result is not None and proposal.result.outcome is Outcome.CHOSEN
 
 
-def test_an_unfinished_change_of_members_is_confirmed_before_anything_is_built_on_it():
+def test_unfinished_member_change_is_confirmed_first():
     fleet = Fleet("a", "b", "c", "d")
     fleet.propose("p", swap, lost=lambda request: isinstance(request.body, Accept) and request.member != "a")
     result = fleet.propose("q", lambda value: successor(value, word="x"))
@@ -149,7 +149,7 @@
     assert fleet.propose("q", lambda value: successor(value, word="x")).outcome is Outcome.CHOSEN
 
 
-def test_a_proposer_that_knows_only_old_members_follows_to_the_newest():
+def test_proposer_with_old_members_finds_newest_members():
     fleet = Fleet("a", "b", "c", "d", "e")
     assert fleet.propose("p", swap).outcome is Outcome.CHOSEN
     assert fleet.propose("p", successor).outcome is Outcome.CHOSEN
@@ -160,7 +160,7 @@
     assert result.value["word"] == "new" and result.value["members"] == ["a", "d", "e"]
 
 
-def test_a_prepared_proposer_needs_one_round():
+def test_prepared_proposal_skips_first_round():
     fleet = Fleet("a", "b", "c")
     first = Proposal(Ballot(1, "p"), GENESIS, sets, successor, ZERO_BALLOT, next_ballot=Ballot(2, "p"))
     result = fleet.drive(first)
@@ -171,7 +171,7 @@
     assert fleet.drive(second).value["word"] == "y"
 
 
-def test_a_prepared_proposer_that_was_overtaken_hears_of_it():
+def test_overtaken_prepared_proposal_gets_conflict():
     fleet = Fleet("a", "b", "c")
     result = fleet.drive(Proposal(Ballot(1, "p"), GENESIS, sets, successor, ZERO_BALLOT, next_ballot=Ballot(2, "p")))
     next(fleet.counters), next(fleet.counters)
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations("abc")))
-def test_two_proposers_in_any_order_choose_one_value_for_each_version(order):
+def test_two_proposers_choose_one_value_per_version_in_any_order(order):
     fleet = Fleet("a", "b", "c")
     first = Proposal(Ballot(1, "p"), GENESIS, sets, lambda v: successor(v, word="p"), ZERO_BALLOT)
     second = Proposal(Ballot(1, "q"), GENESIS, sets, lambda v: successor(v, word="q"), ZERO_BALLOT)
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(("known", "is_told"), [(None, True), (Ballot(1, "p"), True), (Ballot(2, "p"), False)])
-def test_a_promise_leaves_out_a_value_that_is_not_above_the_one_known(known, is_told):
+def test_promise_omits_value_not_above_known_ballot(known, is_told):
     replica = Replica(accepted=Ballot(2, "p"), promised=Ballot(2, "p"), value="value")
     assert replica.prepare(Ballot(3, "q"), known) == Promise(Ballot(2, "p"), "value" if is_told else None)
     assert Replica(accepted=Ballot(1, "p"), value="old").prepare(Ballot(3, "q"), known).value in (None, "old")
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_a_proposal_ends_the_same_whether_or_not_promises_leave_out_what_it_knows(seed):
+def test_proposal_result_is_independent_of_omitted_values(seed):
     full, lean = RandomFleet(seed, tells=False), RandomFleet(seed, tells=True)
     for _ in range(30):
         assert full.step() == lean.step()
--- a/tests/controlplane/test_bodies_for_senders.py
+++ b/tests/controlplane/test_bodies_for_senders.py
@@ -100,7 +100,7 @@
     run(whole())
 
 
-def test_a_long_body_comes_over_slow_links_and_the_old_one_is_in_force_until_it_is_whole():
+def test_long_body_over_slow_link_takes_effect_once_complete():
     async def scene(fleet):
         old = fleet.bodies[1]
         body = await fleet.order(8, 7, LONGEST)
@@ -119,7 +119,7 @@
     play(scene)
 
 
-def test_a_short_body_costs_no_call_of_its_own():
+def test_short_body_is_sent_with_state():
     async def scene(fleet):
         body = await fleet.order(8, 7, SHORT)
         assert await fleet.until(fleet.all_have(body)) < APPLY_S
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("size", [SHORT, LONG])
-def test_a_change_of_stores_ships_no_body(size):
+def test_store_change_sends_no_body(size):
     async def scene(fleet):
         body = await fleet.order(8, 7, size)
         await fleet.until(fleet.all_have(body), 20.0)
@@ -147,7 +147,7 @@
     play(scene)
 
 
-def test_a_later_change_of_stores_is_known_while_the_body_before_it_is_fetched():
+def test_store_change_is_known_while_body_is_fetched():
     async def scene(fleet):
         epochs = {}
         body = await fleet.order(8, 7, LONGEST)
@@ -167,7 +167,7 @@
     play(scene)
 
 
-def test_the_list_of_receivers_does_not_wait_behind_a_long_body():
+def test_receiver_list_is_not_delayed_by_long_body():
     async def scene(fleet):
         await fleet.order(8, 7, LONGEST)
         await fleet.until(lambda: all(map(fleet.is_fetching, fleet.agents)))
@@ -178,7 +178,7 @@
     play(scene)
 
 
-def test_nothing_counts_as_confirmed_while_the_newest_body_is_on_its_way():
+def test_state_is_unconfirmed_while_newest_body_is_fetched():
     async def scene(fleet):
         body = await fleet.order(8, 7, LONGEST)
         told_s = asyncio.get_running_loop().time()
@@ -194,7 +194,7 @@
     play(scene)
 
 
-def test_watches_wait_for_news_while_a_body_is_on_its_way():
+def test_watches_wait_while_body_is_fetched():
     async def scene(fleet):
         body = await fleet.order(8, 7, LONGEST)
         await fleet.until(lambda: all(map(fleet.is_fetching, fleet.agents)))
@@ -207,7 +207,7 @@
     play(scene)
 
 
-def test_the_children_stay_with_a_parent_whose_body_is_on_its_way():
+def test_children_keep_parent_while_its_body_is_fetched():
     async def scene(fleet):
         body = await fleet.order(8, 7, LONGEST)
         shunned = set()
@@ -223,7 +223,7 @@
     play(scene)
 
 
-def test_a_fetch_that_broke_off_goes_on_where_it_was_at_another_source():
+def test_interrupted_fetch_resumes_at_other_source():
     async def scene(fleet):
         number = fleet.below()
         parent = fleet.agents[number].knowledge.sources.parents()[0]
@@ -240,7 +240,7 @@
     play(scene)
 
 
-def test_pages_are_passed_on_before_the_body_is_whole():
+def test_pages_are_relayed_before_body_is_complete():
     async def scene(fleet):
         number = fleet.below()
         parent = fleet.agents[number].knowledge.sources.parents()[0]
@@ -255,7 +255,7 @@
     play(scene)
 
 
-def test_a_body_that_is_replaced_meanwhile_is_given_up_for_the_newer_one():
+def test_fetch_of_replaced_body_is_abandoned_for_newer_one():
     async def scene(fleet):
         first = await fleet.order(8, 7, LONGEST)
         await fleet.until(lambda: all(map(fleet.is_fetching, fleet.agents)))
@@ -270,7 +270,7 @@
     play(scene)
 
 
-def test_a_long_body_that_is_replaced_by_a_long_one_comes_whole():
+def test_long_body_replaced_by_long_body_is_fetched_completely():
     async def scene(fleet):
         await fleet.order(8, 7)
         await fleet.until(lambda: all(map(fleet.is_fetching, fleet.agents)))
@@ -280,7 +280,7 @@
     play(scene)
 
 
-def test_other_bytes_than_the_digest_says_are_not_taken_and_come_from_a_control_server_then():
+def test_body_with_wrong_digest_is_fetched_from_control_server():
     async def scene(fleet):
         number = fleet.below()
         parent = fleet.agents[number].knowledge.sources.parents()[0]
@@ -302,7 +302,7 @@
     play(scene)
 
 
-def test_a_sender_started_while_a_long_configuration_is_in_force_becomes_ready():
+def test_new_sender_with_long_configuration_becomes_ready():
     async def scene(fleet):
         body = await fleet.order(8, 7)
         await fleet.until(fleet.all_have(body), 20.0)
@@ -316,7 +316,7 @@
 
 
 @pytest.mark.parametrize("kind", ["most", "one more"])
-def test_one_parent_serves_few_at_a_time(kind):
+def test_parent_limits_concurrent_body_fetches(kind):
     """So that news wait behind so many pages at most, however many lost their own parents."""
 
     async def scene(fleet):
@@ -343,7 +343,7 @@
     play(scene)
 
 
-def test_a_sender_of_an_earlier_release_gets_whole_states_only():
+def test_sender_of_earlier_release_gets_complete_states_only():
     async def scene(fleet):
         body = await fleet.order(8, 7)
         await fleet.until(lambda: fleet.is_fetching(1))
--- a/tests/controlplane/test_order_history.py
+++ b/tests/controlplane/test_change_history.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from controlplane.order_scenes import ANSWER_S, WAIT_S, answer, body_of, play, put, read, take
+from controlplane.change_scenes import ANSWER_S, WAIT_S, answer, body_of, play, put, read, take
 
 from dewpin.controlplane.register import change_history as order_history
 from dewpin.controlplane.register.change_history import AcceptedChange, ChangeHistory, ChangeHistoryRequest
@@ -17,7 +17,7 @@
 )
 
 
-def test_an_order_older_than_all_that_the_state_remembers_is_acknowledged_again_everywhere():
+def test_change_dropped_from_state_is_acknowledged_from_history():
     last = 3 * MAX_CHANGES_IN_STATE
 
     async def scene(registers):
@@ -40,7 +40,7 @@
     assert set(play(scene)) == {200}
 
 
-def test_another_body_under_an_old_number_and_a_number_that_was_left_out_are_refused():
+def test_other_body_or_unused_generation_below_state_is_rejected():
     async def scene(registers):
         member = registers.members["a"]
         base = 0
@@ -57,7 +57,7 @@
     assert play(scene) == (412, 412, 412, 200)
 
 
-def test_an_order_that_nobody_remembers_gets_no_clear_answer(monkeypatch):
+def test_change_unknown_to_all_histories_is_neither_accepted_nor_rejected(monkeypatch):
     monkeypatch.setattr(order_history, "MAX_CHANGES_IN_HISTORY", MAX_CHANGES_IN_STATE + 10)
 
     async def scene(registers):
@@ -70,7 +70,7 @@
     assert play(scene) == (503, 503, 200, [(MAX_CHANGES_IN_STATE + 10,)])
 
 
-def test_a_generation_not_above_its_base_was_never_taken_however_old():
+def test_generation_not_above_base_is_rejected_at_any_age():
     async def scene(registers):
         await take(registers.members["a"], 1, MAX_CHANGES_IN_STATE + 50)
         return await answer(registers.members["a"], 3, 3), await answer(registers.members["a"], 3, 9)
@@ -78,7 +78,7 @@
     assert play(scene) == (412, 412)
 
 
-def test_a_month_of_850_changes_a_day_is_remembered_and_the_rows_stay_bounded():
+def test_history_keeps_38_days_of_changes_within_row_limit():
     """The changes of a month go into the history of one process; a peer that slept through it takes them by pages."""
     changes = 30 * 850
 
@@ -108,7 +108,7 @@
     assert pages <= changes / order_history.CHANGES_PER_PAGE + 2
 
 
-def test_a_member_that_slept_through_more_than_the_state_remembers_takes_the_rest_from_its_peers():
+def test_history_gap_is_filled_from_peers():
     last = 2 * MAX_CHANGES_IN_STATE
 
     async def scene(registers):
@@ -126,7 +126,7 @@
     assert play(scene) == ([(last,)], True)
 
 
-def test_a_page_that_was_lost_is_asked_for_again_and_those_before_it_are_kept(monkeypatch):
+def test_failed_history_page_is_requested_again_and_earlier_pages_stay(monkeypatch):
     monkeypatch.setattr(order_history, "CHANGES_PER_PAGE", 50)
 
     async def scene(registers):
@@ -153,7 +153,7 @@
     assert answers == 7, "two pages, one lost, and the four that were missing"
 
 
-def test_a_failed_write_of_the_history_is_made_up_by_the_next_state():
+def test_failed_history_write_is_repaired_by_next_state():
     async def scene(registers):
         member, disk = registers.members["a"], registers.disks["a"]
         await take(member, 1, 5)
@@ -169,7 +169,7 @@
     assert play(scene) == [(number, number) for number in range(1, 8)]
 
 
-def test_a_state_of_the_release_before_that_may_have_forgotten_orders_denies_none():
+def test_state_without_change_count_rejects_no_old_change():
     """It holds no count; with the 2,000 orders that it remembered at most, older ones may have been taken."""
     entries = [
         [generation, configuration_digest(body_of(generation), generation - 1)] for generation in range(501, 2501)
@@ -192,7 +192,7 @@
         put(501, 500)(state)
 
 
-def test_the_orders_of_a_page_are_those_asked_for():
+def test_history_page_contains_requested_range():
     async def scene(registers):
         await take(registers.members["a"], 1, 9)
         await asyncio.sleep(0.1)
--- a/tests/controlplane/test_configuration_bodies.py
+++ b/tests/controlplane/test_configuration_bodies.py
@@ -30,7 +30,7 @@
     return {**state, "accepted": [[1, digest]], "configuration": {"generation": 1, "digest": digest}}
 
 
-def test_a_body_of_other_bytes_than_its_digest_says_is_not_taken_and_is_fetched_anew():
+def test_body_with_wrong_digest_is_rejected_and_fetched_again():
     async def scene():
         bodies = ConfigurationBodies(Source(BODY.replace("{}", "[]"), BODY))
         with pytest.raises(BodyUnavailableError):
--- a/tests/controlplane/test_control_server.py
+++ b/tests/controlplane/test_control_server.py
@@ -24,14 +24,14 @@
 from dewpin.controlplane.register.system_state import start_retirement
 
 
-def test_the_seeds_begin_together_and_take_the_first_stores():
+def test_seeds_bootstrap_register_and_set_initial_stores():
     async def scene(world):
         return world.is_whole(1, 2, 3)
 
     assert play(scene)
 
 
-def test_a_configuration_reaches_the_other_control_servers_at_once():
+def test_configuration_is_replicated_to_other_control_servers_at_once():
     async def scene(world):
         await world.put(1, 7, 0)
         return await world.until(lambda: [world.generation(number) for number in (1, 2, 3)] == [7, 7, 7])
@@ -39,7 +39,7 @@
     assert play(scene) < 0.1
 
 
-def test_a_configuration_is_told_on_although_the_control_server_that_acknowledged_it_dies_right_after():
+def test_acknowledged_configuration_survives_crash_of_its_proposer():
     async def scene(world):
         await world.put(1, 7, 0)
         await world.kill(1)
@@ -49,7 +49,7 @@
     assert play(scene) < APPLY_S / 2
 
 
-def test_everything_is_there_after_all_control_servers_were_killed_right_after_an_acknowledgement():
+def test_acknowledged_configuration_survives_restart_of_all_control_servers():
     async def scene(world):
         await world.put(2, 7, 0)
         await world.kill(1, 2, 3)
@@ -60,7 +60,7 @@
     assert play(scene) < 1.5
 
 
-def test_a_control_server_restarted_alone_with_an_old_state_tells_nobody():
+def test_control_server_restarted_alone_serves_no_old_state():
     async def scene(world):
         await world.put(1, 7, 0)
         await world.until(lambda: world.generation(3) == 7)
@@ -77,7 +77,7 @@
     assert play(scene) < 1.0
 
 
-def test_either_side_of_a_cut_may_be_asked_and_only_the_greater_one_acknowledges():
+def test_only_majority_side_of_partition_acknowledges_changes():
     async def scene(world):
         world.network.cut(world.address(1))
         with pytest.raises(RegisterUnavailableError):
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("number", [1, 2, 3])
-def test_a_wiped_control_server_is_a_full_member_and_store_again_in_time(number):
+def test_wiped_machine_rejoins_as_member_and_store_in_time(number):
     async def scene(world):
         await world.put(1, 7, 0)
         await world.kill(number)
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("name", [None, "store-3"])
-def test_a_machine_replaced_at_another_address_is_out_and_its_successor_in_in_time(name):
+def test_machine_replaced_at_new_address_is_swapped_in_time(name):
     async def scene(world):
         await world.kill(3)
         await asyncio.sleep(1.0)
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("name", [None, "store-3"])
-def test_a_planned_replacement_is_whole_in_time(name):
+def test_planned_replacement_completes_in_time(name):
     async def scene(world):
         await asyncio.sleep(5.0)
         await world.start(4, name=name)
@@ -132,7 +132,7 @@
     assert play(scene) < CATCH_UP_S / 2
 
 
-def test_a_retired_machine_is_done_soon_and_another_may_be_wiped_right_after():
+def test_retirement_completes_and_tolerates_wipe_right_after():
     async def scene(world):
         await world.until(lambda: world.stores() == [world.address(number) for number in (1, 2, 3, 4)])
         await world.control_servers[1].register.propose(start_retirement("store-2", 3), 0.85)
@@ -151,7 +151,7 @@
     assert play(with_a_fourth) < 2.0
 
 
-def test_a_store_added_takes_part_and_a_frozen_control_server_is_back_where_it_was():
+def test_added_store_joins_and_frozen_control_server_keeps_its_place():
     async def scene(world):
         world.network.down.add(world.address(2))
         await asyncio.sleep(5.0)
@@ -164,7 +164,7 @@
     assert play(scene) < 2.0
 
 
-def test_new_seeds_are_greeted_at_once():
+def test_new_seeds_get_heartbeats_at_once():
     async def scene(world):
         control_server = world.control_servers[1]
         world.seeds = (9,)
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["none", "kill", "freeze", "cut", "cut_from_platform"])
-def test_a_drain_is_known_everywhere_in_time_whatever_happens_to_the_reader(trouble):
+def test_drain_is_known_in_time_whatever_happens_to_list_reader(trouble):
     async def scene(world):
         await listed(world)
         reader = reader_of(world)
@@ -196,7 +196,7 @@
     assert play(scene) < 0.75 * DRAIN_S
 
 
-def test_after_a_cut_both_sides_know_every_end_that_either_read():
+def test_directories_merge_drains_of_both_sides_after_partition():
     async def scene(world):
         await listed(world)
         world.network.cut(world.address(1))
@@ -211,7 +211,7 @@
     assert play(scene) < 1.0
 
 
-def test_one_process_reads_the_list_in_calm_times():
+def test_only_one_control_server_reads_list_in_normal_operation():
     async def scene(world):
         await listed(world)
         await asyncio.sleep(1.0)
@@ -224,7 +224,7 @@
     assert readings <= 10.0 / (DRAIN_S / 4) + 1
 
 
-def test_the_duty_passes_on_from_readers_that_the_platform_does_not_answer():
+def test_reader_role_moves_on_from_readers_that_fail():
     async def scene(world):
         await listed(world)
         await asyncio.sleep(1.0)
@@ -242,7 +242,7 @@
     assert max(play(scene)) < DRAIN_S / 2
 
 
-def test_senders_with_versions_from_before_a_restart_of_every_control_server_get_newer_ones():
+def test_directory_version_rises_after_restart_of_all_control_servers():
     async def scene(world):
         await listed(world)
         await world.control_servers[1].handlers["lease.renew"](renewal(version=(40, "z")))
@@ -251,7 +251,7 @@
     play(scene)
 
 
-def test_a_watch_answers_with_the_next_news_and_after_a_heartbeat_without():
+def test_watch_returns_next_update_or_empty_reply_after_heartbeat_time():
     async def scene(world):
         await listed(world)
         await asyncio.sleep(2.0)
@@ -278,7 +278,7 @@
     assert play(scene) == pytest.approx(WATCH_HEARTBEAT_S)
 
 
-def test_heartbeats_and_nothing_else_are_sent_in_calm_times():
+def test_control_servers_exchange_only_heartbeats_in_normal_operation():
     async def scene(world):
         await world.put(1, 7, 0)
         await listed(world)
--- a/tests/controlplane/test_control_server_random.py
+++ b/tests/controlplane/test_control_server_random.py
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_was_acknowledged_stays_and_one_order_wins_each_version(seed):
+def test_acknowledged_changes_persist_and_one_change_wins_each_version(seed):
     async def scene():
         rng = random.Random(seed)
         world = RandomWorld()
--- a/tests/controlplane/test_cost_of_contact.py
+++ b/tests/controlplane/test_heartbeat_cost.py
@@ -30,14 +30,14 @@
     )
 
 
-def test_heartbeats_cost_a_machine_the_same_whatever_the_number_of_fronts():
+def test_heartbeat_cost_is_independent_of_sender_count():
     few, many = figures(FRONTS[0]), figures(FRONTS[1])
     assert many[0] == pytest.approx(few[0], rel=SPREAD)
     assert many[1] == pytest.approx(few[1], rel=SPREAD)
     assert many[2] == pytest.approx(few[2], rel=0.25)
 
 
-def test_a_control_process_sends_no_more_heartbeats_than_its_period_tells():
+def test_heartbeats_are_sent_no_more_often_than_period():
     asked_and_answered, others, both_ways = 2, CONTROL_PROCESSES - 1, 2
     per_s = asked_and_answered * others * both_ways / 0.25
     assert figures(FRONTS[0])[0] == pytest.approx(per_s, rel=SPREAD)
--- a/tests/controlplane/test_unsteady_machines.py
+++ b/tests/controlplane/test_interrupted_machines.py
@@ -27,7 +27,7 @@
     return scene.state["version"] - before
 
 
-def test_a_member_that_freezes_again_and_again_is_replaced_once():
+def test_repeatedly_frozen_member_is_replaced_once():
     scene = Scene(members="abcde", stores="abcdef", full=5)
     scene.hear("f")
     made = [freeze(scene, "c", "bdef")]
@@ -49,14 +49,14 @@
     return scene
 
 
-def test_a_machine_lost_for_good_is_replaced_soon_whatever_it_did_before():
+def test_lost_machine_is_replaced_soon_despite_interruptions():
     scene = scene_after_freezes(6)
     scene.after(0.3, "b", "d", "e", "f", "c2")
     scene.settle()
     assert sorted(scene.state["members"]) == ["a", "b", "c2", "d", "e"], "its machine runs as another incarnation"
 
 
-def test_the_wait_for_a_machine_that_froze_often_ends_at_the_usual_bound():
+def test_replacement_timeout_is_bounded_by_removal_timeout():
     scene = scene_after_freezes(8)
     scene.after(REMOVAL_TIMEOUT_S - 0.5, "b", "d", "e", "f")
     scene.settle()
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("steady_s, replaced", [(50, False), (70, True)])
-def test_a_machine_that_has_been_steady_for_a_minute_is_replaced_as_soon_as_any(steady_s, replaced):
+def test_interruptions_are_forgotten_after_a_minute(steady_s, replaced):
     scene = Scene(members="abcde", stores="abcde", full=5)
     freeze(scene, "d", "bce")
     assert scene.members == "abcde", "there is no other"
@@ -78,7 +78,7 @@
     assert scene.members == ("abcef" if replaced else "abcde")
 
 
-def test_a_store_that_freezes_again_and_again_restarts_a_copy_under_way_once_only():
+def test_repeatedly_frozen_store_restarts_copy_once():
     scene = Scene(members="abc", stores="abcd", full=3)
     scene.hear("e")
     scene.step()
@@ -99,7 +99,7 @@
 # A cut that lasts for about as long as a silent machine is waited for
 
 
-def test_a_store_that_comes_back_while_it_is_being_dropped_stays():
+def test_store_that_returns_during_its_removal_stays():
     scene = Scene(stores="abcd")
     scene.after(REMOVAL_TIMEOUT_S + 0.1, "b", "c")
     scene.settle(synced=False)
@@ -109,7 +109,7 @@
     assert (scene.stores, scene.next_stores) == (["a", "b", "c", "d"], [])
 
 
-def test_a_store_that_was_dropped_and_comes_back_is_no_replica_before_it_has_copied():
+def test_removed_store_that_returns_is_no_replica_before_sync():
     scene = Scene(stores="abcd")
     scene.after(REMOVAL_TIMEOUT_S + 0.1, "b", "c")
     scene.settle()
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("lost", "bcd")
-def test_a_leaving_store_stays_one_of_the_stable_while_another_is_lost(lost):
+def test_leaving_store_stays_stable_while_another_is_lost(lost):
     """Each step: the loss before the change begins, in the midst of it, and its new incarnation's copy."""
     scene = Scene(members="abc", stores="abcde")
     scene.state = start_retirement("machine-e", 3)(scene.state)
@@ -157,7 +157,7 @@
     assert "e" not in scene.stores and scene.state["retired"] == ["machine-e"]
 
 
-def test_a_next_store_that_was_wiped_counts_for_no_copy_of_its_machine_before():
+def test_wiped_next_store_does_not_count_as_synced():
     scene = Scene(members="abc", stores="abcd")
     scene.state = start_retirement("machine-d", 3)(scene.state)
     scene.step()
@@ -176,7 +176,7 @@
     assert scene.next_stores == ["a", "b2", "c"] and scene.state["stores"]["epoch"] > epoch
 
 
-def test_the_stores_never_become_fewer_for_a_wiped_machine_that_may_not_join():
+def test_stores_stay_while_wiped_machine_may_not_join():
     """The next incarnation is heard, so the one before is gone, but it is about to end again."""
     scene = Scene()
     scene.after(0.3, "b")
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_isolation.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("how", HOW)
 @pytest.mark.parametrize("number", [1, 2, 3])
-def test_a_process_that_is_cut_off_grants_nothing_and_passes_nothing_on(number, how):
+def test_isolated_control_server_rejects_lease_renewals_and_watches(number, how):
     async def scene(world):
         await world.put(1, 7, 0)
         await listed(world)
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_an_answer_of_a_process_that_is_cut_off_is_no_older_than_the_bound(how):
+def test_state_age_in_a_delayed_reply_stays_within_bound(how):
     """Whatever it still answers was the newest state not longer ago than the bound."""
 
     async def scene(world):
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_a_process_that_is_cut_off_neither_confirms_nor_refuses_orders(how):
+def test_isolated_control_server_neither_accepts_nor_rejects_changes(how):
     async def scene(world):
         await world.put(1, 7, 0)
         await world.until(lambda: world.generation(3) == 7)
@@ -105,7 +105,7 @@
     play(scene)
 
 
-def test_the_operators_calls_at_a_process_that_is_cut_off_are_answered_503():
+def test_operator_requests_to_isolated_control_server_get_503():
     async def scene(world):
         await world.put(1, 7, 0)
         await world.until(lambda: world.generation(3) == 7)
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("how", [None, *HOW])
 @pytest.mark.parametrize("number", [1, 2, 3])
-def test_a_read_at_any_process_right_after_an_acknowledgement_tells_it_or_is_answered_503(number, how):
+def test_read_after_acknowledged_change_returns_it_or_503(number, how):
     """Process `number` is cut off (or not), and the reads follow the acknowledgement at once and after the bound."""
 
     async def scene(world):
@@ -157,7 +157,7 @@
     play(scene)
 
 
-def test_a_process_started_anew_serves_nothing_from_its_disk():
+def test_restarted_control_server_serves_no_state_from_disk():
     async def scene(world):
         await world.put(1, 7, 0)
         await world.until(lambda: world.generation(3) == 7)
@@ -172,7 +172,7 @@
     assert play(scene) < 1.0
 
 
-def test_every_process_serves_soon_after_all_were_killed():
+def test_all_control_servers_serve_soon_after_simultaneous_restart():
     async def scene(world):
         await world.put(1, 7, 0)
         await world.kill(1, 2, 3)
@@ -190,7 +190,7 @@
     [(0.0, 0.002), (0.3, 0.002), (0.0, 0.08), (0.3, 0.02)],
     ids=["calm", "disk", "net", "both"],
 )
-def test_nothing_is_refused_while_all_are_there(delay_s, latency_s):
+def test_no_request_is_rejected_while_all_members_are_alive(delay_s, latency_s):
     """Slow disks and slow links, with changes made now and then."""
 
     async def scene(world):
@@ -223,7 +223,7 @@
             await asyncio.sleep(0.1)
 
 
-def test_a_change_whose_proposer_dies_unheard_is_not_missed_by_what_counts_as_confirmed():
+def test_confirmed_state_includes_change_whose_proposer_died():
     """Both others have accepted the change, and neither knows that it is chosen."""
 
     async def scene(world):
@@ -250,7 +250,7 @@
     return (await world.control_servers[number].handlers["keeper.hello"](heartbeat))["accepted_version"]
 
 
-def test_a_member_that_accepted_tells_its_version_only_once_it_is_on_disk():
+def test_heartbeat_reply_reports_accepted_version_only_after_sync():
     async def scene(world):
         await world.put(1, 7, 0)
         await world.until(lambda: world.generation(2) == 7)
@@ -267,7 +267,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_the_members_are_changed_although_the_one_that_drives_changes_is_cut_off_one_way(how):
+def test_members_change_while_coordinator_is_partitioned_one_way(how):
     """The process with the least id is heard by the others as before, where nothing reaches it but its own calls do."""
 
     async def scene(world):
@@ -280,7 +280,7 @@
     assert play(scene) < 4.0
 
 
-def test_a_process_cut_off_from_the_majority_plans_no_change():
+def test_control_server_without_majority_plans_no_reconfiguration():
     async def scene(world):
         await world.start(4)
         await world.until(lambda: len(world.stores()) == 4)
@@ -300,7 +300,7 @@
 
 
 @pytest.mark.parametrize("frozen_s", [1.2, 5.0, 25.0])
-def test_a_planner_that_was_frozen_drops_nobody_when_it_thaws(frozen_s):
+def test_coordinator_resumed_after_freeze_removes_no_member(frozen_s):
     """By its own clock all others were silent all the while, and it hears one of them later than the rest."""
 
     async def scene(world):
@@ -328,7 +328,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_another_reads_the_list_soon_after_its_reader_was_cut_off(how):
+def test_another_control_server_reads_list_when_reader_is_partitioned(how):
     """The reader goes on reading; the others are not to wait for what they can't get from it."""
 
     async def scene(world):
@@ -348,7 +348,7 @@
 
 
 @pytest.mark.parametrize("latency_s", [0.05, 0.1])
-def test_what_a_majority_confirmed_is_as_old_as_its_question(latency_s):
+def test_confirmation_counts_from_when_heartbeat_was_sent(latency_s):
     async def scene(world):
         await asyncio.sleep(1.0)
         world.network.latency_s = latency_s
@@ -363,7 +363,7 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_an_end_is_known_although_the_reader_of_the_list_is_cut_off(how):
+def test_drain_is_known_while_list_reader_is_partitioned(how):
     async def scene(world):
         await listed(world)
         await asyncio.sleep(1.0)
@@ -378,7 +378,7 @@
     assert play(scene) < 1.5
 
 
-def test_two_readers_of_the_list_take_no_end_back():
+def test_two_list_readers_never_revive_a_drained_receiver():
     """Each side of a cut reads for itself; the versions that they make cross when it heals."""
 
     async def scene(world):
@@ -401,7 +401,7 @@
     assert len(set(after)) == 1 and after[0] >= max(versions)
 
 
-def test_a_list_that_travelled_long_is_as_old_as_it_is():
+def test_list_age_counts_time_of_travel():
     """The age that another process tells counts from when it was asked."""
 
     async def scene(world):
--- a/tests/controlplane/test_leases.py
+++ b/tests/controlplane/test_leases.py
@@ -22,7 +22,7 @@
     return table
 
 
-def test_a_lease_ends_where_it_is_not_renewed():
+def test_lease_expires_without_renewal():
     table = table_of(2)
     end_s = PERIOD_S * LEASE_PERIODS
     table.renew("sender-0", "10.0.0.0:1", "east", end_s / 2)
@@ -30,21 +30,21 @@
     assert table.live(1.5 * end_s) == []
 
 
-def test_a_lease_outlasts_the_rounds_of_its_sender_through_many_grantors():
+def test_lease_duration_grows_with_grantors():
     grantors = 3 * LEASE_PERIODS
     table = LeaseTable(PERIOD_S)
     table.renew("sender-0", "10.0.0.0:1", "east", 0.0, grantors)
     assert table.live((LEASE_CYCLES - 0.5) * grantors * PERIOD_S)
 
 
-def test_a_lease_that_is_released_is_gone():
+def test_released_lease_is_removed():
     table = table_of(2)
     table.release("sender-1", 0.0)
     table.release("unknown", 0.0)
     assert [lease.sender for lease in table.live(0.0)] == ["sender-0"]
 
 
-def test_a_renewal_that_comes_after_the_release_grants_nothing():
+def test_renewal_after_release_has_no_effect():
     table = table_of(2)
     table.release("sender-1", 1.0)
     table.renew("sender-1", "10.0.0.1:1", "east", 1.5)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 4, 5, 20, 21, 85, 200])
-def test_the_relay_tree_has_no_cycles_and_no_parent_has_too_many_children(count):
+def test_relay_tree_has_no_cycles_and_bounded_fan_out(count):
     table = table_of(count)
     address = {f"sender-{number}": f"10.0.0.{number}:1" for number in range(count)}
     children, tops = {}, 0
@@ -73,7 +73,7 @@
     assert all(len(below) <= RELAY_FAN_OUT for below in children.values())
 
 
-def test_the_tree_is_the_same_whatever_the_order_of_the_renewals():
+def test_relay_tree_is_independent_of_renewal_order():
     forward, backward = table_of(30), LeaseTable(PERIOD_S)
     for number in reversed(range(30)):
         backward.renew(f"sender-{number}", f"10.0.0.{number}:1", "east", 0.0)
@@ -81,11 +81,11 @@
     assert [forward.parents(one, 0.0) for one in senders] == [backward.parents(one, 0.0) for one in senders]
 
 
-def test_a_sender_without_a_lease_has_no_parents():
+def test_sender_without_lease_has_no_parents():
     assert table_of(30).parents("unknown", 0.0) == []
 
 
-def test_leases_that_come_and_go_leave_the_tree_as_if_the_rest_had_been_alone():
+def test_relay_tree_depends_only_on_remaining_leases():
     """Renewed, released, ended and granted anew in any order; whoever released comes back under another id."""
     dice, table, alive, lives = random.Random(3), LeaseTable(PERIOD_S), {}, [0] * 60
     now_s = 0.0
--- a/tests/controlplane/test_majority_contact.py
+++ b/tests/controlplane/test_majority_contact.py
@@ -35,45 +35,45 @@
         return self.contact.confirmed_at_s
 
 
-def test_nothing_is_confirmed_by_this_process_alone():
+def test_state_is_unconfirmed_without_acknowledgements():
     assert Scene().update(100.0) == NEVER_S
 
 
-def test_a_register_of_one_member_is_confirmed_at_any_time():
+def test_single_member_confirms_its_own_state():
     assert Scene(members="a").update(100.0) == 100.0
 
 
-def test_knowledge_is_confirmed_as_of_when_the_majority_was_asked():
+def test_state_is_confirmed_as_of_when_majority_was_asked():
     assert Scene().answered("b", 100.0, now_s=103.0) == 100.0
 
 
-def test_the_member_of_the_majority_that_was_asked_longest_ago_counts():
+def test_oldest_request_of_the_majority_sets_time_of_confirmation():
     scene = Scene(members="abcde")
     assert scene.answered("b", 100.0) == NEVER_S
     assert scene.answered("c", 101.0) == 100.0
     assert scene.answered("d", 102.0) == 101.0
 
 
-def test_former_members_have_to_confirm_as_well():
+def test_confirmation_needs_majority_of_former_members():
     scene = Scene(members="abd", former="axy")
     assert scene.answered("b", 100.0) == NEVER_S
     assert scene.answered("x", 99.0, now_s=100.0) == 99.0
 
 
-def test_a_former_incarnation_and_strangers_count_for_nothing():
+def test_acknowledgements_of_non_members_are_ignored():
     scene = Scene()
     assert scene.answered("z", 100.0) == NEVER_S
     assert scene.answered("old-b", 100.0) == NEVER_S
 
 
-def test_what_others_than_members_said_is_not_kept():
+def test_acknowledgements_of_non_members_are_not_stored():
     scene = Scene()
     for number in range(100):
         scene.answered(f"stranger-{number}", 100.0 + number)
     assert not scene.contact._acknowledgements
 
 
-def test_a_newer_version_that_a_member_accepted_leaves_what_is_held_here_unconfirmed():
+def test_newer_accepted_version_of_a_member_leaves_state_unconfirmed():
     scene = Scene()
     assert scene.answered("b", 100.0) == 100.0
     scene.answered("b", 101.0, accepted=VERSION + 1)
@@ -82,38 +82,38 @@
     assert scene.update(101.5) == 101.0
 
 
-def test_one_member_that_accepted_a_newer_version_does_not_stop_the_majority():
+def test_majority_confirms_although_one_member_accepted_newer_version():
     scene = Scene()
     scene.answered("b", 101.0, accepted=VERSION + 1)
     assert scene.answered("c", 101.0) == 101.0
 
 
-def test_the_own_replica_does_not_confirm_what_it_holds_a_newer_version_of():
+def test_own_replica_with_newer_version_does_not_confirm():
     scene = Scene()
     scene.own_accepted = VERSION + 1
     assert scene.answered("b", 100.0) == NEVER_S
     assert scene.answered("c", 101.0) == 100.0
 
 
-def test_an_answer_that_tells_no_version_shows_contact_and_confirms_nothing():
+def test_acknowledgement_without_version_counts_as_contact_only():
     scene = Scene()
     assert scene.answered("b", 100.0, accepted=None) == NEVER_S
     assert scene.contact.contact_since_s(100.0) == 100.0
 
 
-def test_an_answer_overtaken_by_a_later_one_changes_nothing():
+def test_acknowledgement_of_earlier_request_is_ignored_after_later_one():
     scene = Scene()
     scene.answered("b", 101.0)
     assert scene.answered("b", 100.0, now_s=101.0) == 101.0
 
 
-def test_a_read_confirms_as_of_its_beginning():
+def test_quorum_read_confirms_as_of_its_start():
     scene = Scene()
     scene.contact.record_quorum_read(50.0)
     assert scene.update(60.0) == 50.0
 
 
-def test_contact_lasts_while_a_majority_answers_and_begins_anew_after_a_break():
+def test_contact_restarts_after_majority_was_lost():
     scene = Scene()
     for tenth in range(0, 50, 5):
         scene.answered("b", 100.0 + tenth / 10)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize("frozen_s", [2.0, 30.0])
-def test_answers_from_before_a_freeze_show_no_contact_after_it(frozen_s):
+def test_acknowledgements_before_freeze_show_no_contact_after_it(frozen_s):
     scene = Scene()
     scene.answered("b", 100.0)
     scene.answered("b", 100.2, now_s=100.2 + frozen_s)
--- a/tests/controlplane/test_malformed_requests.py
+++ b/tests/controlplane/test_malformed_requests.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("request_", REQUESTS, ids=lambda request: type(request).__name__)
-def test_a_store_refuses_each_request_without_one_of_its_fields_and_writes_nothing(request_):
+def test_store_rejects_request_with_missing_field_and_writes_nothing(request_):
     async def scene():
         world = World()
         machine = world.machines["a"]
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("kind", [wire.PULL_INDEX, wire.PULL_TURNS, wire.PULL_LEDGERS])
-def test_a_copy_asked_for_without_an_epoch_is_malformed(kind):
+def test_copy_request_without_epoch_is_malformed(kind):
     async def scene():
         machine = World().machines["a"]
         assert await refusal_of(machine, {"type": kind, "to": machine.store.member_id}) == wire.MALFORMED
@@ -75,7 +75,7 @@
     return heard
 
 
-def test_a_request_that_a_store_takes_for_malformed_is_not_sent_to_it_again():
+def test_request_rejected_as_malformed_is_not_retried():
     async def scene():
         world = World()
         refused = RpcError(wire.MALFORMED, "turns: expected a list of objects")
@@ -101,7 +101,7 @@
         {"type": "turn.stored", "reply": {}},
     ],
 )
-def test_an_answer_that_is_malformed_counts_as_none(answer):
+def test_malformed_reply_counts_as_missing(answer):
     async def scene():
         world = World()
         await world.client("first").store_turn(turn("t"), 1.0)
@@ -123,7 +123,7 @@
     run(scene())
 
 
-def test_a_store_whose_answer_was_malformed_is_asked_again():
+def test_store_is_asked_again_after_malformed_reply():
     async def scene():
         world = World()
         machine = world.machines["a"]
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -109,21 +109,21 @@
     return {**samples.configuration(), "generation": generation, **fields}
 
 
-def test_a_configuration_is_acknowledged_and_read_back_byte_by_byte(operator):
+def test_put_configuration_is_read_back_byte_for_byte(operator):
     body = json.dumps(sample(), indent=1).encode()
     assert operator.call("GET", "/dewpin/Config.Get")[0] == 404
     assert operator.put(body, 0) == 200
     assert operator.call("GET", "/dewpin/Config.Get") == (200, body)
 
 
-def test_the_same_order_is_acknowledged_again_also_after_later_ones(operator):
+def test_repeated_change_is_acknowledged_after_later_changes(operator):
     assert [operator.put(sample(7), 0), operator.put(sample(7), 0)] == [200, 200]
     assert operator.put(sample(9), 7) == 200
     assert operator.put(sample(7), 0) == 200
     assert json.loads(operator.call("GET", "/dewpin/Config.Get")[1])["generation"] == 9
 
 
-def test_an_order_on_another_version_is_refused(operator):
+def test_change_on_other_base_version_is_rejected(operator):
     operator.put(sample(7), 0)
     assert operator.put(sample(8), 0) == 412
     assert operator.put(sample(8), 5) == 412
@@ -134,7 +134,7 @@
     return {"generation": generation, "upsert": {"routes": [route]}}
 
 
-def test_a_patch_is_acknowledged_and_read_back_as_a_whole_configuration(operator):
+def test_patch_is_read_back_as_complete_configuration(operator):
     operator.put(sample(7), 0)
     before = operator.routes()
     assert operator.patch(added_route(9), 7) == 200
@@ -143,7 +143,7 @@
     assert json.loads(operator.call("GET", "/dewpin/Config.Get")[1]) == sample(12)
 
 
-def test_a_patch_whose_acknowledgement_was_lost_is_acknowledged_again(operator):
+def test_repeated_patch_is_acknowledged_again(operator):
     operator.put(sample(7), 0)
     assert [operator.patch(added_route(9), 7), operator.patch(added_route(9), 7)] == [200, 200]
     assert operator.patch({"generation": 12, "delete": {"routes": ["r-added"]}}, 9) == 200
@@ -151,7 +151,7 @@
     assert "r-added" not in operator.routes()
 
 
-def test_of_two_patches_on_one_version_one_wins(operator):
+def test_one_of_two_patches_of_a_version_wins(operator):
     operator.put(sample(7), 0)
     assert operator.patch(added_route(9, "r-one"), 7) == 200
     assert operator.patch(added_route(9, "r-two"), 7) == 412
@@ -160,7 +160,7 @@
     assert "r-one" in operator.routes()
 
 
-def test_a_patch_is_refused_without_a_configuration_or_where_its_result_is_invalid(operator):
+def test_patch_without_configuration_or_with_invalid_result_is_rejected(operator):
     assert operator.patch(added_route(9), 0) == 400
     operator.put(sample(7), 0)
     services = [service["name"] for service in sample()["services"]]
@@ -171,13 +171,13 @@
     assert json.loads(operator.call("GET", "/dewpin/Config.Get")[1]) == sample(7)
 
 
-def test_a_body_sent_whole_and_as_a_patch_are_two_orders(operator):
+def test_put_and_patch_of_same_body_are_two_changes(operator):
     operator.put(sample(7), 0)
     assert operator.put(sample(9), 7) == 200
     assert operator.patch(sample(9), 7) == 412
 
 
-def test_a_forgotten_patch_is_looked_up_under_its_own_digest(operator):
+def test_forgotten_patch_is_looked_up_by_patch_digest(operator):
     take_more_than_the_state_remembers(operator)
     body = json.dumps(added_route(8)).encode()
     operator.register.history = [[8, patch_digest(body, 7)]]
@@ -191,7 +191,7 @@
     return head + b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
 
 
-def test_the_same_order_is_the_same_in_whatever_chunks_it_comes(operator):
+def test_chunking_does_not_alter_change_identity(operator):
     body = json.dumps(sample()).encode()
     assert operator.put(body, 0) == 200
     assert operator.put(sample(9), 7) == 200
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("was_accepted", [True, False])
-def test_an_order_that_the_state_has_forgotten_is_answered_from_the_history(operator, was_accepted):
+def test_forgotten_change_is_answered_from_history(operator, was_accepted):
     take_more_than_the_state_remembers(operator)
     body = json.dumps(sample(8)).encode()
     operator.register.history = (
@@ -219,14 +219,14 @@
     assert operator.put(body, 7) == (200 if was_accepted else 412)
 
 
-def test_a_forgotten_order_that_no_history_tells_of_gets_no_clear_answer_in_time(operator):
+def test_forgotten_change_unknown_to_history_gets_503_in_time(operator):
     take_more_than_the_state_remembers(operator)
     began_s = time.monotonic()
     assert operator.put(sample(8), 7) == 503
     assert time.monotonic() - began_s < 1.0
 
 
-def test_without_a_base_the_first_version_is_meant(operator):
+def test_missing_base_version_means_first_version(operator):
     body = json.dumps(sample()).encode()
     assert operator.call("POST", "/dewpin/Config.Put", body)[0] == 200
     assert operator.call("POST", "/dewpin/Config.Put", json.dumps(sample(8)).encode())[0] == 412
@@ -246,23 +246,23 @@
     ],
     ids=["empty", "bytes", "cut_short", "no_object", "same_version", "old_version", "unknown_service", "same_place"],
 )
-def test_an_invalid_configuration_is_refused_and_the_old_one_stays(operator, configuration):
+def test_invalid_configuration_is_rejected_and_old_one_stays(operator, configuration):
     operator.put(sample(7), 0)
     assert operator.put(configuration, 7) == 400
     assert json.loads(operator.call("GET", "/dewpin/Config.Get")[1])["generation"] == 7
 
 
-def test_a_configuration_in_another_encoding_is_refused(operator):
+def test_configuration_that_is_not_utf8_is_rejected(operator):
     assert operator.put(json.dumps(sample()).encode("utf-16"), 0) == 400
 
 
 @pytest.mark.parametrize("base", ["x", "1.5", ""])
-def test_a_base_that_is_no_number_is_refused(operator, base):
+def test_base_version_that_is_no_number_is_rejected(operator, base):
     expected = 200 if base == "" else 400
     assert operator.put(sample(), base) == expected
 
 
-def test_without_a_majority_nothing_is_promised(operator):
+def test_requests_without_majority_get_503(operator):
     operator.register.available = False
     assert operator.put(sample(), 0) == 503
     assert operator.call("GET", "/dewpin/Config.Get")[0] == 503
@@ -270,7 +270,7 @@
     assert operator.call("GET", "/dewpin/Retire.Get/store-a")[0] == 503
 
 
-def test_a_machine_is_retired(operator):
+def test_retirement_runs_until_done(operator):
     assert operator.call("GET", "/dewpin/Retire.Get/store-a")[0] == 404
     assert operator.call("POST", "/dewpin/Retire.Start/store-a", b'{"within_s":10}')[0] == 200
     assert operator.call("POST", "/dewpin/Retire.Start/store-a", b'{"within_s":10}')[0] == 200
@@ -280,13 +280,13 @@
     assert operator.call("POST", "/dewpin/Retire.Start/store-a", b'{"within_s":10}')[0] == 200
 
 
-def test_an_unknown_machine_and_one_too_many_are_refused(operator):
+def test_retirement_of_unknown_or_needed_machine_is_rejected(operator):
     assert operator.call("POST", "/dewpin/Retire.Start/store-x", b"{}")[0] == 404
     assert operator.call("POST", "/dewpin/Retire.Start/store-a", b"{}")[0] == 200
     assert operator.call("POST", "/dewpin/Retire.Start/store-b", b"{}")[0] == 409
 
 
-def test_a_body_may_come_in_chunks(operator):
+def test_chunked_body_is_accepted(operator):
     body = json.dumps(sample()).encode()
     chunks = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (body[:100], body[100:]))
     head = b"POST /dewpin/Config.Put HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
@@ -307,11 +307,11 @@
         (b"GET /dewpin/Config.Put HTTP/1.1\r\nConnection: close\r\n\r\n", 404),
     ],
 )
-def test_a_broken_request_is_refused(operator, request_bytes, status):
+def test_malformed_request_is_rejected(operator, request_bytes, status):
     assert operator.raw(request_bytes).startswith(b"HTTP/1.1 %d" % status)
 
 
-def test_a_connection_serves_many_calls(operator):
+def test_connection_serves_several_requests(operator):
     connection = http.client.HTTPConnection("127.0.0.1", operator.port, timeout=5)
     with contextlib.closing(connection):
         for _ in range(3):
@@ -321,7 +321,7 @@
             assert answer.status == 404
 
 
-def test_a_proposal_that_never_ends_is_answered_in_time(operator, monkeypatch):
+def test_proposal_that_never_ends_gets_503_in_time(operator, monkeypatch):
     monkeypatch.setattr(operator_api, "RESPONSE_TIMEOUT_S", 0.01)
 
     async def never(change, timeout_s):
--- a/tests/controlplane/test_orders.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from controlplane.order_scenes import ANSWER_S, WAIT_S, answer, play, read, take
+from controlplane.change_scenes import ANSWER_S, WAIT_S, answer, play, read, take
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.register.system_state import (
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001, 0.003, 0.006, 0.012, 0.05])
-def test_of_two_bodies_under_one_number_on_one_base_exactly_one_is_acknowledged_ever(delay_s):
+def test_one_of_two_bodies_with_same_generation_is_acknowledged(delay_s):
     async def scene(registers):
         first, second = registers.members["a"], registers.members["b"]
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001, 0.003, 0.006, 0.012, 0.05])
-def test_one_body_sent_to_two_processes_is_taken_once_and_acknowledged_by_both(delay_s):
+def test_same_change_at_two_control_servers_is_accepted_once_and_acknowledged_by_both(delay_s):
     async def scene(registers):
         async def late():
             await asyncio.sleep(delay_s)
@@ -59,7 +59,7 @@
     assert play(scene) == ([200, 200], 1)
 
 
-def test_one_order_sent_to_both_sides_of_a_cut_is_taken_by_the_greater_and_acknowledged_by_the_other_later():
+def test_same_change_on_both_sides_of_partition_is_acknowledged_by_minority_after_heal():
     async def scene(registers):
         registers.network.cut("c")
         answers = await asyncio.gather(*(answer(registers.members[name], 7, 0) for name in "ca"))
@@ -69,7 +69,7 @@
     assert play(scene) == ([503, 200], 200)
 
 
-def test_two_orders_sent_to_the_two_sides_of_a_cut_are_one_taken_and_one_refused():
+def test_two_changes_on_both_sides_of_partition_one_accepted_one_rejected():
     async def scene(registers):
         registers.network.cut("c")
         answers = await asyncio.gather(
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("reached", ["", "a", "b", "c", "ab", "bc", "abc"])
 @pytest.mark.parametrize("asked_next", ["b", "c"])
-def test_an_order_whose_proposer_died_between_its_accepts_is_acknowledged_on_resend(reached, asked_next):
+def test_resent_change_is_acknowledged_after_proposer_crash_between_accepts(reached, asked_next):
     """The accepts of the proposer `a` reach some members, then it dies. The same order sent again is acknowledged at
     whichever member, and a rival on the same base wins only where the order was in force nowhere."""
 
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("reached", ["", "b", "c", "bc"])
-def test_a_rival_after_the_proposer_died_wins_or_is_refused_for_good_and_the_order_with_it(reached):
+def test_rival_change_after_proposer_crash_wins_or_is_rejected_for_good(reached):
     async def scene(registers):
         await lose_proposer(registers, reached, answer(registers.members["a"], 7, 0))
         rival = await answer(registers.members["b"], 7, 0, b"rival")
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize(("proposer", "silent"), [("a", "bc"), ("b", "ac"), ("c", "ab")])
-def test_an_order_is_acknowledged_only_after_a_majority_has_synced(proposer, silent):
+def test_change_is_acknowledged_only_after_majority_synced(proposer, silent):
     """Two disks promise, and never return from the write of what was accepted: no majority holds the order on disk."""
 
     async def scene(registers):
@@ -154,7 +154,7 @@
 # Many at once
 
 
-def test_eight_orders_under_way_at_three_processes_are_each_answered_in_time_and_one_wins():
+def test_eight_concurrent_changes_are_answered_in_time_and_one_wins():
     async def scene(registers):
         clock = asyncio.get_running_loop().time
         began_s = clock()
@@ -169,7 +169,7 @@
     assert taken == 1 and took_s <= ANSWER_S
 
 
-def test_orders_that_wait_behind_one_that_is_stuck_are_answered_in_time_and_were_never_proposed():
+def test_changes_queued_behind_stuck_change_time_out_unproposed():
     """Proposals of one process take turns. Those still waiting when their time is over get no clear answer; nothing
     was sent for them, and each is taken once when it comes again."""
 
@@ -189,7 +189,7 @@
     assert after.count(200) == 1 and set(after) == {200, 412}
 
 
-def test_an_order_that_ran_out_of_time_with_its_accepts_under_way_is_acknowledged_when_it_comes_again():
+def test_resent_change_is_acknowledged_after_timeout_with_accepts_in_flight():
     async def scene(registers):
         for name in "bc":
             registers.disks[name].delay_s = 0.5
@@ -202,7 +202,7 @@
     assert play(scene) == (503, 200, 1)
 
 
-def test_a_refusal_given_for_a_value_that_was_never_chosen_is_kept_back():
+def test_rejection_for_unchosen_value_is_withheld():
     """One member accepted a rival that no majority holds. Where that value must be finished first, the order is
     refused for the chosen rival; where it isn't met, the order is taken: never both, never neither."""
 
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("reached", ["", "b", "c", "bc"])
-def test_an_order_to_empty_a_machine_whose_answer_was_lost_is_under_way_once_when_it_comes_again(reached):
+def test_resent_retirement_is_started_once(reached):
     async def scene(registers):
         stores = {name: name for name in "abc"}
         names = {name: f"machine-{name}" for name in "abc"}
--- a/tests/controlplane/test_peers.py
+++ b/tests/controlplane/test_peers.py
@@ -18,20 +18,20 @@
     )
 
 
-def test_a_peer_is_silent_since_it_spoke_last_and_for_ever_if_it_never_did():
+def test_unheard_time_counts_from_last_heartbeat_and_is_infinite_without():
     table = PeerTable()
     table.record_heard(description("a"), 10.0)
     assert table.unheard_s("a", 12.0) == 2.0
     assert table.unheard_s("b", 12.0) == float("inf")
 
 
-def test_the_first_time_a_peer_was_heard_is_kept():
+def test_first_heard_time_is_kept():
     table = PeerTable()
     table.record_heard(description("a"), 10.0)
     assert table.record_heard(description("a"), 20.0).first_heard_s == 10.0
 
 
-def test_whoever_answers_at_an_address_has_ended_the_one_before():
+def test_new_incarnation_at_address_ends_the_former():
     table = PeerTable()
     table.record_heard(description("a"), 10.0)
     table.record_heard(description("a2"), 10.1)
@@ -42,7 +42,7 @@
     assert found is not None and found.id == "a2"
 
 
-def test_of_two_machines_under_one_name_none_is_replaced_while_both_speak():
+def test_two_live_machines_with_one_name_are_not_replaced():
     table = PeerTable()
     table.record_heard(description("old", address="10.0.0.1:1"), 10.0)
     table.record_heard(description("new", address="10.0.0.2:1"), 10.2)
@@ -52,21 +52,21 @@
     assert table.is_replaced("old", "machine", 10.1 + ALIVE_WITHIN_S)
 
 
-def test_a_successor_that_fell_silent_replaces_nobody():
+def test_silent_replacement_replaces_nobody():
     table = PeerTable()
     table.record_heard(description("new", address="10.0.0.2:1"), 10.0)
     assert table.is_replaced("old", "machine", 10.5)
     assert not table.is_replaced("old", "machine", 10.1 + ALIVE_WITHIN_S)
 
 
-def test_peers_silent_for_long_are_forgotten():
+def test_peers_unheard_for_long_are_forgotten():
     table = PeerTable()
     table.record_heard(description("a"), 10.0)
     table.record_heard(description("b", "other", "10.0.0.2:1"), 10.1 + FORGET_AFTER_S)
     assert set(table.peers) == {"b"}
 
 
-def test_interruptions_are_counted_for_a_minute():
+def test_interruptions_count_for_a_minute():
     table = PeerTable()
     now_s = 100.0
     for _ in range(50):
@@ -79,7 +79,7 @@
     assert peer.interruptions(now_s + 61.0) == 0
 
 
-def test_a_silence_after_which_a_process_is_given_up_is_no_interruption():
+def test_silence_beyond_removal_timeout_is_no_interruption():
     table = PeerTable()
     table.record_heard(description("a"), 100.0)
     assert table.record_heard(description("a"), 125.0).interruptions(125.0) == 0
--- a/tests/controlplane/test_list_reader.py
+++ b/tests/controlplane/test_platform_list_reader.py
@@ -26,13 +26,13 @@
     return PlatformListReader(member, DRAIN_S, clock), clock
 
 
-def test_nothing_was_read_yet():
+def test_reading_is_due_before_first_reading():
     reader, _ = made()
     assert reader.age_s() == UNKNOWN_AGE_S
     assert reader.is_due(True) and reader.is_due(False)
 
 
-def test_the_one_with_the_duty_reads_every_period_and_the_others_where_the_list_grows_stale():
+def test_assigned_reader_reads_each_period_and_others_when_stale():
     reader, clock = made()
     reader.apply_listing([ONE], clock())
     clock.now_s += 0.99 * PERIOD_S
@@ -43,7 +43,7 @@
     assert reader.is_due(False)
 
 
-def test_the_age_counts_from_the_beginning_of_the_reading():
+def test_list_age_counts_from_start_of_reading():
     reader, clock = made()
     began_s = clock()
     clock.now_s += 0.4
@@ -51,7 +51,7 @@
     assert round(reader.age_s(), 6) == 0.4
 
 
-def test_the_wait_ends_when_a_reading_is_due_and_looks_for_the_duty_meanwhile():
+def test_wait_ends_when_reading_is_due_and_checks_role_meanwhile():
     reader, clock = made()
     reader.apply_listing([ONE], clock())
     assert reader.wait_s(True) == PERIOD_S / CHECKS_PER_PERIOD
@@ -59,7 +59,7 @@
     assert round(reader.wait_s(True), 6) == round(0.1 * PERIOD_S, 6)
 
 
-def test_another_process_age_counts_only_for_the_version_held_here():
+def test_age_of_other_process_counts_only_for_same_version():
     reader, clock = made()
     reader.apply_update(DirectoryVersion(5, "b"), [ONE], clock() - 2.0)
     assert reader.age_s() == 2.0
@@ -73,7 +73,7 @@
     assert round(reader.age_s(), 6) == 0.1
 
 
-def test_a_newer_directory_brings_its_own_age_also_if_it_was_read_earlier():
+def test_newer_directory_brings_its_age_even_if_read_earlier():
     reader, clock = made()
     reader.apply_listing([ONE], clock())
     assert reader.apply_update(DirectoryVersion(5, "b"), [ONE], clock() - 1.5)
--- a/tests/controlplane/test_reconfiguration.py
+++ b/tests/controlplane/test_reconfiguration.py
@@ -13,23 +13,23 @@
 from dewpin.controlplane.register.system_state import start_retirement, successor
 
 
-def test_nothing_is_due_while_everyone_is_heard():
+def test_no_reconfiguration_while_all_peers_are_alive():
     assert Scene().step() == set()
 
 
-def test_a_change_of_members_is_settled_before_anything_else():
+def test_member_change_is_completed_first():
     scene = Scene()
     scene.state = {**scene.state, "former_members": {"a": "a:1", "b": "b:1", "x": "x:1"}}
     assert scene.step() == {"former_members"}
 
 
-def test_the_first_stores_are_taken_when_enough_are_there():
+def test_initial_stores_are_set_once_enough_have_joined():
     scene = Scene(stores="")
     assert scene.step() == {"stores"}
     assert scene.stores == ["a", "b", "c"]
 
 
-def test_fewer_stores_than_wanted_begin_only_after_a_while():
+def test_fewer_initial_stores_are_set_only_after_wait():
     scene = Scene(members="abc", stores="", full=5)
     scene.now_s = STARTED_S + 1.0
     scene.hear("b", "c")
@@ -38,7 +38,7 @@
     assert scene.step() == {"stores"}
 
 
-def test_a_wiped_machine_comes_back_as_another_incarnation_and_takes_the_old_ones_place():
+def test_wiped_machine_replaces_its_former_incarnation():
     scene = Scene()
     scene.after(0.3, "b", "c2")
     scene.settle()
@@ -46,7 +46,7 @@
     assert scene.state["stores"]["next"] is None
 
 
-def test_a_wiped_machine_is_replaced_by_a_process_that_was_just_started_and_never_heard_the_old_one():
+def test_new_process_replaces_former_incarnation_it_never_heard():
     scene = Scene()
     scene.peers = PeerTable()
     scene.hear("b", "c2")
@@ -54,14 +54,14 @@
     assert (sorted(scene.state["members"]), scene.stores) == (["a", "b", "c2"], ["a", "b", "c2"])
 
 
-def test_a_silent_member_without_a_spare_stays():
+def test_silent_member_stays_without_spare():
     scene = Scene()
     scene.after(REMOVAL_TIMEOUT_S + 5, "b")
     assert scene.step() == set()
     assert (scene.members, scene.stores) == ("abc", ["a", "b", "c"])
 
 
-def test_a_silent_member_is_replaced_by_a_spare_once_it_is_gone_for_long_enough():
+def test_silent_member_is_replaced_by_spare_after_timeout():
     scene = Scene()
     scene.after(REPLACEMENT_TIMEOUT_S - 0.2, "b", "d")
     scene.step()
@@ -71,7 +71,7 @@
     assert (scene.members, scene.stores) == ("abd", ["a", "b", "d"])
 
 
-def test_a_machine_replaced_at_another_address_under_its_name_is_replaced_at_once_when_silent():
+def test_member_is_replaced_at_once_by_same_name_at_new_address():
     scene = Scene()
     scene.after(1.2, "b")
     scene.hear("e", name="machine-c", address="e:1")
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seen_from_the_machine_itself", [False, True])
-def test_two_machines_under_one_name_are_both_kept_while_both_speak(seen_from_the_machine_itself):
+def test_two_live_machines_with_one_name_are_both_kept(seen_from_the_machine_itself):
     scene = Scene()
     shared = "machine-a" if seen_from_the_machine_itself else "machine-c"
     scene.hear("e", name=shared, address="e:1")
@@ -95,7 +95,7 @@
     assert scene.stores == ["a", "b", "c", "e"]
 
 
-def test_a_planned_replacement_comes_first_and_the_old_one_goes_soon_after_it_left():
+def test_planned_replacement_joins_before_old_store_is_removed():
     scene = Scene()
     scene.after(1.0, "b", "c", "d")
     scene.settle()
@@ -109,7 +109,7 @@
     assert (scene.members, scene.stores) == ("abd", ["a", "b", "d"])
 
 
-def test_a_store_that_is_stopped_and_started_again_keeps_its_place():
+def test_restarted_store_keeps_its_place():
     scene = Scene(members="abc", stores="abcd")
     scene.hear("d", leaving=True)
     scene.after(4.0, "b", "c")
@@ -117,7 +117,7 @@
     assert scene.stores == ["a", "b", "c", "d"]
 
 
-def test_a_successor_counts_for_one_machine_and_not_for_ever():
+def test_replacement_counts_for_one_machine_and_limited_time():
     scene = Scene()
     scene.after(1.0, "b", "c", "d")
     scene.settle()
@@ -131,7 +131,7 @@
     assert scene.stores == ["a", "b", "d"]
 
 
-def test_a_store_that_is_added_joins_the_stores():
+def test_added_store_joins_store_view():
     scene = Scene()
     scene.after(0.3, "b", "c", "d")
     assert scene.step() == {"stores", "names"}
@@ -141,7 +141,7 @@
     assert scene.stores == ["a", "b", "c", "d"]
 
 
-def test_members_grow_one_at_a_time_up_to_the_full_count_and_no_further():
+def test_members_are_added_one_at_a_time_up_to_replica_count():
     scene = Scene(full=5)
     scene.after(0.3, "b", "c", "d", "e", "f")
     assert scene.step() >= {"members"}
@@ -150,7 +150,7 @@
     assert scene.members == "abcde"
 
 
-def test_the_change_of_stores_ends_only_when_every_next_one_has_copied():
+def test_store_change_ends_only_when_all_next_stores_have_synced():
     scene = Scene()
     scene.after(0.3, "b", "c", "d")
     scene.step()
@@ -164,7 +164,7 @@
     assert scene.stores == ["a", "b", "c", "d"]
 
 
-def test_a_joining_store_that_dies_in_mid_change_is_given_up():
+def test_joining_store_that_dies_during_change_is_removed():
     scene = Scene()
     scene.after(0.3, "b", "c", "d")
     scene.step()
@@ -173,7 +173,7 @@
     assert (scene.stores, scene.next_stores) == (["a", "b", "c"], [])
 
 
-def test_a_joining_store_wiped_in_mid_change_is_replaced_by_its_next_incarnation():
+def test_joining_store_wiped_during_change_is_replaced_by_next_incarnation():
     scene = Scene()
     scene.after(0.3, "b", "c2")
     scene.settle(synced=False)
@@ -183,7 +183,7 @@
     assert (sorted(scene.state["members"]), scene.stores) == (["a", "b", "c3"], ["a", "b", "c3"])
 
 
-def test_a_frozen_store_stays_and_one_that_was_dropped_joins_again_when_it_is_back():
+def test_frozen_store_stays_and_removed_store_rejoins():
     scene = Scene(stores="abcd")
     scene.after(5.0, "b", "c")
     scene.settle()
@@ -196,14 +196,14 @@
     assert scene.stores == ["a", "b", "c", "d"]
 
 
-def test_no_store_is_dropped_where_too_few_would_be_left():
+def test_no_store_is_removed_below_replica_count():
     scene = Scene()
     scene.after(REMOVAL_TIMEOUT_S + 1, "b")
     scene.settle()
     assert scene.stores == ["a", "b", "c"]
 
 
-def test_a_retired_machine_leaves_the_members_and_the_stores_and_then_it_is_done():
+def test_retirement_removes_member_and_store_then_completes():
     scene = Scene(members="abc", stores="abcd")
     scene.state = start_retirement("machine-b", 3)(scene.state)
     scene.settle()
@@ -214,14 +214,14 @@
     assert scene.stores == ["a", "c", "d"], "it is not taken in again"
 
 
-def test_a_retirement_is_not_done_before_the_others_hold_everything():
+def test_retirement_waits_until_other_stores_have_synced():
     scene = Scene(members="acd", stores="abcd")
     scene.state = start_retirement("machine-b", 3)(scene.state)
     scene.settle(synced=False)
     assert scene.state["retiring"] == ["machine-b"] and scene.next_stores == ["a", "c", "d"]
 
 
-def test_a_machine_that_is_wiped_right_after_a_retirement_is_replaced_as_ever():
+def test_machine_wiped_after_retirement_is_replaced():
     scene = Scene(members="abc", stores="abcd")
     scene.state = start_retirement("machine-b", 3)(scene.state)
     scene.settle()
@@ -230,7 +230,7 @@
     assert (sorted(scene.state["members"]), scene.stores) == (["a", "c2", "d"], ["a", "c2", "d"])
 
 
-def test_the_live_member_with_the_least_id_drives():
+def test_live_member_with_least_id_coordinates():
     scene = Scene()
     assert is_coordinator(scene.state, scene.observation)
     scene.state = {**scene.state, "members": {"b": "b:1", "c": "c:1", "d": "d:1"}}
@@ -243,7 +243,7 @@
     assert is_coordinator(scene.state, scene.observation)
 
 
-def test_a_change_planned_on_a_state_that_moved_is_not_made():
+def test_reconfiguration_planned_on_older_version_is_rejected():
     scene = Scene()
     scene.after(0.3, "b", "c", "d")
     change = next_change(scene.state, scene.observation)
@@ -251,7 +251,7 @@
         change(successor(scene.state))
 
 
-def test_the_register_grows_into_the_zone_that_holds_the_fewest_members():
+def test_new_member_comes_from_zone_with_fewest_members():
     scene = Scene(full=5)
     for one, zone in (("b", "r/one"), ("c", "r/two"), ("d", "r/one"), ("e", "r/three"), ("f", "s/one")):
         scene.hear(one, location=zone)
@@ -259,7 +259,7 @@
     assert "f" in scene.state["members"]
 
 
-def test_the_view_of_the_stores_carries_their_locations():
+def test_store_view_contains_locations():
     scene = Scene(stores="")
     for one in "bc":
         scene.hear(one, location=f"r/{one}")
@@ -272,14 +272,14 @@
     assert scene.state["stores"]["locations"]["c"] == "r/c"
 
 
-def test_a_process_that_reaches_no_majority_drives_no_changes():
+def test_process_without_majority_does_not_coordinate():
     scene = Scene()
     assert is_coordinator(scene.state, scene.observation)
     scene.contact_since_s = None
     assert not is_coordinator(scene.state, scene.observation)
 
 
-def test_the_next_one_drives_while_the_first_reaches_no_majority_by_its_own_word():
+def test_next_member_coordinates_while_first_reports_no_majority():
     scene = Scene(members="0bc", stores="0bc")
     scene.state["members"] = {"0": "0:1", "a": "a:1", "c": "c:1"}
     assert not is_coordinator(scene.state, scene.observation)
@@ -287,7 +287,7 @@
     assert is_coordinator(scene.state, scene.observation)
 
 
-def test_silence_from_before_the_own_contact_drops_nobody():
+def test_silence_before_own_contact_removes_no_member():
     scene = Scene()
     scene.after(2 * REMOVAL_TIMEOUT_S, "d")
     scene.contact_since_s = scene.now_s - 0.5
--- a/tests/controlplane/test_repeated_requests.py
+++ b/tests/controlplane/test_repeated_requests.py
@@ -46,7 +46,7 @@
 """Every type of request between processes, and why its handler may run more than once for one request."""
 
 
-def test_every_handler_is_known_to_bear_a_repeat():
+def test_every_handler_is_listed_as_idempotent():
     async def scene():
         fleet = Fleet(random.Random(1))
         await fleet.begin()
@@ -112,7 +112,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_turns_and_budgets_are_those_of_a_run_without_repeats(mode, seed, monkeypatch):
+def test_repeated_requests_leave_turns_and_budgets_unchanged(mode, seed, monkeypatch):
     repeats = Repeats(mode, seed)
     monkeypatch.setattr(stores.Link, "_call", repeats.around(stores.Link._call))
 
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_copy_for_a_new_view_is_that_of_a_run_without_repeats(mode, seed, monkeypatch):
+def test_repeated_requests_leave_copy_for_new_view_unchanged(mode, seed, monkeypatch):
     repeats = Repeats(mode, seed)
 
     async def scene():
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize("mode", MODES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_register_leases_and_news_are_those_of_a_run_without_repeats(mode, seed, monkeypatch):
+def test_repeated_requests_leave_register_leases_and_updates_unchanged(mode, seed, monkeypatch):
     repeats = Repeats(mode, seed)
     monkeypatch.setattr(network.Client, "_call", repeats.around(network.Client._call))
 
--- a/tests/controlplane/test_senders_and_control_servers.py
+++ b/tests/controlplane/test_senders_and_control_servers.py
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_configuration_is_in_force_everywhere_within_the_bound(seed, trouble):
+def test_configuration_is_in_force_at_all_senders_within_bound(seed, trouble):
     """The control server that acknowledged it is lost right after; it may go on alone with what it has."""
 
     async def scene(fleet, rng):
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("trouble", ["kill", "freeze", "cut_from_control_servers"])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_configuration_is_in_force_within_the_bound_while_a_control_server_is_lost_for_long(seed, trouble):
+def test_configuration_is_in_force_within_bound_while_control_server_is_down(seed, trouble):
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
         await lose(fleet, trouble, number)
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_drain_is_known_everywhere_within_the_bound(seed, trouble):
+def test_drain_is_known_at_all_senders_within_bound(seed, trouble):
     """The control server that reads the list is lost just before the list shows it."""
 
     async def scene(fleet, rng):
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_drain_is_known_while_all_control_servers_are_down(seed):
+def test_drain_is_known_at_senders_while_all_control_servers_are_down(seed):
     async def scene(fleet, rng):
         await fleet.kill(1, 2, 3)
         drain(fleet)
@@ -170,7 +170,7 @@
     assert play(seed, scene) < 0.85 * DRAIN_S
 
 
-def test_senders_read_nothing_for_themselves_in_calm_times():
+def test_senders_read_no_platform_list_while_control_servers_do():
     async def scene(fleet, rng):
         fleet.readings.clear()
         await asyncio.sleep(20.0)
@@ -179,7 +179,7 @@
     assert play(1, scene) == set()
 
 
-def test_a_sender_started_beside_a_control_server_cut_off_from_the_others_is_right_within_the_bound():
+def test_new_sender_beside_partitioned_control_server_has_current_state_within_bound():
     async def scene(fleet, rng):
         await lose(fleet, "cut_from_control_servers", 1)
         await fleet.put(2, 8, 7)
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_sender_started_beside_a_process_that_is_cut_off_is_ready_only_with_another(seed):
+def test_new_sender_with_only_isolated_control_server_is_not_ready(seed):
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
         await lose(fleet, "cut_from_control_servers", number)
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_sender_started_beside_one_process_that_is_cut_off_among_others_is_ready_at_once(seed):
+def test_new_sender_is_ready_at_once_while_one_control_server_is_isolated(seed):
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
         await lose(fleet, "cut_from_control_servers", number)
@@ -244,7 +244,7 @@
     assert play(seed, scene) < 0.75
 
 
-def test_a_sender_that_is_left_with_a_process_that_is_cut_off_goes_on_and_calls_nothing_unknown():
+def test_sender_left_with_isolated_control_server_serves_and_answers_no_404():
     async def scene(fleet, rng):
         await lose(fleet, "cut_from_control_servers", 3)
         fleet.reaches_only(1, 3)
@@ -259,14 +259,14 @@
     assert play(2, scene) < APPLY_S
 
 
-def test_a_sender_counts_its_state_as_current_in_calm_times():
+def test_sender_state_is_current_in_normal_operation():
     async def scene(fleet, rng):
         return await watched(fleet, 30.0, lambda: all(agent.is_state_current() for agent in fleet.agents.values()))
 
     assert all(play(4, scene))
 
 
-def test_what_a_sender_holds_is_as_old_as_the_question_to_the_majority():
+def test_sender_state_age_counts_from_request_to_majority():
     """There and back between sender and control process, and between that and the majority."""
     latency_s = 0.05
 
@@ -282,7 +282,7 @@
     assert play(6, scene) >= 4 * latency_s - 1e-6
 
 
-def test_nobody_hears_a_sender_whose_state_is_not_confirmed():
+def test_sender_with_unconfirmed_state_relays_nothing():
     """A child of a sender that is cut off leaves it, and one that is left with it alone is never ready."""
 
     async def scene(fleet, rng):
@@ -301,7 +301,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_all_are_ready_soon_after_every_process_was_killed(seed):
+def test_all_senders_are_ready_soon_after_simultaneous_restart(seed):
     async def scene(fleet, rng):
         fleet.readings.clear()
         for agent in fleet.agents.values():
--- a/tests/controlplane/test_names_of_earlier_releases.py
+++ b/tests/controlplane/test_stable_names.py
@@ -6,12 +6,12 @@
 from dewpin.controlplane.membership import heartbeat_messages
 
 
-def test_a_new_release_finds_the_files_of_an_earlier_one():
+def test_file_names_are_those_of_earlier_releases():
     assert storage.DATABASE_NAME == "keeper.sqlite3"
     assert storage.DAMAGED_MARKER_NAME == "keeper.damaged"
 
 
-def test_heartbeats_and_grants_keep_their_words():
+def test_wire_names_are_those_of_earlier_releases():
     assert heartbeat_messages.HEARTBEAT == "keeper.hello"
     grant = LeaseGrant(3.2, 1, DirectoryVersion(1, "r"), 0.1, (), ("10.0.0.1:1",), 4)
     assert grant.encode()["keepers"] == ("10.0.0.1:1",)
--- a/tests/controlplane/test_currency_random.py
+++ b/tests/controlplane/test_state_freshness_random.py
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nobody_takes_an_old_configuration_for_the_current_one(seed):
+def test_no_process_counts_old_configuration_as_current(seed):
     observer = run(Scene(seed).play())
     assert len(observer.acknowledged) > 5
     assert min(observer.looks.values()) > 1000
--- a/tests/controlplane/test_register_driver.py
+++ b/tests/controlplane/test_system_register.py
@@ -46,7 +46,7 @@
     registers.network.on_call = lambda source, target, message: None
 
 
-def test_a_change_is_read_back_at_every_member():
+def test_chosen_change_is_read_at_every_member():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -56,7 +56,7 @@
     assert run(scene()) == [7, 7, 7]
 
 
-def test_nothing_is_agreed_without_a_majority():
+def test_proposal_without_majority_times_out():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -70,7 +70,7 @@
     assert run(scene()) == 0
 
 
-def test_a_member_that_knows_no_state_agrees_nothing():
+def test_member_without_state_proposes_nothing():
     async def scene():
         registers = Registers()
         await registers.members["a"].load()
@@ -80,7 +80,7 @@
     run(scene())
 
 
-def test_a_proposer_that_dies_between_the_rounds_leaves_the_old_value():
+def test_proposer_crash_between_rounds_leaves_old_value():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -96,7 +96,7 @@
     assert run(scene()) == 8
 
 
-def test_a_value_accepted_by_a_majority_is_found_after_its_proposer_died_without_a_word():
+def test_value_accepted_by_majority_survives_proposer_crash():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -110,7 +110,7 @@
     assert run(scene())
 
 
-def test_a_value_accepted_by_one_member_alone_is_finished_by_whoever_reads_it():
+def test_read_finishes_value_accepted_by_one_member():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -126,7 +126,7 @@
     assert run(scene()) == 7
 
 
-def test_a_refusal_is_given_for_a_chosen_state_only():
+def test_rejection_is_raised_only_for_chosen_state():
     """A change that is refused because of a value held by one member has that value finished first."""
 
     async def scene():
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001, 0.003, 0.006, 0.012])
-def test_of_two_changes_on_one_version_at_two_members_exactly_one_is_made(delay_s):
+def test_one_of_two_concurrent_changes_of_a_version_wins(delay_s):
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -164,7 +164,7 @@
     assert run(scene()) == (1, 1, True)
 
 
-def test_many_orders_at_once_at_one_member_take_turns():
+def test_concurrent_proposals_at_one_member_take_turns():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -184,7 +184,7 @@
     assert took_s < 0.3
 
 
-def test_everything_agreed_is_there_after_all_members_start_again():
+def test_chosen_values_survive_restart_of_all_members():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -197,7 +197,7 @@
     assert run(scene()) == 7
 
 
-def test_a_member_takes_part_in_nothing_before_it_has_read_its_disk():
+def test_member_rejects_requests_before_disk_is_loaded():
     """An answer from the empty replica would forget what was promised, and would write that down."""
 
     async def scene():
@@ -218,7 +218,7 @@
     assert run(scene()) == 7
 
 
-def test_a_read_writes_no_state_and_what_was_accepted_before_a_promise_is_loaded_with_it():
+def test_read_writes_only_promise_and_accepted_value_is_loaded_with_it():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -235,7 +235,7 @@
     assert run(scene()) == ({"system": 0, "system/promise": None}, 7, "a")
 
 
-def test_a_promise_tells_of_no_value_that_a_failed_write_left_in_memory_alone():
+def test_promise_omits_value_whose_write_failed():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -254,7 +254,7 @@
     assert (accepted, value) == (accepted_after, value_after)
 
 
-def test_a_promise_is_kept_over_a_restart():
+def test_promise_survives_restart():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -273,7 +273,7 @@
     assert run(scene())["type"] == CONFLICT
 
 
-def test_a_member_restarted_alone_tells_its_old_state_to_nobody():
+def test_member_restarted_alone_reports_no_chosen_state():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -290,7 +290,7 @@
     assert run(scene()) == 8
 
 
-def test_a_member_whose_disk_is_full_gives_no_vote_and_the_others_go_on():
+def test_member_with_full_disk_gives_no_vote():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -308,7 +308,7 @@
 
 
 @pytest.mark.parametrize("proposer", ["a", "b"])
-def test_a_disk_that_stalls_holds_nothing_up_at_the_others(proposer):
+def test_stalled_disk_does_not_delay_other_members(proposer):
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -320,7 +320,7 @@
     assert run(scene()) < 0.1
 
 
-def test_another_incarnation_at_the_address_of_a_member_gets_no_vote():
+def test_other_incarnation_at_member_address_gives_no_vote():
     async def scene():
         registers = Registers()
         await registers.begin()
@@ -332,7 +332,7 @@
     run(scene())
 
 
-def test_a_member_is_replaced_and_the_register_bears_another_loss_then():
+def test_register_tolerates_loss_after_member_replacement():
     async def scene():
         registers = Registers("abcd")
         await registers.begin()
@@ -350,7 +350,7 @@
     assert run(scene()) == ({"a": "a", "b": "b", "d": "d"}, 8)
 
 
-def test_a_member_that_comes_back_after_it_was_replaced_decides_nothing_with_the_old_members():
+def test_replaced_member_decides_nothing_with_former_members():
     async def scene():
         registers = Registers("abcd")
         await registers.begin()
@@ -369,7 +369,7 @@
     run(scene())
 
 
-def test_a_value_confirmed_once_more_leaves_nothing_unfinished():
+def test_reconfirmed_value_leaves_no_unfinished_value():
     """A read may write the chosen value anew; a member must not take that for something unfinished ever after."""
 
     async def scene():
--- a/tests/controlplane/test_system_state.py
+++ b/tests/controlplane/test_system_state.py
@@ -42,12 +42,12 @@
     return put_configuration(body, generation, base)(state)
 
 
-def test_the_first_state_is_the_same_in_whatever_order_the_members_are_told():
+def test_initial_state_is_independent_of_member_order():
     assert list(first().items()) == list(initial_state(dict(reversed(MEMBERS.items())), NAMES).items())
     assert quorum_sets(first()) == [frozenset("abc"), frozenset("abc")]
 
 
-def test_a_configuration_becomes_the_next_version_and_the_old_state_stays_as_it_was():
+def test_put_configuration_returns_next_version_and_leaves_old_state_unchanged():
     before = first()
     after = put(before, 7, 0, b'{"x": 1}')
     assert (after["version"], after["configuration"]["generation"]) == (1, 7)
@@ -55,23 +55,23 @@
     assert before == first()
 
 
-def test_the_same_configuration_sent_again_changes_nothing():
+def test_repeated_configuration_changes_nothing():
     state = put(first(), 7, 0)
     assert put(state, 7, 0) is state
 
 
-def test_the_same_configuration_is_still_known_after_later_ones():
+def test_repeated_configuration_is_known_after_later_ones():
     state = put(put(first(), 7, 0, b"one"), 9, 7, b"two")
     assert put(state, 7, 0, b"one") is state
 
 
-def test_only_one_of_two_configurations_on_the_same_version_is_taken():
+def test_one_of_two_configurations_of_a_version_is_accepted():
     state = put(first(), 7, 0, b"one")
     with pytest.raises(VersionMismatchError):
         put(state, 8, 0, b"two")
 
 
-def test_another_configuration_under_a_number_that_was_taken_is_refused():
+def test_other_configuration_with_accepted_generation_is_rejected():
     state = put(first(), 7, 0, b"one")
     with pytest.raises(VersionMismatchError):
         put(state, 7, 0, b"two")
@@ -80,35 +80,35 @@
 
 
 @pytest.mark.parametrize("generation", [1, 6, 7])
-def test_a_generation_has_to_be_above_the_present_one(generation):
+def test_generation_not_above_present_is_rejected(generation):
     with pytest.raises(GenerationTooLowError):
         put(put(first(), 7, 0), generation, 7, b"two")
 
 
-def test_a_base_above_the_present_version_is_refused():
+def test_base_above_present_generation_is_rejected():
     with pytest.raises(VersionMismatchError):
         put(first(), 9, 5)
 
 
-def test_the_digest_tells_bodies_apart_that_mean_the_same():
+def test_digest_differs_for_equivalent_bodies():
     assert configuration_digest(b"{}", 1) == configuration_digest(b"{}", 1)
     assert configuration_digest(b"{}", 1) != configuration_digest(b"{ }", 1)
     assert configuration_digest(b"{}", 1) != configuration_digest(b"{}", 2)
 
 
-def test_the_present_configuration_sent_as_a_change_of_itself_is_not_the_order_that_was_taken():
+def test_present_configuration_on_itself_is_another_change():
     with pytest.raises(GenerationTooLowError):
         put(put(first(), 7, 0), 7, 7)
 
 
-def test_a_planned_change_is_made_on_its_own_version_only():
+def test_planned_change_is_rejected_on_other_version():
     change = on_version(0, successor)
     assert change(first())["version"] == 1
     with pytest.raises(StateVersionChangedError):
         change(successor(first()))
 
 
-def test_a_change_of_members_is_settled_by_the_next_version():
+def test_member_change_completes_with_next_version():
     changed = set_members({"a": "x", "b": "y", "d": "z"}, {"d": "store-9"})(first())
     assert not is_membership_stable(changed)
     assert quorum_sets(changed) == [frozenset("abd"), frozenset("abc")]
@@ -117,7 +117,7 @@
     assert is_membership_stable(settled) and quorum_sets(settled) == [frozenset("abd"), frozenset("abd")]
 
 
-def test_every_change_of_the_stores_raises_the_epoch():
+def test_each_store_change_raises_epoch():
     state = with_stores(3)
     moving = start_store_change({"a": "1", "b": "2", "d": "4"}, {"d": "store-4"})(state)
     redirected = start_store_change({"a": "1", "b": "2"}, {})(moving)
@@ -128,21 +128,21 @@
     assert (done["stores"]["stable"], done["stores"]["next"]) == ({"a": "1", "b": "2", "d": "4"}, None)
 
 
-def test_a_machine_is_retired_by_its_name():
+def test_machine_is_retired_by_name():
     state = start_retirement("store-2", 3)(with_stores(4))
     assert state["retiring"] == ["store-2"] and not is_retired(state, "store-2")
     done = finish_retirement("store-2")(state)
     assert done["retiring"] == [] and is_retired(done, "store-2")
 
 
-def test_an_order_to_retire_that_comes_again_changes_nothing():
+def test_repeated_retirement_changes_nothing():
     state = start_retirement("store-2", 3)(with_stores(4))
     assert start_retirement("store-2", 3)(state) is state
     done = finish_retirement("store-2")(state)
     assert start_retirement("store-2", 3)(done) is done
 
 
-def test_an_unknown_machine_and_one_too_many_are_not_retired():
+def test_retirement_of_unknown_or_needed_machine_raises():
     with pytest.raises(UnknownMachineError):
         start_retirement("store-9", 3)(with_stores(4))
     with pytest.raises(TooFewStoresRemainError):
--- a/tests/model/test_copied_votes.py
+++ b/tests/model/test_copied_votes.py
@@ -54,7 +54,7 @@
         return proposal.result
 
 
-def test_a_copied_value_that_was_never_chosen_is_not_read_as_chosen():
+def test_copied_unchosen_value_is_not_read_as_chosen():
     """Found by reading, and by the model of ledgers: the early sender's value is at a alone, the late sender's at c
     alone. b and d copy a; now the early value seems to be held by majorities of {a, b, c} and {a, b, d}."""
     ledgers = Ledgers("abcd")
--- a/tests/model/test_former_members.py
+++ b/tests/model/test_former_members.py
@@ -36,7 +36,7 @@
         return outcome
 
 
-def test_a_change_of_members_that_the_former_ones_may_not_know_of_is_not_read_as_chosen():
+def test_member_change_unknown_to_former_members_is_not_read_as_chosen():
     """Found by the model, with quorum sets that leave the former members out: the change is at a and d, a majority of
     {a, b, d}; b and c, a majority of {a, b, c}, know nothing of it."""
     registers = Registers(a=(READ, READ), b=(REPLACE_C, ORDER_X))
--- a/tests/model/test_models.py
+++ b/tests/model/test_models.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize("name", QUICK)
-def test_no_state_of_the_model_breaks_a_property(name):
+def test_all_reachable_states_satisfy_properties(name):
     report = explore(QUICK[name](), MOST_STATES)
     assert report.fault is None, report.text()
     assert report.complete
--- a/tests/model/test_prepared_ballots.py
+++ b/tests/model/test_prepared_ballots.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(("epoch", "first_round"), [(1, wire.LEDGER_ACCEPT), (2, wire.LEDGER_PREPARE)])
-def test_a_prepared_ballot_is_used_under_the_epoch_of_its_promises_alone(epoch, first_round):
+def test_prepared_ballot_is_used_only_in_epoch_of_its_promises(epoch, first_round):
     """The promises came from stores of that epoch's view; those of the next one have their own."""
     stores = {name: StorePart(name, VIEWS, 1, False) for name in "abc"}
     sender = SenderPart("p", VIEWS, RESERVATIONS, BUDGET, 0)
--- a/tests/model/test_register_machine.py
+++ b/tests/model/test_register_machine.py
@@ -13,7 +13,7 @@
 STEPS = 50
 
 
-def test_no_random_run_of_five_registers_breaks_a_property(shrinks=True):
+def test_random_runs_of_five_registers_satisfy_properties(shrinks=True):
     profile = settings(
         max_examples=RUNS or 60,
         stateful_step_count=STEPS,
--- a/tests/model/test_retirement_model.py
+++ b/tests/model/test_retirement_model.py
@@ -5,7 +5,7 @@
 from tests.model.retirement_model import RETURNED, RetirementModel, keys
 
 
-def test_the_model_reaches_a_retirement_that_is_done_after_a_store_was_wiped_and_replaced():
+def test_model_reaches_completed_retirement_after_wipe_and_replacement():
     model = RetirementModel(keys()["abd"])
     seen, waiting = {model.initial()}, [model.initial()]
     while waiting:
--- a/tests/mutations/test_mutations.py
+++ b/tests/mutations/test_mutations.py
@@ -39,13 +39,8 @@
 AGAIN = "register: one order at two processes, sent again"
 WIPED = "register: a wiped member is replaced"
 FORMER = "register: a change of members and a read, the own replica may fail"
-FORMER_SCRIPTED = (
-    "tests.model.test_former_members::"
-    "test_a_change_of_members_that_the_former_ones_may_not_know_of_is_not_read_as_chosen"
-)
-HALF_MADE = (
-    "tests.consensus.test_register::test_an_unfinished_change_of_members_is_confirmed_before_anything_is_built_on_it"
-)
+FORMER_SCRIPTED = "tests.model.test_former_members::test_member_change_unknown_to_former_members_is_not_read_as_chosen"
+HALF_MADE = "tests.consensus.test_register::test_unfinished_member_change_is_confirmed_first"
 CRASH = "register: an order sent again after a crash"
 RESERVATIONS = "ledgers: two reservations"
 SETTLEMENT = "ledgers: a settlement under a prepared ballot"
@@ -53,27 +48,22 @@
 MEMBERS_CHANGE = "contact: a change of members ends"
 LATE_ORDERS = "register: two orders, answers come late"
 LATE_RESERVATIONS = "ledgers: two reservations, answers come late"
-FIVE_REGISTERS = "tests.model.test_register_machine::test_no_random_run_of_five_registers_breaks_a_property"
+FIVE_REGISTERS = "tests.model.test_register_machine::test_random_runs_of_five_registers_satisfy_properties"
 SETTLED_AB = "ledgers: a settlement through the change, reserved at a and b"
 SETTLED_BC = "ledgers: a settlement through the change, reserved at b and c"
 CHANGE = "ledgers: before the change and after it"
-PREPARED = "tests.model.test_prepared_ballots::test_a_prepared_ballot_is_used_under_the_epoch_of_its_promises_alone"
-COPIES = "tests.model.test_copied_votes::test_a_copied_value_that_was_never_chosen_is_not_read_as_chosen"
+PREPARED = "tests.model.test_prepared_ballots::test_prepared_ballot_is_used_only_in_epoch_of_its_promises"
+COPIES = "tests.model.test_copied_votes::test_copied_unchosen_value_is_not_read_as_chosen"
 
-CUT_OFF = "tests.controlplane.test_cut_off::test_a_process_that_is_cut_off_grants_nothing_and_passes_nothing_on"
-STARTED_ANEW = "tests.controlplane.test_cut_off::test_a_process_started_anew_serves_nothing_from_its_disk"
-STORES_CHANGE = (
-    "tests.controlplane.test_reconfiguration::test_the_change_of_stores_ends_only_when_every_next_one_has_copied"
-)
-RETIREMENT = "tests.controlplane.test_reconfiguration::test_a_retirement_is_not_done_before_the_others_hold_everything"
+CUT_OFF = "tests.controlplane.test_isolation::test_isolated_control_server_rejects_lease_renewals_and_watches"
+STARTED_ANEW = "tests.controlplane.test_isolation::test_restarted_control_server_serves_no_state_from_disk"
+STORES_CHANGE = "tests.controlplane.test_reconfiguration::test_store_change_ends_only_when_all_next_stores_have_synced"
+RETIREMENT = "tests.controlplane.test_reconfiguration::test_retirement_waits_until_other_stores_have_synced"
 RETIRES = "retirement of d: a record at a, b and d"
-BODIES = (
-    "tests.controlplane.test_configuration_bodies::"
-    "test_a_body_of_other_bytes_than_its_digest_says_is_not_taken_and_is_fetched_anew"
-)
+BODIES = "tests.controlplane.test_configuration_bodies::test_body_with_wrong_digest_is_rejected_and_fetched_again"
 NEWCOMER = (
     "tests.controlplane.test_senders_and_control_servers::"
-    "test_a_sender_started_beside_a_process_that_is_cut_off_is_ready_only_with_another"
+    "test_new_sender_with_only_isolated_control_server_is_not_ready"
 )
 NO_ROUTE = (
     "tests.dataplane.test_request_handler::test_request_without_route_gets_503_while_configuration_is_unconfirmed"
@@ -83,7 +73,7 @@
     "tests.dataplane.test_store_client_budgets::"
     "test_settlement_is_made_in_the_background_if_another_sender_changed_the_ledger"
 )
-OLD_SETS = "tests.consensus.test_register::test_a_value_needs_majorities_of_the_sets_of_the_value_that_it_follows"
+OLD_SETS = "tests.consensus.test_register::test_value_needs_majorities_of_sets_of_previous_value"
 OLDER_EPOCH = "tests.controlplane.test_store::test_write_of_an_older_epoch_stores_nothing"
 UNKNOWN_EFFECT = "tests.dataplane.test_retry::test_unknown_effect_ends_non_idempotent_request"
 USED_CONNECTION = "tests.dataplane.test_receiver_client::test_rejection_without_id_proves_nothing_on_reused_connection"
@@ -160,7 +150,7 @@
 
 
 @pytest.mark.parametrize("mutation", MUTATIONS, ids=lambda mutation: mutation.make.__name__)
-def test_the_mutation_is_caught(
+def test_mutation_is_caught(
     mutation: Mutation, monkeypatch: Patch, record_property: Callable[[str, object], None]
 ) -> None:
     mutation.make(monkeypatch)
--- a/tests/simulation/test_oracle.py
+++ b/tests/simulation/test_oracle.py
@@ -34,38 +34,38 @@
     return oracle
 
 
-def test_a_read_may_tell_what_was_current_when_it_was_asked_or_anything_newer(oracle):
+def test_read_of_current_or_newer_configuration_is_allowed(oracle):
     oracle.read_answered(19.9, (1, "a"))
     oracle.read_answered(19.9, (2, "b"))
     oracle.read_answered(20.1, (2, "b"))
     assert not oracle.broken
 
 
-def test_a_read_of_what_was_replaced_before_it_was_asked_is_a_break(oracle):
+def test_read_of_replaced_configuration_is_a_violation(oracle):
     oracle.read_answered(20.1, (1, "a"))
     assert len(oracle.broken) == 1 and oracle.broken[0].startswith("CONFIG")
 
 
-def test_a_read_that_tells_of_no_configuration_after_one_was_acknowledged_is_a_break(oracle):
+def test_read_of_no_configuration_after_acknowledged_one_is_a_violation(oracle):
     oracle.read_refused(9.9, 404)
     assert not oracle.broken
     oracle.read_refused(10.1, 404)
     assert len(oracle.broken) == 1 and oracle.broken[0].startswith("CONFIG")
 
 
-def test_a_503_to_a_read_is_no_break(oracle):
+def test_503_to_read_is_no_violation(oracle):
     oracle.read_refused(29.0, 503)
     assert not oracle.broken
 
 
-def test_a_configuration_read_must_have_been_sent_and_never_be_one_that_lost(oracle):
+def test_read_of_unsent_or_rejected_configuration_is_a_violation(oracle):
     oracle.read_answered(20.1, (2, "c"))
     assert any("was never sent" in line for line in oracle.broken)
     assert any("was acknowledged under its number" in line for line in oracle.broken)
 
 
 @pytest.mark.parametrize(("at_s", "rules_broken"), [(25.0, 0), (35.0, 1)])
-def test_bounds_in_time_hold_but_while_service_may_rest(at_s, rules_broken):
+def test_time_bounds_are_checked_except_while_service_may_rest(at_s, rules_broken):
     """From 21 s to 30 s more is lost than the system has to bear; a front serves what was replaced at 20 s."""
     now_s = [0.0]
     oracle = Oracle(BOUNDS, lambda: now_s[0])
@@ -94,7 +94,7 @@
         ("overlapping_losses", "read without a majority", range(1, 7), "CONFIG"),
     ],
 )
-def test_a_wrong_variant_breaks_the_scenario(scenario, variant, seeds, rule):
+def test_wrong_variant_breaks_scenario(scenario, variant, seeds, rule):
     program = WITH_A_VARIANT.format(scenario=scenario, variant=variant, seeds=seeds, rule=rule)
     done = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, env={"PYTHONHASHSEED": "0"}, capture_output=True, text=True
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -22,20 +22,20 @@
     )
 
 
-def test_there_is_a_scenario_for_each_of_the_five_points_and_directed_ones():
+def test_scenarios_cover_all_points():
     drawn = ["answers", "catch_up", "cut_off", "halves", "orders", "overlapping_losses", "second_loss"]
     directed = ["lone_writes", "moved_ledgers", "races", "retired_at_once", "short_cuts"]
     assert sorted(drawn + directed) == SCENARIOS
 
 
 @pytest.mark.parametrize("scenario", SCENARIOS)
-def test_no_rule_is_broken(scenario):
+def test_seeds_break_no_rule(scenario):
     done = simulate("--scenario", scenario, "--seeds", SEEDS, "--jobs", 2)
     assert done.returncode == 0, done.stdout + done.stderr
     assert f"{SEEDS} seeds, 0 failed" in done.stdout
 
 
-def test_a_seed_replays_exactly_in_another_process():
+def test_seed_replays_exactly_in_another_process():
     arguments = ("--scenario", "orders", "--first", 3, "--seeds", 2, "--jobs", 1, "--trace")
     one, other = simulate(*arguments, hash_seed="5"), simulate(*arguments, hash_seed="77")
     digests = [line for line in one.stdout.splitlines() if line.startswith("digest")]
@@ -55,7 +55,7 @@
         "write a turn to one replica",
     ],
 )
-def test_a_wrong_variant_is_found(variant):
+def test_wrong_variant_is_found(variant):
     done = subprocess.run(
         [sys.executable, "-m", "tests.simulation.wrong_variants", "--jobs", "1", "--variant", variant],
         cwd=ROOT,
