--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""The same verdict every time, on a slow machine too: hypothesis draws the same examples and watches no clock.
+"""Settings of all tests: hypothesis draws the same examples in every run and has no deadline.
 
-KNOWN-RED.txt at the root names tests that fail for a known fault. They run and are printed; one that passes fails the
-run until it leaves the list, and so does a list that is malformed, too long or names a test that there is not."""
+KNOWN-RED.txt at the root lists tests that fail for a known fault. They run and are reported. The run fails if one of
+them passes, and if the list is malformed, too long or names a test that does not exist.
+"""
 
 import pytest
 from hypothesis import settings
@@ -9,11 +10,11 @@
 settings.register_profile("same", derandomize=True, deadline=None, database=None)
 settings.load_profile("same")
 
-MOST_RED = 3
+MAX_KNOWN_RED = 3
 
 
-def known_red(text):
-    """{test: (cause, issue)} of the list's lines `test | cause | issue`; ValueError says what is wrong with it."""
+def parse_known_red(text):
+    """Return {test: (cause, issue)} from lines `test | cause | issue`; raises ValueError if the list is invalid."""
     rows = {}
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split("|")]
@@ -22,8 +23,8 @@
         if parts[0] in rows:
             raise ValueError(f"KNOWN-RED.txt:{number}: {parts[0]} is named twice")
         rows[parts[0]] = parts[1], parts[2]
-    if len(rows) > MOST_RED:
-        raise ValueError(f"KNOWN-RED.txt: {len(rows)} tests, {MOST_RED} at most")
+    if len(rows) > MAX_KNOWN_RED:
+        raise ValueError(f"KNOWN-RED.txt: {len(rows)} tests, {MAX_KNOWN_RED} at most")
     return rows
 
 
@@ -32,15 +33,15 @@
     if not path.exists():
         return
     try:
-        rows = known_red(path.read_text())
-    except ValueError as fault:
-        raise pytest.UsageError(str(fault)) from None
-    found = {item.nodeid: item for item in items}
-    collected = {nodeid.partition("::")[0] for nodeid in found}
+        rows = parse_known_red(path.read_text())
+    except ValueError as error:
+        raise pytest.UsageError(str(error)) from None
+    items_by_id = {item.nodeid: item for item in items}
+    collected = {nodeid.partition("::")[0] for nodeid in items_by_id}
     for test, (cause, issue) in rows.items():
-        if test in found:
-            found[test].add_marker(
+        if test in items_by_id:
+            items_by_id[test].add_marker(
                 pytest.mark.xfail(reason=f"known red: {cause} (issue {issue})", strict=True, raises=AssertionError)
             )
-        elif test.partition("::")[0] in collected and not any("::" in given for given in config.args):
+        elif test.partition("::")[0] in collected and not any("::" in argument for argument in config.args):
             raise pytest.UsageError(f"KNOWN-RED.txt: there is no {test}")
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""deploy/build and deploy/build-system: what they install when. A stand-in for Python writes down what it is asked."""
+"""deploy/build and deploy/build-system: when they install. A stand-in for Python logs its command lines."""
 
 import shutil
 import subprocess
@@ -19,7 +19,7 @@
 """
 
 
-def test_a_stale_environment_is_brought_up_to_the_lock_and_a_good_one_is_left_alone(tmp_path):
+def test_build_installs_when_the_lock_has_changed(tmp_path):
     (tmp_path / "deploy").mkdir()
     for name in ("build", "requirements.lock"):
         shutil.copy(ROOT / "deploy" / name, tmp_path / "deploy" / name)
@@ -31,19 +31,19 @@
     inside.write_text(STAND_IN.format(version=version, log=log))
     inside.chmod(0o755)
 
-    def asked():
+    def run_build():
         log.write_text("")
         subprocess.run(["sh", str(tmp_path / "deploy/build")], check=True, timeout=60)
         return ["install" in line for line in log.read_text().splitlines()]
 
-    assert asked() == [True, False]  # an old .venv without a mark: install, then compile
-    assert asked() == [False]  # the same lock again: compile alone
+    assert run_build() == [True, False]  # an old .venv without a mark: install, then compile
+    assert run_build() == [False]  # the same lock again: compile alone
     with open(tmp_path / "deploy/requirements.lock", "a") as lock:
         lock.write("# another dependency\n")
-    assert asked() == [True, False]
+    assert run_build() == [True, False]
 
 
-def test_the_tier_is_installed_once_for_each_lock_and_a_broken_off_build_is_repeated(tmp_path):
+def test_build_system_installs_when_the_lock_has_changed_or_the_last_build_failed(tmp_path):
     (tmp_path / "deploy").mkdir()
     for name in ("build-system", "system-requirements.lock"):
         shutil.copy(ROOT / "deploy" / name, tmp_path / "deploy" / name)
@@ -52,7 +52,7 @@
     stand_in.write_text(TIER_STAND_IN.format(log=log, target=tmp_path / "target", full=tmp_path / "disk-full"))
     stand_in.chmod(0o755)
 
-    def asked(code=0):
+    def run_build(code=0):
         log.write_text("")
         done = subprocess.run(
             ["sh", str(tmp_path / "deploy/build-system")],
@@ -63,50 +63,50 @@
         assert (done.returncode == 0) == (code == 0), done.stderr
         return ["install" in line for line in log.read_text().splitlines()]
 
-    assert asked() == [True, False, False]  # install, compile what was installed, compile the sources
+    assert run_build() == [True, False, False]  # install, compile what was installed, compile the sources
     assert "--require-hashes" in (ROOT / "deploy/build-system").read_text()
     (tmp_path / "target/deps/old").write_text("")
-    assert asked() == [False]  # the same lock again: compile the sources alone
+    assert run_build() == [False]  # the same lock again: compile the sources alone
     with open(tmp_path / "deploy/system-requirements.lock", "a") as lock:
         lock.write("# another dependency\n")
     (tmp_path / "disk-full").write_text("")
-    assert asked(code=1) == [True]
+    assert run_build(code=1) == [True]
     (tmp_path / "disk-full").unlink()
     assert (tmp_path / "target/deps/old").exists()
-    assert asked() == [True, False, False]
+    assert run_build() == [True, False, False]
     assert not (tmp_path / "target/deps/old").exists()
 
 
-def test_the_tier_is_deployed_by_programs_of_its_own():
+def test_tier_has_its_own_build_and_roles():
     import tomllib
 
-    held = tomllib.loads((ROOT / "deploy/system.toml").read_text())
-    assert held["build"] == "sh deploy/build-system"
-    for role in held["roles"].values():
+    metadata = tomllib.loads((ROOT / "deploy/system.toml").read_text())
+    assert metadata["build"] == "sh deploy/build-system"
+    for role in metadata["roles"].values():
         assert role["run"].split()[:2] == ["python3", "-m"] and 0 < role["share"] <= 1
-    stores = [role["on"] for role in held["roles"].values() if "store" in role["serves"]]
-    served = {name for role in held["roles"].values() for name in role["serves"]}
+    stores = [role["on"] for role in metadata["roles"].values() if "store" in role["serves"]]
+    served = {name for role in metadata["roles"].values() for name in role["serves"]}
     assert stores == ["store"] and served == {"front", "store", "control"}
 
 
-def test_the_locks_name_every_dependency_with_its_hash():
+def test_locks_have_every_dependency_with_its_hash():
     import tomllib
 
-    held = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
+    metadata = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     runtime, tier, dev = (
         (ROOT / name).read_text()
         for name in ("deploy/requirements.lock", "deploy/system-requirements.lock", "requirements-dev.lock")
     )
-    for wanted in held["dependencies"]:
-        name = wanted.partition(">")[0]
+    for requirement in metadata["dependencies"]:
+        name = requirement.partition(">")[0]
         line = next(one for one in runtime.splitlines() if one.startswith(name + "=="))
         assert line in dev  # the checks run what the sender runs
-    for wanted in held["optional-dependencies"]["tier"]:
-        name = wanted.partition(">")[0]
+    for requirement in metadata["optional-dependencies"]["tier"]:
+        name = requirement.partition(">")[0]
         line = next(one for one in tier.splitlines() if one.startswith(name + "=="))
         assert line in dev  # the checks run what the tier runs
-    for wanted in held["optional-dependencies"]["dev"]:
-        name = wanted.partition(">")[0].partition("[")[0]
+    for requirement in metadata["optional-dependencies"]["dev"]:
+        name = requirement.partition(">")[0].partition("[")[0]
         assert name == "dewpin" or f"\n{name}==" in "\n" + dev
     for lock in (runtime, tier, dev):
         assert lock.count("--hash=sha256:") >= lock.count("==") and "://" not in lock
--- a/tests/test_build_lock.py
+++ b/tests/test_build_lock.py
@@ -1,7 +1,7 @@
-"""deploy/build and deploy/build-system: one build of a checkout at a time, and one that was broken off is made good.
+"""deploy/build and deploy/build-system: one build of a checkout at a time, and recovery from an interrupted build.
 
-Stand-ins for Python write down what they are asked, so that nothing is fetched. The installation of the first build
-lasts until the test lets it go on; one that begins meanwhile says so and fails.
+Stand-ins for Python log their command lines and install nothing. The installation of the first build lasts until the
+test lets it continue; another one that begins meanwhile logs that and fails.
 """
 
 import os
@@ -14,7 +14,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 LOCKS = {"build": "requirements.lock", "build-system": "system-requirements.lock"}
-PATIENCE_S = 60
+TIMEOUT_S = 60
 INSTALLER = """#!/bin/sh
 cd "{root}"
 case "$*" in
@@ -44,12 +44,12 @@
         self.python.parent.mkdir()
         self.python.write_text(INSTALLER.format(root=root, python=self.python))
         self.python.chmod(0o755)
-        self.pipes = {name: self.pipe(name) for name in ("begun", "go-on")}
+        self.pipes = {name: self.create_pipe(name) for name in ("begun", "go-on")}
         self.builds = []
 
-    def pipe(self, name):
+    def create_pipe(self, name):
         os.mkfifo(self.root / name)
-        return os.open(self.root / name, os.O_RDWR)  # so that no end waits for the other one to open it
+        return os.open(self.root / name, os.O_RDWR)  # so that neither end blocks until the other one opens it
 
     def start(self, script):
         command = ["sh", str(self.root / "deploy" / script)]
@@ -57,11 +57,11 @@
         self.builds.append(subprocess.Popen(command, env=environment, stderr=subprocess.PIPE, text=True))
         return self.builds[-1]
 
-    def wait_until_the_installation_began(self):
-        assert told(self.pipes["begun"]), "no installation began"
+    def wait_for_installation(self):
+        assert is_readable(self.pipes["begun"]), "no installation began"
         os.read(self.pipes["begun"], 100)
 
-    def let_the_installation_end(self):
+    def finish_installation(self):
         os.write(self.pipes["go-on"], b"go on\n")
 
     def steps(self):
@@ -72,45 +72,45 @@
             build.kill()
             build.wait()
             build.stderr.close()
-        os.write(self.pipes["go-on"], b"go on\n" * len(self.builds))  # a stand-in that outlived its build ends, too
+        os.write(self.pipes["go-on"], b"go on\n" * len(self.builds))  # so that a stand-in that outlived its build ends
         for pipe in self.pipes.values():
             os.close(pipe)
 
 
-def told(stream, wait_s=PATIENCE_S):
+def is_readable(stream, wait_s=TIMEOUT_S):
     return select.select([stream], [], [], wait_s)[0]
 
 
 @pytest.fixture
 def checkout(tmp_path):
-    made = Checkout(tmp_path)
-    yield made
-    made.close()
+    checkout_copy = Checkout(tmp_path)
+    yield checkout_copy
+    checkout_copy.close()
 
 
 @pytest.mark.parametrize("script, steps", [("build", ["venv", "installed"]), ("build-system", ["installed"])])
-def test_of_two_builds_side_by_side_the_second_waits_and_finds_all_done(checkout, script, steps):
+def test_concurrent_build_waits_and_installs_nothing(checkout, script, steps):
     first = checkout.start(script)
-    checkout.wait_until_the_installation_began()
+    checkout.wait_for_installation()
     second = checkout.start(script)
-    assert told(second.stderr) and "waiting for it" in second.stderr.readline(), "the second build does not wait"
-    assert not told(checkout.pipes["begun"], wait_s=0.2), "the second build does not wait"
-    checkout.let_the_installation_end()
-    assert [build.wait(PATIENCE_S) for build in (first, second)] == [0, 0]
+    assert is_readable(second.stderr) and "waiting for it" in second.stderr.readline(), "the second build does not wait"
+    assert not is_readable(checkout.pipes["begun"], wait_s=0.2), "the second build does not wait"
+    checkout.finish_installation()
+    assert [build.wait(TIMEOUT_S) for build in (first, second)] == [0, 0]
     assert checkout.steps() == steps
 
 
-def test_an_environment_that_was_broken_off_before_it_had_its_pip_is_made_anew(checkout):
+def test_environment_without_pip_is_created_again(checkout):
     (checkout.root / ".venv/bin").mkdir(parents=True)
     shutil.copy(checkout.python, checkout.root / ".venv/bin/python")
     build = checkout.start("build")
-    checkout.wait_until_the_installation_began()
-    checkout.let_the_installation_end()
-    assert build.wait(PATIENCE_S) == 0
+    checkout.wait_for_installation()
+    checkout.finish_installation()
+    assert build.wait(TIMEOUT_S) == 0
     assert checkout.steps() == ["venv", "installed"]
 
 
-def test_the_check_script_installs_under_the_lock_of_the_builds():
+def test_check_script_installs_under_the_builds_lock():
     lines = (ROOT / "deploy/check").read_text().splitlines()
     installs = [line for line in lines if " pip " in line]
     assert installs and all(line.startswith("flock deploy ") for line in installs)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: they are run and printed, and nothing else is let pass."""
+"""KNOWN-RED.txt: its tests run and are reported, and any other failure fails the run."""
 
 import shutil
 import subprocess
@@ -7,7 +7,7 @@
 
 import pytest
 
-HERE = Path(__file__).parent
+TESTS_FOLDER = Path(__file__).parent
 TESTS = """
 def test_red():
     assert False
@@ -21,22 +21,22 @@
 ROW = "test_one.py::test_%s | a cause | 38\n"
 
 
-def run(folder, listed, *chosen):
+def run_pytest(folder, known_red, *arguments):
     (folder / "test_one.py").write_text(TESTS)
-    (folder / "KNOWN-RED.txt").write_text(listed)
+    (folder / "KNOWN-RED.txt").write_text(known_red)
     (folder / "pyproject.toml").write_text("[tool.pytest.ini_options]\naddopts = '-q -rfExX -p no:cacheprovider'\n")
-    shutil.copy(HERE / "conftest.py", folder)
-    done = subprocess.run([sys.executable, "-m", "pytest", *chosen], cwd=folder, capture_output=True, text=True)
+    shutil.copy(TESTS_FOLDER / "conftest.py", folder)
+    done = subprocess.run([sys.executable, "-m", "pytest", *arguments], cwd=folder, capture_output=True, text=True)
     return done.returncode, done.stdout + done.stderr
 
 
-def test_a_listed_test_that_fails_is_printed_and_passed_over(tmp_path):
-    code, said = run(tmp_path, ROW % "red", "test_one.py::test_red", "test_one.py::test_green")
-    assert code == 0 and "known red: a cause (issue 38)" in said and "1 passed, 1 xfailed" in said
+def test_listed_failure_is_reported_and_does_not_fail_the_run(tmp_path):
+    code, output = run_pytest(tmp_path, ROW % "red", "test_one.py::test_red", "test_one.py::test_green")
+    assert code == 0 and "known red: a cause (issue 38)" in output and "1 passed, 1 xfailed" in output
 
 
 @pytest.mark.parametrize(
-    "listed, words",
+    "known_red, expected",
     [
         (ROW % "red" + ROW % "green", "XPASS(strict)"),  # one that passes must leave the list
         ("", "FAILED test_one.py::test_red"),
@@ -49,6 +49,6 @@
         ("".join(ROW % name for name in ("red", "a", "b", "c")), "4 tests, 3 at most"),
     ],
 )
-def test_all_else_fails_the_run(tmp_path, listed, words):
-    code, said = run(tmp_path, listed)
-    assert code != 0 and words in said
+def test_any_other_failure_fails_the_run(tmp_path, known_red, expected):
+    code, output = run_pytest(tmp_path, known_red)
+    assert code != 0 and expected in output
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The arrows between packages go one way, and a sender imports only what it uses."""
+"""Packages import each other in one direction only, and a process imports only what it uses."""
 
 import ast
 import subprocess
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[1]
-MAY = {  # a package: the packages of ours that it may import
+ALLOWED_IMPORTS = {  # a package: the packages of ours that it may import
     "core": set(),
     "lab": {"peers"},
     "peers": set(),
@@ -61,7 +61,7 @@
         "__main__",
     ),
 }
-NEVER = {
+FORBIDDEN_IMPORTS = {
     "core": {"asyncio", "socket", "time", "os", "structlog", "msgspec"},
     "config": {"asyncio", "socket"},
     "spool": {"asyncio", "socket"},
@@ -84,19 +84,19 @@
             yield from ([*filter(None, base), alias.name] for alias in node.names)
 
 
-def test_arrows_go_one_way():
+def test_packages_import_only_allowed_packages():
     for path in (ROOT / "dewpin").rglob("*.py"):
         package = path.relative_to(ROOT / "dewpin").parts[0].removesuffix(".py")
         if package in ("__init__", "__main__"):
             continue
         for name in imports(path):
-            if name[0] == "dewpin" and len(name) > 1 and name[1] in MAY:
-                assert name[1] == package or name[1] in MAY[package], f"{path}: {'.'.join(name)}"
-            assert name[0] not in NEVER.get(package, ()), f"{path}: {name[0]}"
+            if name[0] == "dewpin" and len(name) > 1 and name[1] in ALLOWED_IMPORTS:
+                assert name[1] == package or name[1] in ALLOWED_IMPORTS[package], f"{path}: {'.'.join(name)}"
+            assert name[0] not in FORBIDDEN_IMPORTS.get(package, ()), f"{path}: {name[0]}"
 
 
 @pytest.mark.parametrize("package", SUBPACKAGES)
-def test_subpackages_import_only_what_stands_below_them(package):
+def test_subpackages_import_only_lower_layers(package):
     layers = SUBPACKAGES[package]
     folder = ROOT / "dewpin" / package
     present = {path.stem for path in folder.iterdir() if path.suffix == ".py" or (path / "__init__.py").exists()}
@@ -108,12 +108,12 @@
                 assert layers.index(name[2]) < layers.index(own), f"{path}: {'.'.join(name)}"
 
 
-def test_every_package_has_its_row():
+def test_every_package_has_allowed_imports():
     packages = {path.parent.name for path in (ROOT / "dewpin").glob("*/__init__.py")}
-    assert packages <= set(MAY)
+    assert packages <= set(ALLOWED_IMPORTS)
 
 
-def test_the_tier_is_formatted_and_its_types_are_strict():
+def test_tier_is_formatted_and_strictly_typed():
     import fnmatch
     import tomllib
 
@@ -130,7 +130,7 @@
     assert spared[0].startswith("!")  # the older packages alone are spared
 
 
-def test_the_programs_of_the_tier_load_no_command_line():
+def test_tier_programs_do_not_load_the_command_lines_libraries():
     program = (
         "import sys\nfrom dewpin.cluster import configuration, errors, logs, settings\n"
         "print(sorted({name.partition('.')[0] for name in sys.modules} & "
@@ -140,7 +140,7 @@
     assert done.stdout.strip() == "[]", done.stdout
 
 
-def test_a_plain_sender_loads_nothing_that_it_does_not_use():
+def test_message_sender_loads_no_unused_library():
     program = (
         "import sys, dewpin.daemon.process, dewpin.log as log\n"
         "log.log_event(log.events.CONFIGURATION_WARNING, why='x')\n"
@@ -151,7 +151,7 @@
     assert done.stdout.strip() in ("[]", "['json']"), done.stdout  # structlog needs json
 
 
-def test_the_policy_names_exactly_the_modules_of_core_that_decide():
+def test_policy_lists_exactly_the_deciding_modules_of_core():
     import tomllib
 
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
@@ -162,7 +162,7 @@
     assert all((ROOT / name).exists() for name in deploy["policy"] + deploy["node"])
 
 
-def test_other_packages_reach_the_decisions_through_the_dispatcher_alone():
+def test_other_packages_import_only_dispatcher_and_model_of_core():
     for path in (ROOT / "dewpin").rglob("*.py"):
         if path.relative_to(ROOT / "dewpin").parts[0] == "core":
             continue
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -24,28 +24,28 @@
     return {"id": "0123abcd", "site": "some-site", "days": list(days)}
 
 
-def test_a_part_loses_what_it_lacks_by_its_weight_and_a_price_as_it_stands():
+def test_losses_are_weighted_for_parts_and_whole_for_prices():
     found = [(loss.cause, round(loss.worth, 6)) for loss in losses.losses_of(day())]
     assert found == [("worst windows", 0.075), ("whole day", 0.07), ("machine-seconds", 0.03)]
 
 
 def test_losses_and_worth_of_a_day_add_up_to_one():
-    given = day(prices=[["machine-seconds", 1.0, 0.03], ["new connections to servers", 2.0, 0.006]])
-    lost = sum(loss.worth for loss in losses.losses_of(given))
-    worth = sum(weight * value for _, weight, value in given["parts"]) - 0.036
+    played_day = day(prices=[["machine-seconds", 1.0, 0.03], ["new connections to servers", 2.0, 0.006]])
+    lost = sum(loss.worth for loss in losses.losses_of(played_day))
+    worth = sum(weight * value for _, weight, value in played_day["parts"]) - 0.036
     assert lost + worth == pytest.approx(1.0)
 
 
-def test_a_day_that_was_given_up_has_no_row():
+def test_day_with_a_fault_has_no_row():
     given_up = day("trouble-1", parts=[["whole day", 1.0, 0.0]], G=-0.065, score=0.0, fault="too slow")
     assert [played.name for played in losses.played_days(entry(given_up, day()))] == ["quiet-1"]
 
 
-def test_the_table_of_entries_by_their_ids(tmp_path):
+def test_table_of_entries_by_their_ids(tmp_path):
     (tmp_path / "20260101T000000-0123abcd.json").write_text(json.dumps(entry(day())))
-    shown = CliRunner().invoke(losses.main, ["0123abcd", "--journal", str(tmp_path)])
-    assert shown.exit_code == 0
-    assert shown.output.splitlines()[2:] == [
+    result = CliRunner().invoke(losses.main, ["0123abcd", "--journal", str(tmp_path)])
+    assert result.exit_code == 0
+    assert result.output.splitlines()[2:] == [
         "| 0123abcd | some-site | quiet-1 | 0.60 | 0.750 | "
         "worst windows 0.075, whole day 0.070, machine-seconds 0.030 |"
     ]
--- a/tests/test_system_packages.py
+++ b/tests/test_system_packages.py
@@ -1,9 +1,9 @@
-"""The Debian packages that deploy/system.toml lists are all that the build and both programs need.
+"""The Debian packages that deploy/system.toml lists are sufficient for the build and both programs.
 
 Without Debian: the build calls no command but those of a table, which belong to essential packages or to listed ones.
 On Debian with the listed packages installed: the build runs in a clean copy, with an empty home and no command but
 those of essential packages, the listed ones and what they depend on; then every file that pip and both programs load
-is looked up in these packages. Elsewhere these tests are skipped, which the summary of the run tells.
+is looked up in these packages. Elsewhere these tests are skipped, which the summary of the run shows.
 """
 
 import os
@@ -16,7 +16,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[1]
-LISTED = tomllib.loads((ROOT / "deploy/system.toml").read_text())["packages"]
+LISTED_PACKAGES = tomllib.loads((ROOT / "deploy/system.toml").read_text())["packages"]
 PACKAGE_OF = {  # of each command that deploy/build-system calls
     **dict.fromkeys(("cat", "cksum", "dirname", "mkdir", "mv", "rm"), "coreutils"),
     "flock": "util-linux",
@@ -24,12 +24,12 @@
     "sh": "dash",
 }
 ESSENTIAL = {"coreutils", "dash", "util-linux"}  # on every Debian machine, whatever is listed
-DATABASE = Path("/var/lib/dpkg/status")
+DPKG_STATUS = Path("/var/lib/dpkg/status")
 PYTHON = "/usr/bin/python3"
-NO_NETWORK = """#!/bin/sh
+PYTHON_STAND_IN = """#!/bin/sh
 case "$*" in *install*) mkdir -p target/deps-new;; esac
 """
-LOADED = """
+LIST_LOADED_FILES = """
 import importlib, pkgutil, runpy, ssl, sys
 from pathlib import Path
 import pip._internal.cli.main, pip._internal.commands.install
@@ -48,13 +48,13 @@
 def debian_packages():
     """{name or provided name: (essential, names it depends on, files)} of the packages installed here."""
     form = "${db:Status-Abbrev}\t${Package}\t${Essential}\t${Pre-Depends}, ${Depends}\t${Provides}\n"
-    asked = ["dpkg-query", "-W", "-f", form]
-    rows = subprocess.run(asked, capture_output=True, text=True, check=True).stdout.splitlines()
+    command = ["dpkg-query", "-W", "-f", form]
+    rows = subprocess.run(command, capture_output=True, text=True, check=True).stdout.splitlines()
     packages = {}
     for row in rows:
         status, name, essential, depends, provides = row.split("\t")
         if not status.startswith("ii"):
-            continue  # removed, but its settings are left
+            continue  # removed, but its configuration files are left
         entry = name, essential == "yes", re.findall(r"(?:^|[,|] *)([a-z0-9][a-z0-9+.-]+)", depends)
         packages[name] = entry
         for provided in re.findall(r"(?:^|, *)([a-z0-9][a-z0-9+.-]+)", provides):
@@ -64,7 +64,7 @@
 
 def closure(packages):
     """The names of the essential packages, the listed ones and all that these depend on."""
-    to_visit = [*LISTED, *(name for name, essential, _ in packages.values() if essential)]
+    to_visit = [*LISTED_PACKAGES, *(name for name, essential, _ in packages.values() if essential)]
     found = set()
     while to_visit:
         name, _, depends = packages.get(to_visit.pop(), (None, False, ()))
@@ -81,11 +81,11 @@
 
 @pytest.fixture(scope="module")
 def installed_files():
-    """The files of all packages that the operators' machines have for certain."""
-    if not DATABASE.exists():
+    """The files of all packages that every machine of the operators has."""
+    if not DPKG_STATUS.exists():
         pytest.skip("not run: this is not Debian, its packages cannot be looked up")
     packages = debian_packages()
-    missing = [name for name in LISTED if name not in packages]
+    missing = [name for name in LISTED_PACKAGES if name not in packages]
     if missing:
         pytest.skip(f"not run: these listed packages are not installed here: {' '.join(missing)}")
     return files_of(closure(packages))
@@ -111,21 +111,22 @@
     return checkout, {**environment, "PYTHONPATH": "target/deps"}
 
 
-def test_the_list_holds_names_of_debian_packages_each_once():
-    assert LISTED and len(set(LISTED)) == len(LISTED)
-    for name in LISTED:
+def test_listed_names_are_valid_and_unique():
+    assert LISTED_PACKAGES and len(set(LISTED_PACKAGES)) == len(LISTED_PACKAGES)
+    for name in LISTED_PACKAGES:
         assert re.fullmatch(r"[a-z0-9][a-z0-9+.-]+", name), name
-    assert {"python3", "python3-pip", "ca-certificates"} <= set(LISTED)  # the interpreter, its installer, certificates
+    interpreter_and_installer = {"python3", "python3-pip", "ca-certificates"}
+    assert interpreter_and_installer <= set(LISTED_PACKAGES)
 
 
-def test_the_build_calls_no_command_that_is_not_listed_or_essential(tmp_path):
-    assert set(PACKAGE_OF.values()) <= ESSENTIAL | set(LISTED)
+def test_build_calls_only_commands_of_listed_or_essential_packages(tmp_path):
+    assert set(PACKAGE_OF.values()) <= ESSENTIAL | set(LISTED_PACKAGES)
     commands = tmp_path / "bin"
     commands.mkdir()
     for name in PACKAGE_OF:
         if name != "python3":
             (commands / name).symlink_to(shutil.which(name, path="/usr/bin:/bin"))
-    (commands / "python3").write_text(NO_NETWORK)
+    (commands / "python3").write_text(PYTHON_STAND_IN)
     (commands / "python3").chmod(0o755)
     shutil.copytree(ROOT / "deploy", tmp_path / "deploy", symlinks=True)
     for _ in ("a clean checkout", "one that was built before"):
@@ -139,21 +140,21 @@
         assert (done.returncode, done.stderr) == (0, "")
 
 
-def test_debian_has_the_commands_of_the_build_in_the_packages_named_here(installed_files):
+def test_commands_of_the_build_belong_to_the_named_packages(installed_files):
     packages = debian_packages()
     assert all(packages[name][1] for name in ESSENTIAL)
     for command in set(PACKAGE_OF) - {"sh"}:  # "sh" is dash's by a link that dash's installation makes
         assert installed_files & {f"/bin/{command}", f"/usr/bin/{command}"}, command
 
 
-def test_a_clean_build_needs_nothing_but_the_listed_packages(built):
+def test_clean_build_succeeds_with_listed_packages(built):
     checkout, environment = built
     assert (checkout / "target/deps-mark").exists()
     assert {"python3", "flock"} < set(os.listdir(environment["PATH"])) and "git" not in os.listdir(environment["PATH"])
 
 
 @pytest.mark.parametrize("program", ["dewpin.dataplane", "dewpin.controlplane"])
-def test_both_programs_start_on_the_listed_packages(built, program):
+def test_programs_start_with_listed_packages(built, program):
     checkout, environment = built
     done = subprocess.run(
         ["python3", "-m", program],
@@ -170,14 +171,14 @@
     )
 
 
-def test_pip_and_both_programs_load_no_file_of_a_package_that_is_not_listed(built, installed_files):
+def test_loaded_files_belong_to_listed_packages(built, installed_files):
     checkout, environment = built
     done = subprocess.run(
-        [PYTHON, "-c", LOADED], cwd=checkout, env=environment, capture_output=True, text=True, timeout=60
+        [PYTHON, "-c", LIST_LOADED_FILES], cwd=checkout, env=environment, capture_output=True, text=True, timeout=60
     )
     assert done.returncode == 0, done.stderr
     loaded = {os.path.realpath(line) for line in done.stdout.splitlines() if line.startswith("/")}
     known = {os.path.realpath(file) for file in installed_files}
     assert any("libsqlite3" in file for file in loaded) and any("/pip/" in file for file in loaded)
-    strange = {file for file in loaded - known if not file.startswith(str(checkout.resolve()))}
-    assert not strange
+    unexpected = {file for file in loaded - known if not file.startswith(str(checkout.resolve()))}
+    assert not unexpected
