--- a/dewpin/controlplane/membership/local_peer.py
+++ b/dewpin/controlplane/membership/local_peer.py
@@ -50,7 +50,7 @@
         await storage.write([("INSERT OR REPLACE INTO meta(name, value) VALUES ('bootstrap', ?)", (value,))])
 
     def description(self) -> PeerDescription:
-        """What the others are told."""
+        """What is sent to the others."""
         state = self._register.chosen
         return PeerDescription(
             id=self._register.member,
@@ -68,7 +68,7 @@
         )
 
     def as_peer(self) -> Peer:
-        """The same in the form that is kept of the others."""
+        """The same in the form that is stored of the others."""
         return Peer.from_description(self.description(), last_heard_s=self._clock())
 
     def seed_addresses(self) -> list[str]:
--- a/dewpin/controlplane/operator_api.py
+++ b/dewpin/controlplane/operator_api.py
@@ -57,7 +57,7 @@
 
 
 def error_response(status: int, *errors: str) -> ApiResponse:
-    """The response that tells why a request failed."""
+    """The response with the reasons why a request failed."""
     return ApiResponse(status, json.dumps({"errors": list(errors)}).encode())
 
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ChangeIdentity:
-    """What tells a change of the configuration from all others."""
+    """What identifies a change of the configuration."""
 
     generation: int
     digest: str
@@ -157,7 +157,7 @@
         return error_response(404, f"{name} is not being retired")
 
     def _change_configuration(self, identity: _ChangeIdentity, change: ChangeFunction) -> ApiResponse:
-        """Makes a change. One that is older than all that the register's value tells of is looked up in the history."""
+        """Makes a change. One that is older than all that the register's value lists is looked up in the history."""
         began_at_s = time.monotonic()
         try:
             state = self._propose(change)
--- a/dewpin/controlplane/register/change_history.py
+++ b/dewpin/controlplane/register/change_history.py
@@ -1,7 +1,7 @@
-"""The operator's changes that were accepted, further back than the register's value tells of them: rows on this disk.
+"""The operator's changes that were accepted, further back than the register's value lists them: rows on this disk.
 
 Every row comes from a state that was chosen, here or at a peer, so it never changes and needs no majority. A process
-that was away for more changes than the state tells of has a gap, which it fills by pages from its peers.
+that was away for more changes than the state lists has a gap, which it fills by pages from its peers.
 
 Messages and the database call a change an *order*, and its table `orders`.
 """
@@ -89,7 +89,7 @@
 
 
 def changes_in_state(state: SystemState) -> list[AcceptedChange]:
-    """The changes that a state tells of, ascending by number."""
+    """The changes that a state lists, ascending by number."""
     entries = state["accepted"]
     first_number = accepted_change_count(state) - len(entries) + 1
     return [
@@ -114,7 +114,7 @@
         self._newest_number = int(rows[0][0])
 
     async def record(self, state: SystemState) -> None:
-        """Writes the changes that a chosen state tells of, and fetches those before them that are missing."""
+        """Writes the changes that a chosen state lists, and fetches those before them that are missing."""
         changes = [change for change in changes_in_state(state) if change.number > self._newest_number]
         if not changes:
             return
@@ -164,7 +164,7 @@
     async def _look_up(self, generation: int, digest: str) -> bool | None:
         """Whether a change was accepted, by the rows on this disk; None where they can't tell.
 
-        The row of that generation tells; so do two rows with consecutive numbers around it, which leave it no place.
+        The row of that generation decides; so do two rows with consecutive numbers around it: nothing is between them.
         """
         below = await self._nearest("generation <= ? ORDER BY generation DESC", generation)
         if below is not None and below.generation == generation:
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -64,7 +64,7 @@
             self.durable_version = value["version"]
 
     async def persist_promise(self) -> None:
-        """Writes the promise alone, unless the accepted value is not on disk yet: the reply tells of that as well."""
+        """Writes the promise alone, unless the accepted value is not on disk yet: the reply contains it as well."""
         if self._replica.accepted > self._durable_ballot:
             await self.persist()
             return
--- a/dewpin/controlplane/register/system_state.py
+++ b/dewpin/controlplane/register/system_state.py
@@ -15,7 +15,7 @@
 from dewpin.cluster.errors import DewpinError
 
 MAX_CHANGES_IN_STATE = 128
-"""Changes by the operator that the state itself tells of; older ones are in each process's `ChangeHistory`."""
+"""Changes by the operator that the state itself lists; older ones are in each process's `ChangeHistory`."""
 MAX_CHANGES_IN_UNCOUNTED_STATE = 2000
 """What releases that did not count the changes (`orders_taken`) kept at most."""
 
@@ -90,7 +90,7 @@
 
 
 class ChangeForgottenError(ChangeRejectedError):
-    """The change is older than all that the state tells of: it may have been accepted before."""
+    """The change is older than all that the state lists: it may have been accepted before."""
 
 
 class StateVersionChangedError(ChangeRejectedError):
@@ -163,7 +163,7 @@
 
 
 def is_forgotten(state: SystemState, generation: int, base: int) -> bool:
-    """Whether a change of that generation may have been accepted before all that the state tells of.
+    """Whether a change of that generation may have been accepted before all that the state lists.
 
     Generations rise from change to change, and an accepted one is above its base.
     """
@@ -294,8 +294,8 @@
         if name in state["retiring"] or is_retired(state, name):
             return state
         view = state["stores"]
-        held = {**view["stable"], **(view["next"] or {})}
-        if name not in {state["names"].get(store) for store in held}:
+        in_view = {**view["stable"], **(view["next"] or {})}
+        if name not in {state["names"].get(store) for store in in_view}:
             raise UnknownMachineError(name)
         leaving = {*state["retiring"], name}
         remaining = [store for store in view["next"] or view["stable"] if state["names"].get(store) not in leaving]
