--- a/benchmarks/capacity/coverage.py
+++ b/benchmarks/capacity/coverage.py
@@ -19,8 +19,8 @@
     note: str = ""
 
 
-def entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
-    """The list in its own order."""
+def traffic_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
+    """Machines, requests and tokens. A table: as long as its rows."""
     return [
         Entry(
             f"{target.senders} senders",
@@ -74,6 +74,12 @@
                 "time to take up one change, beside the streams of the same process",
             ),
         ),
+    ]
+
+
+def program_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
+    """Programs, tenants and regions."""
+    return [
         Entry(
             f"{target.programs:,} programs of up to {target.turns_a_program} turns, {target.tokens_a_program:,} tokens",
             "`dewpin/controlplane/store/turn_table.py`, `dewpin/dataplane/programs/history_cache.py`",
@@ -98,6 +104,12 @@
                 "programs without a majority when a region is lost",
             ),
         ),
+    ]
+
+
+def control_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
+    """Changes, and the costs of control. A table: as long as its rows."""
+    return [
         Entry(
             f"{target.changes_a_day} changes a day in force in {target.change_in_force_s:g} s",
             "`dewpin/consensus`, `dewpin/controlplane/register`, `dewpin/dataplane/membership/cluster_agent.py`",
@@ -141,6 +153,12 @@
             ),
             "today's deployments run control on the store machines",
         ),
+    ]
+
+
+def failure_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
+    """Failures and restarts."""
+    return [
         Entry(
             f"{target.failures_a_day} failures, {target.restarts_a_day} restarts a day",
             "leases, drain at SIGTERM, `dewpin/controlplane/membership/reconfiguration.py`, `replica_sync.py`",
@@ -167,6 +185,16 @@
     ]
 
 
+def entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
+    """The list in its own order."""
+    return [
+        *traffic_entries(target, stores),
+        *program_entries(target, stores),
+        *control_entries(target, stores),
+        *failure_entries(target, stores),
+    ]
+
+
 def outcome(entry: Entry, rows: Mapping[str, Row]) -> str:
     """The verdicts of an entry's rows and its note; KeyError when it names a row that does not exist."""
     parts = []
--- a/benchmarks/capacity/roles/control.py
+++ b/benchmarks/capacity/roles/control.py
@@ -32,12 +32,11 @@
     return register + rounds + design.HEARTBEAT_PERIOD_S + design.relay_depth(context.target.senders) * hop_s(context)
 
 
-def lease_rows(context: Context) -> list[Row]:
-    """Leases at each of the control machines."""
-    target, assumed = context.target, context.assumed
+def renewal_rows(context: Context) -> list[Row]:
+    """Leases and their renewals at each control machine. A table: as long as its rows."""
+    target = context.target
     renewals = target.senders / context.renewal_s
     each = renewals / target.control_machines
-    control_servers_if_all = assumed.stores + target.control_machines
     return [
         context.row(
             "leases held at each",
@@ -84,6 +83,14 @@
             LEASES,
             1.0,
         ),
+    ]
+
+
+def renewal_interval_rows(context: Context) -> list[Row]:
+    """Time between a sender's visits to one control server."""
+    target, assumed = context.target, context.assumed
+    control_servers_if_all = assumed.stores + target.control_machines
+    return [
         context.row(
             "time between a sender's visits to one control server",
             f"{target.control_machines} control servers × {plain(context.renewal_s)} s, against a lease of "
@@ -105,10 +112,17 @@
     ]
 
 
-def state_rows(context: Context) -> list[Row]:
-    """The register, its state, and the way of a change to the senders."""
-    target, assumed = context.target, context.assumed
-    depth = design.relay_depth(target.senders)
+def lease_rows(context: Context) -> list[Row]:
+    """Leases at each of the control machines."""
+    return [
+        *renewal_rows(context),
+        *renewal_interval_rows(context),
+    ]
+
+
+def register_rows(context: Context) -> list[Row]:
+    """The register's state and a change of it. A table: as long as its rows."""
+    target = context.target
     members = target.control_machines
     return [
         context.row(
@@ -154,6 +168,14 @@
             "B",
             "`dewpin/controlplane/storage/storage.py`",
         ),
+    ]
+
+
+def propagation_rows(context: Context) -> list[Row]:
+    """The way of a change to the senders. A table: as long as its rows."""
+    target, assumed = context.target, context.assumed
+    depth = design.relay_depth(target.senders)
+    return [
         context.row(
             "depth of the relay tree",
             f"hops from a control server by `LeaseTable.parents` of {target.senders} senders, "
@@ -192,8 +214,16 @@
     ]
 
 
+def state_rows(context: Context) -> list[Row]:
+    """The register, its state, and the way of a change to the senders."""
+    return [
+        *register_rows(context),
+        *propagation_rows(context),
+    ]
+
+
 def list_rows(context: Context) -> list[Row]:
-    """The reader of the platform's list, and the memory of a control server."""
+    """The reader of the platform's list, and the memory of a control server. A table: as long as its rows."""
     target = context.target
     return [
         context.row(
--- a/benchmarks/capacity/roles/failures.py
+++ b/benchmarks/capacity/roles/failures.py
@@ -62,7 +62,7 @@
 
 
 def sender_rows(context: Context) -> list[Row]:
-    """Lost and restarted senders."""
+    """Lost and restarted senders. A table: as long as its rows."""
     target = context.target
     return [
         context.row(
@@ -112,7 +112,7 @@
 
 
 def store_rows(context: Context) -> list[Row]:
-    """A lost store: detection, copy, and what may go wrong meanwhile."""
+    """A lost store: detection, copy, and what may go wrong meanwhile. A table: as long as its rows."""
     target, assumed = context.target, context.assumed
     stores = assumed.stores
     machines = target.senders + stores + target.control_machines
@@ -162,14 +162,11 @@
     ]
 
 
-def place_rows(context: Context) -> list[Row]:
-    """Racks, zones and regions."""
+def zone_loss_rows(context: Context) -> list[Row]:
+    """Loss of a zone or a region: programs without a majority, load, copies."""
     target, assumed = context.target, context.assumed
     stores = assumed.stores
     inside = stores // target.zones
-    members = target.control_machines
-    members_majority = majority(members)
-    cut_turns = target.requests_per_s / target.regions * target.region_cut_s
     return [
         context.row(
             "programs without a majority when a zone is lost",
@@ -202,6 +199,15 @@
             "B",
             SYNC,
         ),
+    ]
+
+
+def register_loss_rows(context: Context) -> list[Row]:
+    """Members of the register after the loss of a zone or a region."""
+    target = context.target
+    members = target.control_machines
+    members_majority = majority(members)
+    return [
         context.row(
             "members of the register after a lost zone or rack, one member a zone",
             f"{members} − 1, majority {members_majority}",
@@ -216,6 +222,15 @@
             "",
             "`dewpin/consensus`",
         ),
+    ]
+
+
+def region_cut_rows(context: Context) -> list[Row]:
+    """A region that is cut off for an hour, and replicas in other regions. A table: as long as its rows."""
+    target, assumed = context.target, context.assumed
+    stores = assumed.stores
+    cut_turns = target.requests_per_s / target.regions * target.region_cut_s
+    return [
         context.row(
             "turns refused in an hour with one region cut off",
             f"{target.requests_per_s:,}/s / {target.regions} × {target.region_cut_s:,} s: the cut-off region holds "
@@ -253,3 +268,12 @@
             target.first_token_s * 1000,
         ),
     ]
+
+
+def place_rows(context: Context) -> list[Row]:
+    """Racks, zones and regions."""
+    return [
+        *zone_loss_rows(context),
+        *register_loss_rows(context),
+        *region_cut_rows(context),
+    ]
--- a/benchmarks/capacity/roles/sender.py
+++ b/benchmarks/capacity/roles/sender.py
@@ -17,7 +17,7 @@
 
 
 def traffic_rows(context: Context) -> list[Row]:
-    """Requests, streams and events of one sender."""
+    """Requests, streams and events of one sender. A table: as long as its rows."""
     target, assumed = context.target, context.assumed
     events = target.tokens_per_s / target.senders / assumed.tokens_an_event
     streams = context.streams_a_sender
@@ -111,8 +111,8 @@
     return (context.at("receiver-take", receivers) + design.RELAY_FAN_OUT * send) / MICROSECONDS
 
 
-def bytes_rows(context: Context) -> list[Row]:
-    """Bytes of control at one sender, in and out."""
+def renewal_bytes_rows(context: Context) -> list[Row]:
+    """Bytes of lease renewals, watches, states and lists. A table: as long as its rows."""
     target, assumed = context.target, context.assumed
     changes, fan_out = context.changes_per_s, design.RELAY_FAN_OUT
     most = target.control_bytes_per_s
@@ -168,6 +168,17 @@
             AGENT,
             most,
         ),
+    ]
+
+
+def total_bytes_rows(context: Context) -> list[Row]:
+    """Bytes of control in all, and what sending changes alone would save. A table: as long as its rows."""
+    target, assumed = context.target, context.assumed
+    changes, fan_out = context.changes_per_s, design.RELAY_FAN_OUT
+    most = target.control_bytes_per_s
+    restarts = f"({target.restarts_a_day} + {target.failures_a_day})/day × {assumed.list_entries_a_restart} entries"
+    standing = watch_calls() * design.WATCH_BYTES
+    return [
         context.row(
             "bytes of control, all, mean of a day",
             "renewals + watches + whole states + whole lists",
@@ -206,8 +217,16 @@
     ]
 
 
+def bytes_rows(context: Context) -> list[Row]:
+    """Bytes of control at one sender, in and out."""
+    return [
+        *renewal_bytes_rows(context),
+        *total_bytes_rows(context),
+    ]
+
+
 def processor_rows(context: Context) -> list[Row]:
-    """Processor time and memory of control at one sender."""
+    """Processor time and memory of control at one sender. A table: as long as its rows."""
     target = context.target
     most = target.control_processor_share
     return [
@@ -262,12 +281,11 @@
     ]
 
 
-def program_rows(context: Context) -> list[Row]:
-    """What programs cost at one sender."""
-    target, assumed = context.target, context.assumed
-    turns, chain = context.requests_a_sender, context.history_bytes
+def store_call_rows(context: Context) -> list[Row]:
+    """Calls to the stores, and bytes of turns."""
+    assumed = context.assumed
+    turns = context.requests_a_sender
     ledger_calls = context.ledger_calls_a_turn
-    missed = 1 - context.cached_share
     return [
         context.row(
             "calls to stores a second",
@@ -300,6 +318,15 @@
             "B/s",
             STORE_CLIENT,
         ),
+    ]
+
+
+def history_rows(context: Context) -> list[Row]:
+    """Conversation histories that are read, held and sent. A table: as long as its rows."""
+    target, assumed = context.target, context.assumed
+    turns, chain = context.requests_a_sender, context.history_bytes
+    missed = 1 - context.cached_share
+    return [
         context.row(
             "bytes of chains sent to receivers",
             f"{plain(turns)}/s × half of {target.tokens_a_program:,} tokens × {assumed.bytes_a_token} B",
@@ -346,3 +373,11 @@
             "`dewpin/cluster/store_messages.py` (latin-1 in JSON)",
         ),
     ]
+
+
+def program_rows(context: Context) -> list[Row]:
+    """What programs cost at one sender."""
+    return [
+        *store_call_rows(context),
+        *history_rows(context),
+    ]
--- a/benchmarks/capacity/roles/store.py
+++ b/benchmarks/capacity/roles/store.py
@@ -59,7 +59,7 @@
 
 
 def state_rows(context: Context) -> list[Row]:
-    """Bytes and rows."""
+    """Bytes and rows. A table: as long as its rows."""
     target, assumed = context.target, context.assumed
     turns = target.programs * target.turns_a_program
     arithmetic = (
@@ -110,14 +110,13 @@
     ]
 
 
-def load_rows(context: Context) -> list[Row]:
-    """Messages, commits and processor time of all stores."""
+def call_rows(context: Context) -> list[Row]:
+    """Messages and bytes of all stores."""
     target, assumed = context.target, context.assumed
     ledger_calls, replicas = context.ledger_calls_a_turn, assumed.replicas
     calls = target.requests_per_s * (ledger_calls + replicas + 1)
     writes = target.requests_per_s * (ledger_calls + replicas)
     new_bytes = target.requests_per_s * context.turn_bytes * replicas
-    most = assumed.most_share_of_a_store
     return [
         context.row(
             "calls answered a second, all stores",
@@ -147,6 +146,15 @@
             "B/s",
             TURNS,
         ),
+    ]
+
+
+def processor_rows(context: Context) -> list[Row]:
+    """Processor time of all stores. A table: as long as its rows."""
+    target, assumed = context.target, context.assumed
+    ledger_calls, replicas = context.ledger_calls_a_turn, assumed.replicas
+    most = assumed.most_share_of_a_store
+    return [
         context.row(
             "cores for calls, all stores",
             f"{target.requests_per_s:,}/s × ({ledger_calls + 1} × server-call + {replicas} × server-call at "
@@ -187,6 +195,15 @@
             "to be built: reading from a given turn on",
             most,
         ),
+    ]
+
+
+def commit_rows(context: Context) -> list[Row]:
+    """The writer's time, a commit, and the choice of stores."""
+    target, assumed = context.target, context.assumed
+    ledger_calls, replicas = context.ledger_calls_a_turn, assumed.replicas
+    most = assumed.most_share_of_a_store
+    return [
         context.row(
             f"share of the one writer's time at each of {assumed.stores} stores",
             f"{target.requests_per_s:,}/s × ({ledger_calls} × ledger-cost + {replicas} × turn-cost + "
@@ -213,6 +230,15 @@
     ]
 
 
+def load_rows(context: Context) -> list[Row]:
+    """Messages, commits and processor time of all stores."""
+    return [
+        *call_rows(context),
+        *processor_rows(context),
+        *commit_rows(context),
+    ]
+
+
 def hello_rows(context: Context) -> list[Row]:
     """What control servers say to each other when nothing happens; each greets all others."""
     control_servers = context.assumed.stores + context.target.control_machines
