--- a/benchmarks/members_processes.py
+++ b/benchmarks/members_processes.py
@@ -2,99 +2,163 @@
 
     .venv/bin/python benchmarks/members_processes.py [--size 200] [--period 1000]
 
-Starts as many at once as there are cores. Then kills one in twenty at one moment, stops one in twenty for ten periods
-and lets them go on. Prints what the members told: seconds until all agree, and who of the living was called lost.
+Starts them, with at most as many still starting as there are cores. Then kills one in twenty at the same moment, and
+stops one in twenty for ten periods and continues them. Prints from the members' reports: seconds until all agree, and
+which of the living members were reported lost.
 """
 
 import argparse
 import asyncio
 import json
+import math
 import os
 import signal
 import subprocess
 import sys
 import time
+from typing import Any
 
+STEP_S = 0.1
+STOPPED_PERIODS = 10.0
+
+
+class ReportReceiver(asyncio.DatagramProtocol):
+    """Receives the members' reports.
+
+    latest: the newest report of each member, by its name.
+    losses: (when, by whom, of whom) of each reported loss.
+    """
 
-class Taker(asyncio.DatagramProtocol):
     def __init__(self) -> None:
-        self.told: dict[str, dict] = {}
-        self.lost: list[tuple[float, str, str]] = []
+        self.latest: dict[str, dict[str, Any]] = {}
+        self.losses: list[tuple[float, str, str]] = []
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        told = json.loads(data)
-        self.told[told["name"]] = told
-        self.lost += [(time.monotonic(), told["name"], name) for name in told["lost"]]
+        """Store a report."""
+        report = json.loads(data)
+        self.latest[report["name"]] = report
+        self.losses += [(time.monotonic(), report["name"], name) for name in report["lost"]]
 
+    def lost_names(self) -> set[str]:
+        """Return the members that were reported lost."""
+        return {name for _, _, name in self.losses}
 
-async def agree(taker: Taker, names: set[str], seconds: float) -> float:
-    """Seconds until all of these say that these are there, or not a number."""
-    began, there = time.monotonic(), sorted(names)
-    while time.monotonic() < began + seconds:
-        if all(taker.told.get(name, {}).get("alive") == there for name in names):
-            return time.monotonic() - began
-        await asyncio.sleep(0.1)
-    return float("nan")
+    async def wait_for_agreement(self, names: set[str], timeout_s: float) -> float:
+        """Return the seconds until each of these members reports that all of them are alive; NaN after the time-out."""
+        began_s, expected = time.monotonic(), sorted(names)
+        while time.monotonic() < began_s + timeout_s:
+            if all(self.latest.get(name, {}).get("alive") == expected for name in names):
+                return time.monotonic() - began_s
+            await asyncio.sleep(STEP_S)
+        return math.nan
 
 
-async def main(size: int, period: float) -> None:
-    taker, running = Taker(), {}
-    seeds: list[str] = []
-    transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: taker, ("127.0.0.1", 0))
-    names = [f"m{number}" for number in range(size)]
-    most, began = os.cpu_count() or 1, time.monotonic()
-    try:
+class MemberProcesses:
+    """The processes of all members."""
+
+    def __init__(self, reports: ReportReceiver, report_address: tuple[str, int], period_ms: float) -> None:
+        self._reports = reports
+        self._report_address = report_address
+        self._period_ms = period_ms
+        self._processes: dict[str, subprocess.Popen[bytes]] = {}
+
+    async def start(self, names: list[str]) -> None:
+        """Start the members one by one, with at most as many still starting as there are cores."""
+        max_starting = os.cpu_count() or 1
+        seeds: list[str] = []
         for name in names:
-            told = {
+            settings = {
                 "name": name,
                 "peers": {},
                 "seeds": seeds,
-                "period": period,
-                "timeout": 0.3 * period,
-                "taker": transport.get_extra_info("sockname"),
+                "period": self._period_ms,
+                "timeout": 0.3 * self._period_ms,
+                "taker": self._report_address,
             }
-            running[name] = subprocess.Popen([sys.executable, "-m", "dewpin.lab.fleet.member", json.dumps(told)])
-            while len(running) - len(taker.told) >= most or not taker.told:
+            command = [sys.executable, "-m", "dewpin.lab.fleet.member_process", json.dumps(settings)]
+            self._processes[name] = subprocess.Popen(command)
+            while len(self._processes) - len(self._reports.latest) >= max_starting or not self._reports.latest:
                 await asyncio.sleep(0.01)
-            seeds = seeds or [taker.told[name]["at"]]
-        started = time.monotonic() - began
-        after = await agree(taker, set(names), 120.0)
-        print(
-            f"{size} started in {started:.1f} s; agree after {after:.1f} s more; "
-            f"{len(taker.lost)} called lost meanwhile",
-            flush=True,
-        )
-        taker.lost.clear()
-        killed, stopped = set(names[10::20]), set(names[5::20])
-        at = time.monotonic()
-        for name in killed:
-            running[name].kill()
-        after = await agree(taker, set(names) - killed, 180.0)
-        known = [when - at for when, _, name in taker.lost if name in killed]
-        wrong = {name for _, _, name in taker.lost} - killed
-        print(
-            f"{len(killed)} killed: first known after {min(known):.1f} s, all agree after {after:.1f} s; "
-            f"of the living called lost: {len(wrong)}",
-            flush=True,
-        )
-        taker.lost.clear()
-        for name in stopped:
-            running[name].send_signal(signal.SIGSTOP)
-        await asyncio.sleep(10.0 * period / 1000.0)
-        for name in stopped:
-            running[name].send_signal(signal.SIGCONT)
-        after = await agree(taker, set(names) - killed, 120.0)
-        print(
-            f"{len(stopped)} stopped for ten periods: all agree {after:.1f} s later; called lost: "
-            f"{len({name for _, _, name in taker.lost} & stopped)} of them, "
-            f"{len({name for _, _, name in taker.lost} - killed - stopped)} of the others",
-            flush=True,
-        )
+            seeds = seeds or [self._reports.latest[name]["at"]]
+
+    def send_signal(self, names: set[str], number: signal.Signals) -> None:
+        """Send a signal to these members."""
+        for name in names:
+            self._processes[name].send_signal(number)
+
+    def kill_all(self) -> None:
+        """End all processes and wait for them."""
+        for process in self._processes.values():
+            process.kill()
+        for process in self._processes.values():
+            process.wait()
+
+
+async def measure_start(members: MemberProcesses, reports: ReportReceiver, names: list[str]) -> None:
+    """Start all members and print when they agree."""
+    began_s = time.monotonic()
+    await members.start(names)
+    started_s = time.monotonic() - began_s
+    agreed_s = await reports.wait_for_agreement(set(names), 120.0)
+    print(
+        f"{len(names)} started in {started_s:.1f} s; agree after {agreed_s:.1f} s more; "
+        f"{len(reports.losses)} called lost meanwhile",
+        flush=True,
+    )
+    reports.losses.clear()
+
+
+async def measure_kill(
+    members: MemberProcesses, reports: ReportReceiver, killed: set[str], remaining: set[str]
+) -> None:
+    """Kill some members and print when the others know it."""
+    killed_at_s = time.monotonic()
+    members.send_signal(killed, signal.SIGKILL)
+    agreed_s = await reports.wait_for_agreement(remaining, 180.0)
+    detected_s = [when - killed_at_s for when, _, name in reports.losses if name in killed]
+    print(
+        f"{len(killed)} killed: first known after {min(detected_s):.1f} s, all agree after {agreed_s:.1f} s; "
+        f"of the living called lost: {len(reports.lost_names() - killed)}",
+        flush=True,
+    )
+    reports.losses.clear()
+
+
+async def measure_stop(
+    members: MemberProcesses,
+    reports: ReportReceiver,
+    stopped: set[str],
+    killed: set[str],
+    remaining: set[str],
+    seconds: float,
+) -> None:
+    """Stop some members for a while and print when all agree again."""
+    members.send_signal(stopped, signal.SIGSTOP)
+    await asyncio.sleep(seconds)
+    members.send_signal(stopped, signal.SIGCONT)
+    agreed_s = await reports.wait_for_agreement(remaining, 120.0)
+    print(
+        f"{len(stopped)} stopped for ten periods: all agree {agreed_s:.1f} s later; called lost: "
+        f"{len(reports.lost_names() & stopped)} of them, "
+        f"{len(reports.lost_names() - killed - stopped)} of the others",
+        flush=True,
+    )
+
+
+async def main(size: int, period_ms: float) -> None:
+    """Run the three measurements."""
+    reports = ReportReceiver()
+    transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: reports, ("127.0.0.1", 0))
+    members = MemberProcesses(reports, transport.get_extra_info("sockname"), period_ms)
+    names = [f"m{number}" for number in range(size)]
+    killed, stopped = set(names[10::20]), set(names[5::20])
+    remaining = set(names) - killed
+    try:
+        await measure_start(members, reports, names)
+        await measure_kill(members, reports, killed, remaining)
+        await measure_stop(members, reports, stopped, killed, remaining, STOPPED_PERIODS * period_ms / 1000.0)
     finally:
-        for one in running.values():
-            one.kill()
-        for one in running.values():
-            one.wait()
+        members.kill_all()
         transport.close()
 
 
@@ -102,5 +166,5 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--size", type=int, default=200)
     parser.add_argument("--period", type=float, default=1000.0)
-    given = parser.parse_args()
-    asyncio.run(main(given.size, given.period))
+    options = parser.parse_args()
+    asyncio.run(main(options.size, options.period))
