--- a/dewpin/cluster/configuration/model.py
+++ b/dewpin/cluster/configuration/model.py
@@ -43,12 +43,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Tell whether the answers of this route are series of events."""
+        """Return whether the answers of this route are series of events."""
         return self.kind == STREAM
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may run more than once; an unknown kind counts as not repeatable."""
+        """Return whether a request may run more than once; an unknown kind counts as not repeatable."""
         return self.kind == IDEMPOTENT
 
 
--- a/dewpin/cluster/logs.py
+++ b/dewpin/cluster/logs.py
@@ -2,8 +2,9 @@
 
 Every line is one of the named `Event`s with typed fields of its own; `EVENT_LEVELS` has the level of each. By default
 only the events of a process's life, warnings and errors are written. Logging never blocks the program: a line is
-dropped when standard error takes no more or when too many lines come in a second, and the next line that is written
-tells how many were lost. `configure` is called once at the start; before it, events of the default level are dropped.
+dropped when writing to standard error would block or when too many lines come in a second, and the next line that is
+written has the number of dropped lines. `configure` is called once at the start; before it, events of the default level
+are dropped.
 """
 
 import logging
@@ -35,17 +36,17 @@
 )
 """The levels by their names in the settings file."""
 
-MOST_LINES_PER_SECOND = 50
-LONGEST_TEXT = 1_000
-"""The most characters of a text field; what lies beyond is left out."""
+MAX_LINES_PER_SECOND = 50
+MAX_TEXT_CHARACTERS = 1_000
+"""Longer text fields are truncated."""
 
-_LONGEST_LINE = select.PIPE_BUF
+_MAX_LINE_BYTES = select.PIPE_BUF
 """A pipe that polls as writable takes this many bytes at once without blocking."""
 
 
 @unique
 class Event(StrEnum):
-    """What a line tells; the value is the line's `event` field."""
+    """The kind of a line; the value is the line's `event` field."""
 
     STARTED = "started"
     READY = "ready"
@@ -95,16 +96,20 @@
 _logger = logging.getLogger(LOGGER_NAME)
 
 
-def _shortened(value: object) -> object:
-    if isinstance(value, str) and len(value) > LONGEST_TEXT:
-        return value[:LONGEST_TEXT] + "..."
+def _truncated(value: object) -> object:
+    if isinstance(value, str) and len(value) > MAX_TEXT_CHARACTERS:
+        return value[:MAX_TEXT_CHARACTERS] + "..."
     return value
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a file descriptor without blocking, and counts those that it has to drop."""
+    """Writes lines to a file descriptor without blocking.
+
+    `dropped`: lines that were dropped since the last one that was written.
+    """
 
     def __init__(self, descriptor: int, clock: Callable[[], float] = time.monotonic) -> None:
+        """Write to `descriptor`; `clock` returns monotonic seconds."""
         super().__init__()
         self._descriptor = descriptor
         self._clock = clock
@@ -121,7 +126,7 @@
             return
         try:
             line = self.format(record).encode("utf-8", "backslashreplace")
-            os.write(self._descriptor, line[: _LONGEST_LINE - 1] + b"\n")
+            os.write(self._descriptor, line[: _MAX_LINE_BYTES - 1] + b"\n")
         except Exception:
             self.dropped += 1
         else:
@@ -133,7 +138,7 @@
             self._second_started_s = now_s
             self._written_in_second = 0
         self._written_in_second += 1
-        return self._written_in_second <= MOST_LINES_PER_SECOND
+        return self._written_in_second <= MAX_LINES_PER_SECOND
 
     def _is_writable(self) -> bool:
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
@@ -144,7 +149,7 @@
     from pythonjsonlogger.json import JsonFormatter
 
     class LineFormatter(JsonFormatter):
-        """Lifts an event's fields into the line, where they give way to those that every line has."""
+        """Moves an event's fields to the top level of the line; fields that every line has take precedence."""
 
         def process_log_record(self, log_data: dict[str, Any]) -> dict[str, Any]:
             line: dict[str, Any] = super().process_log_record(log_data)
@@ -152,7 +157,7 @@
             if handler.dropped:
                 line["dropped_lines"] = handler.dropped
             added = {key: value for key, value in fields.items() if key not in line}
-            return {key: _shortened(value) for key, value in {**line, **added}.items()}
+            return {key: _truncated(value) for key, value in {**line, **added}.items()}
 
     handler = BoundedHandler(sys.stderr.fileno() if descriptor is None else descriptor)
     handler.setFormatter(
@@ -185,5 +190,5 @@
 
 
 def log_unexpected(error: BaseException, **fields: object) -> None:
-    """Log an exception that no code expected, with its trace."""
+    """Log an unexpected exception with its traceback."""
     _logger.error(Event.UNEXPECTED.value, exc_info=error, extra={"fields": fields} if fields else None)
--- a/dewpin/cluster/settings/model.py
+++ b/dewpin/cluster/settings/model.py
@@ -95,7 +95,7 @@
     last: int
 
     def __contains__(self, port: int) -> bool:
-        """Tell whether `port` lies in the range."""
+        """Return whether `port` lies in the range."""
         return self.first <= port <= self.last
 
 
--- a/dewpin/cluster/validation.py
+++ b/dewpin/cluster/validation.py
@@ -1,4 +1,4 @@
-"""A small checker of untyped values against typed dictionaries.
+"""Validation of untyped values against typed dictionaries.
 
 `check_shape` compares a value read from JSON or TOML with a type annotation and reports every fault with its path,
 such as `routes[3].split[0].weight`. It knows the annotations that messages are made of: `str`, `bool`, `int`, `float`,
@@ -33,7 +33,11 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of an input: where it is (empty for the whole input) and what is wrong there."""
+    """One fault of an input.
+
+    `path`: of the field, such as `routes[3].split`; empty for the whole input.
+    `message`: what is wrong there.
+    """
 
     path: str
     message: str
@@ -42,12 +46,12 @@
         return f"{self.path}: {self.message}" if self.path else self.message
 
     def is_within(self, path: str) -> bool:
-        """Tell whether this fault lies at `path` or somewhere inside it."""
+        """Return whether this fault lies at `path` or somewhere inside it."""
         return self.path == path or self.path.startswith((path + ".", path + "["))
 
 
 class InputFaultError(DewpinError, ValueError):
-    """One fault of an input as an error; `path` names the field, `message` says what is wrong with it."""
+    """One fault of an input as an error; attributes as in `Fault`."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
@@ -56,7 +60,10 @@
 
 
 class InvalidInputError(DewpinError, ExceptionGroup[InputFaultError]):
-    """Every fault of an input that was rejected; a subclass for each kind of input says what it is."""
+    """An input was rejected, for one or more faults.
+
+    Subclasses name the kind of input in `summary`.
+    """
 
     summary = "invalid input"
 
--- a/tests/cluster/test_logs.py
+++ b/tests/cluster/test_logs.py
@@ -123,16 +123,16 @@
 def test_long_text_is_truncated(pipe: Pipe):
     logs.configure("notice", "n", "r", pipe.writer)
     logs.log_event(Event.READY, filler="x" * 100_000)
-    assert pipe.lines()[0]["filler"] == "x" * logs.LONGEST_TEXT + "..."
+    assert pipe.lines()[0]["filler"] == "x" * logs.MAX_TEXT_CHARACTERS + "..."
 
 
 def test_lines_over_the_rate_are_dropped_and_counted(pipe: Pipe):
     now = [100.0]
     handler = logs.BoundedHandler(pipe.writer, clock=lambda: now[0])
     record = logging.LogRecord("x", logging.ERROR, "", 0, "{}", None, None)
-    for _ in range(logs.MOST_LINES_PER_SECOND + 5):
+    for _ in range(logs.MAX_LINES_PER_SECOND + 5):
         handler.emit(record)
-    assert len(pipe.lines()) == logs.MOST_LINES_PER_SECOND and handler.dropped == 5
+    assert len(pipe.lines()) == logs.MAX_LINES_PER_SECOND and handler.dropped == 5
     now[0] += 1.0
     handler.emit(record)
     assert len(pipe.lines()) == 1 and handler.dropped == 0
