--- a/dewpin/controlplane/control_server.py
+++ b/dewpin/controlplane/control_server.py
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE_AFTER_ERROR_S = 0.25
+ERROR_BACKOFF_S = 0.25
 """After a step that failed in an unforeseen way."""
 RENEWALS_IN_BOUND = 5
 """Renewals of a sender's lease within the time in which a configuration is to be in force."""
@@ -167,7 +167,7 @@
     async def _repeat(self, period_s: float, step: Callable[[], object]) -> None:
         """Runs a step again and again, about once in `period_s`; 0 for a step that waits by itself."""
         while True:
-            pause_s = period_s * (0.9 + 0.2 * self._rng.random())
+            delay_s = period_s * (0.9 + 0.2 * self._rng.random())
             try:
                 result = step()
                 if asyncio.iscoroutine(result):
@@ -176,9 +176,9 @@
                 raise
             except Exception:
                 log.exception("control.step_failed", extra={"step": getattr(step, "__qualname__", "")})
-                pause_s = max(pause_s, PAUSE_AFTER_ERROR_S)
-            if pause_s > 0:
-                await asyncio.sleep(pause_s)
+                delay_s = max(delay_s, ERROR_BACKOFF_S)
+            if delay_s > 0:
+                await asyncio.sleep(delay_s)
 
     def _send_periodic_heartbeats(self) -> None:
         self.send_heartbeats()
@@ -223,7 +223,7 @@
         others = [
             (peer.has_list_failed, not peer.reaches_majority, peer.id)
             for peer in self.heartbeats.peers.peers.values()
-            if peer.serves_control and not peer.is_leaving and peer.unheard_s(now_s) < READER_ALIVE_WITHIN_S
+            if peer.serves_control and not peer.is_leaving and peer.since_last_received_s(now_s) < READER_ALIVE_WITHIN_S
         ]
         own = (self.list_reader.has_failed, self.freshness.contact_since_s() is None, self.member)
         return own <= min(others, default=own)
--- a/dewpin/controlplane/membership/cluster_observation.py
+++ b/dewpin/controlplane/membership/cluster_observation.py
@@ -40,15 +40,15 @@
         """This process and all that it has heard."""
         return [self.local_peer, *self.peers.peers.values()]
 
-    def unheard_s(self, peer_id: str) -> float:
+    def since_last_received_s(self, peer_id: str) -> float:
         """For how long nothing has been heard of a process."""
-        return 0.0 if peer_id == self.local_peer.id else self.peers.unheard_s(peer_id, self.now_s)
+        return 0.0 if peer_id == self.local_peer.id else self.peers.since_last_received_s(peer_id, self.now_s)
 
     def absent_s(self, peer_id: str) -> float:
         """For how long nothing has been heard of a process while this one reached a majority."""
         if self.contact_since_s is None:
             return 0.0
-        return min(self.unheard_s(peer_id), self.now_s - self.contact_since_s)
+        return min(self.since_last_received_s(peer_id), self.now_s - self.contact_since_s)
 
     def is_replaced(self, peer_id: str, name: str | None) -> bool:
         """Whether the machine of that name runs as another incarnation by now."""
@@ -64,7 +64,7 @@
     def has_joined_recently(self, peer: Peer) -> bool:
         """Whether the process came while this one was already there, and not long ago."""
         earliest_s = max(self.started_at_s + STARTUP_UNCERTAINTY_S, self.now_s - REPLACEMENT_JOINED_WITHIN_S)
-        return peer.first_heard_s >= earliest_s
+        return peer.first_received_s >= earliest_s
 
     def replacement_timeout_s(self, peer_id: str) -> float:
         """For how long a silent process is waited for where another can take its place.
@@ -77,7 +77,7 @@
 
     def is_alive(self, peer_id: str) -> bool:
         """Whether the process was heard just now."""
-        return self.unheard_s(peer_id) < ALIVE_WITHIN_S
+        return self.since_last_received_s(peer_id) < ALIVE_WITHIN_S
 
     def may_coordinate(self, peer_id: str) -> bool:
         """Whether the process is alive and reaches a majority, as it says itself."""
--- a/dewpin/controlplane/membership/heartbeat.py
+++ b/dewpin/controlplane/membership/heartbeat.py
@@ -66,7 +66,7 @@
     async def handle(self, message: Message) -> Message:
         """Replies to another process's heartbeat."""
         heartbeat = Heartbeat.decode(message)
-        peer = self.peers.record_heard(heartbeat.sender, self._clock())
+        peer = self.peers.record_received(heartbeat.sender, self._clock())
         if self._is_behind(peer, heartbeat.receivers_version):
             self._start_call(peer.address)
         return self._reply(peer, heartbeat).encode()
@@ -79,7 +79,7 @@
         addresses = set(self._local_peer.seed_addresses())
         now_s = self._clock()
         peers = self.peers.peers.values()
-        addresses |= {peer.address for peer in peers if peer.unheard_s(now_s) < FORGET_ADDRESS_AFTER_S}
+        addresses |= {peer.address for peer in peers if peer.since_last_received_s(now_s) < FORGET_ADDRESS_AFTER_S}
         state = self._register.newest
         if state is not None:
             addresses.update(state["members"].values())
@@ -129,7 +129,7 @@
         The age of the list counts from when the heartbeat was sent. Counted from the arrival of the reply, two
         processes that exchange their lists would make them younger by the time of travel, again and again.
         """
-        peer = self.peers.record_heard(reply.sender, self._clock())
+        peer = self.peers.record_received(reply.sender, self._clock())
         self._freshness.record_acknowledgement(peer.id, asked_at_s, reply.accepted_version)
         version, read_at_s = reply.receivers_version, asked_at_s - reply.list_age_s
         if reply.receivers is not None and self._list_reader.apply_update(version, reply.receivers, read_at_s):
--- a/dewpin/controlplane/membership/local_peer.py
+++ b/dewpin/controlplane/membership/local_peer.py
@@ -69,7 +69,7 @@
 
     def as_peer(self) -> Peer:
         """The same in the form that is stored of the others."""
-        return Peer.from_description(self.description(), last_heard_s=self._clock())
+        return Peer.from_description(self.description(), last_received_s=self._clock())
 
     def seed_addresses(self) -> list[str]:
         """The addresses of the control servers that the settings name."""
--- a/dewpin/controlplane/membership/peers.py
+++ b/dewpin/controlplane/membership/peers.py
@@ -95,23 +95,23 @@
     Attributes:
         location: as in the description, empty where it is not told.
         reaches_majority: as in the description, true where it is not told.
-        last_heard_s: when its last heartbeat or reply came.
-        first_heard_s: when its first one came.
+        last_received_s: when its last heartbeat or reply came.
+        first_received_s: when its first one came.
         interrupted_at_s: when it came back from each of its interruptions, as far as they count.
     """
 
     location: str = ""
     reaches_majority: bool = True
-    last_heard_s: float
-    first_heard_s: float = float("-inf")
+    last_received_s: float
+    first_received_s: float = float("-inf")
     interrupted_at_s: tuple[float, ...] = ()
 
     @classmethod
     def from_description(
         cls,
         description: PeerDescription,
-        last_heard_s: float,
-        first_heard_s: float = float("-inf"),
+        last_received_s: float,
+        first_received_s: float = float("-inf"),
         interrupted_at_s: tuple[float, ...] = (),
     ) -> Peer:
         """The peer that introduces itself so."""
@@ -128,14 +128,14 @@
             has_list_failed=description.has_list_failed,
             location="" if description.location is None else description.location,
             reaches_majority=True if description.reaches_majority is None else description.reaches_majority,
-            last_heard_s=last_heard_s,
-            first_heard_s=first_heard_s,
+            last_received_s=last_received_s,
+            first_received_s=first_received_s,
             interrupted_at_s=interrupted_at_s,
         )
 
-    def unheard_s(self, now_s: float) -> float:
+    def since_last_received_s(self, now_s: float) -> float:
         """For how long nothing has been heard of it."""
-        return now_s - self.last_heard_s
+        return now_s - self.last_received_s
 
     def interruptions(self, now_s: float) -> int:
         """How often it was interrupted lately."""
@@ -148,53 +148,53 @@
     def __init__(self) -> None:
         self.peers: dict[str, Peer] = {}
 
-    def record_heard(self, description: PeerDescription, now_s: float) -> Peer:
+    def record_received(self, description: PeerDescription, now_s: float) -> Peer:
         """Records what a peer says of itself. Another incarnation at its address has ended."""
         known = self.peers.get(description.id)
         peer = Peer.from_description(
             description,
-            last_heard_s=now_s,
-            first_heard_s=known.first_heard_s if known is not None else now_s,
+            last_received_s=now_s,
+            first_received_s=known.first_received_s if known is not None else now_s,
             interrupted_at_s=_interruption_times(known, now_s),
         )
         for other in list(self.peers.values()):
             if other.address == peer.address and other.id != peer.id:
                 self._record_ended(other, now_s)
         self.peers[peer.id] = peer
-        self._forget_unheard(now_s)
+        self._forget_expired(now_s)
         return peer
 
     def _record_ended(self, peer: Peer, now_s: float) -> None:
-        ended_s = min(peer.last_heard_s, now_s - FORGET_AFTER_S)
-        self.peers[peer.id] = replace(peer, last_heard_s=ended_s)
+        ended_s = min(peer.last_received_s, now_s - FORGET_AFTER_S)
+        self.peers[peer.id] = replace(peer, last_received_s=ended_s)
 
     def at_address(self, address: str) -> Peer | None:
         """The peer heard last at an address."""
         found = [peer for peer in self.peers.values() if peer.address == address]
-        return max(found, key=lambda peer: peer.last_heard_s, default=None)
+        return max(found, key=lambda peer: peer.last_received_s, default=None)
 
     def is_replaced(self, peer_id: str, name: str | None, now_s: float) -> bool:
         """Whether the machine of that name is heard as another incarnation while this one is silent for good.
 
         Two machines may share a name for a while: then both are heard, and neither is replaced.
         """
-        if self.unheard_s(peer_id, now_s) <= ALIVE_WITHIN_S:
+        if self.since_last_received_s(peer_id, now_s) <= ALIVE_WITHIN_S:
             return False
         known = self.peers.get(peer_id)
         name = name or (known.name if known else None)
         return any(
-            other.id != peer_id and other.name == name and other.unheard_s(now_s) <= ALIVE_WITHIN_S
+            other.id != peer_id and other.name == name and other.since_last_received_s(now_s) <= ALIVE_WITHIN_S
             for other in self.peers.values()
         )
 
-    def unheard_s(self, peer_id: str, now_s: float) -> float:
+    def since_last_received_s(self, peer_id: str, now_s: float) -> float:
         """For how long nothing has been heard of a peer; infinite where nothing ever was."""
         peer = self.peers.get(peer_id)
-        return peer.unheard_s(now_s) if peer is not None else float("inf")
+        return peer.since_last_received_s(now_s) if peer is not None else float("inf")
 
-    def _forget_unheard(self, now_s: float) -> None:
+    def _forget_expired(self, now_s: float) -> None:
         for peer in list(self.peers.values()):
-            if peer.unheard_s(now_s) > FORGET_AFTER_S:
+            if peer.since_last_received_s(now_s) > FORGET_AFTER_S:
                 del self.peers[peer.id]
 
 
@@ -203,5 +203,5 @@
     if known is None:
         return ()
     counting = tuple(at_s for at_s in known.interrupted_at_s if now_s - at_s < INTERRUPTION_MEMORY_S)
-    was_interrupted = SHORTEST_INTERRUPTION_S < known.unheard_s(now_s) < LONGEST_INTERRUPTION_S
+    was_interrupted = SHORTEST_INTERRUPTION_S < known.since_last_received_s(now_s) < LONGEST_INTERRUPTION_S
     return (*counting, now_s) if was_interrupted else counting
--- a/dewpin/controlplane/sender_service.py
+++ b/dewpin/controlplane/sender_service.py
@@ -98,7 +98,7 @@
         live = [
             peer.address
             for peer in self._peers.peers.values()
-            if peer.serves_control and peer.unheard_s(now_s) < CONTROL_SERVER_LISTED_S
+            if peer.serves_control and peer.since_last_received_s(now_s) < CONTROL_SERVER_LISTED_S
         ]
         return tuple(sorted({self._register.address, *live}))
 
--- a/dewpin/dataplane/ingress/connection_acceptor.py
+++ b/dewpin/dataplane/ingress/connection_acceptor.py
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 1024
-ACCEPT_ERROR_PAUSE_S = 0.01
+ACCEPT_ERROR_BACKOFF_S = 0.01
 
 
 class ConnectionAcceptor(TCPServer):
@@ -60,7 +60,7 @@
         try:
             accepted, address = self.socket.accept()
         except OSError:
-            threading.Event().wait(ACCEPT_ERROR_PAUSE_S)
+            threading.Event().wait(ACCEPT_ERROR_BACKOFF_S)
             raise
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return accepted, address
--- a/dewpin/dataplane/load_balancing/receiver_load.py
+++ b/dewpin/dataplane/load_balancing/receiver_load.py
@@ -115,8 +115,8 @@
         """Return whether calls have been pending for long without a response to any call from the receiver."""
         if not self._pending_since:
             return False
-        silent_s = now - max(min(self._pending_since), self._last_response_at)
-        return silent_s > max(MIN_UNRESPONSIVE_S, UNRESPONSIVE_RESPONSE_TIMES * self.response_time_s)
+        unanswered_s = now - max(min(self._pending_since), self._last_response_at)
+        return unanswered_s > max(MIN_UNRESPONSIVE_S, UNRESPONSIVE_RESPONSE_TIMES * self.response_time_s)
 
     def reset_backoff(self) -> None:
         """Record that the receiver accepts calls: its next rejection or failure begins a new backoff."""
--- a/dewpin/dataplane/membership/body_fetch.py
+++ b/dewpin/dataplane/membership/body_fetch.py
@@ -20,12 +20,12 @@
 
 PAGE_TIMEOUT_S = 1.7
 """As of a watch: several pages at 2 Mbit/s, and the wait for one that the source lacks itself."""
-RETRY_AFTER_SILENCE_S = 3.0
+RETRY_AFTER_NO_RESPONSE_S = 3.0
 """How long a source that did not answer is not asked again."""
 RETRY_AFTER_REFUSAL_S = 0.3
 """The same of a source that answered by an error: it may have the page, or capacity for this sender, at any moment."""
-NO_SOURCE_PAUSE_S = 0.05
-_SILENT_ERROR_KINDS = frozenset({"timeout", "connect", "closed"})
+NO_SOURCE_DELAY_S = 0.05
+_NO_RESPONSE_ERROR_KINDS = frozenset({"timeout", "connect", "closed"})
 
 
 class BodyName(NamedTuple):
@@ -121,7 +121,7 @@
     async def _fetch_page(self, name: BodyName) -> None:
         source = self._next_source()
         if source is None:
-            await asyncio.sleep(NO_SOURCE_PAUSE_S)
+            await asyncio.sleep(NO_SOURCE_DELAY_S)
             return
         request = BodyRequest(RELAY_BODY, name.digest, len(self._text), self._caller)
         try:
@@ -147,6 +147,8 @@
 
     def _avoid(self, source: str, error: Exception) -> None:
         """Leave a source alone for a while after it failed."""
-        is_silent = isinstance(error, RpcError) and error.kind in _SILENT_ERROR_KINDS
-        self._retry_at_s[source] = self._clock() + (RETRY_AFTER_SILENCE_S if is_silent else RETRY_AFTER_REFUSAL_S)
+        is_unanswered = isinstance(error, RpcError) and error.kind in _NO_RESPONSE_ERROR_KINDS
+        self._retry_at_s[source] = self._clock() + (
+            RETRY_AFTER_NO_RESPONSE_S if is_unanswered else RETRY_AFTER_REFUSAL_S
+        )
         log.debug("configuration.page_failed", extra={"source": source, "why": repr(error)})
--- a/dewpin/dataplane/membership/cluster_agent.py
+++ b/dewpin/dataplane/membership/cluster_agent.py
@@ -30,8 +30,8 @@
 
 log = logging.getLogger(__name__)
 
-STEP_FAULT_PAUSE_S = 0.5
-"""Pause after a step that raised an unexpected exception."""
+STEP_ERROR_BACKOFF_S = 0.5
+"""Back-off after a step that raised an unexpected exception."""
 
 
 class ClusterAgent:
@@ -115,7 +115,7 @@
     def start(self) -> None:
         """Start to renew the lease and to subscribe to updates. Must be called on the agent's loop."""
         self._tasks = [
-            asyncio.ensure_future(_repeat("_renew_and_pause", self._lease.renew_and_pause)),
+            asyncio.ensure_future(_repeat("_renew_and_pause", self._lease.renew_and_wait)),
             asyncio.ensure_future(_repeat("_watch", self._subscription.watch)),
             asyncio.ensure_future(_repeat("_guard_list", self._check_receiver_list)),
         ]
@@ -141,7 +141,7 @@
 
     async def _check_receiver_list(self) -> None:
         """Read the platform's list where no control server provides it in time."""
-        await self._receiver_list.pause(self.settings)
+        await self._receiver_list.wait_for_next_check(self.settings)
         if self.knowledge.system_state.complete is not None:
             await self._receiver_list.read_if_stale(self.settings, self._lease.sender_count)
 
@@ -156,4 +156,4 @@
             await step()
         except Exception:
             log.exception("agent.step_failed", extra={"step": name})
-            await asyncio.sleep(STEP_FAULT_PAUSE_S)
+            await asyncio.sleep(STEP_ERROR_BACKOFF_S)
--- a/dewpin/dataplane/membership/cluster_knowledge.py
+++ b/dewpin/dataplane/membership/cluster_knowledge.py
@@ -82,7 +82,7 @@
             self._put_in_force()
             has_changed = True
         list_read_s = asked_s - update.list_age_s
-        if update.receivers is not None and self.receiver_list.take_copy(
+        if update.receivers is not None and self.receiver_list.apply_copy(
             update.receivers_version, update.receivers, list_read_s
         ):
             has_changed = True
--- a/dewpin/dataplane/membership/lease_renewer.py
+++ b/dewpin/dataplane/membership/lease_renewer.py
@@ -27,7 +27,7 @@
 """Period of renewals before the first confirmed state: the next answer may bring a majority's confirmation."""
 MAX_REFUSALS_COUNTED = 8
 RENEW_TIMEOUT_S = 0.35
-MIN_PAUSE_S = 0.02
+MIN_RENEWAL_DELAY_S = 0.02
 
 
 def renewal_period_s(settings: Settings) -> float:
@@ -79,17 +79,17 @@
         max_age_s = MISSED_RENEWALS_UNTIL_CUT_OFF * renewal_period_s(self._settings())
         return self._clock() - self._last_answer_s < max_age_s
 
-    async def renew_and_pause(self) -> None:
+    async def renew_and_wait(self) -> None:
         """Renew the lease once and wait until the next renewal is due."""
         period_s = renewal_period_s(self._settings())
         started_s = self._clock()
         if not await self._renew(self._control_servers.choose_next(started_s)):
-            await asyncio.sleep(self._pause_after_failure_s())
+            await asyncio.sleep(self._failure_backoff_s())
             return
         if not self._knowledge.confirmation.is_confirmed:
             period_s = min(period_s / 4, UNCONFIRMED_PERIOD_S)
-        pause_s = period_s * (0.9 + 0.2 * self._rng.random()) - (self._clock() - started_s)
-        await asyncio.sleep(max(pause_s, MIN_PAUSE_S))
+        delay_s = period_s * (0.9 + 0.2 * self._rng.random()) - (self._clock() - started_s)
+        await asyncio.sleep(max(delay_s, MIN_RENEWAL_DELAY_S))
 
     async def release(self) -> None:
         """Release the lease at all control servers."""
@@ -100,8 +100,8 @@
         ]
         await asyncio.gather(*calls, return_exceptions=True)
 
-    def _pause_after_failure_s(self) -> float:
-        """Return a short pause while another control server can be asked.
+    def _failure_backoff_s(self) -> float:
+        """Return a short back-off while another control server can be asked.
 
         Otherwise it grows with the refusals, so that all senders together do not flood a server that refuses.
         """
--- a/dewpin/dataplane/membership/receiver_list.py
+++ b/dewpin/dataplane/membership/receiver_list.py
@@ -57,7 +57,7 @@
         """Return the same of the version that is shared with other processes, without own readings."""
         return min(self._clock() - self._shared_read_s, UNKNOWN_AGE_S)
 
-    def take_copy(self, version: DirectoryVersion, receivers: Iterable[Receiver], read_s: float) -> bool:
+    def apply_copy(self, version: DirectoryVersion, receivers: Iterable[Receiver], read_s: float) -> bool:
         """Use a list that another process read at `read_s`, if it is newer; return whether it is."""
         if not self.directory.apply_update(version, receivers):
             return False
@@ -71,7 +71,7 @@
         if version == self.directory.version:
             self._shared_read_s = max(self._shared_read_s, read_s)
 
-    async def pause(self, settings: Settings) -> None:
+    async def wait_for_next_check(self, settings: Settings) -> None:
         """Wait until the list's age is to be checked again."""
         await asyncio.sleep(settings.bounds.drain_ms / 1000 / 10 * (0.8 + 0.4 * self._rng.random()))
 
--- a/dewpin/dataplane/programs/turns.py
+++ b/dewpin/dataplane/programs/turns.py
@@ -115,15 +115,15 @@
             return
         output = b"".join(data + b"\n" for data in self._output)
         turn = Turn(plan.turn_id, plan.program, plan.previous_id, self._request.body, output, plan.retain_s)
-        self._store.store_turn(turn, max(MIN_STORE_TIMEOUT_S, timeout_s), self._take_settlement())
+        self._store.store_turn(turn, max(MIN_STORE_TIMEOUT_S, timeout_s), self._claim_settlement())
 
     def settle(self) -> None:
         """Tell the stores how many tokens the client received, unless that was done already."""
-        settlement = self._take_settlement()
+        settlement = self._claim_settlement()
         if settlement is not None:
             self._store.settle(settlement.reservation, settlement.used_tokens)
 
-    def _take_settlement(self) -> Settlement | None:
+    def _claim_settlement(self) -> Settlement | None:
         """Return the turn's settlement; only the first call returns one."""
         reservation, self._reservation = self._reservation, None
         if reservation is None:
--- a/dewpin/dataplane/upstream/connection_pool.py
+++ b/dewpin/dataplane/upstream/connection_pool.py
@@ -73,15 +73,15 @@
                 now = self._clock()
                 newest = self._idle[-1]
                 is_replaced = newest.is_kept_alive(now) and not self._is_allowed(newest, is_idempotent, now)
-                takes_oldest = is_replaced or self._takes_oldest(is_idempotent, now)
-                taken = self._idle.pop(0 if takes_oldest else -1)
+                uses_oldest = is_replaced or self._uses_oldest(is_idempotent, now)
+                idle = self._idle.pop(0 if uses_oldest else -1)
             if is_replaced:
-                taken.connection.close()
+                idle.connection.close()
                 return None
-            if self._is_usable(taken, is_idempotent, request_id, now):
-                taken.connection.idle_s = now - taken.idle_since
-                return taken.connection
-            taken.connection.close()
+            if self._is_usable(idle, is_idempotent, request_id, now):
+                idle.connection.idle_s = now - idle.idle_since
+                return idle.connection
+            idle.connection.close()
 
     def detect_stale(self, connection: ReceiverConnection, outcome: Outcome) -> bool:
         """Return whether the receiver had dropped an idle connection, judging by the outcome of a call on it.
@@ -132,7 +132,7 @@
         for idle in closing:
             idle.connection.close()
 
-    def _takes_oldest(self, is_idempotent: bool, now: float) -> bool:
+    def _uses_oldest(self, is_idempotent: bool, now: float) -> bool:
         return is_idempotent and not self._idle_limit.is_lowered(now)
 
     def _is_allowed(self, idle: _IdleConnection, is_idempotent: bool, now: float) -> bool:
--- a/tests/controlplane/reconfiguration_scene.py
+++ b/tests/controlplane/reconfiguration_scene.py
@@ -50,7 +50,7 @@
     def hear(self, *ids, **fields):
         for one in ids:
             if one != "a":
-                self.peers.record_heard(self.description(one, **fields), self.now_s)
+                self.peers.record_received(self.description(one, **fields), self.now_s)
 
     def after(self, seconds, *heard):
         """Lets time go by; those named spoke just now."""
@@ -59,7 +59,7 @@
 
     @property
     def observation(self):
-        me = Peer.from_description(self.description("a"), last_heard_s=self.now_s)
+        me = Peer.from_description(self.description("a"), last_received_s=self.now_s)
         return ClusterObservation(me, self.peers, self.replica_count, STARTED_S, self.now_s, self.contact_since_s)
 
     def step(self):
@@ -78,7 +78,7 @@
                 epoch = self.state["stores"]["epoch"]
                 self.synced = dict.fromkeys({*self.peers.peers, "a"}, epoch)
                 for peer in list(self.peers.peers.values()):
-                    if self.now_s - peer.last_heard_s < 0.5:
+                    if self.now_s - peer.last_received_s < 0.5:
                         self.hear(peer.id, name=peer.name, address=peer.address, leaving=peer.is_leaving)
             if not self.step():
                 return
--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -90,18 +90,20 @@
         before = world.newest()["version"]
         await world.start(3)
         await asyncio.sleep(HEARD_AFTER_S)
-        silences = []
+        contact_gaps_s = []
         clock = asyncio.get_running_loop().time
         until_s = clock() + WAIT_S
         while world.generation(3) != 8:
             now_s = clock()
             assert now_s < until_s
             third = world.control_servers[3]
-            silences += [peer.unheard_s(now_s) for peer in third.heartbeats.peers.peers.values()]
-            silences += [world.control_servers[one].heartbeats.peers.unheard_s(third.member, now_s) for one in (1, 2)]
+            contact_gaps_s += [peer.since_last_received_s(now_s) for peer in third.heartbeats.peers.peers.values()]
+            contact_gaps_s += [
+                world.control_servers[one].heartbeats.peers.since_last_received_s(third.member, now_s) for one in (1, 2)
+            ]
             await asyncio.sleep(0.05)
         await stop(world)
-        return max(silences), world.newest()["version"] - before
+        return max(contact_gaps_s), world.newest()["version"] - before
 
     longest_s, changes = run(scene())
     assert longest_s < ALIVE_WITHIN_S and changes == 0
--- a/tests/model/ledger_model.py
+++ b/tests/model/ledger_model.py
@@ -329,7 +329,7 @@
         is_leaving=False,
         is_bootstrap=False,
         has_list_failed=False,
-        last_heard_s=0.0,
+        last_received_s=0.0,
     )
 
 
--- a/tests/model/retirement_model.py
+++ b/tests/model/retirement_model.py
@@ -194,7 +194,7 @@
             is_bootstrap=False,
             has_list_failed=False,
         )
-        peers.record_heard(description, now_s)
+        peers.record_received(description, now_s)
 
 
 @functools.cache
