--- a/dewpin/cluster/errors.py
+++ b/dewpin/cluster/errors.py
@@ -38,7 +38,7 @@
     VERSION_MISMATCH = "version_mismatch"
     MACHINE_UNKNOWN = "machine_unknown"
     TOO_FEW_REMAIN = "too_few_remain"
-    ORDER_UNDER_WAY = "order_under_way"
+    CHANGE_IN_PROGRESS = "order_under_way"
     NO_QUORUM = "no_quorum"
     STALE_EPOCH = "stale_epoch"
     BALLOT_REJECTED = "ballot_rejected"
@@ -84,7 +84,7 @@
         ErrorKind.VERSION_MISMATCH: ErrorResponse(412, False, logging.INFO),
         ErrorKind.MACHINE_UNKNOWN: ErrorResponse(404, False, logging.INFO),
         ErrorKind.TOO_FEW_REMAIN: ErrorResponse(409, False, logging.WARNING),
-        ErrorKind.ORDER_UNDER_WAY: ErrorResponse(409, False, logging.INFO),
+        ErrorKind.CHANGE_IN_PROGRESS: ErrorResponse(409, False, logging.INFO),
         ErrorKind.NO_QUORUM: ErrorResponse(504, False, logging.WARNING),
         ErrorKind.STALE_EPOCH: ErrorResponse(500, False, logging.INFO),
         ErrorKind.BALLOT_REJECTED: ErrorResponse(500, False, logging.DEBUG),
--- a/dewpin/cluster/logs.py
+++ b/dewpin/cluster/logs.py
@@ -63,7 +63,7 @@
     RETIRE_DONE = "retire_done"
     PARENT_CHANGED = "parent_changed"
     RECEIVERS_CHANGED = "receivers_changed"
-    DUTY_TAKEN = "duty_taken"
+    ROLE_ACQUIRED = "duty_taken"
     REQUEST_DONE = "request_done"
     ERROR = "error"
     UNEXPECTED = "unexpected"
@@ -86,7 +86,7 @@
         Event.RETIRE_DONE: NOTICE,
         Event.PARENT_CHANGED: logging.INFO,
         Event.RECEIVERS_CHANGED: logging.DEBUG,
-        Event.DUTY_TAKEN: logging.INFO,
+        Event.ROLE_ACQUIRED: logging.INFO,
         Event.REQUEST_DONE: logging.DEBUG,
         Event.ERROR: logging.WARNING,
         Event.UNEXPECTED: logging.ERROR,
