--- a/tests/model/ledger_parts.py
+++ b/tests/model/ledger_parts.py
@@ -7,8 +7,7 @@
 from __future__ import annotations
 
 import json
-import random
-from collections.abc import Awaitable, Coroutine, Generator
+from collections.abc import Coroutine
 from typing import Any, NamedTuple
 
 from scripted.disk import MemoryDisk
@@ -29,6 +28,7 @@
 from dewpin.dataplane.programs.ledger_client import LedgerClient
 from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
 from tests.model.component import Event, freeze, freeze_proposal, position
+from tests.model.coroutines import Suspension, ZeroBackoff, resume, run_to_completion
 
 PROGRAM = "program"
 REPLICA_COUNT = 3
@@ -43,15 +43,6 @@
     return tuple(Member(name, f"{name}:1") for name in names)
 
 
-def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """The result of a coroutine that never waits."""
-    try:
-        coroutine.send(None)
-    except StopIteration as end:
-        return end.value
-    raise AssertionError("it waits")
-
-
 class StoreFingerprint(NamedTuple):
     """What a store's behaviour depends on; epoch 0 stands for no view."""
 
@@ -99,14 +90,16 @@
             return None
         if kind == "crash":
             self._start()
-            return finish(self._store.load())
+            return run_to_completion(self._store.load())
         if kind == "copying":
             self._store.adopt(self._views[rest[0]])
-            finish(self._store.make_view_durable())
+            run_to_completion(self._store.make_view_durable())
             return None
         if kind == "merge":
             records = [LedgerRecord.from_json(record) for record in json.loads(rest[0])]
-            return finish(self._disk.transact(lambda connection: ledger_replica.merge(connection, records, NOW_MS)))
+            return run_to_completion(
+                self._disk.transact(lambda connection: ledger_replica.merge(connection, records, NOW_MS))
+            )
         answer = self._answer(json.loads(rest[0]))
         if kind == "pull" and answer is not None:
             return json.dumps(json.loads(answer)["ledgers"])
@@ -115,7 +108,7 @@
     def _answer(self, message: dict[str, Any]) -> str | None:
         """The answer's text, or None where the request is refused."""
         try:
-            return json.dumps(finish(self._store.handlers[message["type"]](message)))
+            return json.dumps(run_to_completion(self._store.handlers[message["type"]](message)))
         except RpcError:
             return None
 
@@ -129,21 +122,6 @@
         return StoreFingerprint(*epochs, held.promised, held.accepted, freeze(rows))
 
 
-class _Answers(Awaitable[None]):
-    """Waits for the model."""
-
-    def __await__(self) -> Generator[None, None, None]:
-        yield
-
-
-class _NoPauses(random.Random):
-    """Makes every pause between two ballots nothing: the model's steps are the time."""
-
-    def random(self) -> float:
-        """Half a unit below zero, so that pauses of 0.5 + random() units vanish."""
-        return -0.5
-
-
 class _ModelClient(LedgerClient):
     """The client whose ballots wait for the model."""
 
@@ -155,7 +133,7 @@
         self.ballot = ballot
         self.waiting = ballot.start()
         if not ballot.has_ended:
-            await _Answers()
+            await Suspension()
 
 
 class SenderPart:
@@ -170,7 +148,7 @@
         holder = StoreViewTracker()
         holder.adopt(views[1])
         background = BackgroundTasks()
-        self._client = _ModelClient(None, holder, REPLICA_COUNT, name, _NoPauses(), lambda: clock_ms, background)
+        self._client = _ModelClient(None, holder, REPLICA_COUNT, name, ZeroBackoff(), lambda: clock_ms, background)
         self._done = 0
         self._running: Coroutine[Any, Any, Any] | None = None
 
@@ -212,12 +190,9 @@
         assert self._running is not None
         ended = None
         try:
-            while True:  # a pause between two ballots passes at once
-                if failure is None:
-                    self._running.send(None)
-                else:
-                    thrown, failure = failure, None
-                    self._running.throw(thrown)
+            while True:  # a back-off between two ballots passes at once
+                resume(self._running, failure)
+                failure = None
                 if position(self._running)[-1][0] == "_exchange_messages":
                     break
         except StopIteration:
--- a/tests/model/register_parts.py
+++ b/tests/model/register_parts.py
@@ -10,7 +10,7 @@
 import asyncio
 import json
 import random
-from collections.abc import Awaitable, Coroutine, Generator
+from collections.abc import Coroutine
 from typing import Any, NamedTuple
 
 from dewpin.cluster.rpc import RpcError
@@ -30,6 +30,7 @@
     successor,
 )
 from tests.model.component import Event, freeze, freeze_proposal, position
+from tests.model.coroutines import Suspension, ZeroBackoff, resume, run_to_completion
 
 FIRST_MEMBERS = ("a", "b", "c")
 Operation = tuple[Any, ...]
@@ -51,15 +52,6 @@
     rest: Any
 
 
-def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """The result of a coroutine that never waits."""
-    try:
-        coroutine.send(None)
-    except StopIteration as end:
-        return end.value
-    raise AssertionError("it waits")
-
-
 class _Rows:
     """A disk that has synced everything that was written: the replica's rows and the bodies."""
 
@@ -86,21 +78,6 @@
         return [(0,)]
 
 
-class _Answers(Awaitable[None]):
-    """Waits for the model."""
-
-    def __await__(self) -> Generator[None, None, None]:
-        yield
-
-
-class _NoPauses(random.Random):
-    """Makes every pause between two ballots nothing: the model's steps are the time."""
-
-    def random(self) -> float:
-        """Half a unit below zero, so that pauses of 0.5 + random() units vanish."""
-        return -0.5
-
-
 class _ModelProposer(RegisterProposer):
     """The proposer whose ballots wait for the model."""
 
@@ -112,7 +89,7 @@
         self.proposal = proposal
         self.waiting = proposal.start()
         if proposal.result is None:
-            await _Answers()
+            await Suspension()
 
 
 class _ModelRegister(SystemRegister):
@@ -168,16 +145,16 @@
         self._start(name)
         if name in first_members:
             first = initial_state({member: f"{member}:1" for member in first_members}, {})
-            finish(self._register.bootstrap(first))
+            run_to_completion(self._register.bootstrap(first))
 
     def add(self, operation: Operation) -> None:
         """One more operation, after all others."""
         self._operations = (*self._operations, operation)
 
     def _start(self, member: str, ballots: int = 0) -> None:
-        self._register = _ModelRegister(member, f"{member}:1", self._disk, None, _NoPauses())
+        self._register = _ModelRegister(member, f"{member}:1", self._disk, None, ZeroBackoff())
         self._register.proposer.ballots = ballots
-        finish(self._register.load())
+        run_to_completion(self._register.load())
 
     def apply(self, event: Event) -> Any:
         """`request TEXT` gives the answer's text. `begin SKIPPED` (so many ballots), `reply MEMBER TEXT`, `give_up` (no
@@ -217,7 +194,7 @@
             "register.accept": self._register.acceptor.handle_accept,
         }
         try:
-            return json.dumps(finish(handlers[message["type"]](message)))
+            return json.dumps(run_to_completion(handlers[message["type"]](message)))
         except RpcError:
             return None
 
@@ -234,12 +211,9 @@
         assert self._running is not None
         outcome = None
         try:
-            while True:  # a pause between two ballots passes at once
-                if failure is None:
-                    self._running.send(None)
-                else:
-                    thrown, failure = failure, None
-                    self._running.throw(thrown)
+            while True:  # a back-off between two ballots passes at once
+                resume(self._running, failure)
+                failure = None
                 if self._register.proposer.ballots > self._most_ballots:
                     failure = asyncio.CancelledError()
                 elif position(self._running)[-1][0] == "_drive":
