--- a/benchmarks/majority_contact.py
+++ b/benchmarks/majority_contact.py
@@ -24,7 +24,7 @@
 from dewpin.cluster.settings import Settings, parse_settings
 from dewpin.controlplane.control_server import ControlServer
 from dewpin.dataplane.membership.cluster_agent import ClusterAgent
-from dewpin.lab.loop import SimLoop
+from dewpin.lab.event_loop import SimulatedEventLoop
 
 LATENCY_S = 0.002
 WARM_UP_S = 10.0
@@ -180,7 +180,7 @@
     )
     print(" a front: messages/s, B/s")
     for count in map(int, fronts.split(",")):
-        network = SimLoop(count).run(play(count, control, seconds, apply_ms))
+        network = SimulatedEventLoop(count).run(play(count, control, seconds, apply_ms))
         sent, size = network.messages, network.bytes
         senders = {"lease.renew", "relay.watch"}
         print(
--- a/dewpin/lab/fleet/agents.py
+++ b/dewpin/lab/fleet/agents.py
@@ -87,9 +87,7 @@
 
     def initial_list(self, sender: int) -> dict[str, Any]:
         """Return the endpoint list of the start, in the form of the agent's JSON."""
-        members = [
-            self._member(receiver, sender) for receiver in self._receivers.receivers if receiver.since_ms <= 0.0
-        ]
+        members = [self._member(receiver, sender) for receiver in self._receivers.receivers if receiver.since_ms <= 0.0]
         return {"revision": 1, "complete": True, "members": members}
 
     def change(self, receiver: Receiver, phase: ReceiverPhase) -> None:
--- a/dewpin/lab/fleet/environment.py
+++ b/dewpin/lab/fleet/environment.py
@@ -39,9 +39,7 @@
         self._scenario = scenario
         random_source = random.Random(scenario.seed)
         self.receivers = Receivers(scenario, collector, random_source, clock, on_delivered)
-        self.agents = Agents(
-            scenario.senders.count, self.receivers, collector, random_source, clock, on_notice
-        )
+        self.agents = Agents(scenario.senders.count, self.receivers, collector, random_source, clock, on_notice)
 
     async def open(self) -> None:
         """Open all receivers and agents."""
--- a/dewpin/lab/fleet/load_test.py
+++ b/dewpin/lab/fleet/load_test.py
@@ -46,9 +46,7 @@
         self._timeline = Timeline(self._clock)
         self._concurrent_starts = asyncio.Semaphore(os.cpu_count() or 1)  # hundreds at once would make the test late
         random_source = random.Random(scenario.seed + 1)
-        self._clients = Clients(
-            scenario, self._collector, self._clock, self._timeline, self.senders, random_source
-        )
+        self._clients = Clients(scenario, self._collector, self._clock, self._timeline, self.senders, random_source)
         self._environment = Environment(
             scenario, self._collector, self._clock, self._clients.take_delivery, self._clients.take_notice
         )
--- a/dewpin/lab/fleet/receivers.py
+++ b/dewpin/lab/fleet/receivers.py
@@ -71,9 +71,7 @@
         on_delivered: Callable[[Submission], None],
     ) -> None:
         self.receivers: list[Receiver] = []
-        self.quotas = [
-            DestinationQuota(scenario.receivers.rate_limit) for _ in range(scenario.receivers.destinations)
-        ]
+        self.quotas = [DestinationQuota(scenario.receivers.rate_limit) for _ in range(scenario.receivers.destinations)]
         self.senders_per_group = scenario.senders.senders_per_address
         self._group_count = -(-scenario.senders.count // self.senders_per_group)
         self._parameters = scenario.receivers
--- /dev/null
+++ b/dewpin/lab/transport.py
@@ -0,0 +1,337 @@
+"""One end of a connection in the simulated network: what asyncio's transports would show to a protocol."""
+
+import asyncio
+from collections import deque
+from collections.abc import Callable
+from functools import partial
+from typing import TYPE_CHECKING, Any
+
+from .machine import Machine
+
+if TYPE_CHECKING:
+    from .network import SimulatedNetwork
+
+WINDOW_BYTES = 65536  # in flight or unread by the other side, beyond which a writer's own buffer fills
+DEFAULT_HIGH_WATER_BYTES = 65536
+DEFAULT_LATENCY_S = 0.0002
+
+Address = tuple[str, int]
+
+
+class LinkConditions:
+    """How bytes go in one direction; both ends of a connection have one. It is changed while it is in use.
+
+    Attributes:
+        latency_s: one way.
+        drops_all: bytes and ends vanish without a word.
+        max_piece_bytes: bytes at most in one delivery; 0: as written.
+        is_cut: nothing arrives; what its sender still wants to send arrives once the link is joined again, as with
+            TCP (`SimulatedNetwork.deliver_held`).
+    """
+
+    __slots__ = ("latency_s", "drops_all", "max_piece_bytes", "is_cut")
+
+    def __init__(
+        self,
+        latency_s: float = DEFAULT_LATENCY_S,
+        drops_all: bool = False,
+        max_piece_bytes: int = 0,
+        is_cut: bool = False,
+    ) -> None:
+        self.latency_s = latency_s
+        self.drops_all = drops_all
+        self.max_piece_bytes = max_piece_bytes
+        self.is_cut = is_cut
+
+
+class SimulatedTransport(asyncio.Transport):
+    """One end of a connection, owned by the machine that opened or accepted it.
+
+    Attributes:
+        machine: its owner; None: the experiment itself.
+        local, remote: the addresses.
+        link: the direction from here to the other end.
+        other: the other end.
+        protocol: what is told of bytes and ends; None while the connection is being made.
+        number: of this end; its hash, so that sets of them have one order in every run.
+        is_dead: the connection has ended here.
+    """
+
+    def __init__(
+        self,
+        network: "SimulatedNetwork",
+        machine: Machine | None,
+        local: Address,
+        remote: Address,
+        link: LinkConditions,
+        number: int,
+    ) -> None:
+        super().__init__()
+        self.machine = machine
+        self.local = local
+        self.remote = remote
+        self.link = link
+        self.number = number
+        self.other: SimulatedTransport | None = None
+        self.protocol: Any = None
+        self.is_dead = False
+        self._network = network
+        self._loop = network.loop
+        self._write_buffer = deque[bytes]()  # written, while the window is full
+        self._write_buffer_bytes = 0
+        self._bytes_in_flight = 0  # or unread by the other side
+        self._unread = deque[bytes]()
+        self._is_eof_written = False
+        self._is_eof_received = False
+        self._is_closing = False
+        self._is_reading_paused = False
+        self._is_writing_paused = False
+        self._high_water_bytes = DEFAULT_HIGH_WATER_BYTES
+        self._low_water_bytes = DEFAULT_HIGH_WATER_BYTES // 4
+        self._last_arrival_at = 0.0  # of what was sent so far: nothing overtakes it
+        self._held_deliveries = deque[Callable[[SimulatedTransport], None]]()  # did not get through a link that is cut
+        self._is_user_timeout_running = False
+
+    def __hash__(self) -> int:
+        return self.number
+
+    def __eq__(self, other: object) -> bool:
+        return self is other
+
+    def name(self) -> str:
+        """Return its addresses, for the record of the run."""
+        return f"{self.local[0]}:{self.local[1]}>{self.remote[0]}:{self.remote[1]}"
+
+    # -- asyncio's transport ------------------------------------------------------------------------------------------
+
+    def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """Part of asyncio's transport."""
+        return {"peername": self.remote, "sockname": self.local}.get(name, default)
+
+    def is_closing(self) -> bool:
+        """Part of asyncio's transport."""
+        return self._is_closing or self.is_dead
+
+    def set_protocol(self, protocol: Any) -> None:
+        """Part of asyncio's transport."""
+        self.protocol = protocol
+
+    def get_protocol(self) -> Any:
+        """Part of asyncio's transport."""
+        return self.protocol
+
+    def is_reading(self) -> bool:
+        """Part of asyncio's transport."""
+        return not self._is_reading_paused and not self.is_closing()
+
+    def pause_reading(self) -> None:
+        """Part of asyncio's transport."""
+        self._is_reading_paused = True
+
+    def resume_reading(self) -> None:
+        """Part of asyncio's transport."""
+        if self._is_reading_paused:
+            self._is_reading_paused = False
+            self._loop.call_soon(self._deliver_to_protocol)
+
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Part of asyncio's transport."""
+        self._high_water_bytes = DEFAULT_HIGH_WATER_BYTES if high is None else high
+        self._low_water_bytes = self._high_water_bytes // 4 if low is None else low
+
+    def get_write_buffer_size(self) -> int:
+        """Part of asyncio's transport."""
+        return self._write_buffer_bytes
+
+    def write(self, data: Any) -> None:
+        """Part of asyncio's transport."""
+        if self.is_dead or self._is_closing or self._is_eof_written or not data:
+            return
+        self._write_buffer.append(bytes(data))
+        self._write_buffer_bytes += len(data)
+        self._send_buffered()
+        if self._write_buffer_bytes > self._high_water_bytes and not self._is_writing_paused:
+            self._is_writing_paused = True
+            self.protocol.pause_writing()
+
+    def can_write_eof(self) -> bool:
+        """Part of asyncio's transport."""
+        return True
+
+    def write_eof(self) -> None:
+        """Part of asyncio's transport."""
+        if not self._is_eof_written:
+            self._is_eof_written = True
+            self._send_buffered()
+
+    def close(self) -> None:
+        """Part of asyncio's transport: what is written still leaves, then the end."""
+        if self.is_closing():
+            return
+        self._is_closing = True
+        self._is_eof_written = True
+        self._send_buffered()
+        if not self._write_buffer:
+            self._lose(None)
+
+    def abort(self) -> None:
+        """Part of asyncio's transport: what has not left is lost, and the other end sees a reset."""
+        if self.is_dead:
+            return
+        self._is_closing = True
+        self._send_reset()
+        self._lose(None)
+
+    # -- sending ------------------------------------------------------------------------------------------------------
+
+    def _send_buffered(self) -> None:
+        """Send what the window lets through, in pieces as the link has them."""
+        while self._write_buffer and self._bytes_in_flight < WINDOW_BYTES:
+            data = self._write_buffer.popleft()
+            max_piece = self.link.max_piece_bytes
+            piece_limit = self._loop.random.randint(1, max_piece) if max_piece else WINDOW_BYTES
+            limit = min(WINDOW_BYTES - self._bytes_in_flight, piece_limit)
+            if len(data) > limit:
+                self._write_buffer.appendleft(data[limit:])
+                data = data[:limit]
+            self._write_buffer_bytes -= len(data)
+            self._bytes_in_flight += len(data)
+            self._send(partial(SimulatedTransport._receive, data=data))
+        if self._is_eof_written and not self._write_buffer and not self.is_dead:
+            self._send(SimulatedTransport._receive_eof)
+        if self._is_writing_paused and self._write_buffer_bytes <= self._low_water_bytes:
+            self._is_writing_paused = False
+            self._loop.call_soon(self.protocol.resume_writing)
+
+    def _send(self, delivery: Callable[["SimulatedTransport"], None]) -> None:
+        """Have `delivery` called with the other end when it arrives there."""
+        if self.link.drops_all:
+            return
+        self._last_arrival_at = max(self._last_arrival_at, self._loop.now + self.link.latency_s)
+        self._network.call_at(self._last_arrival_at, self._arrive, delivery)
+
+    def _arrive(self, delivery: Callable[["SimulatedTransport"], None]) -> None:
+        other = self.other
+        if other is None or self.link.drops_all:
+            return
+        if self.link.is_cut or self._held_deliveries:
+            self._held_deliveries.append(delivery)
+            self._start_user_timeout()
+            return
+        if other.link.is_cut:
+            self._start_user_timeout()
+        if other.is_dead:
+            if not self.is_dead:  # nobody is there any more
+                self._network.call_at(self._loop.now + self.link.latency_s, self.receive_reset)
+            return
+        delivery(other)
+
+    @property
+    def has_held_deliveries(self) -> bool:
+        """Whether something did not get through a link that is or was cut."""
+        return bool(self._held_deliveries)
+
+    def send_held(self) -> None:
+        """Send what a cut held, in its order: the link is joined again."""
+        held_deliveries, self._held_deliveries = self._held_deliveries, deque()
+        for delivery in held_deliveries:
+            self._send(delivery)
+
+    def _start_user_timeout(self) -> None:
+        """Do as TCP_USER_TIMEOUT does: data that is not acknowledged for so long ends the connection at its sender."""
+        timeout_s = self._network.user_timeout_s
+        if timeout_s is not None and not self._is_user_timeout_running:
+            self._is_user_timeout_running = True
+            self._network.call_at(self._loop.now + timeout_s, self._end_user_timeout)
+
+    def _end_user_timeout(self) -> None:
+        self._is_user_timeout_running = False
+        if not self.is_dead and self.other is not None and (self.link.is_cut or self.other.link.is_cut):
+            self._is_closing = True
+            self._lose(TimeoutError(110, "Connection timed out"))
+
+    # -- receiving ----------------------------------------------------------------------------------------------------
+
+    def _receive(self, data: bytes) -> None:
+        self._unread.append(data)
+        self.call_as_owner(self._deliver_to_protocol)
+
+    def _receive_eof(self) -> None:
+        if not self._is_eof_received:
+            self._is_eof_received = True
+            self.call_as_owner(self._deliver_to_protocol)
+
+    def _deliver_to_protocol(self) -> None:
+        """Give the protocol what arrived, as far as it reads."""
+        while self._unread and not self._is_reading_paused and not self.is_closing():
+            data = self._unread.popleft()
+            self._loop.record(self.name(), "reads", len(data))
+            if isinstance(self.protocol, asyncio.BufferedProtocol):
+                self._fill_buffer(self.protocol, data)
+            else:
+                self._acknowledge(len(data))
+                self.protocol.data_received(data)
+        if self._is_eof_received and not self._unread and not self.is_closing() and not self._is_reading_paused:
+            self._is_eof_received = False
+            self._loop.record(self.name(), "hears the end")
+            if not self.protocol.eof_received():
+                self.close()
+
+    def _fill_buffer(self, protocol: asyncio.BufferedProtocol, data: bytes) -> None:
+        buffer: Any = protocol.get_buffer(len(data))
+        taken = min(len(buffer), len(data))
+        buffer[:taken] = data[:taken]
+        if taken < len(data):
+            self._unread.appendleft(data[taken:])
+        self._acknowledge(taken)
+        protocol.buffer_updated(taken)
+
+    def _acknowledge(self, size: int) -> None:
+        """Let the other end's window go on."""
+        if self.other is not None and not self.other.is_dead:
+            self.other._bytes_in_flight -= size
+            if self.other._write_buffer:
+                self._network.call_at(self._loop.now, self.other._send_buffered)
+
+    # -- ends ---------------------------------------------------------------------------------------------------------
+
+    def receive_reset(self) -> None:
+        """End with a reset."""
+        if not self.is_dead:
+            self._is_closing = True
+            self._lose(ConnectionResetError(104, "Connection reset by peer"))
+
+    def _send_reset(self) -> None:
+        if self.other is not None and not self.link.drops_all:
+            self._network.call_at(max(self._loop.now + self.link.latency_s, self._loop.now), self._arrive_reset)
+
+    def _arrive_reset(self) -> None:
+        """A reset is sent once: through a link that is cut it is lost."""
+        if not self.link.is_cut and self.other is not None:
+            self.other.receive_reset()
+
+    def _lose(self, error: Exception | None) -> None:
+        if self.is_dead:
+            return
+        self.is_dead = True
+        self._write_buffer.clear()
+        self._write_buffer_bytes = 0
+        self._unread.clear()
+        self._loop.record(self.name(), "ends", type(error).__name__)
+        self._network.transports.discard(self)
+        if self.protocol is not None:  # else it is still being made, and `connect` fails
+            self.call_as_owner(self.protocol.connection_lost, error)
+
+    def vanish(self) -> None:
+        """End as the operating system ends it for a machine that was killed: nothing of the machine's runs."""
+        if not self.is_dead:
+            self.is_dead = True
+            self._network.transports.discard(self)
+            self._send_reset()
+
+    def call_as_owner(self, function: Callable[..., Any], *arguments: Any) -> None:
+        """Call a function soon, as work of the machine that owns this end."""
+        if self.machine is None:
+            self._loop.call_soon(function, *arguments)
+        else:
+            self._loop.call_soon(function, *arguments, context=self.machine.context)
--- a/tests/controlplane/test_heartbeat_cost.py
+++ b/tests/controlplane/test_heartbeat_cost.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from dewpin.lab.loop import SimLoop
+from dewpin.lab.event_loop import SimulatedEventLoop
 
 ROOT = Path(__file__).resolve().parents[2]
 spec = importlib.util.spec_from_file_location("majority_contact_costs", ROOT / "benchmarks/majority_contact.py")
@@ -21,7 +21,7 @@
 
 def figures(fronts):
     """Heartbeats a second and their bytes at a control process, messages a second at a front."""
-    network = SimLoop(1).run(costs.play(fronts, CONTROL_PROCESSES, SECONDS, 2000.0))
+    network = SimulatedEventLoop(1).run(costs.play(fronts, CONTROL_PROCESSES, SECONDS, 2000.0))
     heartbeats = {costs.HEARTBEAT}
     return (
         costs.mean(network.messages, heartbeats, True, CONTROL_PROCESSES, SECONDS),
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,5 @@
 """What the tests share: settings of a sender, and the world around the program."""
+
 import asyncio
 import json
 import os
@@ -12,17 +13,54 @@
 from dewpin.spool.inspector import JournalInspector
 
 
-def settings(effects=("safe",), window=5000.0, scope="all", order=False, bundle=1, slots=8, room=200, fleet=2,
-             apart=False, attempts=6):
+def settings(
+    effects=("safe",),
+    window=5000.0,
+    scope="all",
+    order=False,
+    bundle=1,
+    slots=8,
+    room=200,
+    fleet=2,
+    apart=False,
+    attempts=6,
+):
     return {
-        "Allowed": {"MaxAttempts": attempts, "MaxOpen": room, "MaxRetryAfter": 2000.0, "RetryAfter": True,
-                    "MayDuplicate": False, "ConnectTimeout": 1500.0},
+        "Allowed": {
+            "MaxAttempts": attempts,
+            "MaxOpen": room,
+            "MaxRetryAfter": 2000.0,
+            "RetryAfter": True,
+            "MayDuplicate": False,
+            "ConnectTimeout": 1500.0,
+        },
         "FamilyInfo": {"BundleMax": [bundle], "CallSlots": slots, "Decay": "line", "OwnLimits": [apart]},
-        "FleetSize": fleet, "Tick": 5.0, "Az": 0,
-        "Rules": {"AnswerSlack": 20.0, "ColdFrom": 0.2, "DrainGrace": 1000.0, "FallMultiple": 2.0,
-                  "OverloadFor": 2000.0, "TurnGap": 100.0, "WarmAfter": 9000.0},
-        "Services": [{"Deadline": 16000.0, "Effect": effect, "GoalTime": 2000.0, "KeyScope": scope, "Value": 1.0,
-                      "LateWorth": 0.4, "Window": window, "ByArrival": order} for effect in effects]}
+        "FleetSize": fleet,
+        "Tick": 5.0,
+        "Az": 0,
+        "Rules": {
+            "AnswerSlack": 20.0,
+            "ColdFrom": 0.2,
+            "DrainGrace": 1000.0,
+            "FallMultiple": 2.0,
+            "OverloadFor": 2000.0,
+            "TurnGap": 100.0,
+            "WarmAfter": 9000.0,
+        },
+        "Services": [
+            {
+                "Deadline": 16000.0,
+                "Effect": effect,
+                "GoalTime": 2000.0,
+                "KeyScope": scope,
+                "Value": 1.0,
+                "LateWorth": 0.4,
+                "Window": window,
+                "ByArrival": order,
+            }
+            for effect in effects
+        ],
+    }
 
 
 # -- the program and what stands around it, on sockets ------------------------------------------------------
@@ -59,24 +97,34 @@
     """Receivers of one destination and the platform's agent, on one machine, with scripts that the tests change."""
 
     def __init__(self):
-        self.calls = []             # (ident, fields, body, receiver, connection, time)
-        self.script = lambda call: reply(200)       # bytes, None: silence, "reset"
+        self.calls = []  # (ident, fields, body, receiver, connection, time)
+        self.script = lambda call: reply(200)  # bytes, None: silence, "reset"
         self.early, self.resets = False, 0
         self.notices, self.noted_at = [], {}
-        self.notice_status = 204    # None: silence
+        self.notice_status = 204  # None: silence
         self.revision, self.members, self.changes = 1, [], []
-        self.list_status = 200      # of the agent's answers to calls for the list
-        self.asked, self.watching = [], []      # asked: a watch that goes on is noted once
-        self.silent = False         # watches are not answered any more, not even when their wait is over
+        self.list_status = 200  # of the agent's answers to calls for the list
+        self.asked, self.watching = [], []  # asked: a watch that goes on is noted once
+        self.silent = False  # watches are not answered any more, not even when their wait is over
         self.servers, self.connections = [], set()
-        self.started = []           # processes of senders
+        self.started = []  # processes of senders
 
     async def open(self, receivers=1):
         for at in range(receivers):
             server = await asyncio.start_server(partial(self._receive, at), "127.0.0.1", 0)
             self.servers.append(server)
-            self.members.append({"id": f"r{at}", "host_port": address(server), "locality": "a", "flavor": "k",
-                                 "cell": 7, "phase": "active", "size": 1.0, "up_since_ms": 0})
+            self.members.append(
+                {
+                    "id": f"r{at}",
+                    "host_port": address(server),
+                    "locality": "a",
+                    "flavor": "k",
+                    "cell": 7,
+                    "phase": "active",
+                    "size": 1.0,
+                    "up_since_ms": 0,
+                }
+            )
         self.agent = await asyncio.start_server(self._agent, "127.0.0.1", 0)
         return self
 
@@ -91,7 +139,7 @@
 
     async def _receive(self, at, reader, writer):
         self.connections.add(writer)
-        if self.early:              # resets as soon as a call begins to come
+        if self.early:  # resets as soon as a call begins to come
             await reader.read(1)
             self.resets += 1
             return writer.transport.abort()
@@ -152,18 +200,34 @@
 
     def __init__(self, outside, folder, **limits):
         self.outside, self.folder, self.process = outside, folder, None
-        self.heard = False          # its log is read by the test
+        self.heard = False  # its log is read by the test
         self.arguments = []
-        self.pipe = None            # the log's end, where a test reads it by itself
-        services = [{"Name": name, "Effect": effect, "GoalTime": 2000.0, "Deadline": 16000.0, "Value": 1.0,
-                     "LateWorth": 0.4, "Window": 15000.0, "KeyScope": "all", "ByArrival": effect == "unsafe"}
-                    for name, effect in (("notice", "keyed"), ("status", "safe"), ("charge", "unsafe"))]
-        self.told = {"name": "n0", "listen": "127.0.0.1:0", "console": "127.0.0.1:0",
-                     "discovery": address(outside.agent), "seed": "1f",
-                     "limits": {"memory_mb": 192, "sockets": 1024, "disk_mb": 3} | limits,
-                     "known": {"revision": 1, "complete": True, "members": outside.members},
-                     "settings": settings() | {"Services": services, "Accounts": [{"Name": "acme"}],
-                                               "Zones": ["a"], "Kinds": ["k"]}}
+        self.pipe = None  # the log's end, where a test reads it by itself
+        services = [
+            {
+                "Name": name,
+                "Effect": effect,
+                "GoalTime": 2000.0,
+                "Deadline": 16000.0,
+                "Value": 1.0,
+                "LateWorth": 0.4,
+                "Window": 15000.0,
+                "KeyScope": "all",
+                "ByArrival": effect == "unsafe",
+            }
+            for name, effect in (("notice", "keyed"), ("status", "safe"), ("charge", "unsafe"))
+        ]
+        self.told = {
+            "name": "n0",
+            "listen": "127.0.0.1:0",
+            "console": "127.0.0.1:0",
+            "discovery": address(outside.agent),
+            "seed": "1f",
+            "limits": {"memory_mb": 192, "sockets": 1024, "disk_mb": 3} | limits,
+            "known": {"revision": 1, "complete": True, "members": outside.members},
+            "settings": settings()
+            | {"Services": services, "Accounts": [{"Name": "acme"}], "Zones": ["a"], "Kinds": ["k"]},
+        }
         self.told["settings"]["Allowed"]["IdleClose"] = 15000.0
 
     def reload(self, content=None):
@@ -179,9 +243,16 @@
         if self.pipe is not None:
             self.pipe, log = os.pipe()
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "dewpin", "run", *self.arguments, env=environment, stderr=log,
+            sys.executable,
+            "-m",
+            "dewpin",
+            "run",
+            *self.arguments,
+            env=environment,
+            stderr=log,
             preexec_fn=partial(resource.setrlimit, resource.RLIMIT_NOFILE, (sockets, sockets)),
-            cwd=os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+            cwd=os.path.dirname(os.path.dirname(os.path.abspath(__file__))),
+        )
         self.outside.started.append(self.process)
         if self.pipe is not None:
             os.close(log)
@@ -190,8 +261,9 @@
             if self.pipe is None:
                 return (await self.process.stderr.readline()).decode()
             return (await asyncio.to_thread(os.read, self.pipe, 65536)).decode()
+
         self.first_line = await line()
-        while "listens on" not in self.first_line and re.match(r"[\d{]", self.first_line):     # a line of the log
+        while "listens on" not in self.first_line and re.match(r"[\d{]", self.first_line):  # a line of the log
             if found := re.search(r"operators are answered at (\S+):(\d+)", self.first_line):
                 self.console = found[1], int(found[2])
             self.first_line = await line()
@@ -223,14 +295,17 @@
         return message and (int(message[0].split()[1]), message[1])
 
     async def hand_in(self, ident, kind="notice", left=10.0, key="", body=b"x", tag=b"t", connection=None):
-        request = (f"POST /api{'?about=' + key if key else ''} HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: {kind}\r\n"
-                   f"Req-Owner: acme\r\nReq-Deadline: {left}\r\nX-Consignee: dest=7\r\n").encode()
+        request = (
+            f"POST /api{'?about=' + key if key else ''} HTTP/1.1\r\nReq-Id: {ident}\r\nReq-Kind: {kind}\r\n"
+            f"Req-Owner: acme\r\nReq-Deadline: {left}\r\nX-Consignee: dest=7\r\n"
+        ).encode()
         request += b"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n" % (tag, len(body)) + body
         return await self.ask(request, connection)
 
 
 def play(folder, scene, receivers=1, start=True, log=True, **limits):
     """Runs a scene with the world around a sender and the sender, and ends what it started."""
+
     async def whole():
         outside = await Outside().open(receivers)
         sender = Sender(outside, folder, **limits)
@@ -240,7 +315,7 @@
                 await sender.start()
             await asyncio.wait_for(scene(outside, sender), 60.0)
         finally:
-            for process in outside.started:     # also one that took over, in a scene that failed
+            for process in outside.started:  # also one that took over, in a scene that failed
                 if process.returncode is None:
                     process.kill()
                     await asyncio.wait_for(process.wait(), 10.0)
@@ -248,4 +323,5 @@
                 server.close()
             for writer in list(outside.connections):
                 writer.transport.abort()
+
     asyncio.run(whole())
--- a/tests/lab/test_load_test.py
+++ b/tests/lab/test_load_test.py
@@ -41,37 +41,65 @@
 
 def test_twelve_senders_keep_the_rules_while_links_and_processes_fail(tmp_path):
     result = result_of(
-        tmp_path, senders={"count": 12}, load={"rate": 40.0, "seconds": 7.0, "classes": {
-            "keyed": 0.5, "safe": 0.2, "unsafe": 0.3}},
+        tmp_path,
+        senders={"count": 12},
+        load={"rate": 40.0, "seconds": 7.0, "classes": {"keyed": 0.5, "safe": 0.2, "unsafe": 0.3}},
         receivers={"connections": 40, "limit": 60.0, "tells_wait": 0.5},
-        faults=[{"at": 0.5, "what": "cut", "senders": 0.3, "zone": "a", "way": "from", "seconds": 2.0},
-                {"at": 0.5, "what": "lag", "senders": 0.5, "ms": 150.0, "seconds": 3.0},
-                {"at": 1.0, "what": "kill", "senders": 0.25, "seconds": 1.0},
-                {"at": 1.0, "what": "refuse", "seconds": 2.0},
-                {"at": 1.5, "what": "stop", "senders": 0.2, "seconds": 2.0},
-                {"at": 2.0, "what": "join"}, {"at": 2.5, "what": "leave", "receivers": 0.2},
-                {"at": 3.0, "what": "reset", "receivers": 0.3, "share": 0.3, "seconds": 2.0},
-                {"at": 4.0, "what": "term", "senders": 0.2, "seconds": 1.0}])
+        faults=[
+            {"at": 0.5, "what": "cut", "senders": 0.3, "zone": "a", "way": "from", "seconds": 2.0},
+            {"at": 0.5, "what": "lag", "senders": 0.5, "ms": 150.0, "seconds": 3.0},
+            {"at": 1.0, "what": "kill", "senders": 0.25, "seconds": 1.0},
+            {"at": 1.0, "what": "refuse", "seconds": 2.0},
+            {"at": 1.5, "what": "stop", "senders": 0.2, "seconds": 2.0},
+            {"at": 2.0, "what": "join"},
+            {"at": 2.5, "what": "leave", "receivers": 0.2},
+            {"at": 3.0, "what": "reset", "receivers": 0.3, "share": 0.3, "seconds": 2.0},
+            {"at": 4.0, "what": "term", "senders": 0.2, "seconds": 1.0},
+        ],
+    )
     assert result["breaks"] == []
     metrics = result["figures"]
     assert metrics["ends"]["delivered"] > 0.6 * metrics["mails"] and metrics["mails"] == sum(metrics["ends"].values())
-    assert metrics["list_calls_turned_away"] and set(metrics["newcomers"]) == {
-        f"r{at}" for at in range(12, 18)}
+    assert metrics["list_calls_turned_away"] and set(metrics["newcomers"]) == {f"r{at}" for at in range(12, 18)}
     assert json.loads((tmp_path / "result.json").read_text())["figures"] == metrics
 
 
 def test_senders_that_prefer_the_first_receiver_show_in_the_balance(tmp_path):
     fleets = [{"count": 6}, senders_with(PREFERS_FIRST_RECEIVER) | {"odd": list(range(6))}]
-    even, herd = (result_of(tmp_path / str(at), senders=fleet, load={"rate": 60.0, "seconds": 4.0},
-                         receivers={"destinations": 1, "zones": ["a"]})["figures"] for at, fleet in enumerate(fleets))
+    even, herd = (
+        result_of(
+            tmp_path / str(at),
+            senders=fleet,
+            load={"rate": 60.0, "seconds": 4.0},
+            receivers={"destinations": 1, "zones": ["a"]},
+        )["figures"]
+        for at, fleet in enumerate(fleets)
+    )
     assert herd["idlest"] < 0.3 < even["idlest"] and herd["busiest"] > 1.7 > even["busiest"]
 
 
-@pytest.mark.parametrize("fault, rule, tables", [
-    (IGNORES_RETRY_AFTER, "wait", {"receivers": {"destinations": 1, "limit": 6.0, "tells_wait": 1.0}, "slack_ms": 0.0}),
-    (RECORDS_NOTHING, "lost", {"load": {"rate": 30.0, "seconds": 3.0, "lifetime_ms": 4000.0}, "slack_ms": 500.0,
-                       "faults": [{"at": 0.2, "what": "hang", "receivers": 1.0, "seconds": 5.0},
-                                  {"at": 1.5, "what": "kill", "senders": 1.0, "seconds": 0.2}]})])
+@pytest.mark.parametrize(
+    "fault, rule, tables",
+    [
+        (
+            IGNORES_RETRY_AFTER,
+            "wait",
+            {"receivers": {"destinations": 1, "limit": 6.0, "tells_wait": 1.0}, "slack_ms": 0.0},
+        ),
+        (
+            RECORDS_NOTHING,
+            "lost",
+            {
+                "load": {"rate": 30.0, "seconds": 3.0, "lifetime_ms": 4000.0},
+                "slack_ms": 500.0,
+                "faults": [
+                    {"at": 0.2, "what": "hang", "receivers": 1.0, "seconds": 5.0},
+                    {"at": 1.5, "what": "kill", "senders": 1.0, "seconds": 0.2},
+                ],
+            },
+        ),
+    ],
+)
 def test_a_sender_that_breaks_a_rule_is_caught(tmp_path, fault, rule, tables):
     tables = {"senders": senders_with(fault), "load": {"rate": 30.0, "seconds": 4.0}} | tables
     result = result_of(tmp_path, **tables)
@@ -88,6 +116,7 @@
     async def fails():
         load_tests.append(LoadTest(scenario, tmp_path))
         await load_tests[0].play()
+
     with pytest.raises(SenderStartError, match="sender 2 ended"):
         asyncio.run(fails())
     assert all(sender.process.poll() is not None for sender in load_tests[0].senders)
--- a/tests/relay/test_late_retries.py
+++ b/tests/relay/test_late_retries.py
@@ -5,8 +5,9 @@
 import pytest
 
 from dewpin.core import model
-from dewpin.lab.loop import SimLoop
-from dewpin.lab.network import Network, Way
+from dewpin.lab.event_loop import SimulatedEventLoop
+from dewpin.lab.network import SimulatedNetwork
+from dewpin.lab.transport import LinkConditions
 from dewpin.net.call import LAST_BYTE_HOLD_SECONDS
 from dewpin.net.connection import Connection
 from dewpin.net.connection_pool import ConnectionPool
@@ -66,19 +67,19 @@
     """The network's connections; the second one comes up at a given moment, counted from the first call."""
 
     def __init__(self, loop, comes_up_s):
-        self.loop, self.network = loop, Network(loop)
+        self.loop, self.network = loop, SimulatedNetwork(loop)
         self.comes_up_s = comes_up_s
         self.began_s = []
 
     async def open(self, factory, host, port):
         self.began_s.append(self.loop.time())
-        out, back = Way(LATENCY_S), Way(LATENCY_S)
+        out, back = LinkConditions(LATENCY_S), LinkConditions(LATENCY_S)
         if len(self.began_s) == 2:
-            out.latency = self.began_s[0] + self.comes_up_s - self.loop.time() - LATENCY_S
-            assert out.latency > 0.0, "the retry was chosen before its window is over"
-        self.network.way = lambda local, peer: out if peer == RECEIVER else back
+            out.latency_s = self.began_s[0] + self.comes_up_s - self.loop.time() - LATENCY_S
+            assert out.latency_s > 0.0, "the retry was chosen before its window is over"
+        self.network.link_between = lambda local, peer: out if peer == RECEIVER else back
         opened = await self.network.connect((host, port), factory)
-        out.latency = LATENCY_S  # only the connection itself was late
+        out.latency_s = LATENCY_S  # only the connection itself was late
         return opened
 
 
@@ -87,7 +88,7 @@
     notices."""
     # it looks at a socket, and there is none
     monkeypatch.setattr(Connection, "has_pending_input", lambda connection: False)
-    loop = SimLoop()
+    loop = SimulatedEventLoop()
     receiver, notices, connections = Receiver(loop), Notices(), Connections(loop, comes_up_s)
     connections.network.listen(RECEIVER, lambda: receiver)
     loop.create_connection = connections.open
@@ -104,7 +105,7 @@
 
     loop.run(scene())
     loop.close()
-    assert len(connections.began_s) == 2 and loop.faults == []
+    assert len(connections.began_s) == 2 and loop.errors == []
     return [at_s - connections.began_s[0] for at_s in receiver.calls], receiver.received, notices.published
 
 
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -80,7 +80,7 @@
         if self.acknowledges_early:
             for work, future in self._committing:
                 self._tell(future, *self._attempt(work))
-        self._later(SYNC_S + self.slow_s * self._loop.dice.random(), self._run)
+        self._later(SYNC_S + self.slow_s * self._loop.random.random(), self._run)
 
     def _later(self, wait_s, run):
         self._loop.call_at(self._loop.now + wait_s, self._finish, run, context=Context())
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -15,7 +15,7 @@
 from dewpin.dataplane.membership.cluster_state import ClusterState
 from dewpin.dataplane.programs.history_cache import HistoryCache
 from dewpin.dataplane.programs.store_client import StoreClient
-from dewpin.lab.loop import Machine
+from dewpin.lab.machine import Machine
 
 from .disk import Disk
 from .operator_calls import answer_of
--- a/tests/simulation/loop.py
+++ b/tests/simulation/loop.py
@@ -3,8 +3,9 @@
 import asyncio
 import itertools
 
-from dewpin.lab.loop import MACHINE, SimLoop
-from dewpin.lab.network import Network
+from dewpin.lab.event_loop import SimulatedEventLoop
+from dewpin.lab.machine import CURRENT_MACHINE
+from dewpin.lab.network import SimulatedNetwork
 
 USER_TIMEOUT_S = 2.0
 """What the programs set as TCP_USER_TIMEOUT (`dewpin/cluster/rpc`)."""
@@ -27,17 +28,17 @@
         return self is other
 
 
-class SimulatedLoop(SimLoop):
-    """A SimLoop with a network; a connection starts at the address of the machine that asks for it."""
+class SimulatedLoop(SimulatedEventLoop):
+    """A SimulatedEventLoop with a network; a connection starts at the address of the machine that asks for it."""
 
     def __init__(self, seed):
-        super().__init__(seed, began=1000.0)
-        self.network = Network(self)
-        self.network.user_timeout = USER_TIMEOUT_S
+        super().__init__(seed, start_time=1000.0)
+        self.network = SimulatedNetwork(self)
+        self.network.user_timeout_s = USER_TIMEOUT_S
         self.set_task_factory(lambda loop, work, **options: NumberedTask(work, loop=loop, **options))
 
     async def create_server(self, factory, host, port, **_):
         return self.network.listen((host, port), factory)
 
     async def create_connection(self, factory, host, port, **_):
-        return await self.network.connect((host, port), factory, host=MACHINE.get().name)
+        return await self.network.connect((host, port), factory, host=CURRENT_MACHINE.get().name)
--- a/tests/simulation/run.py
+++ b/tests/simulation/run.py
@@ -90,7 +90,7 @@
     finally:
         logging.disable(logging.NOTSET)
         logging.getLogger().removeHandler(errors)
-    result.broken += world.oracle.broken + errors.lines + [f"LOOP {fault}" for fault in world.loop.faults]
+    result.broken += world.oracle.broken + errors.lines + [f"LOOP {fault}" for fault in world.loop.errors]
     result.digest, result.simulated_s = world.loop.digest(), world.loop.now - 1000.0
     result.figures, result.log = dict(world.oracle.figures), world.log
     del world
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -9,7 +9,7 @@
 
 from dewpin.cluster.platform_list import PlatformUnavailableError
 from dewpin.cluster.receivers import Receiver
-from dewpin.lab.network import Way
+from dewpin.lab.transport import LinkConditions
 
 from .hosts import FrontHost, StoreHost
 from .loop import SimulatedLoop
@@ -37,7 +37,7 @@
 }
 
 
-class Link(Way):
+class Link(LinkConditions):
     """One direction between two machines. `loss`: share of deliveries that are sent again; `jitter_s`: at most."""
 
     __slots__ = ("base_s", "loss", "jitter_s", "dice")
@@ -47,7 +47,7 @@
         self.base_s, self.loss, self.jitter_s, self.dice = base_s, 0.0, 0.0, dice
 
     @property
-    def latency(self):
+    def latency_s(self):
         late_s = self.base_s * (1 + 0.2 * self.dice.random()) + self.jitter_s * self.dice.random()
         again_s = RETRANSMIT_S
         while self.loss and self.dice.random() < self.loss and again_s < 4:
@@ -55,8 +55,8 @@
             again_s *= 2
         return late_s
 
-    @latency.setter
-    def latency(self, value):
+    @latency_s.setter
+    def latency_s(self, value):
         pass
 
 
@@ -87,7 +87,7 @@
         self.dice = random.Random(f"world/{seed}")
         self.oracle = Oracle(BOUNDS, lambda: self.loop.now)
         self.network = self.loop.network
-        self.network.way = self._way
+        self.network.link_between = self._way
         self.links = {}
         self.hosts = {}
         self.zone_of = {}
@@ -133,7 +133,7 @@
         """Remember for the trace, and for the digest."""
         names = " ".join(host.name if hasattr(host, "name") else str(host) for host in whom)
         self.log.append(f"{self.loop.now:9.3f} {what} {names}")
-        self.loop.note(what, names)
+        self.loop.record(what, names)
 
     def platform(self, host):
         return PlatformAccess(self, host)
@@ -146,7 +146,7 @@
     def link(self, source, target):
         found = self.links.get((source, target))
         if found is None:
-            found = self.links[source, target] = Link(self._base_s(source, target), self.loop.dice)
+            found = self.links[source, target] = Link(self._base_s(source, target), self.loop.random)
         return found
 
     def _base_s(self, source, target):
@@ -155,24 +155,24 @@
         return SAME_ZONE_S if self.zone_of[source] == self.zone_of[target] else OTHER_ZONE_S
 
     def reaches(self, source, target):
-        return not self.link(source, target).cut
+        return not self.link(source, target).is_cut
 
     def cut(self, sources, targets):
         """Cut every way from `sources` to `targets`, addresses both. Returns what `join` takes."""
         pairs = [(one, other) for one in sources for other in targets if one != other and self.reaches(one, other)]
         for pair in pairs:
-            self.link(*pair).cut = True
+            self.link(*pair).is_cut = True
             self.oracle.cut_began(*pair)
         self.note("cut", *[f"{one}>{other}" for one, other in pairs])
         return pairs
 
     def join(self, pairs):
         for pair in pairs:
-            if self.link(*pair).cut and self._may_join(pair):
-                self.link(*pair).cut = False
+            if self.link(*pair).is_cut and self._may_join(pair):
+                self.link(*pair).is_cut = False
                 self.oracle.cut_ended(*pair)
         self.note("join", *[f"{one}>{other}" for one, other in pairs if self.reaches(one, other)])
-        self.network.join()
+        self.network.deliver_held()
 
     def _may_join(self, pair):
         return all(self.hosts[ip].powered and not self.hosts[ip].removed for ip in pair if ip in self.hosts)
@@ -195,13 +195,13 @@
                 self.oracle.slowed(ip, False)
 
     def reset_any_connection(self):
-        sides = sorted(self.network.sides, key=lambda side: side.number)
+        sides = sorted(self.network.transports, key=lambda side: side.number)
         if sides:
             side = self.dice.choice(sides)
             for ip in (side.local[0], side.remote[0]):
                 self.oracle.trouble_began(ip, "reset")
                 self.oracle.trouble_ended(ip, "reset")
-            self.network.reset(side)
+            self.network.reset_connection(side)
 
     def everyone(self):
         """The addresses of all that there is, operators and the platform too."""
@@ -213,7 +213,7 @@
 
     def _doubling(self, handler):
         async def handle(message):
-            if self.doubled and self.loop.dice.random() < self.doubled:
+            if self.doubled and self.loop.random.random() < self.doubled:
                 twin = asyncio.ensure_future(self._again(handler, copy.deepcopy(message)))
                 twin.add_done_callback(lambda done: done.cancelled() or done.exception())
             return await handler(message)
@@ -221,7 +221,7 @@
         return handle
 
     async def _again(self, handler, message):
-        await asyncio.sleep(2.0 * self.loop.dice.random() ** 2)
+        await asyncio.sleep(2.0 * self.loop.random.random() ** 2)
         await handler(message)
 
     # Processes
@@ -330,6 +330,6 @@
             if host.kind == "store":
                 self.oracle.slowed(host.ip, False)
                 host.disk.slow_s, host.disk.full, host.disk.silent = 0.0, False, False
-        self.join([pair for pair, link in sorted(self.links.items()) if link.cut])
+        self.join([pair for pair, link in sorted(self.links.items()) if link.is_cut])
         self.speed_up([pair for pair, link in self.links.items() if link.loss or link.jitter_s])
         self.oracle.healed()
