--- a/dewpin/config/consistency.py
+++ b/dewpin/config/consistency.py
@@ -75,7 +75,7 @@
 
 def _contradictions(deployment: Deployment) -> Iterator[tuple[str, str, str]]:
     """Yield (key, other key, message) of values that contradict each other."""
-    limits, stop, door, calls = deployment.limits, deployment.stop, deployment.door, deployment.calls
+    limits, stop, clients, calls = deployment.limits, deployment.stop, deployment.client_connections, deployment.calls
     if stop.start_attempts_ms > stop.end_ms:
         yield (
             "stop.sends",
@@ -83,18 +83,18 @@
             f"attempts would start for {_duration(stop.start_attempts_ms)}, after the end at stop.ends = "
             f"{_duration(stop.end_ms)}; expected stop.sends <= stop.ends",
         )
-    if door.min_idle_ms > door.max_idle_ms:
+    if clients.min_idle_ms > clients.max_idle_ms:
         yield (
             "door.rest",
             "door.idle",
-            f"a connection closes at door.idle = {_duration(door.max_idle_ms)}, before door.rest = "
-            f"{_duration(door.min_idle_ms)}; expected door.rest <= door.idle",
+            f"a connection closes at door.idle = {_duration(clients.max_idle_ms)}, before door.rest = "
+            f"{_duration(clients.min_idle_ms)}; expected door.rest <= door.idle",
         )
-    if door.max_connections + calls.max_idle_connections >= limits.max_descriptors:
+    if clients.max_connections + calls.max_idle_connections >= limits.max_descriptors:
         yield (
             "door.clients",
             "calls.idle",
-            f"door.clients + calls.idle = {door.max_connections + calls.max_idle_connections} leave none of "
+            f"door.clients + calls.idle = {clients.max_connections + calls.max_idle_connections} leave none of "
             f"limits.sockets = {limits.max_descriptors}; expected their sum below it",
         )
     if deployment.log.max_held_bytes > limits.memory_bytes * MAX_LOG_MEMORY_SHARE:
--- a/dewpin/config/sections.py
+++ b/dewpin/config/sections.py
@@ -160,7 +160,7 @@
     ] = field(name="ends", default=3500.0)
 
 
-class Door(msgspec.Struct, forbid_unknown_fields=True):
+class ClientConnections(msgspec.Struct, forbid_unknown_fields=True):
     """Clients' connections."""
 
     request_timeout_ms: Annotated[
@@ -272,7 +272,7 @@
     agent: Agent = field(default_factory=Agent)
     limits: Limits = field(default_factory=Limits)
     stop: Stop = field(default_factory=Stop)
-    door: Door = field(default_factory=Door)
+    client_connections: ClientConnections = field(name="door", default_factory=ClientConnections)
     calls: Calls = field(default_factory=Calls)
     log: Log = field(default_factory=Log)
     control: Control = field(default_factory=Control)
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -16,7 +16,7 @@
     deployment = application.configuration.deployment
     pool, server = application.pool, application.server
     previous_process_descriptors = application.handover_reader.descriptors
-    limits, door = deployment.limits, deployment.door
+    limits, clients = deployment.limits, deployment.client_connections
     pool.max_idle = deployment.calls.max_idle_connections or max(
         MIN_IDLE_CONNECTIONS, min(MAX_DEFAULT_IDLE_CONNECTIONS, limits.max_descriptors // 8)
     )
@@ -36,11 +36,11 @@
     )
     server.set_limits(
         ServerLimits(
-            max_connections=min(max_clients, door.max_connections) if door.max_connections else max_clients,
+            max_connections=min(max_clients, clients.max_connections) if clients.max_connections else max_clients,
             max_buffered_bytes=limits.memory_bytes / REQUEST_MEMORY_SHARE,
-            read_timeout_seconds=door.request_timeout_ms / 1000.0,
-            min_idle_seconds=door.min_idle_ms / 1000.0,
-            keep_alive_timeout_seconds=door.max_idle_ms / 1000.0,
+            read_timeout_seconds=clients.request_timeout_ms / 1000.0,
+            min_idle_seconds=clients.min_idle_ms / 1000.0,
+            keep_alive_timeout_seconds=clients.max_idle_ms / 1000.0,
         )
     )
     application.journal.set_disk_limit(limits.disk_bytes)
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -57,7 +57,7 @@
         deployment.sender.name,
         deployment.sender.listen_address,
         deployment.limits.memory_bytes,
-        deployment.door.max_idle_ms,
+        deployment.client_connections.max_idle_ms,
         deployment.log.max_lines_per_second,
         deployment.stop.end_ms,
     ) == (
