--- a/dewpin/config/__init__.py
+++ b/dewpin/config/__init__.py
@@ -1,5 +1,6 @@
-"""Reads, checks, explains and shows every value that an operator or the platform may set.
+"""Reads, validates and documents every value that an operator or the platform can set.
 
-The keys with their units, ranges and defaults are in `sections`, the order of the layers (flags, the platform's file
-and variables, the operator's file, defaults) in `loading`. No other package of the program is imported here.
+`sections` defines the keys with their units, ranges and defaults; `loading` defines the precedence of the layers
+(flags, the platform's file and variables, the operator's file, defaults). This package imports no other package of
+dewpin.
 """
--- a/dewpin/config/documentation.py
+++ b/dewpin/config/documentation.py
@@ -1,11 +1,11 @@
-"""The keys for people and programs: the example file, the page, the schema, one key explained, all values shown.
+"""Documentation of the keys: the example file, the reference page, the JSON schema and the output of `dewpin config`.
 
-All of it is made of the keys alone, so that none of it can say anything else than the program does.
+All of it is generated from the keys, so that it always agrees with the program.
 """
 
 from typing import Any
 
-from .keys import FORMAT, KEYS, SECTIONS, Key
+from .keys import FORMAT_VERSION, KEYS, SECTIONS, Key
 from .loading import Configuration
 from .units import UNITS
 
@@ -14,11 +14,11 @@
 
 
 def example_file() -> str:
-    """Return the operator's file with every key at its default: what `dewpin config init` writes."""
+    """Return an operator's file with every key at its default, as written by `dewpin config init`."""
     lines = [
-        "# dewpin's own file. Every key stands here at its default; leave out what you don't change.",
-        "# Flags and the platform's file and variables outrank it. `dewpin config explain KEY` tells more.",
-        f"format = {FORMAT}",
+        "# Configuration of dewpin. Every key is set to its default; keys that you do not change can be omitted.",
+        "# Flags and the platform's file and variables override this file. See also `dewpin config explain KEY`.",
+        f"format = {FORMAT_VERSION}",
     ]
     current_section = None
     for key in KEYS.values():
@@ -26,14 +26,17 @@
         if section != current_section:
             current_section = section
             lines += ["", f"[{section}]", f"# {SECTIONS[section]}"]
-        lines += [f"# {line}" for line in _wrap(_facts(key), EXAMPLE_WIDTH)]
+        lines += [f"# {line}" for line in _wrap(_key_comment(key), EXAMPLE_WIDTH)]
         lines.append(f"{name} = {_default_as_toml(key)}")
-    lines += ["", "# Closes the file: once a file that had it was taken, one without it is taken for half written."]
+    lines += [
+        "",
+        "# Marks the end of the file. After a file with this table, one without it is rejected as incomplete.",
+    ]
     return "\n".join([*lines, "[end]", ""])
 
 
 def configuration_page() -> str:
-    """Return docs/configuration.md."""
+    """Return the content of docs/configuration.md."""
     lines = [*_page_introduction()]
     current_section = None
     for key in KEYS.values():
@@ -46,44 +49,44 @@
                 "",
                 SECTIONS[section] or "",
                 "",
-                "| key | kind, range | default | platform's name | SIGHUP | what it is for |",
+                "| key | kind, range | default | platform's name | SIGHUP | description |",
                 "| --- | --- | --- | --- | --- | --- |",
             ]
-        platform_names = ", ".join(f"`{one}`" for one in (key.platform_name, key.variable) if one)
+        platform_names = ", ".join(f"`{source}`" for source in (key.platform_name, key.variable) if source)
         description = key.description + (" Never shown." if key.is_secret else "")
         lines.append(
-            f"| `{name}` | {_kind_and_range(key)} | `{_default_as_toml(key)}` | {platform_names} | {_effect(key)} | "
-            f"{description} |"
+            f"| `{name}` | {_kind_and_range(key)} | `{_default_as_toml(key)}` | {platform_names} | "
+            f"{_reload_effect(key)} | {description} |"
         )
     return "\n".join([*lines, ""])
 
 
 def _page_introduction() -> list[str]:
     quantities = "; ".join(
-        f"a {kind} one of {', '.join(f'`{name}`' for name in unit.factors)}, as in {unit.examples}"
+        f"a {kind} in {', '.join(f'`{name}`' for name in unit.factors)}, as in {unit.examples}"
         for kind, unit in UNITS.items()
     )
     return [
         "# Configuration",
         "",
-        "Made of the program's own keys by `dewpin config schema --as page`; a test holds it current.",
+        "Generated from the keys in the program by `dewpin config schema --as page`; a test checks that it is current.",
         "",
-        "One order for every key: a flag (`--set KEY=VALUE`), the platform's file (`LB_CONFIG`, or `--platform FILE`),",
-        "the platform's variables, the operator's TOML file (`--config FILE` or `DEWPIN_CONFIG`), the default.",
-        "`dewpin config show --origin` tells which of them each value came from, `dewpin config check` names every",
-        "error at once with file, line and key, and ends with 2 if there is one.",
+        "The value of a key is taken from the first of these sources that sets it: a flag (`--set KEY=VALUE`), the",
+        "platform's file (`LB_CONFIG`, or `--platform FILE`), the platform's variables, the operator's TOML file",
+        "(`--config FILE` or `DEWPIN_CONFIG`), the default. `dewpin config show --origin` shows the source of each",
+        "value; `dewpin config check` reports all errors with file, line and key, and exits with 2 if there are any.",
         "",
-        f"Quantities carry their unit: {quantities}.",
-        "A bare number where a unit is needed is an error, and so is a key that is not known.",
+        f"Quantities require a unit: {quantities}.",
+        "A number without a required unit is an error, and so is an unknown key.",
         "",
-        f"`format = {FORMAT}` at the top says for which program the file is written; one of a higher format is "
+        f"`format = {FORMAT_VERSION}` at the top is the version of the file format; a file with a higher version is "
         "rejected as a whole.",
-        "A last table `[end]` closes the file: once a file with it was taken, one without it is taken for half",
-        "written.",
+        "The table `[end]` marks the end of the file: after a file with it, one without it is rejected as",
+        "incomplete.",
         "",
-        "At SIGHUP all layers are read anew (the flags stay as given), checked completely, and swapped in",
-        "one turn of the loop; an invalid file, or one that still changes while it is read, changes nothing. Keys",
-        "marked *next start* wait for it, as do the platform's `settings`; the log names what waits.",
+        "At SIGHUP all layers are read again (the flags stay the same), validated completely, and applied in one",
+        "iteration of the event loop. An invalid file, or one that keeps changing while it is read, has no effect.",
+        "Keys marked *next start* and the platform's `settings` take effect at the next start; the log lists them.",
         "",
     ]
 
@@ -110,7 +113,7 @@
         "title": "dewpin",
         "type": "object",
         "properties": {
-            "format": {"type": "integer", "minimum": 1, "maximum": FORMAT},
+            "format": {"type": "integer", "minimum": 1, "maximum": FORMAT_VERSION},
             **sections,
             "end": {"type": "object", "maxProperties": 0},
         },
@@ -137,8 +140,8 @@
 
 
 def explain_key(key: Key, configuration: Configuration | None = None) -> dict[str, Any]:
-    """Return what a key is, as a map of words, with its value in force where a configuration could be read."""
-    facts = {
+    """Return the properties of a key by name, with its current value and origin if a configuration is given."""
+    properties = {
         "key": key.path,
         "about": key.description,
         "kind": key.kind_name,
@@ -146,30 +149,30 @@
         "default": key.format(key.default),
         "platform's name": key.platform_name or "none",
         "variable": key.variable or "none",
-        "at SIGHUP": _effect(key),
+        "at SIGHUP": _reload_effect(key),
     }
     if configuration:
-        facts |= {"value": value_text(key, configuration), "origin": configuration.origins[key.path]}
-    return facts
+        properties |= {"value": value_text(key, configuration), "origin": configuration.origins[key.path]}
+    return properties
 
 
 def value_rows(configuration: Configuration) -> list[tuple[str, str, str]]:
-    """Return (path, value as text, origin) of every key. A secret's value is never in it."""
+    """Return (path, formatted value, origin) of every key. Values of secrets are not included."""
     return [(key.path, value_text(key, configuration), configuration.origins[key.path]) for key in KEYS.values()]
 
 
 def value_text(key: Key, configuration: Configuration) -> str:
-    """Return a key's value as the operator's file would write it; of a secret only whether it is set."""
+    """Return the value of a key as written in the operator's file; for a secret, only whether it is set."""
     value = key.get(configuration.deployment)
     if key.is_secret:
         return SECRET_TEXT if value else ""
     return key.format(value)
 
 
-def _facts(key: Key) -> str:
-    parts = [key.description, f"({_kind_and_range(key)}; SIGHUP: {_effect(key)})"]
+def _key_comment(key: Key) -> str:
+    parts = [key.description, f"({_kind_and_range(key)}; SIGHUP: {_reload_effect(key)})"]
     if key.platform_name:
-        parts.append(f"The platform's file: {key.platform_name}.")
+        parts.append(f"Name in the platform's file: {key.platform_name}.")
     return " ".join(parts)
 
 
@@ -177,7 +180,7 @@
     return ", ".join(filter(None, (key.kind_name, key.range_text())))
 
 
-def _effect(key: Key) -> str:
+def _reload_effect(key: Key) -> str:
     return "swapped" if key.applies_at_reload else "next start"
 
 
--- a/dewpin/config/errors.py
+++ b/dewpin/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration, in sentences that name the place and the remedy."""
+"""Errors in a configuration. Each message names the location and what was expected there."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -6,18 +6,18 @@
 import msgspec
 
 MAX_SHOWN_CHARACTERS = 60
-MIN_SIMILARITY = 0.6  # of a key to what was probably meant
+MIN_SIMILARITY = 0.6  # between an unknown key and the known key that is suggested for it
 
 
 class ConfigurationIssue(msgspec.Struct, frozen=True):
     """One error in a configuration.
 
     Attributes:
-        file: name of the file, variable or option.
-        key: the key in question, as it is named there; empty for the file as a whole.
+        file: name of the file, environment variable or option.
+        key: name of the key in that source; empty if the issue concerns the whole file.
         message: what was expected.
-        line: of the file, from 1, where it is known.
-        suggestion: the existing key that was probably meant.
+        line: line number from 1, if known.
+        suggestion: the known key that was probably meant.
     """
 
     file: str
@@ -27,14 +27,14 @@
     suggestion: str | None = None
 
     def __str__(self) -> str:
-        place = self.file if self.line is None else f"{self.file}:{self.line}"
+        location = self.file if self.line is None else f"{self.file}:{self.line}"
         hint = f"; did you mean {self.suggestion}?" if self.suggestion else ""
-        subject = f"{place}: {self.key}" if self.key else place
+        subject = f"{location}: {self.key}" if self.key else location
         return f"{subject}: {self.message}{hint}"
 
 
 class ConfigurationError(Exception):
-    """An invalid configuration; `issues` holds all that is wrong with it, in the order of the layers."""
+    """An invalid configuration; `issues` lists all of its errors."""
 
     def __init__(self, issues: Iterable[ConfigurationIssue]) -> None:
         self.issues = list(issues)
@@ -42,17 +42,17 @@
 
 
 def suggest_name(name: str, known_names: Iterable[str]) -> str | None:
-    """Return the known name that was probably meant, or None."""
+    """Return the known name most similar to `name`, or None."""
     from difflib import get_close_matches
 
     known_names = list(known_names)
     if matches := get_close_matches(name, known_names, 1, MIN_SIMILARITY):
         return matches[0]
-    last_part = name.rpartition(".")[2]  # the right key in the wrong section
+    last_part = name.rpartition(".")[2]  # a known key in the wrong section
     return next((known for known in known_names if known.rpartition(".")[2] == last_part), None)
 
 
 def shorten(value: Any) -> str:
-    """Return a rejected value, short enough for one line."""
+    """Return the representation of a rejected value, truncated to fit on one line."""
     text = repr(value)
     return text if len(text) <= MAX_SHOWN_CHARACTERS else text[: MAX_SHOWN_CHARACTERS - 3] + "..."
--- a/dewpin/config/keys.py
+++ b/dewpin/config/keys.py
@@ -1,4 +1,4 @@
-"""The keys of `sections`, taken apart: what the layers, the checks and the documentation need to know of each."""
+"""Metadata of the keys in `sections`, for reading, validation and documentation."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -8,23 +8,23 @@
 from . import units
 from .sections import Deployment
 
-FORMAT = 1  # of the operator's file; a file with a higher one is for a newer program
+FORMAT_VERSION = 1  # of the operator's file; a file with a higher version requires a newer program
 
 
 class Key(msgspec.Struct, frozen=True):
-    """One key.
+    """One configuration key.
 
     Attributes:
-        path: as in "limits.memory", with the name that operators use.
+        path: section and name in the operator's file, such as "limits.memory".
         attribute_path: section and attribute in Deployment.
-        annotation: its type with limits, as msgspec checks it.
-        description: what it is for.
-        default: its default value.
+        annotation: type and limits, as msgspec validates them.
+        description: purpose of the key.
+        default: default value.
         unit: "duration", "size", "address", "hexadecimal" or "".
-        applies_at_reload: whether a change takes effect at SIGHUP, else at the next start.
-        is_secret: whether its value must not be shown.
-        platform_name: its path in the platform's file, or "".
-        variable: its environment variable, or "".
+        applies_at_reload: whether a change takes effect at SIGHUP; otherwise at the next start.
+        is_secret: whether the value must not be shown.
+        platform_name: path in the platform's file, or "".
+        variable: environment variable, or "".
     """
 
     path: str
@@ -40,23 +40,23 @@
 
     @property
     def value_type(self) -> Any:
-        """str, int, float or a Literal."""
+        """The type of the value: str, int, float or a Literal."""
         return self.annotation.__origin__
 
     @property
     def limits(self) -> msgspec.Meta:
-        """The limits that msgspec checks."""
+        """The limits that msgspec validates."""
         meta: msgspec.Meta = self.annotation.__metadata__[0]
         return meta
 
     @property
     def choices(self) -> tuple[str, ...]:
-        """The words that the value may be, or ()."""
+        """The allowed values of an enumerated key, or ()."""
         return getattr(self.value_type, "__args__", ()) if self.value_type not in (str, int, float) else ()
 
     @property
     def kind_name(self) -> str:
-        """What a value is called: "duration", "size", "whole number", "address", "hexadecimal", "text"."""
+        """The name of the kind of value: "duration", "size", "whole number", "address", "hexadecimal" or "text"."""
         return self.unit or {int: "whole number", float: "number"}.get(self.value_type, "text")
 
     def get(self, deployment: Deployment) -> Any:
@@ -70,11 +70,11 @@
         setattr(getattr(deployment, section), attribute, value)
 
     def format(self, value: Any) -> str:
-        """Return a value as the operator's file would write it, without quotes."""
+        """Return a value as written in the operator's file, without quotes."""
         return units.format_quantity(self.unit, value) if self.unit in units.UNITS else str(value)
 
     def range_text(self) -> str:
-        """Return the range in words, with its unit, or "" where any value of the type will do."""
+        """Return a description of the range with its unit, or "" if every value of the type is allowed."""
         limits, parts = self.limits, []
         if limits.ge is not None and not (limits.ge == 0 and limits.le is None):
             parts.append(f"{self._format_limit(limits.ge)} or more")
--- a/dewpin/config/loading.py
+++ b/dewpin/config/loading.py
@@ -1,8 +1,8 @@
-"""Reads the layers of a configuration and lays them over each other.
+"""Reads the layers of a configuration and merges them.
 
-The layers, the strongest first: flags, the platform's file, its environment variables, the operator's file, defaults.
-A configuration is taken complete or not at all: one `ConfigurationError` holds all that is wrong with it. It is read
-at the start and at each SIGHUP; nothing is kept in between.
+The layers in order of precedence, highest first: flags, the platform's file, its environment variables, the operator's
+file, defaults. A configuration is accepted completely or not at all: one `ConfigurationError` holds all of its errors.
+It is read at startup and at each SIGHUP; no state is kept in between.
 """
 
 import os
@@ -25,7 +25,7 @@
 PLATFORM_FILE_KEY = "platform.file"
 PLATFORM_FILE_VARIABLE = "LB_CONFIG"
 NO_PLATFORM_FILE = (
-    "expected the path of the platform's JSON file in LB_CONFIG, --platform or the operator's file; none names one"
+    "expected the path of the platform's JSON file in LB_CONFIG, --platform or the operator's file; found none"
 )
 
 
@@ -33,12 +33,13 @@
     """A valid configuration.
 
     Attributes:
-        deployment: the values of all keys.
-        known: the platform's latest list of receivers, in the agent's form.
-        module: the settings of the decision module, a plain map.
-        origins: by key path: "flag", "config.json limits.memory_mb", "dewpin.toml:12" or "default".
-        warnings: sentences about what is allowed but most likely not meant.
-        has_end: whether an `[end]` table closed the operator's file.
+        deployment: values of all keys.
+        known: the platform's latest receiver list, in the agent's format.
+        module: settings of the decision module.
+        origins: origin of each value by key path: "flag", "config.json limits.memory_mb", "dewpin.toml:12" or
+            "default".
+        warnings: messages about values that are allowed but probably unintended.
+        has_end: whether the operator's file ended with an `[end]` table.
     """
 
     deployment: Deployment
@@ -53,18 +54,18 @@
     environment: Mapping[str, str],
     flags: Sequence[str] = (),
     operator_path: str | None = None,
-    must_end: bool = False,
+    requires_end: bool = False,
 ) -> Configuration:
-    """Return the configuration that the layers give.
+    """Read all layers and return the merged configuration.
 
-    `environment`: variables; `flags`: "key=value" texts; `operator_path`: of the operator's file, else DEWPIN_CONFIG
-    names it, else there is none; `must_end`: `[end]` must close the operator's file, as it closed the one before.
-    Raises ConfigurationError with every issue of every layer.
+    `environment`: environment variables; `flags`: "key=value" strings; `operator_path`: path of the operator's file,
+    by default the value of DEWPIN_CONFIG, if any; `requires_end`: whether the operator's file must end with `[end]`,
+    because the previous one did. Raises ConfigurationError with the issues of all layers.
     """
     issues: Issues = []
     flag_layer = _flag_layer(flags, issues)
     operator_layer, has_end = _operator_layer(
-        operator_path or environment.get(OPERATOR_FILE_VARIABLE), issues, must_end
+        operator_path or environment.get(OPERATOR_FILE_VARIABLE), issues, requires_end
     )
     platform_path = (
         flag_layer.values.get(PLATFORM_FILE_KEY)
@@ -81,7 +82,7 @@
     layers += [_variable_layer(environment, issues), operator_layer]
     deployment, origins = _merge(layers)
     if platform_path:
-        _check_document(document, os.path.basename(platform_path), issues)
+        _check_platform_document(document, os.path.basename(platform_path), issues)
     issues += check_consistency(deployment, origins)
     if issues:
         raise ConfigurationError(issues)
@@ -90,23 +91,23 @@
     return Configuration(deployment, document.get("known", {}), module, origins, warnings, has_end)
 
 
-def _operator_layer(path: str | None, issues: Issues, must_end: bool) -> tuple[Layer, bool]:
-    """Return the layer of the operator's file, if there is one, and whether `[end]` closes it."""
+def _operator_layer(path: str | None, issues: Issues, requires_end: bool) -> tuple[Layer, bool]:
+    """Return the layer of the operator's file, if any, and whether the file ends with `[end]`."""
     if not path:
         return Layer(), False
     from .operator_file import read_operator_file  # loads the TOML parser, which most senders do not need
 
-    return read_operator_file(path, issues, must_end)
+    return read_operator_file(path, issues, requires_end)
 
 
-def _check_document(document: dict[str, Any], file: str, issues: Issues) -> None:
+def _check_platform_document(document: dict[str, Any], file: str, issues: Issues) -> None:
     is_readable = not any(issue.file == file and not issue.key for issue in issues)
     if is_readable:
         issues += check_platform_settings(document, file)
 
 
 def _merge(layers: Sequence[Layer]) -> tuple[Deployment, dict[str, str]]:
-    """Return the values of the strongest layers, and the origin of every key."""
+    """Return the value of each key from the layer with the highest precedence, and its origin."""
     deployment = Deployment()
     origins = {}
     for key in KEYS.values():
@@ -122,14 +123,14 @@
 def _flag_layer(flags: Sequence[str], issues: Issues) -> Layer:
     layer = Layer()
     for flag in flags:
-        path, equals, given = flag.partition("=")
+        path, equals, value = flag.partition("=")
         key = KEYS.get(path)
         if not equals or key is None:
-            message = "no such key" if equals else "expected KEY=VALUE"
+            message = "unknown key" if equals else "expected KEY=VALUE"
             issues.append(ConfigurationIssue(FLAG_OPTION, path, message, None, suggest_name(path, KEYS)))
             continue
-        is_number = key.value_type is int and given.lstrip("-").isdigit()
-        if layer.add(key, int(given) if is_number else given, FLAG_OPTION, path, issues):
+        is_number = key.value_type is int and value.lstrip("-").isdigit()
+        if layer.add(key, int(value) if is_number else value, FLAG_OPTION, path, issues):
             layer.origins[path] = FLAG_ORIGIN
     return layer
 
--- a/dewpin/config/sections.py
+++ b/dewpin/config/sections.py
@@ -1,7 +1,7 @@
-"""Every key of a deployment, by section: type, unit, range, default, what it is for, and when a change takes effect.
+"""Defines all configuration keys by section: type, unit, range, default, description, and when a change takes effect.
 
-A key's name in the operator's file is `name` of its field, where that differs from the attribute; the attribute has
-the unit in its name. The descriptions here are what the example file, the page, the schema and `config explain` show.
+Attribute names include the unit. Where the name in the operator's file differs, it is the `name` of the field. The
+example file, the reference page, the schema and `config explain` show the descriptions and docstrings of this module.
 """
 
 from typing import Annotated, Any, Literal
@@ -20,7 +20,7 @@
     variable: str = "",
     **limits: Any,
 ) -> Meta:
-    """Describe a key: `limits` are checked by msgspec, the rest is kept beside them.
+    """Return the metadata of a key. msgspec validates `limits`; the other properties are stored with them.
 
     `unit`: "duration", "size", "address", "hexadecimal" or "" for plain values; `platform_name`: path in the platform's
     file; `variable`: environment variable.
@@ -35,23 +35,23 @@
     return Meta(description=description, extra=extra, **limits)
 
 
-def duration(description: str, **more: Any) -> Meta:
-    """Describe a key whose value is a time in milliseconds."""
-    return key(description, unit="duration", **({"ge": 0.0} | more))
+def duration(description: str, **limits: Any) -> Meta:
+    """Return the metadata of a key whose value is a duration in milliseconds."""
+    return key(description, unit="duration", **({"ge": 0.0} | limits))
 
 
-def size(description: str, **more: Any) -> Meta:
-    """Describe a key whose value is a number of bytes."""
-    return key(description, unit="size", **({"ge": 0.0} | more))
+def size(description: str, **limits: Any) -> Meta:
+    """Return the metadata of a key whose value is a size in bytes."""
+    return key(description, unit="size", **({"ge": 0.0} | limits))
 
 
 class Sender(msgspec.Struct, forbid_unknown_fields=True):
-    """Who this sender is, and where it keeps what lasts."""
+    """Name, listen address and persistent storage of this sender."""
 
     name: Annotated[
         str,
         key(
-            "The sender's name in logs and status, the same after a restart.",
+            "Name of the sender in logs and status; it must stay the same across restarts.",
             applies_at_reload=False,
             platform_name="name",
             variable="LB_NAME",
@@ -61,7 +61,7 @@
     listen_address: Annotated[
         str,
         key(
-            "host:port where clients connect; port 0 lets the system choose.",
+            "host:port on which the sender accepts clients; with port 0 the system chooses the port.",
             applies_at_reload=False,
             platform_name="listen",
             variable="LB_LISTEN",
@@ -71,8 +71,8 @@
     state_folder: Annotated[
         str,
         key(
-            "The folder that outlives the process: the journal of pending messages. An empty one is valid; one that "
-            "is missing is made.",
+            "Persistent folder for the journal of pending messages. An empty folder is valid; a missing one is "
+            "created.",
             applies_at_reload=False,
             platform_name="state",
             variable="LB_STATE",
@@ -82,7 +82,7 @@
     seed: Annotated[
         str,
         key(
-            "Seed of the decision module's random numbers, in hexadecimal.",
+            "Seed of the decision module's random number generator, in hexadecimal.",
             applies_at_reload=False,
             platform_name="seed",
             unit="hexadecimal",
@@ -92,12 +92,12 @@
 
 
 class Platform(msgspec.Struct, forbid_unknown_fields=True):
-    """The platform's own file, which stays as the platform writes it."""
+    """The configuration file that the platform writes; it is only read."""
 
     file: Annotated[
         str,
         key(
-            "Path of the platform's JSON file: `settings` for the decision module, `known` receivers, and values "
+            "Path of the platform's JSON file: `settings` of the decision module, `known` receivers, and values "
             "that take precedence over this file. It is read again at SIGHUP.",
             variable="LB_CONFIG",
         ),
@@ -105,12 +105,12 @@
 
 
 class Agent(msgspec.Struct, forbid_unknown_fields=True):
-    """The platform's agent: the list of receivers comes from it, notices go to it."""
+    """The platform's agent, which provides the receiver list and accepts notices."""
 
     address: Annotated[
         str,
         key(
-            "host:port of the agent. After SIGHUP the watch and pending notices move to the new one.",
+            "host:port of the agent. After SIGHUP the watch and pending notices use the new address.",
             platform_name="discovery",
             variable="LB_DISCOVERY",
             unit="address",
@@ -119,12 +119,12 @@
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True):
-    """What the process may use. Full means 503 to clients, never a crash."""
+    """Resource limits of the process. At a limit, clients receive 503; the process does not crash."""
 
     memory_bytes: Annotated[
         float,
         size(
-            "Memory that the process may use; a quarter of it is the limit for incomplete requests.",
+            "Maximum memory of the process; incomplete requests may use a quarter of it.",
             ge=32e6,
             platform_name="limits.memory_mb",
         ),
@@ -132,7 +132,7 @@
     max_descriptors: Annotated[
         int,
         key(
-            "Descriptors that the process may hold, shared out among clients, calls and files.",
+            "Maximum number of file descriptors, shared by clients, calls and files.",
             ge=128,
             le=1_048_576,
             platform_name="limits.sockets",
@@ -140,48 +140,60 @@
     ] = field(name="sockets", default=1024)
     disk_bytes: Annotated[
         float,
-        size("Space for the journal and its compacted copy together.", ge=5e5, platform_name="limits.disk_mb"),
+        size(
+            "Maximum disk space for the journal and its compacted copy together.",
+            ge=5e5,
+            platform_name="limits.disk_mb",
+        ),
     ] = field(name="disk", default=3e6)
 
 
 class Stop(msgspec.Struct, forbid_unknown_fields=True):
-    """How a graceful shutdown by SIGTERM or SIGINT goes."""
+    """Timing of the graceful shutdown after SIGTERM or SIGINT."""
 
     start_attempts_ms: Annotated[
         float,
-        duration("For so long after the signal attempts are still started.", platform_name="stop.sends_ms"),
+        duration("Time after the signal during which attempts are still started.", platform_name="stop.sends_ms"),
     ] = field(name="sends", default=2000.0)
     end_ms: Annotated[
         float,
         duration(
-            "So long after the signal the program ends; pending messages stay in the journal.",
+            "Time after the signal at which the process exits; pending messages stay in the journal.",
             platform_name="stop.ends_ms",
         ),
     ] = field(name="ends", default=3500.0)
 
 
 class ClientConnections(msgspec.Struct, forbid_unknown_fields=True):
-    """Clients' connections."""
+    """Connections from clients."""
 
     request_timeout_ms: Annotated[
         float,
-        duration("For a request to arrive completely; for the first one, from connecting on.", ge=50.0, le=600_000.0),
+        duration(
+            "Time for a request to arrive completely; for the first request, since the connection was opened.",
+            ge=50.0,
+            le=600_000.0,
+        ),
     ] = field(name="patience", default=2700.0)
     min_idle_ms: Annotated[
         float,
         duration(
-            "After so long without a request a connection may be closed to make room for another.",
+            "Idle time after which a connection may be closed to make room for a new one.",
             ge=50.0,
             le=600_000.0,
         ),
     ] = field(name="rest", default=2000.0)
     max_idle_ms: Annotated[
         float,
-        duration("After so long without a request a connection is closed.", ge=50.0, le=3_600_000.0),
+        duration("Idle time after which a connection is closed.", ge=50.0, le=3_600_000.0),
     ] = field(name="idle", default=10_000.0)
     max_connections: Annotated[
         int,
-        key("Connections of clients at most; 0: what the descriptors leave. Never more than that.", ge=0, le=1_048_576),
+        key(
+            "Maximum number of client connections; 0: as many as the descriptors allow, which is never exceeded.",
+            ge=0,
+            le=1_048_576,
+        ),
     ] = field(name="clients", default=0)
 
 
@@ -190,26 +202,26 @@
 
     max_idle_connections: Annotated[
         int,
-        key("Idle connections kept at most; 0: an eighth of the descriptors, 128 at most.", ge=0, le=65_536),
+        key("Maximum number of idle connections; 0: an eighth of the descriptors, 128 at most.", ge=0, le=65_536),
     ] = field(name="idle", default=0)
 
 
 class Log(msgspec.Struct, forbid_unknown_fields=True):
-    """What is logged on standard error. It never blocks: a pipe that nobody reads loses lines, and they are counted."""
+    """Logging to standard error. It never blocks: lines that a full pipe does not accept are dropped and counted."""
 
     level: Annotated[
         Literal["debug", "info", "warning", "error"],
-        key("The least level that is logged; at debug every message can be followed by its id."),
+        key("Minimum level that is logged; at debug, every message can be traced by its id."),
     ] = "info"
     log_format: Annotated[
         Literal["lines", "json"],
-        key("Lines for people, or one JSON object a line."),
+        key("Human-readable lines, or one JSON object per line."),
     ] = field(name="format", default="lines")
     max_lines_per_second: Annotated[
         int,
         key(
-            "Lines a second of each event of level info and above; what is left out is counted and reported. "
-            "0: no limit.",
+            "Maximum lines per second for each event of level info and above; suppressed lines are counted and "
+            "reported. 0: no limit.",
             ge=0,
             le=100_000,
         ),
@@ -217,45 +229,48 @@
     max_debug_lines_per_second: Annotated[
         int,
         key(
-            "The same for each event of level debug; 0: no limit, as a trace with gaps is of little use.",
+            "Maximum lines per second for each event of level debug; 0: no limit, as a trace with gaps is of little "
+            "use.",
             ge=0,
             le=1_000_000,
         ),
     ] = field(name="debug_rate", default=0)
     max_held_bytes: Annotated[
         float,
-        size("Bytes held for a pipe that is full, before lines are lost.", le=16e6),
+        size("Maximum size of the buffer for a full pipe; beyond it, lines are dropped.", le=16e6),
     ] = field(name="held", default=65536.0)
 
 
 class Control(msgspec.Struct, forbid_unknown_fields=True):
-    """The local socket at which `dewpin status` asks. It is off unless a path is named."""
+    """The local control socket that `dewpin status` queries. It is disabled unless a path is set."""
 
     socket_path: Annotated[
         str,
-        key("Path of a Unix socket, made with mode 0600; empty: none.", max_length=100),
+        key("Path of the Unix socket, created with mode 0600; empty: none.", max_length=100),
     ] = field(name="socket", default="")
     token: Annotated[
         str,
         key(
-            "What a caller must send besides, where others may reach the socket; empty: nothing.",
+            "Token that callers must send, for a socket that other users can reach; empty: none is required.",
             is_secret=True,
             max_length=256,
         ),
     ] = ""
     listed_destinations: Annotated[
         int,
-        key("Destinations listed in one answer, those with most messages waiting first.", ge=1, le=10_000),
+        key(
+            "Maximum number of destinations in a response, those with the most waiting messages first.", ge=1, le=10_000
+        ),
     ] = field(name="lines", default=50)
 
 
 class Console(msgspec.Struct, forbid_unknown_fields=True):
-    """The operators' address: readiness, metrics, receivers detached and attached. It is off unless one is named."""
+    """HTTP endpoint for operators: readiness, metrics, detaching and attaching receivers. Off without an address."""
 
     address: Annotated[
         str,
         key(
-            "host:port where operators' calls are answered, docs/console.md; empty: none.",
+            "host:port that serves operators' requests, see docs/console.md; empty: none.",
             applies_at_reload=False,
             platform_name="console",
             variable="LB_CONSOLE",
@@ -265,7 +280,7 @@
 
 
 class Deployment(msgspec.Struct, forbid_unknown_fields=True):
-    """All keys of one sender, by section."""
+    """All keys of one sender by section."""
 
     sender: Sender = field(default_factory=Sender)
     platform: Platform = field(default_factory=Platform)
--- a/dewpin/config/units.py
+++ b/dewpin/config/units.py
@@ -1,6 +1,6 @@
-"""Quantities as text and back: durations in milliseconds, sizes in bytes, both as floats.
+"""Parses and formats quantities: durations in milliseconds and sizes in bytes, both as floats.
 
-A number without a unit is rejected: a reader of "250" cannot tell whether milliseconds or seconds were meant.
+A number without a unit is rejected, as "250" could mean milliseconds or seconds.
 """
 
 import re
@@ -10,7 +10,7 @@
 
 
 class Unit(msgspec.Struct, frozen=True):
-    """A kind of quantity: its units by name, in the base unit (the first), and examples for messages."""
+    """A kind of quantity. `factors`: units by name, as multiples of the first; `examples`: for error messages."""
 
     factors: dict[str, float]
     examples: str
@@ -27,29 +27,29 @@
 
 
 def parse_quantity(kind: str, value: Any) -> float:
-    """Return a quantity as a number of base units (ms, bytes). Raises ValueError that says what was expected."""
+    """Return a quantity in its base unit (ms, bytes). Raises ValueError with what was expected."""
     unit = UNITS[kind]
     expectation = f"expected a {kind} with its unit, as in {unit.examples}"
     if isinstance(value, bool) or not isinstance(value, (int, float, str)):
         raise ValueError(expectation)
     if not isinstance(value, str):
-        raise ValueError(f"{expectation}: a bare number has none")
-    found = QUANTITY_PATTERN.fullmatch(value.strip())
-    if not found:
+        raise ValueError(f"{expectation}: the unit is missing")
+    match = QUANTITY_PATTERN.fullmatch(value.strip())
+    if not match:
         raise ValueError(expectation)
-    number, name = found.groups()
+    number, name = match.groups()
     if name not in unit.factors:
         names = ", ".join(unit.factors)
-        raise ValueError(f"expected a {kind} in one of {names}, as in {unit.examples}: there is no unit {name!r}")
+        raise ValueError(f"expected a {kind} in one of {names}, as in {unit.examples}: unknown unit {name!r}")
     return float(number) * unit.factors[name]
 
 
 def format_quantity(kind: str, amount: float) -> str:
-    """Return the shortest text that reads back as the same amount: the largest unit with at most three decimals."""
+    """Return text that parses to the same amount, in the largest unit that needs at most three decimals."""
     factors = UNITS[kind].factors
-    base = next(iter(factors))
+    base_unit = next(iter(factors))
     for name, factor in sorted(factors.items(), key=lambda item: -item[1]):
         number = f"{amount / factor:.3f}".rstrip("0").rstrip(".")
         if amount >= factor and float(number) * factor == amount:
             return number + name
-    return f"{amount:.15g}{base}"
+    return f"{amount:.15g}{base_unit}"
--- a/dewpin/config/values.py
+++ b/dewpin/config/values.py
@@ -1,4 +1,4 @@
-"""Checks of single values against their keys."""
+"""Parses and validates single values against their keys."""
 
 from typing import Any
 
@@ -10,33 +10,33 @@
 MAX_PORT = 65535
 
 
-def parse_value(key: Key, given: Any) -> Any:
-    """Return a given value as the key holds it. Raises ValueError that says what was expected."""
+def parse_value(key: Key, value: Any) -> Any:
+    """Return a value in the type and base unit of its key. Raises ValueError with what was expected."""
     if key.unit in units.UNITS:
-        given = units.parse_quantity(key.unit, given)
-    return check_value(key, given)
+        value = units.parse_quantity(key.unit, value)
+    return check_value(key, value)
 
 
-def check_value(key: Key, given: Any) -> Any:
-    """Return a value that is in the key's base unit already, if it is of the key's type and in its range.
+def check_value(key: Key, value: Any) -> Any:
+    """Return a value, already in the base unit of its key, after validating its type and range.
 
-    Raises ValueError that says what was expected.
+    Raises ValueError with what was expected.
     """
-    if key.unit == "address" and (given or key.default):  # an address that may be empty turns something off
-        parse_address(given)
-    if isinstance(given, str) and not given.isprintable():  # a NUL in a path would end the process
+    if key.unit == "address" and (value or key.default):  # keys with an empty default address are optional
+        parse_address(value)
+    if isinstance(value, str) and not value.isprintable():  # a NUL character in a path would terminate the process
         raise ValueError("expected text without control characters")
     try:
-        return msgspec.convert(given, key.annotation, strict=True)
+        return msgspec.convert(value, key.annotation, strict=True)
     except msgspec.ValidationError as error:
-        kind = "word" if key.choices else key.kind_name
+        kind = "value" if key.choices else key.kind_name
         article = "an" if kind[0] in "aeiou" else "a"
         range_text = key.range_text()
         raise ValueError(f"expected {article} {kind}" + (f", {range_text}" if range_text else "")) from error
 
 
 def parse_address(text: Any) -> tuple[str, int]:
-    """Return (host, port) of "host:port" or "[host]:port". Raises ValueError that says what was expected."""
+    """Return (host, port) from "host:port" or "[host]:port". Raises ValueError with what was expected."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not (port.isascii() and port.isdigit()) or not 0 <= int(port) <= MAX_PORT:
         raise ValueError("expected host:port")
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: precedence of the layers, all issues at once, and what must never be shown."""
+"""Reading the configuration: precedence of the layers, complete error reports, and secrets that must stay hidden."""
 
 import json
 import tomllib
@@ -6,7 +6,7 @@
 
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from dewpin.config import operator_file, units
 from dewpin.config.consistency import find_warnings
@@ -22,16 +22,19 @@
 
 
 @pytest.fixture
-def files(tmp_path):
-    """Writes the platform's and the operator's file and reads all layers."""
-
-    def load(operator="", platform=None, flags=(), must_end=False, **variables):
-        services = settings()
-        services["Services"][0]["Name"] = "status"
-        (tmp_path / "config.json").write_text(json.dumps({"settings": services} | (platform or {})))
-        (tmp_path / "dewpin.toml").write_text(operator)
+def load_files(tmp_path):
+    """Return a function that writes the platform's and the operator's file and loads all layers."""
+
+    def load(operator_text="", platform=None, flags=(), requires_end=False, **variables):
+        platform_settings = settings()
+        platform_settings["Services"][0]["Name"] = "status"
+        (tmp_path / "config.json").write_text(json.dumps({"settings": platform_settings} | (platform or {})))
+        (tmp_path / "dewpin.toml").write_text(operator_text)
         return load_configuration(
-            {"LB_CONFIG": str(tmp_path / "config.json"), **variables}, flags, str(tmp_path / "dewpin.toml"), must_end
+            {"LB_CONFIG": str(tmp_path / "config.json"), **variables},
+            flags,
+            str(tmp_path / "dewpin.toml"),
+            requires_end,
         )
 
     return load
@@ -43,9 +46,9 @@
     return [str(issue) for issue in caught.value.issues]
 
 
-def test_precedence_is_flags_platform_operator_file_defaults(files):
+def test_precedence_is_flags_platform_operator_file_defaults(load_files):
     text = '[sender]\nname = "op"\nlisten = "127.0.0.1:1"\n[limits]\nmemory = "64MB"\n[door]\nidle = "20s"\n'
-    configuration = files(
+    configuration = load_files(
         text,
         {"name": "plat", "limits": {"memory_mb": 100}},
         ["sender.name=flag", "log.rate=7"],
@@ -74,41 +77,41 @@
     ] == ["flag", "LB_LISTEN", "config.json limits.memory_mb", "dewpin.toml:7", "default"]
 
 
-def test_all_issues_of_all_layers_are_reported_at_once_with_place_and_suggested_key(files):
+def test_issues_of_all_layers_are_reported_together_with_location_and_suggested_key(load_files):
     text = (
         'format = 1\n[limts]\nmemory = "3MB"\n[limits]\nmemory = 64\ndsk = "3MB"\nsockets = "many"\n[stop]\n'
         'sends = "5s"\nends = "3 parsecs"\n[log]\nlevel = "loud"\nheld = "1GB"\n[agent]\nidle = "1s"\n'
     )
-    found = issues_of(
-        files, text, {"discovery": "nowhere", "limits": {"memory_mb": "x"}, "known": []}, ["log.lvl=3", "x"]
+    issues = issues_of(
+        load_files, text, {"discovery": "nowhere", "limits": {"memory_mb": "x"}, "known": []}, ["log.lvl=3", "x"]
     )
-    for part in (
-        "--set: log.lvl: no such key; did you mean log.level?",
+    for expected in (
+        "--set: log.lvl: unknown key; did you mean log.level?",
         "--set: x: expected KEY=VALUE",
-        "dewpin.toml:2: limts: no such section or key is known; did you mean limits?",
-        'dewpin.toml:5: limits.memory: expected a size with its unit, as in "64MB" or "512KiB": a bare number',
-        "dewpin.toml:6: limits.dsk: no such key is known; did you mean limits.disk?",
+        "dewpin.toml:2: limts: unknown section or key; did you mean limits?",
+        'dewpin.toml:5: limits.memory: expected a size with its unit, as in "64MB" or "512KiB": the unit is missing',
+        "dewpin.toml:6: limits.dsk: unknown key; did you mean limits.disk?",
         "dewpin.toml:7: limits.sockets: expected a whole number, 128 or more, 1048576 at most, got 'many'",
         "dewpin.toml:10: stop.ends: expected a duration in one of ms, s, min, h, d",
-        "dewpin.toml:12: log.level: expected a word, one of debug, info, warning, error, got 'loud'",
+        "dewpin.toml:12: log.level: expected a value, one of debug, info, warning, error, got 'loud'",
         "dewpin.toml:13: log.held: expected a size, 0B or more, 16MB at most, got '1GB'",
-        "dewpin.toml:15: agent.idle: no such key is known; did you mean",
+        "dewpin.toml:15: agent.idle: unknown key; did you mean",
         "config.json: discovery: expected host:port, got 'nowhere'",
         "config.json: limits.memory_mb: expected a number, 32MB or more, got 'x'",
         "config.json: known: expected an object, got []",
-        "dewpin.toml:9: stop.sends: attempts would start for 5s, after the end",
+        "dewpin.toml:9: stop.sends: attempts would be started until 5s after the signal, later than the exit",
     ):
-        assert any(one.startswith(part) for one in found), (part, found)
-    assert len(found) == 14
+        assert any(issue.startswith(expected) for issue in issues), (expected, issues)
+    assert len(issues) == 14
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, message",
     [
-        ('[stop]\nsends = "4s"\n', "dewpin.toml:2: stop.sends: attempts would start for 4s"),
+        ('[stop]\nsends = "4s"\n', "dewpin.toml:2: stop.sends: attempts would be started until 4s after the signal"),
         (
             '[door]\nidle = "1s"\n',
-            "dewpin.toml:2: door.idle: a connection closes at door.idle = 1s, before door.rest = 2s",
+            "dewpin.toml:2: door.idle: connections are closed after door.idle = 1s, which is less than door.rest = 2s",
         ),
         (
             "[door]\nclients = 1000\n[calls]\nidle = 100\n",
@@ -116,30 +119,33 @@
         ),
         (
             '[limits]\nmemory = "32MB"\n[log]\nheld = "4MB"\n',
-            "dewpin.toml:4: log.held: log.held = 4MB is over a sixteenth",
+            "dewpin.toml:4: log.held: log.held = 4MB is more than a sixteenth",
+        ),
+        ('[control]\ntoken = "hush"\n', "dewpin.toml:2: control.token: a token is set but control.socket is not"),
+        (
+            '[sender]\nlisten = "127.0.0.1:8500"\n',
+            "dewpin.toml:2: sender.listen: the sender and the agent have the same address",
         ),
-        ('[control]\ntoken = "hush"\n', "dewpin.toml:2: control.token: a token is set and control.socket is not"),
-        ('[sender]\nlisten = "127.0.0.1:8500"\n', "dewpin.toml:2: sender.listen: the sender would be its own agent"),
         (
             '[control]\nsocket = "/a\\u0000b"\n',
             "dewpin.toml:2: control.socket: expected text without control characters",
         ),
         ("limits = 3\n", "dewpin.toml:1: limits: expected a table"),
-        ("format = 9\n[limits]\nnovel = 3\n", "dewpin.toml:1: format: this file is written for a newer program"),
+        ("format = 9\n[limits]\nnovel = 3\n", "dewpin.toml:1: format: this file requires a newer program"),
         ("format = true\n", "dewpin.toml:1: format: expected a whole number from 1"),
         ('[end]\n[limits]\ndisk = "3MB"\n', "dewpin.toml:1: end: expected [end] as the last line"),
         ("[end]\nmore = 1\n", "dewpin.toml:1: end: expected"),
-        ("a = \n", "dewpin.toml:1: no TOML: invalid value"),
-        ('[limits]\ndisk = "3M', "dewpin.toml:2: no TOML"),
-        ('[limits]\ndisk = "3MB"\ndisk = "4MB"\n', "dewpin.toml:3: no"),
+        ("a = \n", "dewpin.toml:1: invalid TOML: invalid value"),
+        ('[limits]\ndisk = "3M', "dewpin.toml:2: invalid TOML"),
+        ('[limits]\ndisk = "3MB"\ndisk = "4MB"\n', "dewpin.toml:3: invalid TOML"),
     ],
 )
-def test_file_that_contradicts_itself_or_is_of_a_newer_format_is_rejected_as_a_whole(files, text, words):
-    assert any(one.startswith(words) for one in issues_of(files, text)), issues_of(files, text)
+def test_contradictory_malformed_or_newer_file_is_rejected(load_files, text, message):
+    assert any(issue.startswith(message) for issue in issues_of(load_files, text)), issues_of(load_files, text)
 
 
-def test_platform_values_are_accepted_even_where_they_contradict_each_other(files):
-    configuration = files(
+def test_platform_values_are_accepted_even_if_they_contradict_each_other(load_files):
+    configuration = load_files(
         "",
         {
             "stop": {"sends_ms": 5000.0, "ends_ms": 100},
@@ -150,53 +156,61 @@
     )
     assert (configuration.deployment.stop.start_attempts_ms, configuration.deployment.sender.seed) == (5000.0, "ff")
     assert not configuration.warnings
-    services = settings(slots=60) | {"Services": [{"Name": "x"}]}
+    platform_settings = settings(slots=60) | {"Services": [{"Name": "x"}]}
     assert (
-        "leaves fewer than 8 descriptors" in files("", {"limits": {"sockets": 128}, "settings": services}).warnings[0]
+        "leaves fewer than 8 descriptors"
+        in load_files("", {"limits": {"sockets": 128}, "settings": platform_settings}).warnings[0]
     )
 
 
-def test_unknown_words_in_settings_are_warned_about():
-    module = settings(effects=("keyed", "keyed")) | {"RegistryMode": "gossip"}
-    module["FamilyInfo"]["Decay"] = "steps"
-    for position, service in enumerate(module["Services"]):
+def test_unknown_setting_values_cause_warnings():
+    decision_settings = settings(effects=("keyed", "keyed")) | {"RegistryMode": "gossip"}
+    decision_settings["FamilyInfo"]["Decay"] = "steps"
+    for position, service in enumerate(decision_settings["Services"]):
         service |= {"Name": f"c{position}", "KeyScope": ("all", "rack")[position]}
-    assert find_warnings(Deployment(), module) == [
-        "settings.RegistryMode = 'gossip' is not one of pushed, on_request; it is taken as pushed",
-        "settings.FamilyInfo.Decay = 'steps' is not one of line, halves; it is taken as line",
-        "settings.Services[1].KeyScope = 'rack' is not one of all, zone, cell; it is taken as cell",
+    assert find_warnings(Deployment(), decision_settings) == [
+        "settings.RegistryMode = 'gossip' is not one of pushed, on_request; it is treated as pushed",
+        "settings.FamilyInfo.Decay = 'steps' is not one of line, halves; it is treated as line",
+        "settings.Services[1].KeyScope = 'rack' is not one of all, zone, cell; it is treated as cell",
     ]
 
 
-def test_file_truncated_at_any_line_is_rejected_after_one_with_an_end_table(files):
+def test_file_truncated_at_any_line_is_rejected_if_an_end_table_is_required(load_files):
     complete = example_file()
-    assert files(complete).has_end and files(complete, must_end=True).deployment == files("").deployment
+    assert (
+        load_files(complete).has_end and load_files(complete, requires_end=True).deployment == load_files("").deployment
+    )
     lines = complete.splitlines(keepends=True)
-    for at in range(len(lines)):
-        assert issues_of(files, "".join(lines[:at]), must_end=True), at
+    for line_count in range(len(lines)):
+        assert issues_of(load_files, "".join(lines[:line_count]), requires_end=True), line_count
 
 
-def test_secret_is_never_shown(files):
-    configuration = files('[control]\nsocket = "/x"\ntoken = "hush-hush"\n')
-    shown = json.dumps([value_rows(configuration), explain_key(KEYS["control.token"], configuration), json_schema()])
-    assert "hush" not in shown and "(set, not shown)" in shown
-    assert not any("123454321" in one for one in issues_of(files, "[control]\nsocket = '/x'\ntoken = 123454321\n"))
+def test_secrets_are_never_shown(load_files):
+    configuration = load_files('[control]\nsocket = "/x"\ntoken = "hush-hush"\n')
+    output = json.dumps([value_rows(configuration), explain_key(KEYS["control.token"], configuration), json_schema()])
+    assert "hush" not in output and "(set, not shown)" in output
+    assert not any(
+        "123454321" in issue for issue in issues_of(load_files, "[control]\nsocket = '/x'\ntoken = 123454321\n")
+    )
 
 
-def test_example_page_and_schema_are_current_and_cover_all_keys(files):
+def test_example_page_and_schema_are_current_and_cover_all_keys(load_files):
     assert (ROOT / "deploy/dewpin.toml").read_text() == example_file()
     assert (ROOT / "docs/configuration.md").read_text() == configuration_page()
-    held = tomllib.loads(example_file())
-    assert {f"{part}.{name}" for part, inside in held.items() if isinstance(inside, dict) for name in inside} == set(
-        KEYS
-    )
-    sections = json_schema()["properties"]
+    example = tomllib.loads(example_file())
+    assert {
+        f"{section}.{name}" for section, table in example.items() if isinstance(table, dict) for name in table
+    } == set(KEYS)
+    schema_sections = json_schema()["properties"]
     for path, key in KEYS.items():
-        part, _, name = path.partition(".")
-        assert explain_key(key)["key"] == path and sections[part]["properties"][name]["description"] == key.description
+        section, _, name = path.partition(".")
+        assert (
+            explain_key(key)["key"] == path
+            and schema_sections[section]["properties"][name]["description"] == key.description
+        )
 
 
-@given(some.sampled_from(sorted(units.UNITS)), some.integers(0, 10**12))
+@given(st.sampled_from(sorted(units.UNITS)), st.integers(0, 10**12))
 def test_formatted_quantity_parses_to_the_same_amount(kind, amount):
     assert units.parse_quantity(kind, units.format_quantity(kind, float(amount))) == amount
 
@@ -231,10 +245,10 @@
 
 
 @given(
-    some.binary(max_size=200)
-    | some.text(max_size=200).map(str.encode)
-    | some.lists(
-        some.sampled_from(
+    st.binary(max_size=200)
+    | st.text(max_size=200).map(str.encode)
+    | st.lists(
+        st.sampled_from(
             [
                 b"[limits]",
                 b"\n",
@@ -259,27 +273,27 @@
 def test_arbitrary_file_content_raises_only_configuration_errors(tmp_path_factory, content):
     path = tmp_path_factory.getbasetemp() / "any.toml"
     path.write_bytes(content)
-    with pytest.raises(ConfigurationError):  # at least: no platform's file is named
+    with pytest.raises(ConfigurationError):  # always raised, as no platform's file is configured
         load_configuration({}, (), str(path))
 
 
-def test_line_numbers_are_found_behind_multiline_texts_and_lists():
+def test_line_numbers_are_correct_after_multiline_strings_and_arrays():
     text = (
         'a = """\n[no]\nx = 1\n"""\nb = [\n  1,\n  {c = 2},\n]\n[ t . "u" ]\nd."e" = "# ["\n\'f\' = 2\n[[g]]\nh = 1\n'
     )
     assert line_numbers(text) == {"a": 1, "b": 5, "t.u": 9, "t.u.d.e": 10, "t.u.f": 11, "g": 12, "g.h": 13}
 
 
-def test_missing_file_folder_pipe_and_oversized_file_are_reported(tmp_path, files):
+def test_missing_file_folder_pipe_and_oversized_file_are_reported(tmp_path, load_files):
     import os
 
     os.mkfifo(tmp_path / "pipe")
     (tmp_path / "huge").write_bytes(b"#" * (operator_file.MAX_BYTES + 1))
-    for name, words in (
+    for name, message in (
         ("none", "No such file"),
         (".", "Is a directory"),
         ("pipe", "regular file"),
         ("huge", "at most"),
     ):
-        found = issues_of(lambda name=name: load_configuration({}, (), str(tmp_path / name)))
-        assert any(words in one for one in found), found
+        issues = issues_of(lambda name=name: load_configuration({}, (), str(tmp_path / name)))
+        assert any(message in issue for issue in issues), issues
--- a/tests/daemon/test_configuration_source.py
+++ b/tests/daemon/test_configuration_source.py
@@ -55,7 +55,7 @@
 
 def test_file_that_never_ends_is_rejected_as_half_written(tmp_path, monkeypatch):
     writer, read_stable = read(tmp_path, monkeypatch, [CUT])
-    with pytest.raises(ConfigurationError, match="taken for half written"):
+    with pytest.raises(ConfigurationError, match="it is considered incomplete"):
         read_stable()
     assert writer.sleeps == STABLE_READ_ATTEMPTS
 
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -43,7 +43,7 @@
         file.write_text(half[: half.rindex("\n") + 1])  # a good file by itself, but not to its end
         sender.process.send_signal(signal.SIGHUP)
         await until(lambda: kept())
-        assert "it is taken for half written" in kept()[0]
+        assert "it is considered incomplete" in kept()[0]
         file.write_text(whole.replace('disk = "3MB"', "disk = 3").replace("sockets = 1024", "sokets = 3"))
         sender.process.send_signal(signal.SIGHUP)
         await until(lambda: len(kept()) == 3)  # each fault a line
