--- a/dewpin/__main__.py
+++ b/dewpin/__main__.py
@@ -1,20 +1,21 @@
-"""`python -m dewpin`: the command line, with a shorter way to a plain sender.
+"""Entry point of `dewpin` and `python -m dewpin`.
 
-A plain `run` imports only what a sender needs: while a sender restarts it is out of service.
+`run` without options bypasses the command line and imports only what a sender needs, as the sender is unavailable
+during a restart.
 """
 
 import sys
 
 
 def main() -> int:
-    """Run the command line's arguments; return the exit code."""
+    """Run the command in the arguments of the process and return the exit code."""
     if sys.argv[1:] == ["run"]:
-        from .daemon.process import main as run
+        from .daemon.process import main as run_sender
 
-        return run()
-    from .cli.main import main as command
+        return run_sender()
+    from .cli.main import main as run_command_line
 
-    return command()
+    return run_command_line()
 
 
 if __name__ == "__main__":
--- a/dewpin/cli/__init__.py
+++ b/dewpin/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command line: what people and scripts ask of dewpin, on the machine where it runs.
+"""The command line of dewpin, for operators and scripts on the machine where a sender runs.
 
-Arguments, tables, exit codes and sentences for people are defined here; the facts come from the other packages. What a
-command reads of a running sender it never changes.
+This package defines arguments, output, exit codes and error messages; other packages provide the data. Commands that
+inspect a running sender never modify its state.
 """
--- a/dewpin/cli/config.py
+++ b/dewpin/cli/config.py
@@ -1,6 +1,6 @@
 """`dewpin config`: check, show, explain, schema, init, events.
 
-No file is changed but the one that `init` is told to write, which must not exist yet.
+Only `init` writes a file, and it never overwrites one.
 """
 
 import os
@@ -10,7 +10,7 @@
 
 from .configuration_options import configuration_options, invalid_configuration, read_configuration
 from .errors import CommandError, ExitCode
-from .output import print_facts, print_json, print_table
+from .output import print_json, print_table, print_values
 
 if TYPE_CHECKING:
     from ..config.errors import ConfigurationIssue
@@ -25,14 +25,14 @@
 @config.command()
 @click.argument("file", required=False)
 @configuration_options
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def check(file: str | None, source: "ConfigurationSource", as_json: bool) -> int | None:
-    """Names every error of all layers at once; FILE stands for --config FILE."""
+    """Report all errors in all layers; FILE is short for --config FILE."""
     from ..config.errors import ConfigurationError
 
     if file:
         if source.operator_path:
-            raise CommandError("give the file once, as FILE or with --config", ExitCode.INVALID)
+            raise CommandError("give the file only once, either as FILE or with --config", ExitCode.INVALID)
         source.operator_path = file
     try:
         configuration = source.read()
@@ -46,7 +46,7 @@
     else:
         for warning in configuration.warnings:
             click.echo(f"note: {warning}")
-        click.echo("no fault")
+        click.echo("configuration is valid")
     return None
 
 
@@ -62,16 +62,18 @@
 
 @config.command()
 @configuration_options
-@click.option("--origin", is_flag=True, help="Where each value came from.")
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--origin", is_flag=True, help="Include the origin of each value.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def show(source: "ConfigurationSource", origin: bool, as_json: bool) -> None:
-    """Every key in force. Secrets are never shown."""
+    """Show all keys and their current values. Secrets are never shown."""
     from ..config.documentation import value_rows
 
     rows = value_rows(read_configuration(source))
     if as_json:
-        shown = {path: {"value": value, "origin": came_from} if origin else value for path, value, came_from in rows}
-        print_json(shown)
+        values = {
+            path: {"value": value, "origin": value_origin} if origin else value for path, value, value_origin in rows
+        }
+        print_json(values)
     elif origin:
         print_table(("key", "value", "origin"), rows)
     else:
@@ -81,22 +83,22 @@
 @config.command()
 @click.argument("key")
 @configuration_options
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def explain(key: str, source: "ConfigurationSource", as_json: bool) -> None:
-    """What KEY is for, its kind, range, default and names, and its value where a configuration is at hand."""
+    """Describe KEY: purpose, kind, range, default, names, and its value if the configuration is valid."""
     from ..config.documentation import explain_key
     from ..config.errors import ConfigurationError, suggest_name
     from ..config.keys import KEYS
 
     if key not in KEYS:
         suggestion = suggest_name(key, KEYS)
-        hint = f"; did you mean {suggestion}?" if suggestion else "; `dewpin config show` lists them all"
-        raise CommandError(f"no key is called {key!r}{hint}", ExitCode.INVALID)
+        hint = f"; did you mean {suggestion}?" if suggestion else "; `dewpin config show` lists all keys"
+        raise CommandError(f"unknown key {key!r}{hint}", ExitCode.INVALID)
     try:
         configuration = source.read()
     except ConfigurationError:
         configuration = None
-    print_facts(explain_key(KEYS[key], configuration), as_json)
+    print_values(explain_key(KEYS[key], configuration), as_json)
 
 
 @config.command()
@@ -106,10 +108,10 @@
     type=click.Choice(["json", "page"]),
     default="json",
     show_default=True,
-    help="JSON schema, or docs/configuration.md.",
+    help="JSON schema, or the content of docs/configuration.md.",
 )
 def schema(form: str) -> None:
-    """The operator's file as a JSON schema, for editors and other programs."""
+    """Print a JSON schema of the operator's file, for editors and other programs."""
     from ..config.documentation import configuration_page, json_schema
 
     if form == "json":
@@ -120,7 +122,7 @@
 
 @config.command()
 def events() -> None:
-    """Every event of the log with its fields: docs/events.md."""
+    """Print the reference of all log events and their fields (docs/events.md)."""
     from ..log.event_page import event_page
 
     click.echo(event_page(), nl=False)
@@ -129,16 +131,16 @@
 @config.command()
 @click.argument("file", required=False)
 def init(file: str | None) -> None:
-    """Writes the documented example to FILE, which must not be there yet, or to standard output."""
+    """Write a commented example to FILE, which must not exist yet, or to standard output."""
     from ..config.documentation import example_file
 
     if not file:
         click.echo(example_file(), nl=False)
         return
     try:
-        with os.fdopen(os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as opened:
-            opened.write(example_file())
+        with os.fdopen(os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as output:
+            output.write(example_file())
     except FileExistsError as error:
-        raise CommandError(f"{file} is there already; name another file or move it away") from error
+        raise CommandError(f"{file} already exists; choose another file or move it away") from error
     except OSError as error:
-        raise CommandError(f"{file}: {error.strerror}; name a file in a folder that you may write to") from error
+        raise CommandError(f"{file}: {error.strerror}; choose a file in a writable folder") from error
--- a/dewpin/cli/configuration_options.py
+++ b/dewpin/cli/configuration_options.py
@@ -1,4 +1,4 @@
-"""The options by which every command that needs a configuration finds its layers."""
+"""Options that select the configuration, shared by all commands that read it."""
 
 import os
 from collections.abc import Callable, Sequence
@@ -16,16 +16,16 @@
 
 
 def configuration_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add --config, --platform and --set to a command, which gets `source`."""
+    """Add --config, --platform and --set to a command, and pass it the resulting `source`."""
 
-    @click.option("--config", "operator", metavar="FILE", help="The operator's TOML file; else DEWPIN_CONFIG names it.")
-    @click.option("--platform", metavar="FILE", help="The platform's JSON file; else LB_CONFIG names it.")
+    @click.option("--config", "operator", metavar="FILE", help="The operator's TOML file; default: DEWPIN_CONFIG.")
+    @click.option("--platform", metavar="FILE", help="The platform's JSON file; default: LB_CONFIG.")
     @click.option(
         "--set",
         "flags",
         metavar="KEY=VALUE",
         multiple=True,
-        help="A key of the configuration, outranking every file; may be given again.",
+        help="Set a configuration key, overriding all files; can be repeated.",
     )
     @wraps(command)
     def with_source(
@@ -40,7 +40,7 @@
 
 
 def read_configuration(source: "ConfigurationSource") -> "Configuration":
-    """Return the configuration. Raises CommandError with a sentence for each issue."""
+    """Return the configuration. Raises CommandError with one line per issue."""
     from ..config.errors import ConfigurationError
 
     try:
@@ -50,5 +50,5 @@
 
 
 def invalid_configuration(error: "ConfigurationError") -> CommandError:
-    """Return the command's error for an invalid configuration, a line for each issue."""
+    """Return the CommandError for an invalid configuration, with one line per issue."""
     return CommandError("\ndewpin: ".join(map(str, error.issues)), ExitCode.INVALID)
--- a/dewpin/cli/lab.py
+++ b/dewpin/cli/lab.py
@@ -1,4 +1,4 @@
-"""`dewpin lab fleet`: runs real senders with fault injection, and prints the result."""
+"""`dewpin lab fleet`: runs real senders with fault injection and prints the result."""
 
 import asyncio
 import tempfile
@@ -8,43 +8,43 @@
 import click
 
 from .errors import CommandError, ExitCode
-from .output import print_facts, print_json
+from .output import print_json, print_values
 
 
 @click.group()
 def lab() -> None:
-    """The laboratory: the program in a simulated world, on loopback."""
+    """Run senders on loopback against simulated clients, receivers and agents."""
 
 
 @lab.command()
 @click.argument("scenario", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Folder for logs and result.json.")
-@click.option("--seed", type=int, help="In place of the scenario's.")
-@click.option("--json", "as_json", is_flag=True, help="The result as JSON.")
+@click.option("--seed", type=int, help="Override the seed of the scenario.")
+@click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def fleet(scenario: Path, out: Path | None, seed: int | None, as_json: bool) -> int:
-    """Starts the senders of a scenario, injects its faults, ends them all and prints the result.
+    """Start the senders of a scenario, inject its faults, stop all senders and print the result.
 
-    Exit code 3 if a rule was broken; the rules are judged from what clients, receivers and agents saw.
+    The exit code is 3 if a rule was violated, as observed by clients, receivers and agents.
     """
     from ..lab.fleet.load_test import play
     from ..lab.fleet.scenario import parse_scenario
 
     try:
-        found = parse_scenario(scenario.read_text())
+        parsed_scenario = parse_scenario(scenario.read_text())
     except ValueError as error:
         raise CommandError(f"{scenario.name}: {error}", ExitCode.INVALID) from error
     if seed is not None:
-        found.seed = seed
+        parsed_scenario.seed = seed
     folder = out or Path(tempfile.mkdtemp(prefix="dewpin-fleet-"))
     try:
-        result = asyncio.run(play(found, folder))
+        result = asyncio.run(play(parsed_scenario, folder))
     except (OSError, RuntimeError) as error:
-        raise CommandError(str(error), ExitCode.IMPOSSIBLE) from error
+        raise CommandError(str(error), ExitCode.FAILURE) from error
     if as_json:
         print_json(result)
     else:
         _print_result(result)
-    return ExitCode.DAMAGED if result["breaks"] else ExitCode.DONE
+    return ExitCode.DAMAGED if result["breaks"] else ExitCode.SUCCESS
 
 
 def _print_result(result: dict[str, Any]) -> None:
@@ -52,9 +52,9 @@
         name.replace("_", " "): round(value, 3) if isinstance(value, float) else value
         for name, value in result["figures"].items()
     }
-    print_facts(metrics)
+    print_values(metrics)
     for violation in result["breaks"]:
-        place = f"at {violation['at_ms']} ms, message {violation['mail']}, sender {violation['sender']}"
-        click.echo(f"broken: {violation['rule']} {place}: {violation['what']}")
+        location = f"at {violation['at_ms']} ms, message {violation['mail']}, sender {violation['sender']}"
+        click.echo(f"broken: {violation['rule']} {location}: {violation['what']}")
         for line in violation["last"]:
             click.echo(f"    {line}")
--- a/dewpin/cli/main.py
+++ b/dewpin/cli/main.py
@@ -1,4 +1,4 @@
-"""`dewpin`: the sub-commands, each loaded when it is used, and the one place where an error becomes a sentence."""
+"""The `dewpin` command: loads subcommands on demand and reports their errors."""
 
 import sys
 from importlib import import_module
@@ -18,14 +18,14 @@
     "version": "dewpin.cli.main:version",
     "completion": "dewpin.cli.main:completion",
 }
-SHOWN_PACKAGES = ("click", "msgspec", "structlog", "rich")
+REPORTED_PACKAGES = ("click", "msgspec", "structlog", "rich")
 
 
 class LazyGroup(click.Group):
-    """A group whose commands are imported when they are used.
+    """A command group that imports a command only when it is used.
 
     Attributes:
-        locations: "module:command" by the command's name.
+        locations: "module:command" by command name.
     """
 
     def __init__(self, *args: Any, locations: dict[str, str], **options: Any) -> None:
@@ -37,7 +37,7 @@
         return sorted(self.locations)
 
     def get_command(self, context: Any, name: str) -> click.Command | None:
-        """Import a command; None where there is none of this name."""
+        """Import and return a command, or return None if there is none with this name."""
         if name not in self.locations:
             return None
         module, _, attribute = self.locations[name].partition(":")
@@ -52,44 +52,44 @@
     locations=COMMANDS,
 )
 def dewpin() -> None:
-    """dewpin: a relay that forwards messages to destinations nobody here controls."""
+    """dewpin: a relay that forwards messages to destinations outside its control."""
 
 
 @click.command()
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def version(as_json: bool) -> None:
-    """The program's version, and what it runs on."""
+    """Print the versions of dewpin, Python and the libraries in use."""
     import platform
     from importlib.metadata import PackageNotFoundError
     from importlib.metadata import version as installed_version
 
-    from .output import print_facts
+    from .output import print_values
 
     versions = {"dewpin": __version__, "python": platform.python_version()}
-    for name in SHOWN_PACKAGES:
+    for name in REPORTED_PACKAGES:
         try:
             versions[name] = installed_version(name)
         except PackageNotFoundError:
             versions[name] = "not installed"
-    print_facts(versions, as_json)
+    print_values(versions, as_json)
 
 
 @click.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 def completion(shell: str) -> None:
-    """The completion script for a shell: `eval "$(dewpin completion bash)"`."""
+    """Print the completion script for a shell; use it with `eval "$(dewpin completion bash)"`."""
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
-    assert completion_class is not None  # click.Choice names only shells that click completes for
+    assert completion_class is not None  # click.Choice admits only shells that click supports
     click.echo(completion_class(dewpin, {}, "dewpin", "_DEWPIN_COMPLETE").source())
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a command line; return the exit code. Errors go to standard error, a sentence each."""
+    """Run a command line and return the exit code. Errors are printed to standard error."""
     try:
         code = dewpin.main(arguments, prog_name="dewpin", standalone_mode=False)
-        return code if isinstance(code, int) else ExitCode.DONE
+        return code if isinstance(code, int) else ExitCode.SUCCESS
     except click.exceptions.Abort:
         return ExitCode.INTERRUPTED
     except click.exceptions.NoArgsIsHelpError as error:
@@ -101,10 +101,10 @@
         return ExitCode.INVALID
     except click.ClickException as error:
         print(f"dewpin: {error.format_message()}", file=sys.stderr)
-        return ExitCode.IMPOSSIBLE
+        return ExitCode.FAILURE
     except CommandError as error:
         print(f"dewpin: {error}", file=sys.stderr)
         return error.code
-    except BrokenPipeError:  # the reader of the output has gone
+    except BrokenPipeError:  # the reader of the output closed the pipe
         sys.stdout = None
-        return ExitCode.DONE
+        return ExitCode.SUCCESS
--- a/dewpin/cli/output.py
+++ b/dewpin/cli/output.py
@@ -1,6 +1,6 @@
-"""Facts on standard output: a table at a terminal, plain columns when piped, JSON when asked.
+"""Prints results to standard output: tables on a terminal, plain columns when piped, JSON on request.
 
-Tables are drawn by rich where it is installed.
+Tables are rendered by rich if it is installed.
 """
 
 import sys
@@ -14,22 +14,22 @@
 
 
 def print_json(value: Any) -> None:
-    """Print facts as indented JSON."""
+    """Print a value as indented JSON."""
     import msgspec
 
     click.echo(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
 
 
-def print_facts(facts: dict[str, Any], as_json: bool = False) -> None:
-    """Print a map of names to values."""
+def print_values(values: dict[str, Any], as_json: bool = False) -> None:
+    """Print named values, one per line or as JSON."""
     if as_json:
-        print_json(facts)
+        print_json(values)
     else:
-        print_table(("", ""), list(facts.items()))
+        print_table(("", ""), list(values.items()))
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[Any]], title: str | None = None) -> None:
-    """Print rows of values under columns; values are printed as text."""
+    """Print rows of values under column headers."""
     texts = [tuple("" if value is None else str(value) for value in row) for row in rows]
     if sys.stdout.isatty() and _print_rich_table(columns, texts, title):
         return
@@ -43,7 +43,7 @@
 
 
 def _print_rich_table(columns: Sequence[str], rows: Sequence[Sequence[str]], title: str | None) -> bool:
-    """Print a table with rich; False where the extra dewpin[tables] is not installed."""
+    """Print a table with rich; return False if the extra dewpin[tables] is not installed."""
     try:
         from rich.console import Console
         from rich.table import Table
@@ -54,13 +54,13 @@
     for name in columns:
         table.add_column(name, overflow="fold")
     for row in rows:
-        table.add_row(*map(Text, row))  # as it is: brackets in an id are no markup
+        table.add_row(*map(Text, row))  # without markup, as ids may contain brackets
     Console().print(table)
     return True
 
 
 def format_size(size_bytes: float) -> str:
-    """Return a number of bytes for people."""
+    """Return a size in a human-readable unit."""
     for unit in BYTE_UNITS:
         if size_bytes < BYTE_UNIT_FACTOR:
             return f"{size_bytes:.3g} {unit}"
--- a/dewpin/cli/run.py
+++ b/dewpin/cli/run.py
@@ -1,4 +1,4 @@
-"""`dewpin run`: one sender in the foreground."""
+"""`dewpin run`: runs a sender in the foreground."""
 
 from typing import TYPE_CHECKING
 
@@ -13,10 +13,10 @@
 @click.command()
 @configuration_options
 def run(source: "ConfigurationSource") -> int:
-    """Runs a sender in the foreground until SIGTERM or SIGINT; SIGHUP reads the configuration anew.
+    """Run a sender in the foreground until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
-    Without options the platform's variables say all there is to say: LB_CONFIG, LB_NAME, LB_LISTEN, LB_DISCOVERY,
-    LB_STATE. It is ready once GET /-/ready answers 200.
+    Without options, the platform's variables configure the sender: LB_CONFIG, LB_NAME, LB_LISTEN, LB_DISCOVERY,
+    LB_STATE. The sender is ready once GET /-/ready returns 200.
     """
     from ..daemon.process import main
 
--- a/dewpin/cli/spool.py
+++ b/dewpin/cli/spool.py
@@ -1,4 +1,4 @@
-"""`dewpin spool`: ls, show, verify, stats on the folder of a sender, running or not. Nothing is written."""
+"""`dewpin spool`: ls, show, verify and stats of a sender's journal, read-only, whether or not the sender runs."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -9,16 +9,16 @@
 
 from .configuration_options import configuration_options
 from .errors import CommandError, ExitCode
-from .output import format_size, print_facts, print_json, print_table
+from .output import format_size, print_json, print_table, print_values
 
 if TYPE_CHECKING:
     from ..daemon.configuration_source import ConfigurationSource
     from ..spool.inspector import JournalInspector
     from ..spool.records import MessageRecord
 
-MAX_BODY_BYTES = 256  # of a body that `show` prints
-MAX_GROUPS = 20  # rows of each table of `stats`
-COLUMNS = {  # column: field of a row
+MAX_BODY_BYTES = 256  # printed by `show`
+MAX_GROUPS = 20  # rows in each table of `stats`
+COLUMNS = {  # column header: field of a row
     "message": "mail",
     "queue class": "queue_class",
     "destination": "destination",
@@ -33,15 +33,15 @@
 
 @click.group()
 def spool() -> None:
-    """Look at the journal of pending messages. Nothing is ever changed."""
+    """Inspect the journal of pending messages without modifying it."""
 
 
 def journal_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that find the folder to a command, which gets an `inspector` of its journal."""
+    """Add the options that select the folder to a command, and pass it an `inspector` of the journal there."""
 
     @configuration_options
-    @click.option("--state", metavar="FOLDER", help="The folder; else the configuration names it.")
-    @click.option("--json", "as_json", is_flag=True, help="As JSON.")
+    @click.option("--state", metavar="FOLDER", help="The folder of a sender; default: sender.state.")
+    @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
     @wraps(command)
     def with_inspector(*args: Any, source: "ConfigurationSource", state: str | None, **options: Any) -> Any:
         return command(*args, inspector=_open_inspector(source, state), **options)
@@ -57,7 +57,7 @@
         try:
             folder = source.read().deployment.sender.state_folder
         except ConfigurationError as error:
-            message = f"no folder is known: {error.issues[0]}; name it with --state"
+            message = f"the configuration does not give a folder: {error.issues[0]}; name it with --state"
             raise CommandError(message, ExitCode.INVALID) from error
     try:
         return JournalInspector(folder)
@@ -69,26 +69,26 @@
 @journal_options
 @click.option("--destination", metavar="N", help="Only messages for this destination.")
 @click.option("--queue-class", metavar="NAME", help="Only messages of this queue class.")
-@click.option("--most", default=100, show_default=True, help="Rows at most; 0: all.")
+@click.option("--most", default=100, show_default=True, help="Maximum number of rows; 0: all.")
 def ls(
     inspector: "JournalInspector", destination: str | None, queue_class: str | None, most: int, as_json: bool
 ) -> None:
-    """The pending messages, in the order in which they were accepted."""
+    """List the pending messages in the order in which they were accepted."""
     now_ms = time.time() * 1000.0
-    wanted = [
+    selected = [
         message
         for message in inspector.pending()
         if (not destination or message.destination.decode("latin-1") == destination)
         and (not queue_class or message.queue_class.decode("latin-1") == queue_class)
     ]
-    rows = [_row(message, now_ms) for message in (wanted[:most] if most else wanted)]
-    hidden = len(wanted) - len(rows)
+    rows = [_row(message, now_ms) for message in (selected[:most] if most else selected)]
+    omitted = len(selected) - len(rows)
     if as_json:
-        print_json({"mails": rows, "left_out": hidden})
+        print_json({"mails": rows, "left_out": omitted})
     else:
         print_table(tuple(COLUMNS), [tuple(row[field] for field in COLUMNS.values()) for row in rows])
-        if hidden:
-            click.echo(f"{hidden} more; --most 0 lists all")
+        if omitted:
+            click.echo(f"{omitted} more; --most 0 lists all")
     _warn_of_damage(inspector)
 
 
@@ -96,14 +96,14 @@
 @click.argument("message_id", metavar="MESSAGE")
 @journal_options
 def show(message_id: str, inspector: "JournalInspector", as_json: bool) -> None:
-    """One message by its id (or #serial): what is kept of it, and every record that the file still has."""
+    """Show a message by its id (or #serial) and all of its records in the journal."""
     now_ms = time.time() * 1000.0
     for message in _find_messages(inspector, message_id):
         records = [
-            {"offset": offset, "record": label} | {name: _printable(value) for name, value in facts.items()}
-            for offset, label, facts in inspector.records_of(message.serial)
+            {"offset": offset, "record": label} | {name: _printable(value) for name, value in fields.items()}
+            for offset, label, fields in inspector.records_of(message.serial)
         ]
-        facts = _row(message, now_ms) | {
+        properties = _row(message, now_ms) | {
             "serial": message.serial,
             "account": _printable(message.account),
             "tag": _printable(message.idempotency_key),
@@ -112,36 +112,36 @@
             "body": _printable(message.body[:MAX_BODY_BYTES]),
         }
         if as_json:
-            print_json(facts | {"records": records})
+            print_json(properties | {"records": records})
         else:
-            print_facts(facts)
+            print_values(properties)
             print_table(("offset", "record", "facts"), [_record_row(record) for record in records], title="records")
     _warn_of_damage(inspector)
 
 
 def _find_messages(inspector: "JournalInspector", message_id: str) -> "list[MessageRecord]":
-    """Return the messages with this id or #serial. Raises CommandError where none is pending."""
+    """Return the pending messages with this id or #serial. Raises CommandError if there are none."""
     encoded_id = message_id.encode("latin-1", "replace")
     messages = [message for message in inspector.pending() if message_id == f"#{message.serial}"]
     messages = messages or inspector.find(encoded_id)
     if not messages:
         is_finished = encoded_id in inspector.replay.finished_ids
-        state = "finished" if is_finished else "not among the pending messages; `dewpin spool ls` lists them"
+        state = "finished" if is_finished else "not a pending message; `dewpin spool ls` lists them"
         raise CommandError(f"{message_id} is {state}")
     return messages
 
 
 def _record_row(record: dict[str, Any]) -> tuple[Any, ...]:
-    facts = " ".join(f"{name}={value}" for name, value in record.items() if name not in ("offset", "record"))
-    return record["offset"], record["record"], facts
+    fields = " ".join(f"{name}={value}" for name, value in record.items() if name not in ("offset", "record"))
+    return record["offset"], record["record"], fields
 
 
 @spool.command()
 @journal_options
 def verify(inspector: "JournalInspector", as_json: bool) -> int | None:
-    """Reads every record; ends with 3 if one is torn or corrupt, each with its offset."""
-    complete = sum(inspector.replay.counts_by_code.values())
-    behind = sum(damage.records_behind for damage in inspector.damages)
+    """Read all records; report torn and corrupt ones with their offsets, and exit with 3 if there are any."""
+    complete_records = sum(inspector.replay.counts_by_code.values())
+    records_behind = sum(damage.records_behind for damage in inspector.damages)
     pending = len(inspector.pending())
     if as_json:
         damages = [
@@ -157,46 +157,49 @@
             {
                 "file": inspector.path,
                 "bytes": len(inspector.content),
-                "records": complete,
+                "records": complete_records,
                 "live": inspector.is_sender_running,
                 "owed": pending,
-                "behind_damage": behind,
+                "behind_damage": records_behind,
                 "damages": damages,
             }
         )
     else:
-        running = ", a sender runs on it" if inspector.is_sender_running else ""
+        lock_state = ", in use by a running sender" if inspector.is_sender_running else ""
         size = len(inspector.content)
-        click.echo(f"{inspector.path}: {size} bytes, {complete} complete records, {pending} pending messages{running}")
+        click.echo(
+            f"{inspector.path}: {size} bytes, {complete_records} complete records, "
+            f"{pending} pending messages{lock_state}"
+        )
         for damage in inspector.damages:
-            place = f"at {damage.offset}: {damage.size_bytes} bytes {damage.reason}"
-            click.echo(f"{place}; {damage.records_behind} complete records stand behind it")
-        if behind:
-            start = f"a start drops all from {inspector.readable_bytes} on"
-            click.echo(f"{start}, these {behind} records too: keep a copy first")
+            location = f"at {damage.offset}: {damage.size_bytes} bytes {damage.reason}"
+            click.echo(f"{location}; followed by {damage.records_behind} complete records")
+        if records_behind:
+            data_loss = f"a restart discards everything from offset {inspector.readable_bytes} on"
+            click.echo(f"{data_loss}, including these {records_behind} records: copy the journal first")
     return ExitCode.DAMAGED if inspector.damages else None
 
 
 @spool.command()
 @journal_options
 def stats(inspector: "JournalInspector", as_json: bool) -> None:
-    """Counts and sizes: records by kind, messages by state, queue class and destination."""
-    facts, groups = _totals(inspector), _group_counts(inspector.pending())
+    """Print counts and sizes: records by kind, messages by state, queue class and destination."""
+    totals, groups = _totals(inspector), _group_counts(inspector.pending())
     if as_json:
         print_json(
-            facts
+            totals
             | {
                 name: {value: {"mails": count, "bytes": size} for value, (count, size) in counts.items()}
                 for name, counts in groups.items()
             }
         )
     else:
-        _print_stats(inspector, facts, groups)
+        _print_stats(inspector, totals, groups)
     _warn_of_damage(inspector)
 
 
 def _totals(inspector: "JournalInspector") -> dict[str, Any]:
-    """Return the totals of a journal, under the names of `--json`."""
+    """Return the totals of a journal, with the names used in `--json`."""
     from ..spool.inspector import KIND_LABELS
 
     pending, now_ms = inspector.pending(), time.time() * 1000.0
@@ -217,7 +220,7 @@
 
 
 def _group_counts(messages: "Iterable[MessageRecord]") -> dict[str, dict[str, list[int]]]:
-    """Return [messages, bytes of bodies] by state, queue class and destination."""
+    """Return [number of messages, total body bytes] by state, queue class and destination."""
     from ..spool.inspector import describe_state
 
     groups: dict[str, dict[str, list[int]]] = {"state": {}, "queue_class": {}, "destination": {}}
@@ -234,18 +237,20 @@
     return groups
 
 
-def _print_stats(inspector: "JournalInspector", facts: dict[str, Any], groups: dict[str, dict[str, list[int]]]) -> None:
-    records = ", ".join(f"{count} {label}" for label, count in facts["records"].items() if count)
-    print_facts(
+def _print_stats(
+    inspector: "JournalInspector", totals: dict[str, Any], groups: dict[str, dict[str, list[int]]]
+) -> None:
+    records = ", ".join(f"{count} {label}" for label, count in totals["records"].items() if count)
+    print_values(
         {
             "file": inspector.path,
-            "written": format_size(len(inspector.content)),
-            "a sender runs": inspector.is_sender_running,
+            "size": format_size(len(inspector.content)),
+            "sender running": inspector.is_sender_running,
             "records": records or "none",
-            "pending": f"{facts['owed']} messages, {format_size(facts['owed_bytes'])} of bodies",
-            "oldest": f"{facts['oldest_s']} s",
-            "past their lifetime": facts["over_time"],
-            "damaged places": facts["damages"],
+            "pending": f"{totals['owed']} messages, {format_size(totals['owed_bytes'])} in bodies",
+            "oldest": f"{totals['oldest_s']} s",
+            "expired": totals["over_time"],
+            "damaged regions": totals["damages"],
         }
     )
     for name, counts in groups.items():
@@ -256,7 +261,7 @@
 
 
 def _row(message: "MessageRecord", now_ms: float) -> dict[str, Any]:
-    """Return one message as `ls` shows it, under the names of `--json`."""
+    """Return a message as a row of `ls`, with the names used in `--json`."""
     from ..spool.inspector import describe_state
 
     return {
@@ -273,11 +278,11 @@
 
 
 def _printable(value: Any) -> Any:
-    """Return bytes as text that can't move a terminal's cursor; any other value as it is."""
+    """Return bytes as text without terminal control sequences; return other values unchanged."""
     if not isinstance(value, bytes):
         return value
     characters = value.decode("latin-1")
-    return "".join(one if one.isprintable() else f"\\x{ord(one):02x}" for one in characters)
+    return "".join(char if char.isprintable() else f"\\x{ord(char):02x}" for char in characters)
 
 
 def _format_time(unix_ms: float) -> str:
@@ -286,7 +291,7 @@
 
 
 def _warn_of_damage(inspector: "JournalInspector") -> None:
-    """Warn on standard error where the file is damaged, as the rows above may not be all there was."""
+    """Warn on standard error if the journal is damaged, as the rows printed above may be incomplete."""
     if inspector.damages:
         offset = inspector.damages[0].offset
-        click.echo(f"dewpin: the journal is damaged from {offset} on; `dewpin spool verify` tells more", err=True)
+        click.echo(f"dewpin: the journal is damaged from offset {offset} on; see `dewpin spool verify`", err=True)
