--- a/dewpin/tier_cli/__init__.py
+++ b/dewpin/tier_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the serving tier: checks of its files and calls of its operator's API."""
+"""The command line of the serving tier: validates its files and calls its operator API."""
--- a/dewpin/tier_cli/__main__.py
+++ b/dewpin/tier_cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m dewpin.tier_cli`: the command line; its libraries are imported only when it runs."""
+"""Entry point of `dewpin-tier` and `python3 -m dewpin.tier_cli`. Dependencies are imported only when it runs."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Run the command line; entry point of `dewpin-tier`."""
+    """Run the command line; exit with an error message if a dependency is not installed."""
     try:
         from .commands import app
     except ModuleNotFoundError as error:
--- a/dewpin/tier_cli/commands.py
+++ b/dewpin/tier_cli/commands.py
@@ -1,7 +1,7 @@
-"""The commands.
+"""The commands of `dewpin-tier`.
 
-Results are printed to standard output, faults to standard error. With `--json` both are one JSON object on standard
-output.
+Results are printed to standard output and errors to standard error. With `--json`, either is one JSON object on
+standard output.
 """
 
 import platform
@@ -27,15 +27,17 @@
 INCONCLUSIVE_STATUSES = frozenset({HTTPStatus.REQUEST_TIMEOUT, HTTPStatus.TOO_MANY_REQUESTS})
 
 app = typer.Typer(
-    help="The serving tier: checks of its files and orders to it.", epilog=EXIT_CODES, no_args_is_help=True
+    help="Validate files of the serving tier and manage its configuration.", epilog=EXIT_CODES, no_args_is_help=True
 )
-config = typer.Typer(help="The operator's configuration.", epilog=EXIT_CODES, no_args_is_help=True)
-settings = typer.Typer(help="The settings file of a process.", epilog=EXIT_CODES, no_args_is_help=True)
+config = typer.Typer(
+    help="Check, read and change the operator's configuration.", epilog=EXIT_CODES, no_args_is_help=True
+)
+settings = typer.Typer(help="Check the settings file of a process.", epilog=EXIT_CODES, no_args_is_help=True)
 app.add_typer(config, name="config")
 app.add_typer(settings, name="settings")
 app.add_typer(register, name="register")
 
-Address = Annotated[str, typer.Option(help="HOST:PORT where the tier answers its operator.")]
+Address = Annotated[str, typer.Option(help="HOST:PORT of the tier's operator API.")]
 Timeout = Annotated[float, typer.Option("--timeout", help="Seconds to wait for a response.", min=0.1)]
 ConfigurationFile = Annotated[Path, typer.Argument(help="A configuration, as JSON.")]
 
@@ -44,11 +46,11 @@
 def check_configuration(
     file: ConfigurationFile,
     link_mbps: Annotated[
-        float | None, typer.Option(help="Estimate the time to all senders, whose links have this rate.", min=0.001)
+        float | None, typer.Option(help="Estimate the time to reach all senders over links of this rate.", min=0.001)
     ] = None,
     as_json: AsJson = False,
 ) -> None:
-    """Check a configuration and name every fault with its place."""
+    """Check a configuration and report all errors with their locations."""
     configuration = _read_configuration(file, as_json)
     counts = {"routes": len(configuration.routes), "services": len(configuration.services)}
     text = f"{file}: valid, generation {configuration.generation}, {_format_counts(counts)}"
@@ -63,11 +65,13 @@
 @config.command("get")
 def get_configuration(
     address: Address,
-    output: Annotated[Path | None, typer.Option(help="Write it to this file instead of printing it.")] = None,
+    output: Annotated[
+        Path | None, typer.Option(help="Write the configuration to this file instead of printing it.")
+    ] = None,
     timeout_s: Timeout = DEFAULT_TIMEOUT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Read the configuration in force, byte for byte as it was put."""
+    """Read the current configuration, byte for byte as it was submitted."""
     from .operator_client import NoResponseError, OperatorClient
 
     try:
@@ -91,25 +95,25 @@
     file: ConfigurationFile,
     address: Address,
     base: Annotated[
-        int | None, typer.Option(help="The version that it builds on; without it, the one now in force.", min=0)
+        int | None, typer.Option(help="The version that this one replaces; default: the current one.", min=0)
     ] = None,
     timeout_s: Timeout = DEFAULT_TIMEOUT_S,
     as_json: AsJson = False,
 ) -> None:
-    """Check a configuration and put it in force."""
-    from .operator_client import NoResponseError, OperatorClient, version_in_force
+    """Check a configuration and make it the current one."""
+    from .operator_client import NoResponseError, OperatorClient, current_version
 
     configuration = _read_configuration(file, as_json)
     client = OperatorClient(address, timeout_s)
     try:
         if base is None:
-            base = version_in_force(client.get_configuration())
+            base = current_version(client.get_configuration())
         response = client.put_configuration(file.read_bytes(), base)
     except NoResponseError as error:
         fail(ExitCode.UNKNOWN_RESULT, [str(error)], as_json)
     if response.status != HTTPStatus.OK:
         fail(_exit_code_for(response.status), response.errors(), as_json, status=response.status)
-    text = f"generation {configuration.generation} acknowledged, built on {base}"
+    text = f"generation {configuration.generation} acknowledged, replaces {base}"
     finish(as_json, text, acknowledged=True, generation=configuration.generation, base=base)
 
 
@@ -117,23 +121,23 @@
 def check_settings(
     file: Annotated[Path, typer.Argument(help="A settings file, as TOML.")], as_json: AsJson = False
 ) -> None:
-    """Check a settings file and name every fault with its key and what was expected."""
+    """Check a settings file and report all errors with key and expected value."""
     if not file.is_file():
-        fail(ExitCode.FILE_ERROR, [f"{file}: there is no such file"], as_json)
+        fail(ExitCode.FILE_ERROR, [f"{file}: no such file"], as_json)
     try:
-        checked = load_settings(file)
+        process_settings = load_settings(file)
     except InvalidSettingsError as invalid:
         fail(ExitCode.INVALID, invalid.lines(), as_json)
-    serves = sorted(checked.serves)
-    text = f"{file}: valid, {checked.node_name} serves {', '.join(serves) or 'nothing'}"
-    finish(as_json, text, valid=True, node_name=checked.node_name, serves=serves)
+    serves = sorted(process_settings.serves)
+    text = f"{file}: valid, {process_settings.node_name} serves {', '.join(serves) or 'nothing'}"
+    finish(as_json, text, valid=True, node_name=process_settings.node_name, serves=serves)
 
 
 @app.command("version")
 def show_version(as_json: AsJson = False) -> None:
-    """Print the program's version and what it runs on."""
-    python = platform.python_version()
-    finish(as_json, f"dewpin {__version__}, Python {python}", version=__version__, python=python)
+    """Print the versions of dewpin and Python."""
+    python_version = platform.python_version()
+    finish(as_json, f"dewpin {__version__}, Python {python_version}", version=__version__, python=python_version)
 
 
 def _read_configuration(file: Path, as_json: bool) -> Configuration:
@@ -148,7 +152,7 @@
 
 
 def _exit_code_for(status: int) -> ExitCode:
-    """Return the exit code for a response with another status than 200."""
+    """Return the exit code for a response whose status is not 200."""
     if status in INVALID_STATUSES:
         return ExitCode.INVALID
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in INCONCLUSIVE_STATUSES:
--- a/dewpin/tier_cli/operator_client.py
+++ b/dewpin/tier_cli/operator_client.py
@@ -1,4 +1,4 @@
-"""A client of the operator's API over HTTP."""
+"""An HTTP client of the operator API."""
 
 import json
 from dataclasses import dataclass
@@ -17,26 +17,26 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorResponse:
-    """A response of the operator's API: HTTP status and body."""
+    """A response of the operator API: HTTP status and body."""
 
     status: int
     body: bytes
 
     def errors(self) -> list[str]:
-        """Return the errors in the body, or the whole body if it has no list of errors."""
+        """Return the errors listed in the body, or the whole body if it does not list any."""
         try:
             errors = json.loads(self.body)["errors"]
         except (ValueError, KeyError, TypeError):
-            return [self.body.decode("utf-8", "replace").strip() or "(an empty answer)"]
+            return [self.body.decode("utf-8", "replace").strip() or "(empty response)"]
         return [str(error) for error in errors]
 
 
 class NoResponseError(DewpinError):
-    """There was no usable response: the server is unreachable, the connection was lost, or the response is unclear."""
+    """There was no usable response: the server is unreachable, the connection was lost, or the response is invalid."""
 
 
 class OperatorClient:
-    """Calls one control server, and those to which it redirects."""
+    """Sends requests to a control server, following its redirects."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         self._address = address
@@ -46,11 +46,11 @@
         )
 
     def get_configuration(self) -> OperatorResponse:
-        """Read the newest configuration; raises NoResponseError."""
+        """Request the current configuration; raises NoResponseError."""
         return self._call("GET", GET_PATH, None, {})
 
     def put_configuration(self, body: bytes, base_version: int) -> OperatorResponse:
-        """Send a configuration that is based on `base_version`; raises NoResponseError."""
+        """Submit a configuration that replaces version `base_version`; raises NoResponseError."""
         headers = {BASE_VERSION_HEADER: str(base_version), "Content-Type": "application/json"}
         return self._call("POST", PUT_PATH, body, headers)
 
@@ -58,20 +58,20 @@
         try:
             response = self._http.request(method, f"http://{self._address}{path}", body=body, headers=headers)
         except urllib3.exceptions.HTTPError as error:
-            raise NoResponseError(f"{self._address} gives no answer: {error}") from error
+            raise NoResponseError(f"no response from {self._address}: {error}") from error
         return OperatorResponse(response.status, response.data)
 
 
-def version_in_force(response: OperatorResponse) -> int:
-    """Return the generation in a response of Config.Get, 0 if there is no configuration yet.
+def current_version(response: OperatorResponse) -> int:
+    """Return the generation in a response to Config.Get, or 0 if there is no configuration yet.
 
-    Raises NoResponseError if the response says neither.
+    Raises NoResponseError if the response contains neither.
     """
     if response.status == HTTPStatus.NOT_FOUND:
         return 0
     if response.status != HTTPStatus.OK:
-        raise NoResponseError(f"the version in force is not told: {'; '.join(response.errors())}")
+        raise NoResponseError(f"cannot determine the current version: {'; '.join(response.errors())}")
     try:
         return parse_configuration(response.body).generation
     except InvalidConfigurationError as invalid:
-        raise NoResponseError(f"the version in force is not readable: {'; '.join(invalid.lines())}") from invalid
+        raise NoResponseError(f"cannot read the current version: {'; '.join(invalid.lines())}") from invalid
--- a/dewpin/tier_cli/propagation.py
+++ b/dewpin/tier_cli/propagation.py
@@ -1,4 +1,4 @@
-"""How long a configuration takes down the relay tree, by its size and the rate of the senders' links."""
+"""Estimates how long a configuration takes to propagate through the relay tree, from its size and the link rate."""
 
 from dataclasses import dataclass
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Propagation:
-    """What a configuration's body costs on its way.
+    """The cost of propagating the body of a configuration.
 
-    `compressed_bytes`: on one connection; `seconds`: until the children of one sender have it, which is the least time
-    until all senders do. Levels of the tree overlap: pages are handed on before the body is complete.
+    `compressed_bytes`: transferred per connection; `seconds`: until all children of one sender have the body, which is
+    a lower bound for all senders. Levels of the tree overlap, as pages are forwarded before the body is complete.
     """
 
     compressed_bytes: int
@@ -22,7 +22,7 @@
 
 
 def estimate_propagation(body: bytes, link_mbps: float) -> Propagation:
-    """Return the estimate for senders whose links carry `link_mbps` million bits a second."""
+    """Return the estimate for senders with links of `link_mbps` megabits per second."""
     compressed_bytes = len(CompressedOutput().encode(body))
     bits = compressed_bytes * BITS_PER_BYTE * RELAY_FAN_OUT
     return Propagation(compressed_bytes, bits / (link_mbps * BITS_PER_MEGABIT))
--- a/dewpin/tier_cli/register_commands.py
+++ b/dewpin/tier_cli/register_commands.py
@@ -1,4 +1,4 @@
-"""The commands for the register's replica on the disk of a stopped control server."""
+"""Commands for the register replica on the disk of a stopped control server."""
 
 from dataclasses import asdict
 from pathlib import Path
@@ -18,40 +18,40 @@
 from .output import EXIT_CODES, AsJson, fail, finish
 
 register = typer.Typer(
-    help="The register's replica in the data directory of a stopped control server.",
+    help="Inspect or recover the register replica of a stopped control server.",
     epilog=EXIT_CODES,
     no_args_is_help=True,
 )
 
-DataDirectory = Annotated[Path, typer.Argument(help="The data directory of a control server that is stopped.")]
+DataDirectory = Annotated[Path, typer.Argument(help="The data directory of a stopped control server.")]
 
 
 @register.command("show")
 def show_replica(data_dir: DataDirectory, as_json: AsJson = False) -> None:
-    """Print what a replica holds: compare the versions of all survivors before a recovery."""
+    """Print the content of a replica. Before a recovery, compare the versions of all surviving replicas."""
     try:
-        found = describe_replica(data_dir)
+        replica = describe_replica(data_dir)
     except RecoveryFileError as error:
         fail(ExitCode.FILE_ERROR, [str(error)], as_json)
     except RecoveryRefusedError as refusal:
         fail(ExitCode.INVALID, refusal.faults, as_json)
-    role = "a member" if found.is_member else "no member"
-    lines = [f"{data_dir}: {found.member}, {role}, version {found.version}, configuration {found.generation}"]
-    lines += [f"member {one} {name}" for one, name in found.members.items()]
-    lines += [f"store {one} {name}" for one, name in found.stores.items()]
-    finish(as_json, "\n".join(lines), **asdict(found))
+    role = "member" if replica.is_member else "not a member"
+    lines = [f"{data_dir}: {replica.member}, {role}, version {replica.version}, configuration {replica.generation}"]
+    lines += [f"member {member_id} {name}" for member_id, name in replica.members.items()]
+    lines += [f"store {store_id} {name}" for store_id, name in replica.stores.items()]
+    finish(as_json, "\n".join(lines), **asdict(replica))
 
 
 @register.command("recover")
 def recover_register(
     data_dir: DataDirectory,
-    lost: Annotated[list[str], typer.Option(help="Id of a member or store that never comes back; once for each.")],
+    lost: Annotated[list[str], typer.Option(help="Id of a permanently lost member or store; can be repeated.")],
     apply: Annotated[
-        bool, typer.Option("--apply", help="Write it; without this, only print what would change.")
+        bool, typer.Option("--apply", help="Apply the recovery; without this option, only print the changes.")
     ] = False,
     as_json: AsJson = False,
 ) -> None:
-    """Leave lost members out of a register that has no majority any more. What only they held is gone for good."""
+    """Remove lost members from a register without a majority. Data that only they held is lost permanently."""
     try:
         plan = recover(data_dir, set(lost)) if apply else plan_recovery(data_dir, set(lost))
     except RecoveryFileError as error:
--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,29 +1,29 @@
-Feature: The operator's configuration is accepted whole or refused with every fault named
+Feature: The operator's configuration is accepted completely or rejected with all errors reported
 
-  Scenario: A whole configuration is accepted and read back as it was sent
+  Scenario: A valid configuration is accepted and preserved unchanged
     Given a valid configuration
-    And its field "routes[0].note" is "kept, though nobody knows it"
-    When it is read
+    And its field "routes[0].note" is "an unknown field"
+    When it is parsed
     Then it is accepted
-    And it reads back exactly as it was sent
+    And it is preserved exactly as submitted
 
-  Scenario: Fields that may be absent have defaults
+  Scenario: Optional fields have defaults
     Given a valid configuration
     And its field "limits" is absent
     And its field "routes[0].timeout_ms" is absent
-    When it is read
+    When it is parsed
     Then it is accepted
 
-  Scenario Outline: A single fault is refused and named with its place
+  Scenario Outline: A single error is reported with its path
     Given a valid configuration
     And its field "<field>" is <value>
-    When it is read
-    Then it is refused with faults at exactly
-      | place   |
-      | <place> |
+    When it is parsed
+    Then it is rejected with errors at exactly
+      | path   |
+      | <path> |
 
     Examples:
-      | field                        | value           | place                        |
+      | field                        | value           | path                         |
       | routes[0].backend            | "gone"          | routes[0].backend            |
       | routes[1].split[1].backend   | "gone"          | routes[1].split[1].backend   |
       | routes[1].path_prefix        | "/talk/"        | routes[1]                    |
@@ -33,27 +33,27 @@
       | generation                   | null            | generation                   |
       | services                     | absent          | services                     |
 
-  Scenario: Several faults are refused together
+  Scenario: Several errors are reported together
     Given a valid configuration
     And its field "routes[0].timeout_ms" is 0
     And its field "routes[1].split[1].backend" is "gone"
     And its field "services[0].max_conns" is "many"
-    When it is read
-    Then it is refused with faults at exactly
-      | place                      |
+    When it is parsed
+    Then it is rejected with errors at exactly
+      | path                       |
       | routes[0].timeout_ms       |
       | routes[1].split[1].backend |
       | services[0].max_conns      |
 
-  Scenario: A body that is cut short is refused
+  Scenario: A truncated body is rejected
     Given a valid configuration
-    When all but its last byte is read
-    Then it is refused
+    When it is parsed without its last byte
+    Then it is rejected
 
-  Scenario Outline: The longest prefix of the host takes the request
+  Scenario Outline: A request is routed by its host and longest matching path prefix
     Given a valid configuration
-    When it is read
-    Then a request to "<host>" for "<path>" takes the route "<route>"
+    When it is parsed
+    Then a request to "<host>" for "<path>" is routed to "<route>"
 
     Examples:
       | host             | path             | route |
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the operator's configuration: a body is changed, read, and accepted or refused."""
+"""Steps for the operator's configuration: a body is modified, parsed, and accepted or rejected."""
 
 import json
 import re
@@ -9,7 +9,7 @@
 
 from dewpin.cluster.configuration import InvalidConfigurationError, parse_configuration
 
-VALID: dict[str, Any] = {
+VALID_CONFIGURATION: dict[str, Any] = {
     "generation": 3,
     "routes": [
         {"name": "talk", "hostname": "one.example", "path_prefix": "/talk/", "timeout_ms": 900, "backend": "engines"},
@@ -28,63 +28,63 @@
 
 
 @given("a valid configuration")
-def start_from_a_valid_configuration(context: Context) -> None:
-    context.sent = json.loads(json.dumps(VALID))
+def use_valid_configuration(context: Context) -> None:
+    context.submitted = json.loads(json.dumps(VALID_CONFIGURATION))
 
 
 @given('its field "{field}" is {value}')
-def change_a_field(context: Context, field: str, value: str) -> None:
-    *path, last = [int(step) if step.isdigit() else step for step in re.findall(r"\w+", field)]
-    container = context.sent
-    for step in path:
-        container = container[step]
+def set_field(context: Context, field: str, value: str) -> None:
+    *parents, last_key = [int(step) if step.isdigit() else step for step in re.findall(r"\w+", field)]
+    container = context.submitted
+    for key in parents:
+        container = container[key]
     if value == "absent":
-        del container[last]
+        del container[last_key]
     else:
-        container[last] = json.loads(value)
+        container[last_key] = json.loads(value)
 
 
-@when("it is read")
-def read_it(context: Context) -> None:
-    read(context, json.dumps(context.sent).encode())
+@when("it is parsed")
+def parse_body(context: Context) -> None:
+    parse(context, json.dumps(context.submitted).encode())
 
 
-@when("all but its last byte is read")
-def read_it_cut_short(context: Context) -> None:
-    read(context, json.dumps(context.sent).encode()[:-1])
+@when("it is parsed without its last byte")
+def parse_truncated_body(context: Context) -> None:
+    parse(context, json.dumps(context.submitted).encode()[:-1])
 
 
-def read(context: Context, body: bytes) -> None:
-    context.configuration, context.faults = None, []
+def parse(context: Context, body: bytes) -> None:
+    context.configuration, context.errors = None, []
     try:
         context.configuration = parse_configuration(body)
-    except InvalidConfigurationError as invalid:
-        context.faults = list(invalid.exceptions)
+    except InvalidConfigurationError as error:
+        context.errors = list(error.exceptions)
 
 
 @then("it is accepted")
 def it_is_accepted(context: Context) -> None:
-    assert context.configuration is not None, context.faults
+    assert context.configuration is not None, context.errors
 
 
-@then("it reads back exactly as it was sent")
-def it_reads_back(context: Context) -> None:
-    assert json.dumps(context.configuration.raw) == json.dumps(context.sent)
+@then("it is preserved exactly as submitted")
+def it_is_preserved(context: Context) -> None:
+    assert json.dumps(context.configuration.raw) == json.dumps(context.submitted)
 
 
-@then("it is refused")
-def it_is_refused(context: Context) -> None:
+@then("it is rejected")
+def it_is_rejected(context: Context) -> None:
     assert context.configuration is None
-    assert context.faults
+    assert context.errors
 
 
-@then("it is refused with faults at exactly")
-def it_is_refused_at(context: Context) -> None:
-    it_is_refused(context)
-    assert sorted(fault.path for fault in context.faults) == sorted(row["place"] for row in context.table)
+@then("it is rejected with errors at exactly")
+def it_is_rejected_at(context: Context) -> None:
+    it_is_rejected(context)
+    assert sorted(error.path for error in context.errors) == sorted(row["path"] for row in context.table)
 
 
-@then('a request to "{host}" for "{path}" takes the route "{name}"')
-def a_request_takes_a_route(context: Context, host: str, path: str, name: str) -> None:
+@then('a request to "{host}" for "{path}" is routed to "{name}"')
+def request_is_routed(context: Context, host: str, path: str, name: str) -> None:
     route = context.configuration.route_for(host, path)
     assert (route.name if route else "none") == name
--- a/tests/tier_cli/test_tier_cli.py
+++ b/tests/tier_cli/test_tier_cli.py
@@ -1,4 +1,4 @@
-"""The tier's command line: checks of files, and calls of a scripted operator's API on loopback."""
+"""The command line of the tier: validation of files, and requests to a scripted operator API on loopback."""
 
 import json
 import subprocess
@@ -22,7 +22,7 @@
 
 @dataclass
 class ScriptedOperatorApi:
-    """An operator's API with scripted responses, which records its requests."""
+    """An operator API that returns scripted responses and records requests."""
 
     address: str = ""
     responses: dict[str, tuple[int, bytes, dict[str, str]]] = field(default_factory=dict)
@@ -61,7 +61,7 @@
 
 
 def run(*arguments: str | Path) -> Result:
-    return CliRunner().invoke(app, [str(one) for one in arguments])
+    return CliRunner().invoke(app, [str(argument) for argument in arguments])
 
 
 @pytest.fixture
@@ -76,44 +76,46 @@
     raw = samples.configuration()
     raw["routes"][0]["timeout_ms"] = 0
     raw["routes"][1]["split"][0]["backend"] = "gone"
-    path = tmp_path / "faulty.json"
+    path = tmp_path / "invalid.json"
     path.write_text(json.dumps(raw))
     return path
 
 
-FAULTS = [
+ERRORS = [
     "routes[0].timeout_ms: expected more than 0, got 0",
     "routes[1].split[0].backend: there is no service 'gone'",
 ]
 
 
 def test_check_of_valid_configuration_succeeds(valid_file: Path):
-    done = run("config", "check", valid_file)
-    assert (done.exit_code, done.stdout) == (0, f"{valid_file}: valid, generation 7, 2 routes, 2 services\n")
-    done = run("config", "check", valid_file, "--json")
-    assert json.loads(done.stdout) == {"valid": True, "generation": 7, "routes": 2, "services": 2}
+    result = run("config", "check", valid_file)
+    assert (result.exit_code, result.stdout) == (0, f"{valid_file}: valid, generation 7, 2 routes, 2 services\n")
+    result = run("config", "check", valid_file, "--json")
+    assert json.loads(result.stdout) == {"valid": True, "generation": 7, "routes": 2, "services": 2}
 
 
-def test_check_tells_the_least_time_until_all_senders_have_a_configuration(valid_file: Path):
-    done = run("config", "check", valid_file, "--link-mbps", "15", "--json")
-    told = json.loads(done.stdout)
-    compressed = told["compressed_bytes"]
+def test_check_estimates_minimum_propagation_time(valid_file: Path):
+    result = run("config", "check", valid_file, "--link-mbps", "15", "--json")
+    report = json.loads(result.stdout)
+    compressed = report["compressed_bytes"]
     assert 100 < compressed < valid_file.stat().st_size
-    assert told["least_seconds"] == round(compressed * 8 * RELAY_FAN_OUT / 15e6, 3)
-    done = run("config", "check", valid_file, "--link-mbps", "0.1")
-    assert f"{compressed} bytes compressed, at least {compressed * 8 * RELAY_FAN_OUT / 1e5:.2f} s to all" in done.stdout
+    assert report["least_seconds"] == round(compressed * 8 * RELAY_FAN_OUT / 15e6, 3)
+    result = run("config", "check", valid_file, "--link-mbps", "0.1")
+    assert (
+        f"{compressed} bytes compressed, at least {compressed * 8 * RELAY_FAN_OUT / 1e5:.2f} s to all" in result.stdout
+    )
 
 
-def test_check_rejects_a_link_without_a_rate(valid_file: Path):
-    done = run("config", "check", valid_file, "--link-mbps", "0")
-    assert done.exit_code == 2 and "--link-mbps" in done.stderr
+def test_check_rejects_link_rate_of_0(valid_file: Path):
+    result = run("config", "check", valid_file, "--link-mbps", "0")
+    assert result.exit_code == 2 and "--link-mbps" in result.stderr
 
 
-def test_check_of_invalid_configuration_lists_every_fault(invalid_file: Path):
-    done = run("config", "check", invalid_file)
-    assert (done.exit_code, done.stdout, done.stderr.splitlines()) == (2, "", FAULTS)
-    done = run("config", "check", invalid_file, "--json")
-    assert (done.exit_code, json.loads(done.stdout)) == (2, {"faults": FAULTS})
+def test_check_of_invalid_configuration_lists_all_errors(invalid_file: Path):
+    result = run("config", "check", invalid_file)
+    assert (result.exit_code, result.stdout, result.stderr.splitlines()) == (2, "", ERRORS)
+    result = run("config", "check", invalid_file, "--json")
+    assert (result.exit_code, json.loads(result.stdout)) == (2, {"faults": ERRORS})
 
 
 def test_check_of_missing_file_exits_with_file_error(tmp_path: Path):
@@ -121,15 +123,15 @@
     assert run("settings", "check", tmp_path / "none.toml").exit_code == 1
 
 
-def test_check_of_settings_lists_every_fault(tmp_path: Path):
+def test_check_of_settings_lists_all_errors(tmp_path: Path):
     path = tmp_path / "settings.toml"
     path.write_text(samples.SETTINGS)
-    done = run("settings", "check", path)
-    assert (done.exit_code, done.stdout) == (0, f"{path}: valid, front-east-1 serves front\n")
+    result = run("settings", "check", path)
+    assert (result.exit_code, result.stdout) == (0, f"{path}: valid, front-east-1 serves front\n")
     path.write_text(samples.SETTINGS.replace('"10.1.0.30"', "3").replace("bootstrap = true", 'bootstrap = "x"'))
-    done = run("settings", "check", path)
-    assert done.exit_code == 2
-    assert done.stderr.splitlines() == ["ip: expected a string, got 3", "bootstrap: expected true or false, got 'x'"]
+    result = run("settings", "check", path)
+    assert result.exit_code == 2
+    assert result.stderr.splitlines() == ["ip: expected a string, got 3", "bootstrap: expected true or false, got 'x'"]
 
 
 def test_version_is_printed(valid_file: Path):
@@ -153,15 +155,15 @@
 
 def test_get_without_configuration_exits_with_rejected(operator_api: ScriptedOperatorApi):
     operator_api.responses["/dewpin/Config.Get"] = 404, b'{"errors":["no configuration yet"]}', {}
-    done = run("config", "get", "--address", operator_api.address)
-    assert (done.exit_code, done.stderr) == (3, "no configuration yet\n")
+    result = run("config", "get", "--address", operator_api.address)
+    assert (result.exit_code, result.stderr) == (3, "no configuration yet\n")
 
 
-def test_put_without_base_uses_the_version_in_force(operator_api: ScriptedOperatorApi, valid_file: Path):
+def test_put_without_base_uses_the_current_version(operator_api: ScriptedOperatorApi, valid_file: Path):
     operator_api.responses["/dewpin/Config.Get"] = 200, b'{"generation":5,"routes":[],"services":[]}', {}
     operator_api.responses["/dewpin/Config.Put"] = 200, b'{"generation":7}', {}
-    done = run("config", "put", valid_file, "--address", operator_api.address, "--json")
-    assert json.loads(done.stdout) == {"acknowledged": True, "generation": 7, "base": 5}
+    result = run("config", "put", valid_file, "--address", operator_api.address, "--json")
+    assert json.loads(result.stdout) == {"acknowledged": True, "generation": 7, "base": 5}
     method, path, headers, body = operator_api.requests[-1]
     assert (method, path, headers["X-Dewpin-Base-Version"]) == ("POST", "/dewpin/Config.Put", "5")
     assert body == valid_file.read_bytes()
@@ -175,7 +177,7 @@
 
 
 @pytest.mark.parametrize("response", [(503, b"", {}), (200, b'{"generation":', {})])
-def test_put_is_not_sent_when_version_in_force_is_unknown(
+def test_put_is_not_sent_when_current_version_is_unknown(
     operator_api: ScriptedOperatorApi, valid_file: Path, response: Any
 ):
     operator_api.responses["/dewpin/Config.Get"] = response
@@ -183,7 +185,7 @@
     assert [path for _, path, _, _ in operator_api.requests] == ["/dewpin/Config.Get"]
 
 
-def test_put_follows_redirect(operator_api: ScriptedOperatorApi, valid_file: Path):
+def test_put_follows_redirects(operator_api: ScriptedOperatorApi, valid_file: Path):
     operator_api.responses["/dewpin/Config.Put"] = 307, b"", {"Location": f"http://{operator_api.address}/elsewhere"}
     operator_api.responses["/elsewhere"] = 200, b"", {}
     assert run("config", "put", valid_file, "--address", operator_api.address, "--base", "5").exit_code == 0
@@ -197,13 +199,13 @@
     operator_api: ScriptedOperatorApi, valid_file: Path, status: int, code: int
 ):
     operator_api.responses["/dewpin/Config.Put"] = status, b'{"errors":["first","second"]}', {}
-    done = run("config", "put", valid_file, "--address", operator_api.address, "--base", "5")
-    assert (done.exit_code, done.stderr.splitlines()) == (code, ["first", "second"])
+    result = run("config", "put", valid_file, "--address", operator_api.address, "--base", "5")
+    assert (result.exit_code, result.stderr.splitlines()) == (code, ["first", "second"])
 
 
 def test_invalid_configuration_is_not_sent(operator_api: ScriptedOperatorApi, invalid_file: Path):
-    done = run("config", "put", invalid_file, "--address", operator_api.address, "--base", "5")
-    assert (done.exit_code, done.stderr.splitlines(), operator_api.requests) == (2, FAULTS, [])
+    result = run("config", "put", invalid_file, "--address", operator_api.address, "--base", "5")
+    assert (result.exit_code, result.stderr.splitlines(), operator_api.requests) == (2, ERRORS, [])
 
 
 def test_unreachable_address_exits_with_no_response(valid_file: Path):
@@ -211,12 +213,12 @@
     assert run("config", "put", valid_file, "--address", "127.0.0.1:1").exit_code == 4
 
 
-def test_module_runs_and_names_missing_dependency():
-    done = subprocess.run([sys.executable, "-m", "dewpin.tier_cli", "version"], capture_output=True, text=True)
-    assert (done.returncode, done.stdout.split()[0]) == (0, "dewpin")
+def test_module_runs_and_reports_missing_dependency():
+    result = subprocess.run([sys.executable, "-m", "dewpin.tier_cli", "version"], capture_output=True, text=True)
+    assert (result.returncode, result.stdout.split()[0]) == (0, "dewpin")
     program = (
         "import sys, runpy; sys.modules['typer'] = None; sys.argv = ['x', 'version']\n"
         "runpy.run_module('dewpin.tier_cli', run_name='__main__')"
     )
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True)
-    assert (done.returncode, "needs dewpin[tier]" in done.stderr) == (1, True)
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True)
+    assert (result.returncode, "needs dewpin[tier]" in result.stderr) == (1, True)
