--- a/dewpin/simulator/__init__.py
+++ b/dewpin/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher on the wire of the simulator, marsh-c21d."""
+"""An adapter that connects the dispatcher to the simulator by its wire protocol, marsh-c21d."""
--- a/dewpin/simulator/__main__.py
+++ b/dewpin/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches from standard input and writes replies to standard output until input ends."""
+"""Reads batches from standard input and writes replies to standard output until end of input."""
 
 import sys
 
@@ -7,13 +7,13 @@
 
 
 def main() -> int:
-    """Answers every batch; gives the exit code: 1 after input that is not of this wire."""
+    """Reply to every batch; return the exit code, 1 if the input violates the wire protocol."""
     adapter = Adapter()
-    read, write = sys.stdin.buffer, sys.stdout.buffer
+    input_stream, output_stream = sys.stdin.buffer, sys.stdout.buffer
     try:
-        while (batch := wire.read_batch(read)) is not None:
-            write.write(adapter.answer(batch))
-            write.flush()
+        while (batch := wire.read_batch(input_stream)) is not None:
+            output_stream.write(adapter.process_batch(batch))
+            output_stream.flush()
     except wire.WireFormatError as error:
         print(f"dewpin: {error}", file=sys.stderr)
         return 1
--- a/dewpin/simulator/adapter.py
+++ b/dewpin/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""Drives dispatchers from the simulator's wire. It keeps timers and pending messages, and decides nothing."""
+"""Drives dispatchers with the events of simulator batches.
+
+It keeps timers and pending messages; all decisions are made by the dispatchers.
+"""
 
 from __future__ import annotations
 
@@ -26,19 +29,19 @@
     1: model.ReceiverState.READY,
     2: model.ReceiverState.DRAINING,
 }
-TIMER_HANDLE = 1  # a sender has one timer
+TIMER_HANDLE = 1  # a sender has only one timer
 TIMER_TOLERANCE_MS = 0.001
 
 
 class SimulatedSender:
-    """One sender.
-
-    number: which one it is on the wire.
-    dispatcher: its decisions.
-    messages: the pending ones, by their ids.
-    receivers, destinations: those that its lists have named.
-    timer_at: when the earliest timer that is set will fire; None: none is set.
-    actions: encoded, for the reply.
+    """A sender under simulation.
+
+    number: its number on the wire.
+    dispatcher: makes its decisions.
+    messages: pending messages by id.
+    receivers, destinations: all that have appeared in its receiver lists, by id.
+    timer_at: when the earliest pending timer fires, in ms; None if no timer is set.
+    actions: encoded actions for the reply.
     """
 
     def __init__(self, number: int, seed: int, settings: dict[str, Any]) -> None:
@@ -54,32 +57,32 @@
         self.actions: list[bytes] = []
         self.handlers: dict[type[Any], Callable[[float, Any], None]] = {
             events.Query: self.submit,
-            events.First: self.ignore,  # no queue class here streams
+            events.First: self.ignore,  # no queue class in the simulation streams
             events.Returned: self.record_outcome,
             events.Vanished: self.withdraw,
             events.Wakeup: self.clear_timer,
-            events.Checked: self.take_load_report,
+            events.Checked: self.handle_load_report,
             events.NoteFrom: self.ignore,
         }
 
     def handle(self, now: float, event: events.SenderEvent) -> None:
-        """Takes in an event that is not an update of the receiver list."""
+        """Handle an event other than an update of the receiver list."""
         self.handlers[type(event)](now, event)
 
     def update_receivers(self, kind: int, entries: Sequence[events.ReceiverEntry]) -> None:
-        """Takes in an update of the receiver list."""
+        """Apply an update of the receiver list."""
         if kind == events.TargetsKind.FAILED:
             return
         for entry in entries:
             self._update_receiver(entry)
         if kind != events.TargetsKind.CHANGES:
-            named = {entry.receiver_id for entry in entries}
+            listed_ids = {entry.receiver_id for entry in entries}
             for receiver_id, receiver in self.receivers.items():
-                if receiver_id not in named:
+                if receiver_id not in listed_ids:
                     receiver.state = model.ReceiverState.GONE
 
     def submit(self, now: float, query: events.Query) -> None:
-        """Takes in a message."""
+        """Accept and dispatch a message."""
         is_resubmitted = bool(query.flags & (events.QueryFlag.RESUBMITTED | events.QueryFlag.INHERITED))
         arrived_at = self.dispatcher.first_submitted_at(query.queue_class, query.time_left_ms, is_resubmitted, now)
         message = model.Message(
@@ -92,10 +95,10 @@
             query.ordering_key,
         )
         self.messages[query.message_id] = message
-        self._act(message, self.dispatcher.dispatch(message, now))
+        self._encode_decision(message, self.dispatcher.dispatch(message, now))
 
     def record_outcome(self, now: float, returned: events.Returned) -> None:
-        """Takes in how an attempt ended."""
+        """Record the outcome of an attempt."""
         self._set_load_report(returned.receiver_id, returned.load_report)
         message = self.messages.get(returned.message_id)
         if message is None:
@@ -106,42 +109,42 @@
         if returned.is_complete and outcome != model.Outcome.DELIVERED:
             message.is_withdrawn = True
         result = self.dispatcher.record_outcome(message, outcome, now)
-        self._act(message, result)
+        self._encode_decision(message, result)
         if result.should_close_idle:
             self.actions.append(wire.encode_close_idle(self.number, returned.receiver_id))
 
     def withdraw(self, now: float, vanished: events.Vanished) -> None:
-        """Takes in that nothing is owed any more for a message."""
+        """Mark a message as withdrawn."""
         if vanished.message_id in self.messages:
             self.messages[vanished.message_id].is_withdrawn = True
 
     def clear_timer(self, now: float, wakeup: events.Wakeup) -> None:
-        """Takes in that a timer fired."""
+        """Clear the timer after it fired."""
         if self.timer_at is not None and self.timer_at <= now + TIMER_TOLERANCE_MS:
             self.timer_at = None
 
-    def take_load_report(self, now: float, checked: events.Checked) -> None:
-        """Takes in a load report that came by itself."""
+    def handle_load_report(self, now: float, checked: events.Checked) -> None:
+        """Record a load report that arrived without a message."""
         self._set_load_report(checked.receiver_id, checked.load_report)
 
     def ignore(self, now: float, event: events.First | events.NoteFrom) -> None:
-        """Takes in an event that tells this program nothing."""
+        """Ignore an event that the dispatcher does not use."""
 
     def finish(self, now: float) -> None:
-        """Dispatches every message that is due, then sets the timer for the next one."""
+        """Dispatch all messages that are due, then set the timer for the next one."""
         while True:
             delay_ms, message = self.dispatcher.next_due(now)
             if message is None:
                 return
             if delay_ms > 0:
                 break
-            self._act(message, self.dispatcher.dispatch(message, now))
+            self._encode_decision(message, self.dispatcher.dispatch(message, now))
         if self.timer_at is None or now + delay_ms < self.timer_at - TIMER_TOLERANCE_MS:
             self.timer_at = now + delay_ms
             self.actions.append(wire.encode_defer(self.number, self.timer_at, TIMER_HANDLE))
 
-    def _act(self, message: model.Message, result: DispatchResult | OutcomeResult) -> None:
-        """Puts a decision on the wire."""
+    def _encode_decision(self, message: model.Message, result: DispatchResult | OutcomeResult) -> None:
+        """Add the action for a decision, and forget the message once it is finished."""
         decision = result.decision
         if isinstance(result, DispatchResult) and result.receiver:
             attempt = wire.encode_attempt(
@@ -181,34 +184,35 @@
 class Adapter:
     """All senders of one process.
 
-    senders: those that run, by their numbers.
-    receiver_lists: the lists that their updates refer to.
+    senders: running senders by number.
+    receiver_lists: receiver lists by number, to which updates refer.
     """
 
     def __init__(self) -> None:
         self.senders: dict[int, SimulatedSender] = {}
         self.receiver_lists: dict[int, list[events.ReceiverEntry]] = {}
 
-    def answer(self, batch: events.Batch) -> bytes:
-        """The reply to a batch.
+    def process_batch(self, batch: events.Batch) -> bytes:
+        """Process a batch and return the encoded reply.
 
-        A sender that fails is given up, and the others go on. Raises WireFormatError for an event that cannot be.
+        A sender that raises an exception is terminated; the others continue. Raises WireFormatError for an event that
+        is invalid in its context.
         """
-        reply = BatchReply(self, batch)
+        processor = BatchProcessor(self, batch)
         for index, event in enumerate(batch.events):
             if isinstance(event, events.Census):
                 self.receiver_lists[event.census] = event.entries
             else:
-                reply.take(event, f"batch {batch.number}, record {index}")
-        return reply.finish()
+                processor.handle(event, f"batch {batch.number}, record {index}")
+        return processor.finish()
 
 
-class BatchReply:
-    """The work on one batch.
+class BatchProcessor:
+    """Processes one batch.
 
-    actions: encoded, of senders that failed and, at the end, of the others.
-    touched: senders that had an event and run on, in the order of the first one.
-    failed: senders that were given up in this batch.
+    actions: encoded actions, first of senders that failed, then of the others.
+    active: running senders with events in this batch, in the order of their first event.
+    failed: numbers of senders that were terminated in this batch.
     """
 
     def __init__(self, adapter: Adapter, batch: events.Batch) -> None:
@@ -216,11 +220,11 @@
         self.receiver_lists = adapter.receiver_lists
         self.batch = batch
         self.actions: list[bytes] = []
-        self.touched: dict[int, SimulatedSender] = {}
+        self.active: dict[int, SimulatedSender] = {}
         self.failed: set[int] = set()
 
-    def take(self, event: events.SenderEvent, where: str) -> None:
-        """Takes in an event of a sender; `where` names it in errors."""
+    def handle(self, event: events.SenderEvent, location: str) -> None:
+        """Handle an event of a sender; `location` identifies it in error messages."""
         number = event.sender
         if isinstance(event, events.Provision):
             self._stop(number)
@@ -232,53 +236,53 @@
             return
         elif number not in self.senders:
             name = wire.EVENT_NAMES[type(event)]
-            raise wire.WireFormatError(f"{where}: expected an instance that runs for {name}, got {number}")
+            raise wire.WireFormatError(f"{location}: expected an instance that runs for {name}, got {number}")
         if isinstance(event, events.Targets):
-            self._check_list_is_known(event, where)
+            self._check_list_exists(event, location)
         try:
-            self._pass_on(event, where)
+            self._deliver_event(event, location)
         except wire.WireFormatError:
             raise
         except Exception as error:
-            self._give_up(number, error)
+            self._terminate(number, error)
             self.failed.add(number)
-            self.touched.pop(number, None)
+            self.active.pop(number, None)
 
     def finish(self) -> bytes:
-        """Lets every sender that had an event dispatch what is due; gives the whole reply."""
-        for number, sender in self.touched.items():
+        """Let every active sender dispatch its due messages; return the encoded reply."""
+        for number, sender in self.active.items():
             try:
                 sender.finish(self.batch.now)
             except Exception as error:
-                self._give_up(number, error)
+                self._terminate(number, error)
                 continue
             self.actions += sender.actions
             sender.actions = []
         return wire.encode_reply(self.batch.number, self.actions)
 
-    def _pass_on(self, event: events.SenderEvent, where: str) -> None:
+    def _deliver_event(self, event: events.SenderEvent, location: str) -> None:
         number = event.sender
         if isinstance(event, events.Provision):
-            settings = _decode_settings(event.settings_text, where)
-            self.touched[number] = SimulatedSender(number, event.seed, settings)
-            self.senders[number] = self.touched[number]
+            settings = _decode_settings(event.settings_text, location)
+            self.active[number] = SimulatedSender(number, event.seed, settings)
+            self.senders[number] = self.active[number]
             return
-        sender = self.touched[number] = self.senders[number]
+        sender = self.active[number] = self.senders[number]
         if isinstance(event, events.Targets):
             sender.update_receivers(event.kind, self.receiver_lists.get(event.census, ()))
         else:
             sender.handle(self.batch.now, event)
 
-    def _check_list_is_known(self, targets: events.Targets, where: str) -> None:
+    def _check_list_exists(self, targets: events.Targets, location: str) -> None:
         if targets.kind != events.TargetsKind.FAILED and targets.census not in self.receiver_lists:
-            raise wire.WireFormatError(f"{where}: expected a census under {targets.census} before targets")
+            raise wire.WireFormatError(f"{location}: expected a census under {targets.census} before targets")
 
     def _stop(self, number: int) -> None:
         self.senders.pop(number, None)
-        self.touched.pop(number, None)
+        self.active.pop(number, None)
 
-    def _give_up(self, number: int, error: Exception) -> None:
-        """Ends a sender after a fault of its own and tells the simulator why."""
+    def _terminate(self, number: int, error: Exception) -> None:
+        """Terminate a sender after an internal error and report the reason to the simulator."""
         self.senders.pop(number, None)
         reason = f"{type(error).__name__}: {error}"
         if isinstance(error, KeyError):
@@ -286,11 +290,11 @@
         self.actions.append(wire.encode_die(number, reason))
 
 
-def _decode_settings(text: bytes, where: str) -> dict[str, Any]:
+def _decode_settings(text: bytes, location: str) -> dict[str, Any]:
     try:
         settings = json.loads(text)
     except ValueError:
         settings = None
     if not isinstance(settings, dict):
-        raise wire.WireFormatError(f"{where}: expected settings as a JSON object")
+        raise wire.WireFormatError(f"{location}: expected settings as a JSON object")
     return settings
--- a/dewpin/simulator/events.py
+++ b/dewpin/simulator/events.py
@@ -1,6 +1,6 @@
-"""What the simulator tells: the records of a batch as types, with their fields in the order of the wire.
+"""Events of the simulator: one type per record of a batch, with the fields in wire order.
 
-Times are milliseconds, as floats. `sender` is the number of the instance that a record is for.
+Times are floats in milliseconds. `sender` is the number of the sender that a record is for.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class Provision(NamedTuple):
-    """A sender starts. `settings_text`: a JSON object."""
+    """A sender starts. `settings_text`: its settings, a JSON object."""
 
     sender: int
     seed: int
@@ -17,7 +17,7 @@
 
 
 class Targets(NamedTuple):
-    """An update of the receiver list. `kind`: see `TargetsKind`; `census`: the number of the list that it refers to."""
+    """An update of the receiver list. `kind`: see `TargetsKind`; `census`: number of the list."""
 
     sender: int
     version: int
@@ -26,14 +26,14 @@
 
 
 class TargetsKind:
-    """The kinds of updates that are treated in a way of their own; the others hold the complete list."""
+    """Kinds of list updates that need special handling; all other kinds refer to the complete list."""
 
     CHANGES = 0
-    FAILED = 3  # there is no list; the one before stays in force
+    FAILED = 3  # no list is available; the previous one remains valid
 
 
 class Query(NamedTuple):
-    """A message comes in. `flags`: a sum of `QueryFlag` values."""
+    """A message arrives. `flags`: bitwise OR of `QueryFlag` values."""
 
     sender: int
     message_id: int
@@ -47,14 +47,14 @@
 
 
 class QueryFlag:
-    """Bits of `Query.flags` that this program reads."""
+    """Bits of `Query.flags` that the adapter uses."""
 
-    RESUBMITTED = 2  # its client has submitted it before
-    INHERITED = 16  # it comes from a sender that died
+    RESUBMITTED = 2  # the client submitted the message before
+    INHERITED = 16  # the message was taken over from a sender that died
 
 
 class First(NamedTuple):
-    """A stream has started to flow."""
+    """The first data of a streaming response arrived."""
 
     sender: int
     message_id: int
@@ -66,10 +66,10 @@
 class Returned(NamedTuple):
     """An attempt ended.
 
-    outcome: its code.
-    is_complete: nothing more is owed for the message.
-    detail: with a rejection, the wait in ms that was asked for.
-    load_report: values of the fields that the settings name; empty: none came.
+    outcome: code of the outcome.
+    is_complete: nonzero if the message needs no further handling.
+    detail: for a rejection, the requested delay in ms before a retry.
+    load_report: values of the fields named in the settings; empty if there was no report.
     """
 
     sender: int
@@ -84,21 +84,21 @@
 
 
 class Vanished(NamedTuple):
-    """A message is withdrawn."""
+    """A message was withdrawn."""
 
     sender: int
     message_id: int
 
 
 class Wakeup(NamedTuple):
-    """A timer has fired."""
+    """A timer fired."""
 
     sender: int
     handle: int
 
 
 class Checked(NamedTuple):
-    """A load report that was asked for."""
+    """A load report that was requested explicitly."""
 
     sender: int
     receiver_id: int
@@ -108,7 +108,7 @@
 
 
 class NoteFrom(NamedTuple):
-    """A note of another sender."""
+    """A note from another sender."""
 
     sender: int
     other_sender: int
@@ -116,13 +116,13 @@
 
 
 class Exit(NamedTuple):
-    """A sender dies without warning."""
+    """A sender terminates without warning."""
 
     sender: int
 
 
 class ReceiverEntry(NamedTuple):
-    """A receiver in a list. `state`: 0 gone, 1 ready, 2 draining; `listed_at`: since when it is in the list."""
+    """A receiver in a list. `state`: 0 gone, 1 ready, 2 draining; `listed_at`: when it was added to the list."""
 
     state: int
     weight: float
@@ -134,7 +134,7 @@
 
 
 class Census(NamedTuple):
-    """A list of receivers under a number, for the `Targets` of all senders."""
+    """A numbered list of receivers, to which the `Targets` of all senders refer."""
 
     census: int
     entries: list[ReceiverEntry]
@@ -145,7 +145,7 @@
 
 
 class Batch(NamedTuple):
-    """Events that happened up to a moment, in order."""
+    """Events up to the time `now`, in order."""
 
     number: int
     now: float
--- a/dewpin/simulator/wire.py
+++ b/dewpin/simulator/wire.py
@@ -1,4 +1,7 @@
-"""The framing of marsh-c21d: batches in, replies out. Layouts only, no meaning; little-endian without padding."""
+"""Encoding and decoding of the simulator protocol marsh-c21d: batches in, replies out.
+
+All integers and floats are little-endian without padding. The events are interpreted in `adapter`.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +10,11 @@
 
 from . import events
 
-BATCH_HEADER = struct.Struct("<IIId")  # number, bytes that follow this field, count of records, clock
-BYTES_BEFORE_LENGTH_COUNTS = 8  # of the batch's header
-REPLY_HEADER = struct.Struct("<II")  # number, bytes of actions
+BATCH_HEADER = struct.Struct("<IIId")  # number, number of bytes after this field, number of records, clock
+UNCOUNTED_HEADER_BYTES = 8  # the start of the batch header, which the length excludes
+REPLY_HEADER = struct.Struct("<II")  # number, total bytes of the actions
 
-# Codes of actions and their layouts, code included.
+# Action codes, and the layouts of actions including the code.
 ATTEMPT, NOT_NOW, END_FAILED, DEFER, CLOSE_IDLE, DIE = 10, 20, 30, 50, 70, 100
 ATTEMPT_LAYOUT = struct.Struct("<BHQId")
 NOT_NOW_LAYOUT = struct.Struct("<BHQd")
@@ -19,32 +22,32 @@
 DEFER_LAYOUT = struct.Struct("<BHdI")
 CLOSE_IDLE_LAYOUT = struct.Struct("<BHI")
 DIE_LAYOUT = struct.Struct("<BHH")
-MOST_TEXT_BYTES = 65535
+MAX_TEXT_BYTES = 65535
 
 ENTRY_LAYOUT = struct.Struct("<BfHdHIH")
 FLOAT_SIZE = 4
 
 
-class Tail(NamedTuple):
-    """What follows the fixed fields of a record: a count, then so many items."""
+class ArrayLayout(NamedTuple):
+    """A variable-length array after the fixed fields of a record: the item count, then the items."""
 
     count_layout: struct.Struct
     item_size: int
 
 
-BYTES = Tail(struct.Struct("<I"), 1)
-TEXT = Tail(struct.Struct("<H"), 1)
-FLOATS = Tail(struct.Struct("<B"), FLOAT_SIZE)
-ENTRIES = Tail(struct.Struct("<I"), ENTRY_LAYOUT.size)
+BYTES = ArrayLayout(struct.Struct("<I"), 1)
+TEXT = ArrayLayout(struct.Struct("<H"), 1)
+FLOATS = ArrayLayout(struct.Struct("<B"), FLOAT_SIZE)
+ENTRIES = ArrayLayout(struct.Struct("<I"), ENTRY_LAYOUT.size)
 
 
 class RecordLayout(NamedTuple):
-    """How a record stands on the wire after its code. `name`: that of the interface's page."""
+    """The layout of a record after its code. `name`: its name in the protocol specification."""
 
     name: str
     event_type: Any
     fields: struct.Struct
-    tail: Tail | None = None
+    array: ArrayLayout | None = None
 
 
 RECORDS = {
@@ -64,48 +67,48 @@
 
 
 class WireFormatError(Exception):
-    """Input that is not marsh-c21d: one sentence names the batch, the record and what was expected."""
+    """Input that violates marsh-c21d. The message names the batch, the record and what was expected."""
 
 
 def encode_attempt(sender: int, message_id: int, receiver_id: int, timeout_ms: float) -> bytes:
-    """Sends a message to a receiver."""
+    """Encode the action that sends a message to a receiver."""
     return ATTEMPT_LAYOUT.pack(ATTEMPT, sender, message_id, receiver_id, timeout_ms)
 
 
 def encode_not_now(sender: int, message_id: int, retry_after_ms: float) -> bytes:
-    """Defers a message: its client may submit it again."""
+    """Encode the action that defers a message, which the client may submit again."""
     return NOT_NOW_LAYOUT.pack(NOT_NOW, sender, message_id, retry_after_ms)
 
 
 def encode_end_failed(sender: int, message_id: int) -> bytes:
-    """Bounces a message."""
+    """Encode the action that bounces a message."""
     return END_FAILED_LAYOUT.pack(END_FAILED, sender, message_id)
 
 
 def encode_defer(sender: int, fire_at: float, handle: int) -> bytes:
-    """Sets a timer."""
+    """Encode the action that sets a timer."""
     return DEFER_LAYOUT.pack(DEFER, sender, fire_at, handle)
 
 
 def encode_close_idle(sender: int, receiver_id: int) -> bytes:
-    """Closes idle connections to a receiver."""
+    """Encode the action that closes idle connections to a receiver."""
     return CLOSE_IDLE_LAYOUT.pack(CLOSE_IDLE, sender, receiver_id)
 
 
 def encode_die(sender: int, reason: str) -> bytes:
-    """Gives a sender up after a fault of its own."""
-    text = reason.encode()[:MOST_TEXT_BYTES]
+    """Encode the action that terminates a sender after an internal error."""
+    text = reason.encode()[:MAX_TEXT_BYTES]
     return DIE_LAYOUT.pack(DIE, sender, len(text)) + text
 
 
 def encode_reply(batch_number: int, actions: list[bytes]) -> bytes:
-    """The reply to a batch."""
+    """Encode the reply to a batch."""
     body = b"".join(actions)
     return REPLY_HEADER.pack(batch_number, len(body)) + body
 
 
 def read_batch(stream: BinaryIO) -> events.Batch | None:
-    """The next batch, or None at the end of input.
+    """Return the next batch, or None at the end of input.
 
     Raises WireFormatError.
     """
@@ -115,10 +118,10 @@
     if len(header) < BATCH_HEADER.size:
         raise WireFormatError(f"batch header: expected {BATCH_HEADER.size} bytes, got {len(header)}")
     number, length, count, now = BATCH_HEADER.unpack(header)
-    shortest = BATCH_HEADER.size - BYTES_BEFORE_LENGTH_COUNTS
-    if length < shortest:
-        raise WireFormatError(f"batch {number}: expected a length of at least {shortest}, got {length}")
-    body_size = length - shortest
+    min_length = BATCH_HEADER.size - UNCOUNTED_HEADER_BYTES
+    if length < min_length:
+        raise WireFormatError(f"batch {number}: expected a length of at least {min_length}, got {length}")
+    body_size = length - min_length
     body = stream.read(body_size)
     if len(body) < body_size:
         raise WireFormatError(f"batch {number}: expected {body_size} bytes of records, got {len(body)}")
@@ -133,35 +136,35 @@
 
 
 def _decode_record(body: bytes, offset: int, batch_number: int, index: int) -> tuple[Any, int]:
-    """The record at this offset and the offset behind it."""
-    where = f"batch {batch_number}, record {index}"
+    """Return the record at this offset and the offset after it."""
+    location = f"batch {batch_number}, record {index}"
     if offset >= len(body):
-        raise WireFormatError(f"{where}: expected a record, got the end of the batch")
+        raise WireFormatError(f"{location}: expected a record, got the end of the batch")
     code = body[offset]
     if code not in RECORDS:
-        raise WireFormatError(f"{where}: expected a known record code, got {code}")
-    name, event_type, layout, tail = RECORDS[code]
+        raise WireFormatError(f"{location}: expected a known record code, got {code}")
+    name, event_type, layout, array = RECORDS[code]
     try:
         fields = layout.unpack_from(body, offset + 1)
         offset += 1 + layout.size
-        if tail:
-            content, offset = _decode_tail(body, offset, tail)
+        if array:
+            content, offset = _decode_array(body, offset, array)
             fields += (content,)
     except struct.error as error:
-        raise WireFormatError(f"{where}: expected a whole {name}, got the end of the batch") from error
+        raise WireFormatError(f"{location}: expected a complete {name}, got the end of the batch") from error
     return event_type(*fields), offset
 
 
-def _decode_tail(body: bytes, offset: int, tail: Tail) -> tuple[Any, int]:
-    """The items at this offset and the offset behind them; struct.error if they are cut off."""
-    (count,) = tail.count_layout.unpack_from(body, offset)
-    start = offset + tail.count_layout.size
-    end = start + count * tail.item_size
+def _decode_array(body: bytes, offset: int, array: ArrayLayout) -> tuple[Any, int]:
+    """Return the items at this offset and the offset after them. Raises struct.error if they are truncated."""
+    (count,) = array.count_layout.unpack_from(body, offset)
+    start = offset + array.count_layout.size
+    end = start + count * array.item_size
     content = body[start:end]
     if len(content) < end - start:
-        raise struct.error("cut off")
-    if tail is ENTRIES:
+        raise struct.error("truncated")
+    if array is ENTRIES:
         return [events.ReceiverEntry(*entry) for entry in ENTRY_LAYOUT.iter_unpack(content)], end
-    if tail is FLOATS:
+    if array is FLOATS:
         return struct.unpack(f"<{count}f", content), end
     return content, end
