--- a/dewpin/config/consistency.py
+++ b/dewpin/config/consistency.py
@@ -61,8 +61,8 @@
 def check_consistency(deployment: Deployment, origins: dict[str, str]) -> list[ConfigurationIssue]:
     """Return contradictions between sections, each reported at a key that the operator can change.
 
-    Contradictions among values that the platform set are accepted: the operator cannot change them, and only the
-    platform knows the resources that it provides.
+    Contradictions among values that the platform set are accepted, as only the platform knows the resources that it
+    provides.
     """
     issues = []
     for path, other_path, message in _contradictions(deployment):
--- a/dewpin/config/sections.py
+++ b/dewpin/config/sections.py
@@ -51,7 +51,7 @@
     name: Annotated[
         str,
         key(
-            "Name of the sender in logs and status; it must stay the same across restarts.",
+            "Name of the sender in logs and status; it should stay the same across restarts.",
             applies_at_reload=False,
             platform_name="name",
             variable="LB_NAME",
