--- a/dewpin/core/circuit_breaker.py
+++ b/dewpin/core/circuit_breaker.py
@@ -5,13 +5,13 @@
 from .destination_limits import limits_of
 from .model import READY, Receiver
 from .random_source import RandomSource
-from .receiver_health import ReceiverHealth, health_of, is_on_trial
+from .receiver_health import ReceiverHealth, health_of, is_probing
 from .sender_state import SenderState
 from .settings import DispatcherSettings
 from .slow_start import SlowStart
 from .traffic_share import TrafficShare
 
-SHUT_AFTER_MS = 1500.0
+SUSTAINED_REJECTION_MS = 1500.0
 """A destination that rejects everything for so long is shut, not just above its limit."""
 TRIALS_PER_WINDOW = 4.0
 """So many senders of a fleet may each try a failed destination once within an overload window."""
@@ -32,16 +32,16 @@
         self.sender = sender
         self.traffic = traffic
 
-    def rejects_for_itself(self, receiver: Receiver, now: float) -> bool:
+    def rejected_recently(self, receiver: Receiver, now: float) -> bool:
         """Whether its latest answer, not long ago, was a rejection.
 
         It guards against a receiver that rejects on its own account (it drains, is shut or gone): free again at once,
         it would draw in all messages and set the rate of its whole destination.
         """
         health = health_of(receiver)
-        return health.rejected_at > max(health.good_at, now - SHUT_AFTER_MS)
+        return health.rejected_at > max(health.good_at, now - SUSTAINED_REJECTION_MS)
 
-    def meet(self, receiver: Receiver, now: float) -> None:
+    def check_new_receiver(self, receiver: Receiver, now: float) -> None:
         """The first look at a receiver; where limits are shared, at one of a destination that is known already.
 
         It guards against an outage in which the list replaces receivers: what all senders hold would go at once to one
@@ -51,7 +51,7 @@
         limits = limits_of(receiver, self.settings.kinds_with_own_limits)
         if limits is receiver.destination.limits and (
             limits.failed_at > limits.good_at
-            or any(other.health and is_on_trial(other) for other in receiver.destination.receivers)
+            or any(other.health and is_probing(other) for other in receiver.destination.receivers)
         ):
             self.open(receiver, health, now)
 
@@ -72,7 +72,7 @@
         share = self.traffic.estimate(receiver, now, ready if has_own_limits else 1, 0.5 if is_sparse else 0.0)
         cold_rate = SAFETY_SHARE * settings.overload_factor * cold_capacity * share
         growth_ms = settings.warm_up_ms * cold_capacity / max(0.01, 1.0 - cold_share)
-        jitter = TRIAL_JITTER if is_sparse and is_on_trial(receiver) else FIRST_TRIAL_JITTER
+        jitter = TRIAL_JITTER if is_sparse and is_probing(receiver) else FIRST_TRIAL_JITTER
         slow_start = SlowStart(max(least_rate, cold_rate) / (1 if has_own_limits else ready), growth_ms, now)
         health.slow_start = slow_start
         self.sender.ejected_receivers.add(receiver)
--- a/dewpin/core/destination_limits.py
+++ b/dewpin/core/destination_limits.py
@@ -12,7 +12,7 @@
 
 STUCK_CALL_TIMES = 4.0
 """A call that is in flight for so many usual call times is taken to be stuck."""
-SHORTEST_STUCK_MS = 700.0
+MIN_STUCK_MS = 700.0
 """No call is taken to be stuck, and no learned time-out runs out, sooner than this."""
 GROWTH_ROOM = 3.0
 """How far the concurrency limit lies above the concurrency that was measured."""
@@ -67,7 +67,7 @@
             self.calls.popleft()
         if not self.calls or self.calls[0].sent_at < self.good_at:
             return float("inf")
-        return self.calls[0].sent_at + max(SHORTEST_STUCK_MS, STUCK_CALL_TIMES * (self.usual_call_ms or 0.0))
+        return self.calls[0].sent_at + max(MIN_STUCK_MS, STUCK_CALL_TIMES * (self.usual_call_ms or 0.0))
 
     def concurrency_limit(self, now: float, receivers: int) -> float:
         """How many calls may be in flight: rate times latency as measured (Little's law), with room to grow.
--- a/dewpin/core/destination_queue.py
+++ b/dewpin/core/destination_queue.py
@@ -71,13 +71,13 @@
                 return True
         return False
 
-    def arrival_rate(self, now: float, fewer: float = 0.0) -> float:
+    def arrival_rate(self, now: float, count_correction: float = 0.0) -> float:
         """Messages a second that come for the destination: few where many senders share its traffic.
 
-        `fewer` is taken off the count, for a caller that asks because a message has come just now.
+        `count_correction` is taken off the count, for a caller that asks because a message has come just now.
         """
         span_ms = max(RATE_WINDOW_MS / 4.0, min(RATE_WINDOW_MS, now - self.started_at))
-        return (max(1.0, sum(self.arrivals.recent(now, 10))) - fewer) * 1000.0 / span_ms
+        return (max(1.0, sum(self.arrivals.recent(now, 10))) - count_correction) * 1000.0 / span_ms
 
     def recent_slot_time(self, now: float) -> float:
         """The slot time in ms that its calls used lately, those in flight included."""
--- a/dewpin/core/dispatcher.py
+++ b/dewpin/core/dispatcher.py
@@ -37,7 +37,7 @@
 from .random_source import RandomSource
 from .rate_control import RateControl
 from .receiver_health import ReceiverHealth, health_of
-from .receiver_selection import NOT_KNOWN, ReceiverSelector
+from .receiver_selection import UNKNOWN_TIME, ReceiverSelector
 from .retry_policy import RetryPolicy
 from .sender_state import SenderState
 from .settings import DispatcherSettings
@@ -241,10 +241,10 @@
                 return NextDue(0.0, message)
             at = min(
                 [available_at(receiver, message, now) for receiver in queue.destination.receivers],
-                default=NOT_KNOWN,
+                default=UNKNOWN_TIME,
             )
             if at > now:
-                if at < NOT_KNOWN and (soonest is None or at < soonest[0]):
+                if at < UNKNOWN_TIME and (soonest is None or at < soonest[0]):
                     soonest = at, 0, message
             elif next_queue is None or queue.recent_slot_time(now) < next_queue.recent_slot_time(now):
                 next_queue, next_message = queue, message
@@ -375,8 +375,8 @@
             self._enqueue(message)
             return
         state.stage = Stage.AWAITING_TURN
-        if self.key_order.join(message):
-            self._pause_until(message, self.key_order.may_go_on_at(message, now))
+        if self.key_order.add(message):
+            self._pause_until(message, self.key_order.next_allowed_at(message, now))
         if state.executed_at is not None:  # its call may have been in flight until the process before this one ended
             self.key_order.begin_gap(message, now)
 
@@ -391,9 +391,9 @@
             self._dequeue(message)
         state.stage = Stage.FINISHED
         self.sender.pending_messages -= 1
-        successor = self.key_order.leave(message)
+        successor = self.key_order.remove(message)
         if successor:
-            self._pause_until(successor, self.key_order.may_go_on_at(successor, now))
+            self._pause_until(successor, self.key_order.next_allowed_at(successor, now))
         return self.retry_after_ms(message.destination, now) if decision == Decision.DEFERRED else 0.0
 
     def _enqueue(self, message: Message) -> None:
--- a/dewpin/core/idle_connections.py
+++ b/dewpin/core/idle_connections.py
@@ -19,7 +19,7 @@
     senders that sent last, or that hold messages back for a rate limit, and the calls of others are turned away.
     """
     queue = receiver.destination.queue
-    if health_of(receiver).in_flight or receiver.kind not in sender.crowded_kinds:
+    if health_of(receiver).in_flight or receiver.kind not in sender.full_table_kinds:
         return False
     if not queue.waiting:
         return True
--- a/dewpin/core/key_order.py
+++ b/dewpin/core/key_order.py
@@ -29,13 +29,13 @@
         """Whether a message has to wait for those of its key that came before it."""
         return bool(self.classes[message.queue_class].is_ordered and message.ordering_key)
 
-    def join(self, message: Message) -> bool:
+    def add(self, message: Message) -> bool:
         """Puts a message behind the others of its key; True if it is the first."""
         messages = self.messages_by_key.setdefault(message.ordering_key, deque())
         messages.append(message)
         return len(messages) == 1
 
-    def may_go_on_at(self, message: Message, now: float) -> float:
+    def next_allowed_at(self, message: Message, now: float) -> float:
         """When the first message of a key may go on."""
         return self.gaps.get(message.ordering_key, now)
 
@@ -51,7 +51,7 @@
         if len(self.gaps) > MOST_GAPS:
             self.gaps = {key: until for key, until in self.gaps.items() if until > now}
 
-    def leave(self, message: Message) -> Message | None:
+    def remove(self, message: Message) -> Message | None:
         """Takes out a message that is done; gives the one whose turn comes by that, if there is one."""
         messages = self.messages_by_key.get(message.ordering_key) if self.is_ordered(message) else None
         if not messages or message not in messages:
--- a/dewpin/core/learned_state.py
+++ b/dewpin/core/learned_state.py
@@ -64,7 +64,7 @@
     """What a sender knows over all destinations."""
     return {
         "sender": _export(sender, SENDER_FIELDS),
-        "crowded": list(sender.crowded_kinds),
+        "crowded": list(sender.full_table_kinds),
         "turned": list(sender.failed_connection_shares.items()),
         "rests": [[key.decode("latin-1") if key else "", until] for key, until in key_order.gaps.items()],  # type: ignore[attr-defined]
     }
@@ -88,7 +88,7 @@
 def restore_sender(sender: SenderState, key_order: KeyOrder, held: Mapping[str, Any]) -> None:
     """Puts what `export_sender` gave in force, beside what is there already."""
     _restore(sender, held["sender"], SENDER_FIELDS)
-    sender.crowded_kinds.update(held["crowded"])
+    sender.full_table_kinds.update(held["crowded"])
     sender.failed_connection_shares.update(held.get("turned", ()))
     key_order.gaps.update((key.encode("latin-1"), until) for key, until in held["rests"])
 
--- a/dewpin/core/message_ranking.py
+++ b/dewpin/core/message_ranking.py
@@ -6,7 +6,7 @@
 
 from .destination_queue import DestinationQueue
 from .model import READY, Decision, Message
-from .receiver_health import is_on_trial
+from .receiver_health import is_probing
 from .retry_policy import RetryPolicy
 from .sender_state import SenderState
 from .settings import DispatcherSettings, Effect, QueueClass
@@ -32,7 +32,7 @@
         """
         receivers = queue.destination.receivers
         prefers_safe = self.has_safe_class and all(
-            is_on_trial(receiver) for receiver in receivers if receiver.state == READY
+            is_probing(receiver) for receiver in receivers if receiver.state == READY
         )
         usual_ms = self._usual_call_ms(queue)
         best, best_rank = None, None
--- a/dewpin/core/outcome_recorder.py
+++ b/dewpin/core/outcome_recorder.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from .call import Call
-from .circuit_breaker import SHUT_AFTER_MS, CircuitBreaker
+from .circuit_breaker import SUSTAINED_REJECTION_MS, CircuitBreaker
 from .destination_limits import DestinationLimits, limits_of
 from .model import READY, Message, Outcome
 from .random_source import RandomSource
@@ -23,7 +23,7 @@
 LONG_WAIT_MS = 2500.0
 """No rate limit asks for a longer wait: the destination is shut, and comes back cold."""
 REJECTIONS_OF_SHUT = 3
-"""So many without a good answer, over `SHUT_AFTER_MS`, mean that a destination is shut."""
+"""So many without a good answer, over `SUSTAINED_REJECTION_MS`, mean that a destination is shut."""
 FAILURES_DESPITE_LOSS = 3
 """So many failures in a row are an outage even if calls are lost on the way."""
 FULL_TABLE_SHARE = 0.1
@@ -116,7 +116,7 @@
         limits.timeouts = limits.rejections = 0
         limits.good_at = now
         if not health.slow_start and now - health.connect_failed_at < LONG_FAILURE_MS:
-            self.sender.crowded_kinds.add(receiver.kind)  # it had refused a connection: a full table, no crash
+            self.sender.full_table_kinds.add(receiver.kind)  # it had refused a connection: a full table, no crash
         self._average_call_time(limits, result.message.duration_ms)
         # a good answer makes up for one failure: a receiver that fails most calls is out, if not all of them
         health.failures = 0 if self.sender.is_path_lossy else max(0, health.failures - 1)
@@ -165,17 +165,17 @@
         health.rejected_at = now
         is_second_failure = result.is_connection_refused and limits.failed_at > limits.good_at
         if result.outcome == Outcome.REJECTED:
-            self._slow_down(result, is_for_itself, now)
+            self._reduce_rate(result, is_for_itself, now)
         else:
             health.connect_failed_at = limits.failed_at = now
             if result.is_sparse:  # this sender hardly sees what follows, and needs no idle connections
-                self.sender.crowded_kinds.add(receiver.kind)
+                self.sender.full_table_kinds.add(receiver.kind)
         if limits.rejections == 0:
             limits.first_rejected_at = now
         limits.rejections += 1  # of the destination, whichever receiver spoke for it
         is_shut = (
             limits.rejections >= REJECTIONS_OF_SHUT
-            and now - limits.first_rejected_at > SHUT_AFTER_MS
+            and now - limits.first_rejected_at > SUSTAINED_REJECTION_MS
             or result.message.retry_after_ms > LONG_WAIT_MS
         )
         is_down = (
@@ -188,7 +188,7 @@
         if is_down:
             self._eject_unconnected(result, now)
 
-    def _slow_down(self, result: AttemptResult, is_for_itself: bool, now: float) -> None:
+    def _reduce_rate(self, result: AttemptResult, is_for_itself: bool, now: float) -> None:
         limits, call, wait_ms = result.limits, result.call, result.message.retry_after_ms
         if wait_ms > 0:
             wait_until = now + wait_ms + self.random.uniform(*RETRY_AFTER_JITTER_MS)
@@ -197,12 +197,12 @@
         if left_before_limiter:
             return
         if not is_for_itself or self._all_reject(result, now):
-            self.rates.slow_down(call.receiver, limits, now)
+            self.rates.reduce_rate(call.receiver, limits, now)
 
     def _all_reject(self, result: AttemptResult, now: float) -> bool:
         kinds_with_own_limits = self.settings.kinds_with_own_limits
         return all(
-            self.breaker.rejects_for_itself(receiver, now)
+            self.breaker.rejected_recently(receiver, now)
             for receiver in result.message.destination.receivers
             if receiver.state == READY and limits_of(receiver, kinds_with_own_limits) is result.limits
         )
--- a/dewpin/core/rate_control.py
+++ b/dewpin/core/rate_control.py
@@ -30,7 +30,7 @@
         self.random = random
         self.traffic = traffic
 
-    def slow_down(self, receiver: Receiver, limits: DestinationLimits, now: float) -> None:
+    def reduce_rate(self, receiver: Receiver, limits: DestinationLimits, now: float) -> None:
         """Sets a rate: what was accepted lately, or half of the last rate, from the end of the wait that was asked for.
 
         It guards against calls that were held back by one rejection or wait and that all fall due together, at one
--- a/dewpin/core/receiver_health.py
+++ b/dewpin/core/receiver_health.py
@@ -53,7 +53,7 @@
     return health
 
 
-def is_on_trial(receiver: Receiver) -> bool:
+def is_probing(receiver: Receiver) -> bool:
     """Whether its circuit breaker is open and no trial call has gone well yet."""
     slow_start = health_of(receiver).slow_start
     return slow_start is not None and slow_start.growing_since is None
--- a/dewpin/core/receiver_selection.py
+++ b/dewpin/core/receiver_selection.py
@@ -7,11 +7,11 @@
 from .destination_limits import limits_of
 from .destination_queue import DestinationQueue
 from .model import READY, Message, Receiver
-from .receiver_health import health_of, is_on_trial
+from .receiver_health import health_of, is_probing
 from .sender_state import SenderState
 from .settings import DispatcherSettings, RetryScope
 
-NOT_KNOWN = float("inf")
+UNKNOWN_TIME = float("inf")
 """The time of something that cannot happen before some update comes."""
 
 # Multiples of these lie evenly in 0 to 1, and so does every second multiple.
@@ -74,11 +74,11 @@
         return equals[int(self.rotation_offset * len(equals) + turn) % len(equals)]
 
     def available_at(self, receiver: Receiver, message: Message, now: float) -> float:
-        """When this receiver may get the message as far as is known; `NOT_KNOWN`: some update must come first."""
+        """When this receiver may get the message as far as is known; `UNKNOWN_TIME`: some update must come first."""
         if receiver.state != READY or not self._is_in_retry_scope(receiver, message):
-            return NOT_KNOWN
+            return UNKNOWN_TIME
         if receiver.health is None:
-            self.breaker.meet(receiver, now)
+            self.breaker.check_new_receiver(receiver, now)
         if self.open_batch(receiver, now):
             return now
         limits, health = limits_of(receiver, self.kinds_with_own_limits), receiver.health
@@ -87,9 +87,9 @@
             self.sender.calls_in_flight >= self.settings.call_slots
             or limits.in_flight >= limits.concurrency_limit(now, ready_count)
             or health.in_flight
-            and is_on_trial(receiver)
+            and is_probing(receiver)
         ):
-            return NOT_KNOWN
+            return UNKNOWN_TIME
         available_at = max(now, limits.retry_after_until)
         for limiter in (limits.rate_limiter, health.slow_start):
             if limiter and limiter.next_at > available_at:
@@ -104,7 +104,7 @@
         has_room = (
             call.message_count < self.settings.batch_sizes[receiver.kind]
             and call.open_count == call.message_count
-            and not is_on_trial(receiver)
+            and not is_probing(receiver)
         )
         return call if has_room else None
 
@@ -143,7 +143,7 @@
         health = receiver.health
         return (
             self.open_batch(receiver, now) is None,
-            self.breaker.rejects_for_itself(receiver, now),
+            self.breaker.rejected_recently(receiver, now),
             health.failed_at > max(health.good_at, recent_since),
             message.queue_class in health.failed_classes,
             health.in_flight,
--- a/dewpin/core/sender_state.py
+++ b/dewpin/core/sender_state.py
@@ -14,7 +14,7 @@
     started_at: when its first message came; None before.
     usual_call_ms: a moving average over all destinations; None before the first good answer.
     recovery_share: share of the calls after an unanswered one that go well, a moving average.
-    crowded_kinds: kinds of receivers with a full connection table, which turned a connection away.
+    full_table_kinds: kinds of receivers with a full connection table, which turned a connection away.
     failed_connection_shares: by kind of receiver, share of the calls that found no connection, a moving average.
     ejected_receivers: those whose circuit breaker is open.
     calls_in_flight: each takes a slot.
@@ -25,7 +25,7 @@
         "started_at",
         "usual_call_ms",
         "recovery_share",
-        "crowded_kinds",
+        "full_table_kinds",
         "failed_connection_shares",
         "ejected_receivers",
         "calls_in_flight",
@@ -36,7 +36,7 @@
         self.started_at: float | None = None
         self.usual_call_ms: float | None = None
         self.recovery_share = 0.0
-        self.crowded_kinds: set[int] = set()
+        self.full_table_kinds: set[int] = set()
         self.failed_connection_shares: dict[int, float] = {}
         self.ejected_receivers: set[Receiver] = set()
         self.calls_in_flight = 0
--- a/dewpin/core/timeouts.py
+++ b/dewpin/core/timeouts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .destination_limits import SHORTEST_STUCK_MS, DestinationLimits
+from .destination_limits import MIN_STUCK_MS, DestinationLimits
 from .model import Message
 from .sender_state import SenderState
 from .settings import DispatcherSettings, Effect
@@ -27,7 +27,7 @@
         return FIRST_TIMEOUT_MS
     queue_class = settings.classes[message.queue_class]
     factor = 2.0 if queue_class.effect is Effect.UNSAFE else 1.0
-    learned_ms = max(SHORTEST_STUCK_MS, TIMEOUT_CALL_TIMES * usual_ms)
+    learned_ms = max(MIN_STUCK_MS, TIMEOUT_CALL_TIMES * usual_ms)
     if limits.usual_call_ms is None:
         learned_ms = max(learned_ms, queue_class.target_ms)
     return float(min(FIRST_TIMEOUT_MS, learned_ms * factor * 2.0**limits.timeouts))
--- a/tests/core/test_limits_and_timeouts.py
+++ b/tests/core/test_limits_and_timeouts.py
@@ -6,7 +6,7 @@
 from core.dispatcher_driver import DispatcherDriver
 
 from dewpin.core.model import Decision, Destination, Outcome, PriorAttempts, Receiver
-from dewpin.core.receiver_health import is_on_trial
+from dewpin.core.receiver_health import is_probing
 from driver import settings
 
 
@@ -75,7 +75,7 @@
         assert driver.end_attempt(message, Outcome.CONNECT_FAILED, 2.0) == Decision.NOT_YET
     driver.advance_until(lambda: driver.receiver_of(message), 4000.0)
     assert (driver.receiver_of(message) is None) == trials
-    assert all(is_on_trial(one) for one in driver.destination.receivers) == trials
+    assert all(is_probing(one) for one in driver.destination.receivers) == trials
 
 
 def test_rejected_trial_of_a_sparse_queue_is_followed_by_as_long_a_gap_as_a_good_one():
@@ -130,7 +130,7 @@
         for _ in range(3):
             limits = driver.dispatcher.limits_of(receiver)
             limits.retry_after_until = driver.now + retry_after_ms
-            driver.dispatcher.rates.slow_down(receiver, limits, driver.now)
+            driver.dispatcher.rates.reduce_rate(receiver, limits, driver.now)
             growth_times_ms.append(limits.rate_limiter.growth_ms)
             limits.rate_limiter.growing_since, limits.rate_limiter.good_answers = driver.now, good_answers
             driver.now += grown * growth_times_ms[-1]
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -58,7 +58,7 @@
     sent = play(adapter, batch(1, 0.0, provision(3, settings()), CENSUS, TARGETS, QUERY))[0]
     assert sent[8] == 10 and sent[8 + 11 : 8 + 15].hex() == "074a1203"
     returned = bytes.fromhex("320300c4913a5da92b070000074a12030a000000000000803240010000000000")
-    adapter.senders[3].dispatcher.sender.crowded_kinds.add(0)  # as one of its kind had a full table
+    adapter.senders[3].dispatcher.sender.full_table_kinds.add(0)  # as one of its kind had a full table
     reply = play(adapter, batch(2, 20.0, returned))[0]
     assert reply[8:15].hex() == "460300074a1203"
     assert not adapter.senders[3].messages
