--- a/dewpin/core/circuit_breaker.py
+++ b/dewpin/core/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Ejects receivers that fail and lets them back by slow start."""
+"""Ejects receivers that fail and readmits them by slow start."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .traffic_share import TrafficShare
 
 SUSTAINED_REJECTION_MS = 1500.0
-"""A destination that rejects everything for so long is shut, not just above its limit."""
-TRIALS_PER_WINDOW = 4.0
-"""So many senders of a fleet may each try a failed destination once within an overload window."""
-SAFETY_SHARE = 0.8
-"""Of what a cold receiver bears, what the trial calls of all senders add up to."""
-TRIAL_JITTER = (0.8, 1.4)
-FIRST_TRIAL_JITTER = (0.2, 1.0)
+"""A destination that rejects everything for this long is unavailable, not just above its rate limit."""
+PROBES_PER_WINDOW = 4.0
+"""This many senders of a fleet may each probe a failed destination once per overload window."""
+COLD_CAPACITY_USE = 0.8
+"""Share of a cold receiver's capacity that the probe calls of all senders may use in total."""
+PROBE_JITTER = (0.8, 1.4)
+FIRST_PROBE_JITTER = (0.2, 1.0)
 
 
 class CircuitBreaker:
@@ -33,19 +33,19 @@
         self.traffic = traffic
 
     def rejected_recently(self, receiver: Receiver, now: float) -> bool:
-        """Whether its latest answer, not long ago, was a rejection.
+        """Returns whether the receiver's latest response is a recent rejection.
 
-        It guards against a receiver that rejects on its own account (it drains, is shut or gone): free again at once,
-        it would draw in all messages and set the rate of its whole destination.
+        A receiver may reject for reasons of its own, because it is draining, shut down or gone. A rejection
+        leaves it idle, so it would attract all messages, and it would set the rate limit of the whole destination.
         """
         health = health_of(receiver)
         return health.rejected_at > max(health.good_at, now - SUSTAINED_REJECTION_MS)
 
     def check_new_receiver(self, receiver: Receiver, now: float) -> None:
-        """The first look at a receiver; where limits are shared, at one of a destination that is known already.
+        """Opens the circuit breaker of a receiver on its first use if its destination, with shared limits, is failing.
 
-        It guards against an outage in which the list replaces receivers: what all senders hold would go at once to one
-        that no sender has seen fail, of a destination that is cold.
+        During an outage the list may replace receivers. The messages pending at all senders would go at once to a
+        receiver that no sender has seen fail, although its destination is cold.
         """
         health = health_of(receiver)
         limits = limits_of(receiver, self.settings.kinds_with_own_limits)
@@ -56,26 +56,26 @@
             self.open(receiver, health, now)
 
     def open(self, receiver: Receiver, health: ReceiverHealth, now: float, is_sparse: bool = False) -> None:
-        """Opens a receiver's circuit breaker: trial calls of all senders together stay under what a cold one bears.
+        """Opens a receiver's circuit breaker; the probe calls of all senders together stay below its cold capacity.
 
-        What one bears in an overload window is taken from the queue's own traffic, so that it adds up to the same over
-        hundreds of senders. Where a sparse queue is rejected (`is_sparse`), its rate is estimated from the messages
-        before (n - 1 + a half of them, the Jeffreys estimate), and a rejected trial is followed by no shorter gap than
-        a good one. That guards against queues that are all looked at right after an arrival and so read too high.
+        The capacity per overload window is derived from the queue's own traffic, so that the sum over hundreds of
+        senders is right. If a sparse queue is rejected (`is_sparse`), its rate is estimated from the earlier messages
+        (n - 1 of them, plus 1/2: the Jeffreys estimate), and the gap after a rejected probe is no shorter than after a
+        successful one: a sparse queue is always evaluated right after an arrival, which makes its rate look too high.
         """
         settings = self.settings
-        ready = max(1, sum(other.state == READY for other in receiver.destination.receivers))
-        has_own_limits = receiver.kind in settings.kinds_with_own_limits  # then the outage is its own as well
+        ready_count = max(1, sum(other.state == READY for other in receiver.destination.receivers))
+        has_own_limits = receiver.kind in settings.kinds_with_own_limits  # then outages are per receiver, too
         cold_share = settings.cold_capacity_share
-        least_rate = 1000.0 / settings.overload_window_ms / max(1.0, settings.fleet_size / TRIALS_PER_WINDOW)
+        min_rate = 1000.0 / settings.overload_window_ms / max(1.0, settings.fleet_size / PROBES_PER_WINDOW)
         cold_capacity = cold_share + (1.0 - cold_share) * settings.overload_window_ms / settings.warm_up_ms / 2.0
-        share = self.traffic.estimate(receiver, now, ready if has_own_limits else 1, 0.5 if is_sparse else 0.0)
-        cold_rate = SAFETY_SHARE * settings.overload_factor * cold_capacity * share
+        share = self.traffic.estimate(receiver, now, ready_count if has_own_limits else 1, 0.5 if is_sparse else 0.0)
+        cold_rate = COLD_CAPACITY_USE * settings.overload_factor * cold_capacity * share
         growth_ms = settings.warm_up_ms * cold_capacity / max(0.01, 1.0 - cold_share)
-        jitter = TRIAL_JITTER if is_sparse and is_probing(receiver) else FIRST_TRIAL_JITTER
-        slow_start = SlowStart(max(least_rate, cold_rate) / (1 if has_own_limits else ready), growth_ms, now)
+        jitter = PROBE_JITTER if is_sparse and is_probing(receiver) else FIRST_PROBE_JITTER
+        slow_start = SlowStart(max(min_rate, cold_rate) / (1 if has_own_limits else ready_count), growth_ms, now)
         health.slow_start = slow_start
         self.sender.ejected_receivers.add(receiver)
-        health.failures = 0  # those after this are weighed anew
+        health.failures = 0  # later failures are counted from zero
         start_at = max(now, limits_of(receiver, settings.kinds_with_own_limits).retry_after_until)
         slow_start.next_at = slow_start.time_after(start_at, self.random.uniform(*jitter))
--- a/dewpin/core/idle_connections.py
+++ b/dewpin/core/idle_connections.py
@@ -4,7 +4,7 @@
 
 from .message_ranking import MessageRanking
 from .model import Receiver
-from .outcome_recorder import FULL_TABLE_SHARE
+from .outcome_recorder import FULL_TABLE_REFUSAL_SHARE
 from .receiver_health import health_of
 from .receiver_selection import ReceiverSelector
 from .sender_state import SenderState
@@ -23,7 +23,7 @@
         return False
     if not queue.waiting:
         return True
-    if sender.failed_connection_shares.get(receiver.kind, 0.0) <= FULL_TABLE_SHARE:
+    if sender.failed_connection_shares.get(receiver.kind, 0.0) <= FULL_TABLE_REFUSAL_SHARE:
         return False
     message = ranking.next_message(queue, now)
     assert message is not None  # the queue is not empty
--- a/dewpin/core/rate_control.py
+++ b/dewpin/core/rate_control.py
@@ -8,53 +8,53 @@
 from .rate_limiter import RateLimiter
 from .traffic_share import TrafficShare
 
-SHORTEST_DOUBLING_MS = 3000.0
-"""A rate doubles in this time, or in that of one message, if that is longer."""
-SLOWEST_GROWTH_FACTOR = 8.0
-"""Rejected again and again, a rate takes up to so many times as long to double."""
-CALLS_PER_DOUBLING = 16.0
-"""A destination's rate doubles in at most the time of so many calls: with more, a limit is noticed in time."""
-FEW_GOOD_ANSWERS = 4
-"""Fewer say little about a rate."""
-LEAST_SHARE_OF_TRAFFIC = 0.2
-"""Of a destination's own traffic; a rate set by rejections never falls below it."""
-GROWN_FACTOR = 1.4
-"""A rate that has grown by more than this met the limit by its growth."""
-FIRST_CALL_JITTER = (0.3, 0.9)
+MIN_DOUBLING_MS = 3000.0
+"""A rate doubles in this time, or in the mean time between two messages if that is longer."""
+MAX_GROWTH_SLOWDOWN = 8.0
+"""After repeated rejections, a rate takes up to this many times as long to double."""
+MAX_CALLS_PER_DOUBLING = 16.0
+"""A destination's rate doubles in at most the time of this many calls; with more calls a limit is noticed in time."""
+MIN_SUCCESSES = 4
+"""Fewer successes than this say little about a rate."""
+MIN_TRAFFIC_SHARE = 0.2
+"""Share of the sender's own traffic to a destination; a rate set after rejections never falls below it."""
+MIN_GROWTH_FACTOR = 1.4
+"""A rate that grew by more than this factor reached the destination's limit by its growth."""
+FIRST_CALL_DELAY_JITTER = (0.3, 0.9)
 
 
 class RateControl:
-    """Slows a destination down that rejects calls."""
+    """Reduces the rate of calls to a destination that rejects them."""
 
     def __init__(self, random: RandomSource, traffic: TrafficShare) -> None:
         self.random = random
         self.traffic = traffic
 
     def reduce_rate(self, receiver: Receiver, limits: DestinationLimits, now: float) -> None:
-        """Sets a rate: what was accepted lately, or half of the last rate, from the end of the wait that was asked for.
+        """Sets a rate, the recently accepted one or half of the previous one, from the end of the requested wait.
 
-        It guards against calls that were held back by one rejection or wait and that all fall due together, at one
-        sender or at hundreds, and against rejected calls that use up a limit for good: where a rejection that asks for
-        no wait meets a rate at which hardly a call went well, the next rate grows half as fast. Senders that see little
-        of the traffic would overrun the limit otherwise.
+        Without it, calls that were held back by one rejection or wait would all become due together, at one sender or
+        at hundreds. It also prevents rejected calls from permanently using up a limit: if a rejection without a
+        requested wait occurs at a rate at which hardly any call succeeded, the next rate grows half as fast. Senders
+        that observe little of the traffic would exceed the limit otherwise.
         """
         own_rate = self.traffic.estimate(receiver, now)
         start_at = max(now, limits.retry_after_until)
         accepted_rate = sum(limits.good_answers.recent(now, 4)) / 2.25
-        last = limits.rate_limiter
-        rate = 0.5 * last.rate_at(now) if last else own_rate
-        doubling_ms = max(SHORTEST_DOUBLING_MS, 1000.0 / own_rate)
-        if last and self._met_limit_by_growth(last, limits, now):
-            longest_ms = min(SLOWEST_GROWTH_FACTOR * doubling_ms, CALLS_PER_DOUBLING * 1000.0 / own_rate)
-            doubling_ms = min(2.0 * last.growth_ms, max(doubling_ms, longest_ms))
-        limiter = RateLimiter(max(accepted_rate, rate, LEAST_SHARE_OF_TRAFFIC * own_rate), doubling_ms, now)
-        limiter.next_at = limiter.time_after(start_at, self.random.uniform(*FIRST_CALL_JITTER))
+        previous = limits.rate_limiter
+        rate = 0.5 * previous.rate_at(now) if previous else own_rate
+        doubling_ms = max(MIN_DOUBLING_MS, 1000.0 / own_rate)
+        if previous and self._reached_limit_by_growth(previous, limits, now):
+            max_doubling_ms = min(MAX_GROWTH_SLOWDOWN * doubling_ms, MAX_CALLS_PER_DOUBLING * 1000.0 / own_rate)
+            doubling_ms = min(2.0 * previous.growth_ms, max(doubling_ms, max_doubling_ms))
+        limiter = RateLimiter(max(accepted_rate, rate, MIN_TRAFFIC_SHARE * own_rate), doubling_ms, now)
+        limiter.next_at = limiter.time_after(start_at, self.random.uniform(*FIRST_CALL_DELAY_JITTER))
         limits.rate_limiter = limiter
 
     @staticmethod
-    def _met_limit_by_growth(last: RateLimiter, limits: DestinationLimits, now: float) -> bool:
+    def _reached_limit_by_growth(previous: RateLimiter, limits: DestinationLimits, now: float) -> bool:
         return (
-            last.good_answers < FEW_GOOD_ANSWERS
+            previous.good_answers < MIN_SUCCESSES
             and limits.retry_after_until <= now
-            and last.rate_at(now) > GROWN_FACTOR * last.initial_rate
+            and previous.rate_at(now) > MIN_GROWTH_FACTOR * previous.initial_rate
         )
--- a/dewpin/core/receiver_selection.py
+++ b/dewpin/core/receiver_selection.py
@@ -1,4 +1,4 @@
-"""Which receiver of a destination gets a message, and when it may."""
+"""Selects the receiver of a destination for a message, and determines when a receiver is available."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from .settings import DispatcherSettings, RetryScope
 
 UNKNOWN_TIME = float("inf")
-"""The time of something that cannot happen before some update comes."""
+"""The time of an event that depends on an update that has not arrived."""
 
-# Multiples of these lie evenly in 0 to 1, and so does every second multiple.
+# The fractional parts of their multiples are evenly distributed over 0 to 1, also if only every second one is used.
 GOLDEN_RATIO = 0.5 * (5.0**0.5 - 1.0)
 SILVER_RATIO = 2.0**0.5 - 1.0
 
-TURN_IDLE_TIMES = 4.0
-"""A sender stays at a receiver for so many idle times of a connection, so that most idle connections are used again."""
-RECENT_MESSAGES_MS = 10000.0
-"""A failure counts as recent within so long divided by the message rate: the time of ten messages."""
+ROTATION_IDLE_TIMES = 4.0
+"""A sender stays with a receiver for this many idle time-outs, so that most idle connections are reused."""
+RECENT_FAILURE_MESSAGES_MS = 10000.0
+"""Divided by the message rate, how long a failure counts as recent: the time of ten messages."""
 
 
 class ReceiverSelector:
-    """Chooses receivers for messages.
+    """Selects receivers for messages.
 
-    rotation_offset: this sender's place in an order of receivers that is the same at all senders.
-    zone_offset: its place in the order that decides for which of its messages it stays in its own zone.
+    rotation_offset: this sender's start position in the rotation of receivers, whose order is the same at all senders.
+    zone_offset: its position in the sequence that decides which of its messages stay in its own zone.
     """
 
     def __init__(self, settings: DispatcherSettings, sender: SenderState, breaker: CircuitBreaker) -> None:
@@ -38,43 +38,46 @@
         self.kinds_with_own_limits = settings.kinds_with_own_limits
         self.rotation_offset = settings.sender_number * GOLDEN_RATIO % 1.0
         self.zone_offset = settings.sender_number * SILVER_RATIO % 1.0
-        self.idle_ms = max(1.0, settings.idle_close_ms)
+        self.idle_timeout_ms = max(1.0, settings.idle_close_ms)
 
     def select(self, queue: DestinationQueue, message: Message, now: float) -> Receiver | None:
-        """The receiver with fewest calls in flight, of those that may get the message now; None if none may.
+        """Returns the available receiver with the fewest calls in flight, or None if no receiver is available now.
 
-        Of equals, one of this sender's zone comes first, then the one that answered last. Where hardly any of the
-        sender's calls overlap, its own zone comes first only for the share of its messages that the receivers there
-        are of all receivers, else a zone with more than its share; then the receiver whose turn it is: each sender
-        begins at its own place in an order that is the same at all of them, and goes on by one so seldom that most
-        idle connections are used again.
+        Ties are resolved in favor of this sender's zone, then of the receiver that responded last. Where hardly any of
+        the sender's calls overlap, its own zone is preferred only for a share of its messages, which is the share of
+        all receivers that the zone has; for the rest, zones with more than their share are preferred. Then the rotation
+        decides: each sender starts at its own position in an order that is the same at all senders, and advances by one
+        so rarely that most idle connections are reused.
 
-        That guards against receivers that all senders prefer, against few of one zone that bear all of its senders,
-        and against others that stand idle, where each sender sees little of the load.
+        This prevents that all senders prefer the same receivers, that a zone with few receivers takes the load of all
+        of its senders, and that other receivers stay idle, where each sender observes little of the load.
         """
         receivers = queue.destination.receivers
-        free = [receiver for receiver in receivers if self.available_at(receiver, message, now) <= now]
-        if len(free) < 2:
-            return free[0] if free else None
+        available = [receiver for receiver in receivers if self.available_at(receiver, message, now) <= now]
+        if len(available) < 2:
+            return available[0] if available else None
         ready_count = sum(receiver.state == READY for receiver in receivers)
         arrival_rate = queue.arrival_rate(now)
-        recent_since = now - max(self.idle_ms, RECENT_MESSAGES_MS / arrival_rate)
-        usual_ms = self.sender.usual_ms(limits_of(free[0], self.kinds_with_own_limits).usual_call_ms)
+        recent_since = now - max(self.idle_timeout_ms, RECENT_FAILURE_MESSAGES_MS / arrival_rate)
+        usual_ms = self.sender.usual_ms(limits_of(available[0], self.kinds_with_own_limits).usual_call_ms)
         is_sparse = arrival_rate * usual_ms < 1000.0
-        turn = now / self.idle_ms / TURN_IDLE_TIMES
-        foreign_zones = self._foreign_zones(receivers, free, ready_count, is_sparse, turn)
-        ranks = [self._rank(receiver, message, now, recent_since, receiver.zone in foreign_zones) for receiver in free]
+        rotation = now / self.idle_timeout_ms / ROTATION_IDLE_TIMES
+        deprioritized_zones = self._deprioritized_zones(receivers, available, ready_count, is_sparse, rotation)
+        ranks = [
+            self._rank(receiver, message, now, recent_since, receiver.zone in deprioritized_zones)
+            for receiver in available
+        ]
         best_rank = min(ranks)
-        equals = sorted(
-            (receiver for receiver, rank in zip(free, ranks, strict=True) if rank == best_rank),
+        tied = sorted(
+            (receiver for receiver, rank in zip(available, ranks, strict=True) if rank == best_rank),
             key=lambda receiver: receiver.receiver_id,
         )
-        if not is_sparse:  # calls that overlap spread by themselves, and whoever answered last is alive
-            return max(equals, key=lambda receiver: receiver.health.good_at)
-        return equals[int(self.rotation_offset * len(equals) + turn) % len(equals)]
+        if not is_sparse:  # overlapping calls spread by themselves, and the receiver that responded last is alive
+            return max(tied, key=lambda receiver: receiver.health.good_at)
+        return tied[int(self.rotation_offset * len(tied) + rotation) % len(tied)]
 
     def available_at(self, receiver: Receiver, message: Message, now: float) -> float:
-        """When this receiver may get the message as far as is known; `UNKNOWN_TIME`: some update must come first."""
+        """Returns when this receiver is available for the message; `UNKNOWN_TIME` if that depends on an update."""
         if receiver.state != READY or not self._is_in_retry_scope(receiver, message):
             return UNKNOWN_TIME
         if receiver.health is None:
@@ -97,7 +100,7 @@
         return available_at
 
     def open_batch(self, receiver: Receiver, now: float) -> Call | None:
-        """The call that left at this moment and whose batch a message sent now joins; a first trial goes alone."""
+        """Returns the call that started at `now` and whose batch has room; the first probe call carries one message."""
         call = health_of(receiver).latest_call
         if call is None or call.sent_at != now or receiver.kind >= len(self.settings.batch_sizes):
             return None
@@ -109,37 +112,37 @@
         return call if has_room else None
 
     def _is_in_retry_scope(self, receiver: Receiver, message: Message) -> bool:
-        """Whether a retry may go to this receiver, which must know the message's idempotency key."""
+        """Returns whether the receiver may get a retry, which requires that it knows the message's idempotency key."""
         state = message.dispatch_state
         if state.executed_at is None:
             return True
         scope = self.settings.classes[message.queue_class].retry_scope
-        first = state.executed_by
-        if scope == RetryScope.ALL or receiver is first:
+        first_receiver = state.executed_by
+        if scope == RetryScope.ALL or receiver is first_receiver:
             return True
-        # a zone below 0 is not known
-        return scope == RetryScope.ZONE and first is not None and receiver.zone == first.zone >= 0
+        # a negative zone is unknown
+        return scope == RetryScope.ZONE and first_receiver is not None and receiver.zone == first_receiver.zone >= 0
 
-    def _foreign_zones(
-        self, receivers: list[Receiver], free: list[Receiver], ready_count: int, is_sparse: bool, turn: float
+    def _deprioritized_zones(
+        self, receivers: list[Receiver], available: list[Receiver], ready_count: int, is_sparse: bool, rotation: float
     ) -> set[int]:
-        """Zones whose receivers come last among equals, out of those with a free one."""
-        zones = {receiver.zone for receiver in free}
+        """Returns the zones, of those with an available receiver, whose receivers lose ties."""
+        zones = {receiver.zone for receiver in available}
         shares = {
             zone: self.settings.zone_count
             * sum(receiver.zone == zone for receiver in receivers if receiver.state == READY)
             for zone in zones
         }
         own_zone = self.settings.zone
-        prefers_own = not is_sparse or (self.zone_offset + turn) % 1.0 * ready_count < shares.get(own_zone, 0)
+        prefers_own = not is_sparse or (self.zone_offset + rotation) % 1.0 * ready_count < shares.get(own_zone, 0)
         if prefers_own:
             return {zone for zone in zones if zone != own_zone}
         return {zone for zone in zones if shares[zone] <= ready_count}
 
     def _rank(
-        self, receiver: Receiver, message: Message, now: float, recent_since: float, is_foreign: bool
+        self, receiver: Receiver, message: Message, now: float, recent_since: float, is_deprioritized: bool
     ) -> tuple[bool, bool, bool, bool, int, bool]:
-        """A receiver's rank for a message; the least is best."""
+        """Returns the rank of a receiver for a message; the lowest rank is best."""
         health = receiver.health
         return (
             self.open_batch(receiver, now) is None,
@@ -147,5 +150,5 @@
             health.failed_at > max(health.good_at, recent_since),
             message.queue_class in health.failed_classes,
             health.in_flight,
-            is_foreign,
+            is_deprioritized,
         )
