--- a/dewpin/core/__init__.py
+++ b/dewpin/core/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions of a sender: which receiver gets a message, whether it is retried, what is deferred or rejected.
+"""Decision logic of a sender: which receiver gets a message, whether it is retried, what is deferred or rejected.
 
-`dispatcher.Dispatcher` is the only way in, `model` holds the types of its interface. Nothing here reads a clock, opens
-a socket or imports asyncio, and nothing here knows another package of this program.
+`dispatcher.Dispatcher` is the only entry point; `model` defines the types of its interface. Nothing in this package
+reads a clock, opens a socket, or imports asyncio or another package of this program.
 """
--- a/dewpin/core/call.py
+++ b/dewpin/core/call.py
@@ -1,4 +1,4 @@
-"""A call to a receiver: it takes one slot of the sender and carries one message or a batch of them."""
+"""A call to a receiver; it occupies one slot of the sender and carries one message or a batch of messages."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class Call:
-    """A call that is in flight, or was.
+    """A call that is in flight or has finished.
 
-    receiver: where it went.
-    sent_at: when it left.
-    follows_unanswered: the call before it at this receiver got no answer.
-    message_count: messages of its batch.
-    open_count: those of them whose outcome is not known yet; 0: the call is over.
-    is_failure_counted: its failure was taken into account. The messages of a batch share one fate.
+    receiver: the receiver that was called.
+    sent_at: when the call started.
+    follows_unanswered: whether the previous call to this receiver got no response.
+    message_count: number of messages in the batch.
+    open_count: number of those whose outcome is still unknown; 0: the call has finished.
+    is_failure_counted: whether its failure was recorded; all messages of a batch fail together.
     """
 
     __slots__ = (
--- a/dewpin/core/call_tracker.py
+++ b/dewpin/core/call_tracker.py
@@ -1,4 +1,4 @@
-"""Accounts for calls: slots, concurrency, rate limits and batches."""
+"""Tracks calls: slots, concurrency, rate limits and batches."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from .settings import DispatcherSettings
 from .traffic_share import TrafficShare
 
-BATCHED_MESSAGE_CALLS = 0.25
-"""Of a call: what a further message of a batch adds to the work of a cold receiver, at most."""
-TRIAL_GAP_JITTER = (0.8, 1.4)
-FREE_RATE_FACTOR = 4.0
-"""A rate limiter is dropped once its rate is so many times the sender's own traffic."""
+BATCHED_MESSAGE_COST = 0.25
+"""Upper bound, in calls, of the work that each further message of a batch adds at a cold receiver."""
+SLOW_START_GAP_JITTER = (0.8, 1.4)
+LIMITER_REMOVAL_FACTOR = 4.0
+"""A rate limiter is removed once its rate exceeds this multiple of the sender's own traffic."""
 
 
 class CallTracker:
-    """Starts and ends calls in the books of sender, destination and receiver."""
+    """Updates the state of sender, destination and receiver when a call starts or ends."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self.selector = selector
 
     def start(self, message: Message, receiver: Receiver, now: float) -> Call:
-        """Puts a message in flight, in a call of its own or in the batch of one that leaves at this moment."""
+        """Puts a message in flight, in a call of its own or in the batch of a call that starts at the same time."""
         state, queue, health = message.dispatch_state, message.destination.queue, health_of(receiver)
         queue.recent_slot_time(now)
         state.stage = Stage.IN_FLIGHT
@@ -49,9 +49,9 @@
             state.call = batch
             batch.message_count += 1
             batch.open_count += 1
-            if health.slow_start:  # it adds to the receiver's work there as well, if less than a call
+            if health.slow_start:  # a batched message adds work too, but less than a call
                 health.slow_start.next_at = health.slow_start.time_after(
-                    health.slow_start.next_at, BATCHED_MESSAGE_CALLS
+                    health.slow_start.next_at, BATCHED_MESSAGE_COST
                 )
             return batch
         call = state.call = health.latest_call = Call(receiver, now, health.is_unanswered)
@@ -61,11 +61,11 @@
         queue.in_flight += 1
         limits.in_flight += 1
         health.in_flight += 1
-        self._advance_limiters(receiver, now)
+        self._update_limiters(receiver, now)
         return call
 
     def end(self, message: Message, call: Call, now: float) -> None:
-        """Takes a message out of its call; the last one frees the slot."""
+        """Removes a message from its call; the last one frees the slot."""
         queue = message.destination.queue
         queue.recent_slot_time(now)
         call.open_count -= 1
@@ -75,12 +75,12 @@
             limits_of(call.receiver, self.kinds_with_own_limits).in_flight -= 1
             health_of(call.receiver).in_flight -= 1
 
-    def _advance_limiters(self, receiver: Receiver, now: float) -> None:
+    def _update_limiters(self, receiver: Receiver, now: float) -> None:
         limits, health = limits_of(receiver, self.kinds_with_own_limits), health_of(receiver)
         limiter = limits.rate_limiter
         if limiter:
             limiter.next_at = max(limiter.time_after(limiter.next_at, 1.0), now)
-            if limiter.rate_at(now) > FREE_RATE_FACTOR * self.traffic.estimate(receiver, now):
+            if limiter.rate_at(now) > LIMITER_REMOVAL_FACTOR * self.traffic.estimate(receiver, now):
                 limits.rate_limiter = None
         if health.slow_start:
-            health.slow_start.next_at = health.slow_start.time_after(now, self.random.uniform(*TRIAL_GAP_JITTER))
+            health.slow_start.next_at = health.slow_start.time_after(now, self.random.uniform(*SLOW_START_GAP_JITTER))
--- a/dewpin/core/circuit_breaker.py
+++ b/dewpin/core/circuit_breaker.py
@@ -35,8 +35,8 @@
     def rejected_recently(self, receiver: Receiver, now: float) -> bool:
         """Returns whether the receiver's latest response is a recent rejection.
 
-        A receiver may reject for reasons of its own, because it is draining, shut down or gone. A rejection
-        leaves it idle, so it would attract all messages, and it would set the rate limit of the whole destination.
+        A receiver may reject for reasons of its own: it is draining, shut down or gone. A rejection leaves it idle, so
+        it would attract all messages, and it would set the rate limit of the whole destination.
         """
         health = health_of(receiver)
         return health.rejected_at > max(health.good_at, now - SUSTAINED_REJECTION_MS)
--- a/dewpin/core/destination_limits.py
+++ b/dewpin/core/destination_limits.py
@@ -1,4 +1,4 @@
-"""Rate and concurrency limits of a destination, or of a receiver where the receivers have limits of their own."""
+"""Rate and concurrency limits of a destination, or of a receiver if its kind has limits of its own."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from .receiver_health import NEVER
 from .sliding_window_counter import SlidingWindowCounter
 
-STUCK_CALL_TIMES = 4.0
-"""A call that is in flight for so many usual call times is taken to be stuck."""
+STUCK_CALL_FACTOR = 4.0
+"""A call that has been in flight for this multiple of the average call time is considered stuck."""
 MIN_STUCK_MS = 700.0
-"""No call is taken to be stuck, and no learned time-out runs out, sooner than this."""
-GROWTH_ROOM = 3.0
-"""How far the concurrency limit lies above the concurrency that was measured."""
+"""Lower bound for considering a call stuck and for learned time-outs."""
+CONCURRENCY_HEADROOM = 3.0
+"""Ratio of the concurrency limit to the measured concurrency."""
 
 
 class DestinationLimits:
-    """What was learned of the limits that a destination's receivers share.
+    """Learned limits that the receivers of a destination share.
 
-    retry_after_until: the end of a wait that it asked for.
-    rate_limiter: set by a rejection; None: calls are free.
-    in_flight: calls.
-    calls: the calls in flight, oldest first; those that are over go when they come to the front.
-    good_at, failed_at: the latest good answer and the latest failure.
-    good_answers: how many came, in buckets of 500 ms.
-    usual_call_ms: a moving average; None before the first good answer.
-    timeouts, timed_out_at: time-outs since a good answer and the latest of them. Each doubles the time-out, so that a
-        slow destination is not taken for an unreachable one again and again.
-    rejections, first_rejected_at: rejections since a good answer and the first of them.
+    retry_after_until: end of the wait that the destination requested.
+    rate_limiter: set after a rejection; None: calls are not rate-limited.
+    in_flight: number of calls in flight.
+    calls: calls in flight, oldest first; finished calls are removed when they reach the front.
+    good_at, failed_at: time of the latest success and of the latest failure.
+    good_answers: number of successes, in buckets of 500 ms.
+    usual_call_ms: moving average of the call time; None before the first success.
+    timeouts, timed_out_at: number of time-outs since the last success, and time of the latest. Each one doubles the
+        time-out, so that a slow destination is not treated as unreachable again and again.
+    rejections, first_rejected_at: number of rejections since the last success, and time of the first.
     """
 
     __slots__ = (
@@ -62,30 +62,30 @@
         self.first_rejected_at = 0.0
 
     def stuck_at(self) -> float:
-        """When the oldest call in flight is to be taken for stuck, if nothing good came since it left."""
+        """Returns when the oldest call in flight counts as stuck; infinity if a call has succeeded since it started."""
         while self.calls and self.calls[0].open_count == 0:
             self.calls.popleft()
         if not self.calls or self.calls[0].sent_at < self.good_at:
             return float("inf")
-        return self.calls[0].sent_at + max(MIN_STUCK_MS, STUCK_CALL_TIMES * (self.usual_call_ms or 0.0))
+        return self.calls[0].sent_at + max(MIN_STUCK_MS, STUCK_CALL_FACTOR * (self.usual_call_ms or 0.0))
 
     def concurrency_limit(self, now: float, receivers: int) -> float:
-        """How many calls may be in flight: rate times latency as measured (Little's law), with room to grow.
+        """Returns how many calls may be in flight: measured rate times latency (Little's law), with headroom.
 
-        It guards against a destination that takes work and answers none (it hangs, is silent, or has slowed down a
-        lot) and that would take all slots and all messages that may be sent only once: while its oldest call is
-        stuck, no further one leaves.
+        A destination that accepts calls without responding (it hangs, is silent, or has become very slow) would
+        otherwise occupy all slots and take all messages that may be sent only once. While its oldest call is stuck, no
+        further call starts.
         """
         if now >= self.stuck_at():
             return 1
-        if self.in_flight <= receivers:  # what was measured only adds to this
+        if self.in_flight <= receivers:  # the measured concurrency only adds to this
             return receivers + 1
-        busiest = max(self.good_answers.recent(now, 16))
-        return receivers + 1 + GROWTH_ROOM * busiest * (self.usual_call_ms or 1000.0) / 1000.0
+        max_bucket_count = max(self.good_answers.recent(now, 16))
+        return receivers + 1 + CONCURRENCY_HEADROOM * max_bucket_count * (self.usual_call_ms or 1000.0) / 1000.0
 
 
 def limits_of(receiver: Receiver, kinds_with_own_limits: frozenset[int]) -> DestinationLimits:
-    """The limits that hold for a receiver: its own if its kind has such, else those of its destination."""
+    """Returns the limits that apply to a receiver: its own if its kind has them, else those of its destination."""
     owner = receiver if receiver.kind in kinds_with_own_limits else receiver.destination
     limits = owner.limits
     if limits is None:
--- a/dewpin/core/destination_queue.py
+++ b/dewpin/core/destination_queue.py
@@ -1,4 +1,4 @@
-"""The messages that wait for one destination."""
+"""The queue of messages for one destination."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from .sliding_window_counter import SlidingWindowCounter
 
 RATE_WINDOW_MS = 20000.0
-"""The rate of a destination's traffic is measured over so long."""
+"""Period over which the arrival rate of a destination is measured."""
 SLOT_TIME_HALF_LIFE_MS = 5000.0
-"""The slot time that a queue has had loses half of its weight in this time."""
+"""Half-life of the slot time that a queue has used."""
 
 
 class DestinationQueue:
-    """The messages that wait for a destination, by queue class, and the share of the slots that they had.
-
-    destination: where they go.
-    sequence: its number among the queues, in the order of their first messages.
-    waiting: how many messages are in it.
-    fresh: by queue class, those that can still meet their latency target.
-    late: by queue class, the others.
-    slot_time_ms, slot_time_at: slot time that its calls used, with decay, and when that was computed.
-    in_flight: calls.
-    arrivals: how many messages came for the destination.
-    started_at: when the sender took its first message in, for whatever destination.
+    """The waiting messages of a destination by queue class, and the slot time that the destination has used.
+
+    destination: the destination of the messages.
+    sequence: number of the queue, in the order of the queues' first messages.
+    waiting: number of waiting messages.
+    fresh: per queue class, messages that can still meet their latency target.
+    late: per queue class, the other messages.
+    slot_time_ms, slot_time_at: slot time used by its calls, with exponential decay, and when it was computed.
+    in_flight: number of calls in flight.
+    arrivals: number of messages that arrived for the destination.
+    started_at: when the sender accepted its first message, for any destination.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         self.started_at = started_at
 
     def add(self, message: Message) -> None:
-        """Puts a message in line, by the end of its latency target."""
+        """Inserts a message, ordered by the end of its latency target."""
         self.waiting += 1
         messages = self.fresh[message.queue_class]
         if messages and _target_at(messages[-1]) > _target_at(message):
@@ -63,7 +63,7 @@
             messages.append(message)
 
     def remove(self, message: Message) -> bool:
-        """Takes a message out; False if it is not here."""
+        """Removes a message; returns False if it is not in the queue."""
         for messages in (self.fresh[message.queue_class], self.late[message.queue_class]):
             if message in messages:
                 messages.remove(message)
@@ -72,15 +72,15 @@
         return False
 
     def arrival_rate(self, now: float, count_correction: float = 0.0) -> float:
-        """Messages a second that come for the destination: few where many senders share its traffic.
+        """Returns this sender's messages per second for the destination: few if many senders share the traffic.
 
-        `count_correction` is taken off the count, for a caller that asks because a message has come just now.
+        `count_correction` is subtracted from the count, for callers that are triggered by an arrival.
         """
         span_ms = max(RATE_WINDOW_MS / 4.0, min(RATE_WINDOW_MS, now - self.started_at))
         return (max(1.0, sum(self.arrivals.recent(now, 10))) - count_correction) * 1000.0 / span_ms
 
     def recent_slot_time(self, now: float) -> float:
-        """The slot time in ms that its calls used lately, those in flight included."""
+        """Returns the slot time in ms that its calls used recently, including those in flight."""
         span_ms = now - self.slot_time_at
         if span_ms > 0.0:
             decay = 0.5 ** (span_ms / SLOT_TIME_HALF_LIFE_MS)
--- a/dewpin/core/idle_connections.py
+++ b/dewpin/core/idle_connections.py
@@ -1,4 +1,4 @@
-"""When idle connections to a receiver should close."""
+"""Decides when idle connections to a receiver should be closed."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 def should_close_idle_connections(
     receiver: Receiver, now: float, sender: SenderState, ranking: MessageRanking, selector: ReceiverSelector
 ) -> bool:
-    """Whether idle connections to a receiver should close.
+    """Returns whether idle connections to a receiver should be closed.
 
-    It guards against receivers that take few connections, idle ones counted: with many senders these stand idle at the
-    senders that sent last, or that hold messages back for a rate limit, and the calls of others are turned away.
+    Some receivers accept few connections, including idle ones. With many senders, the connections would stay idle at
+    senders that sent last or that delay messages because of a rate limit, and calls of other senders would be refused.
     """
     queue = receiver.destination.queue
     if health_of(receiver).in_flight or receiver.kind not in sender.full_table_kinds:
--- a/dewpin/core/key_order.py
+++ b/dewpin/core/key_order.py
@@ -1,4 +1,4 @@
-"""The order of messages that share an ordering key."""
+"""Keeps messages that share an ordering key in order."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from .model import Message
 from .settings import DispatcherSettings
 
-MOST_GAPS = 200
-"""Above so many, gaps that are over are forgotten."""
+GAP_CLEANUP_THRESHOLD = 200
+"""Above this number, expired gaps are removed."""
 
 
 class KeyOrder:
-    """Lets messages of one ordering key go one after the other, where their queue class asks for it.
+    """Serializes the messages of each ordering key, for queue classes that require it.
 
-    messages_by_key: the pending ones of each key, in the order of arrival; the first has its turn.
-    gaps: by key, until when its next message waits because work may still be going on.
+    messages_by_key: pending messages of each key, in order of arrival; the first one may be sent.
+    gaps: by key, until when its next message waits because an earlier one may still be processed.
     """
 
     def __init__(self, settings: DispatcherSettings) -> None:
@@ -26,33 +26,33 @@
         self.gaps: dict[Hashable, float] = {}
 
     def is_ordered(self, message: Message) -> bool:
-        """Whether a message has to wait for those of its key that came before it."""
+        """Returns whether a message has to wait for earlier messages of its key."""
         return bool(self.classes[message.queue_class].is_ordered and message.ordering_key)
 
     def add(self, message: Message) -> bool:
-        """Puts a message behind the others of its key; True if it is the first."""
+        """Appends a message to those of its key; returns whether it is the first."""
         messages = self.messages_by_key.setdefault(message.ordering_key, deque())
         messages.append(message)
         return len(messages) == 1
 
     def next_allowed_at(self, message: Message, now: float) -> float:
-        """When the first message of a key may go on."""
+        """Returns when the first message of a key may be sent."""
         return self.gaps.get(message.ordering_key, now)
 
     def begin_gap(self, message: Message, now: float) -> None:
-        """Work of this message may still be going on: the next one of its key waits from now on.
+        """Delays the next message of the key, as the receiver may still be processing this one.
 
-        It does so whatever becomes of this message meanwhile (it is retried with success, or given up), and even if
-        none waits yet.
+        The delay applies whether this message is later retried successfully or given up, and also if no other message
+        of the key is waiting yet.
         """
         if not self.is_ordered(message):
             return
         self.gaps[message.ordering_key] = now + self.turn_gap_ms
-        if len(self.gaps) > MOST_GAPS:
+        if len(self.gaps) > GAP_CLEANUP_THRESHOLD:
             self.gaps = {key: until for key, until in self.gaps.items() if until > now}
 
     def remove(self, message: Message) -> Message | None:
-        """Takes out a message that is done; gives the one whose turn comes by that, if there is one."""
+        """Removes a finished message; returns the message that may be sent next because of that, or None."""
         messages = self.messages_by_key.get(message.ordering_key) if self.is_ordered(message) else None
         if not messages or message not in messages:
             return None
--- a/dewpin/core/learned_state.py
+++ b/dewpin/core/learned_state.py
@@ -1,8 +1,8 @@
-"""What the dispatcher has learned, as plain values for the process that takes over.
+"""Exports and restores the learned state of the dispatcher as plain values, for the process that takes over.
 
-The hand-over file keeps the field names of earlier releases, so that processes of two releases understand each other;
-the tables below are the only place that knows both spellings. What the other release has and this one does not know is
-passed over. Messages and calls are not part of it: they are the journal's.
+The hand-over file keeps the field names of earlier releases, so that processes of two releases can exchange state; the
+tables below are the only place that knows both sets of names. Fields of another release that this one does not know
+are ignored. Messages and calls are not included; the journal stores them.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .sliding_window_counter import SlidingWindowCounter
 from .slow_start import SlowStart
 
-# Names in the hand-over file and attributes of this release, in the order of the file.
+# Maps names in the hand-over file to attributes of this release, in the order of the file.
 SENDER_FIELDS = {"usual": "usual_call_ms", "recovers": "recovery_share", "began": "started_at"}
 COUNTER_FIELDS = {"span": "bucket_ms", "counts": "counts", "marks": "bucket_numbers"}
 LIMITER_FIELDS = {
@@ -61,7 +61,7 @@
 
 
 def export_sender(sender: SenderState, key_order: KeyOrder) -> dict[str, Any]:
-    """What a sender knows over all destinations."""
+    """Exports the state of a sender that covers all destinations."""
     return {
         "sender": _export(sender, SENDER_FIELDS),
         "crowded": list(sender.full_table_kinds),
@@ -71,50 +71,50 @@
 
 
 def export_queue(queue: DestinationQueue | None) -> dict[str, Any] | None:
-    """What a queue measured, without the messages in it."""
+    """Exports the measurements of a queue, without its messages."""
     return None if queue is None else _export(queue, QUEUE_FIELDS)
 
 
 def export_limits(limits: DestinationLimits | None) -> dict[str, Any] | None:
-    """What was learned of limits, without the calls in flight."""
+    """Exports learned limits, without the calls in flight."""
     return None if limits is None else _export(limits, LIMITS_FIELDS)
 
 
 def export_health(health: ReceiverHealth | None) -> dict[str, Any] | None:
-    """The history of a receiver, without the calls in flight."""
+    """Exports the health of a receiver, without the calls in flight."""
     return None if health is None else _export(health, HEALTH_FIELDS)
 
 
-def restore_sender(sender: SenderState, key_order: KeyOrder, held: Mapping[str, Any]) -> None:
-    """Puts what `export_sender` gave in force, beside what is there already."""
-    _restore(sender, held["sender"], SENDER_FIELDS)
-    sender.full_table_kinds.update(held["crowded"])
-    sender.failed_connection_shares.update(held.get("turned", ()))
-    key_order.gaps.update((key.encode("latin-1"), until) for key, until in held["rests"])
+def restore_sender(sender: SenderState, key_order: KeyOrder, exported: Mapping[str, Any]) -> None:
+    """Restores the result of `export_sender`; existing entries are kept."""
+    _restore(sender, exported["sender"], SENDER_FIELDS)
+    sender.full_table_kinds.update(exported["crowded"])
+    sender.failed_connection_shares.update(exported.get("turned", ()))
+    key_order.gaps.update((key.encode("latin-1"), until) for key, until in exported["rests"])
 
 
-def restore_queue(queue: DestinationQueue, held: Mapping[str, Any]) -> None:
-    """Puts what `export_queue` gave in force."""
-    _restore(queue, held, QUEUE_FIELDS)
+def restore_queue(queue: DestinationQueue, exported: Mapping[str, Any]) -> None:
+    """Restores the result of `export_queue`."""
+    _restore(queue, exported, QUEUE_FIELDS)
 
 
-def restore_limits(owner: Destination | Receiver, held: Mapping[str, Any]) -> None:
-    """Puts what `export_limits` gave in force for a destination, or for a receiver with limits of its own."""
+def restore_limits(owner: Destination | Receiver, exported: Mapping[str, Any]) -> None:
+    """Restores the result of `export_limits` for a destination, or for a receiver with limits of its own."""
     if owner.limits is None:
         owner.limits = DestinationLimits()
-    _restore(owner.limits, held, LIMITS_FIELDS)
+    _restore(owner.limits, exported, LIMITS_FIELDS)
 
 
-def restore_health(health: ReceiverHealth, held: Mapping[str, Any]) -> None:
-    """Puts what `export_health` gave in force."""
-    _restore(health, held, HEALTH_FIELDS)
+def restore_health(health: ReceiverHealth, exported: Mapping[str, Any]) -> None:
+    """Restores the result of `export_health`."""
+    _restore(health, exported, HEALTH_FIELDS)
 
 
-def _export(part: object, fields: Mapping[str, str]) -> dict[str, Any]:
-    return {name: _plain(getattr(part, attribute)) for name, attribute in fields.items()}
+def _export(source: object, fields: Mapping[str, str]) -> dict[str, Any]:
+    return {name: _to_plain(getattr(source, attribute)) for name, attribute in fields.items()}
 
 
-def _plain(value: Any) -> Any:
+def _to_plain(value: Any) -> Any:
     if isinstance(value, RateLimiter):
         return _export(value, LIMITER_FIELDS)
     if isinstance(value, SlidingWindowCounter):
@@ -122,19 +122,19 @@
     return value
 
 
-def _restore(part: object, held: Mapping[str, Any], fields: Mapping[str, str]) -> None:
-    for name, value in held.items():
+def _restore(target: object, exported: Mapping[str, Any], fields: Mapping[str, str]) -> None:
+    for name, value in exported.items():
         if name in fields:
-            setattr(part, fields[name], _rebuilt(value, name) if isinstance(value, dict) else value)
+            setattr(target, fields[name], _rebuild(value, name) if isinstance(value, dict) else value)
 
 
-def _rebuilt(held: Mapping[str, Any], name: str) -> RateLimiter | SlidingWindowCounter:
-    """A limiter or a counter from its plain values; a slow start is known by the name of its field."""
-    if "rate" in held:
+def _rebuild(exported: Mapping[str, Any], name: str) -> RateLimiter | SlidingWindowCounter:
+    """Rebuilds a limiter or counter from plain values; a slow start is recognized by its field name."""
+    if "rate" in exported:
         limiter_type = SlowStart if name == "trickle" else RateLimiter
         limiter = limiter_type.__new__(limiter_type)
-        _restore(limiter, held, LIMITER_FIELDS)
+        _restore(limiter, exported, LIMITER_FIELDS)
         return limiter
     counter = SlidingWindowCounter.__new__(SlidingWindowCounter)
-    _restore(counter, held, COUNTER_FIELDS)
+    _restore(counter, exported, COUNTER_FIELDS)
     return counter
--- a/dewpin/core/message_ranking.py
+++ b/dewpin/core/message_ranking.py
@@ -1,4 +1,4 @@
-"""Which message of a queue goes next, and which one is given up where there is no room."""
+"""Ranks messages: selects the next message of a queue, and the message to shed when too many are pending."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .sender_state import SenderState
 from .settings import DispatcherSettings, Effect, QueueClass
 
-SAFE = Effect.SAFE  # bound once: a look-up of a member on its class costs ten times as much in Python 3.11
+SAFE = Effect.SAFE  # bound once: looking up an enum member on its class costs ten times as much in Python 3.11
 VALUE_HORIZON_MS = 1000.0
-"""Messages are ranked by the value that they would lose in the next so many milliseconds."""
+"""Messages are ranked by the value that they would lose within this time."""
 
 
 class MessageRanking:
-    """Ranks messages by their value, which shrinks once the latency target is over."""
+    """Ranks messages by their value, which decreases after the latency target."""
 
     def __init__(self, settings: DispatcherSettings, sender: SenderState, retry_policy: RetryPolicy) -> None:
         self.settings = settings
@@ -26,9 +26,9 @@
         self.has_safe_class = any(queue_class.effect is Effect.SAFE for queue_class in settings.classes)
 
     def next_message(self, queue: DestinationQueue, now: float) -> Message | None:
-        """The message of a queue that goes next: the one that loses most by waiting, then the one due first.
+        """Returns the next message of a queue: the one that loses the most value by waiting, then the one due first.
 
-        A receiver on trial gets messages first that are harmless to send again.
+        While all ready receivers are being probed, messages that are safe to send again go first.
         """
         receivers = queue.destination.receivers
         prefers_safe = self.has_safe_class and all(
@@ -40,7 +40,7 @@
             fresh, late = queue.fresh[index], queue.late[index]
             margin_ms = min(usual_ms, queue_class.target_ms / 4.0)
             while fresh and now + margin_ms > fresh[0].dispatch_state.target_at:
-                late.append(fresh.popleft())  # a usual call would bring it too late
+                late.append(fresh.popleft())  # an average call would deliver it too late
             if queue.waiting == 1 and (fresh or late):
                 return (fresh or late)[0]
             is_preferred = prefers_safe and queue_class.effect is SAFE
@@ -58,11 +58,11 @@
         return best
 
     def least_valuable(self, queues: Iterable[DestinationQueue], now: float) -> Message | None:
-        """The message that makes room: of the longest queue, the one with the least value left to win.
+        """Returns the message to shed: in the longest queue, the one with the least remaining value.
 
-        It guards against a queue that cannot drain (an outage, a limit far below its traffic) and that would take all
-        the room, so that messages for every other destination are rejected. Only messages that their clients may
-        submit again are given up so.
+        A queue that cannot drain (because of an outage, or a limit far below its traffic) would otherwise fill the
+        sender, and messages for all other destinations would be rejected. Only messages that clients may submit again
+        are shed.
         """
         longest = max(queues, key=lambda queue: queue.waiting)
 
@@ -73,13 +73,13 @@
 
         candidates = [
             (queue_class, message)
-            for queue_class, message in self._ends_of(longest)
+            for queue_class, message in self._first_and_last_messages(longest)
             if self.retry_policy.ending(message) == Decision.DEFERRED
         ]
         return min(candidates, key=remaining_value)[1] if candidates else None
 
-    def _ends_of(self, queue: DestinationQueue) -> Iterator[tuple[QueueClass, Message]]:
-        """First and last message of each queue class."""
+    def _first_and_last_messages(self, queue: DestinationQueue) -> Iterator[tuple[QueueClass, Message]]:
+        """Yields the first and the last message of each queue class."""
         for index, queue_class in enumerate(self.settings.classes):
             for messages in (queue.fresh[index], queue.late[index]):
                 if messages:
@@ -93,7 +93,7 @@
         return self.sender.usual_ms(limits.usual_call_ms if limits else None)
 
     def _value_at(self, queue_class: QueueClass, message: Message, age_ms: float) -> float:
-        """The value that a message still has if it is relayed at this age."""
+        """Returns the value of a message that is relayed at this age."""
         target_ms = queue_class.target_ms
         late_ms = age_ms - target_ms
         if late_ms <= 0:
--- a/dewpin/core/message_state.py
+++ b/dewpin/core/message_state.py
@@ -1,4 +1,4 @@
-"""What the dispatcher remembers of a message until it is done with it."""
+"""The dispatcher's state of a pending message."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 class Stage(Enum):
-    """How far a message has come."""
+    """The stages of a message."""
 
     NEW = auto()
-    AWAITING_TURN = auto()  # an earlier message of its ordering key is not done
+    AWAITING_TURN = auto()  # an earlier message of its ordering key is not finished
     QUEUED = auto()
-    PAUSED = auto()  # until its next attempt, or until its ordering key may go on
+    PAUSED = auto()  # until its next attempt, or until the gap of its ordering key ends
     IN_FLIGHT = auto()
-    SETTLED = auto()  # its attempt is over and what follows is not decided yet
+    SETTLED = auto()  # its attempt has ended and the next step is not decided
     FINISHED = auto()
 
 
 class MessageState:
     """The state of one pending message.
 
-    sequence: its number among the messages that this process took in.
-    target_at: the end of its latency target.
-    attempts: how many were made, those of an earlier process included.
+    sequence: its number among the messages that this process accepted.
+    target_at: end of its latency target.
+    attempts: number of attempts, including those of an earlier process.
     executed_at, executed_by: send time and receiver of the first attempt that may have been executed.
     call: the latest call that carried it.
-    due_at: the end of its pause.
-    settled_at: when its latest outcome came.
-    waited_ms: how long it waited between that outcome and the attempt after it.
-    is_shed: it is given up to make room for others.
+    due_at: end of its pause.
+    settled_at: time of its latest outcome.
+    waited_ms: wait between that outcome and the next attempt.
+    is_shed: whether it is given up to make room for other messages.
     """
 
     __slots__ = (
--- a/dewpin/core/model.py
+++ b/dewpin/core/model.py
@@ -1,13 +1,13 @@
-"""The types of the dispatcher's interface: messages, receivers, destinations and what can become of them.
+"""The types of the dispatcher's interface: messages, receivers, destinations, outcomes and decisions.
 
-Whoever drives the dispatcher writes what it learns onto these objects (changes of the receiver list, load reports,
-withdrawn messages, the measurements of an attempt). The dispatcher never changes such a fact; what it derives from
-them it keeps in the attributes marked as its own.
+The driver of the dispatcher writes the facts that it learns to these objects (changes of the receiver list, load
+reports, withdrawn messages, the measurements of an attempt). The dispatcher never changes these facts; it keeps derived
+state in the attributes that are marked as its own.
 
-The classes are plain ones with slots: a dataclass costs each start of a process some 1 ms.
+The classes are plain ones with slots: each dataclass would add about 1 ms to the start of a process.
 
-All times are milliseconds, as floats. A name that ends in `_at` or `_until` is a point of time on the driver's clock,
-one that ends in `_ms` a duration.
+All times are milliseconds, as floats. A name that ends in `_at` or `_until` is a point in time on the driver's clock; a
+name that ends in `_ms` is a duration.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
     from .receiver_health import ReceiverHealth
 
 UNSET: Any = None
-"""The value of an attribute of the dispatcher's own until the dispatcher sets it; None, whatever the type says."""
+"""Value of the dispatcher's own attributes until it sets them; None, regardless of the declared type."""
 
 
 class Decision(StrEnum):
-    """What the dispatcher decided on a message."""
+    """The dispatcher's decision on a message."""
 
     SEND = "send"  # to a receiver, now
-    NOT_YET = "not yet"  # it stays queued; `Dispatcher.next_due` says when to ask again
-    RELAYED = "relayed"  # done, by a receiver that took it
-    DEFERRED = "deferred"  # given up; the client may safely submit it again
-    BOUNCED = "bounced"  # given up for good, without any promise about its effect
+    NOT_YET = "not yet"  # stays queued; `Dispatcher.next_due` returns when to ask again
+    RELAYED = "relayed"  # finished: a receiver accepted it
+    DEFERRED = "deferred"  # given up; the client can safely submit it again
+    BOUNCED = "bounced"  # given up permanently, without any guarantee about its effect
 
 
 class Outcome(StrEnum):
@@ -41,17 +41,17 @@
 
     DELIVERED = "delivered"
     ERROR = "error"  # the receiver answered with an error
-    REJECTED = "full"  # the receiver turned it away without looking at it
+    REJECTED = "full"  # the receiver rejected it without processing it
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "unreached"  # no connection was made
-    DROPPED = "dropped"  # the connection was lost before the whole request had left
+    DROPPED = "dropped"  # the connection was lost before the whole request was sent
     RESET = "reset"  # the connection was lost after that
     CANCELLED = "called off"
-    NOT_SENT = "unsent"  # not a byte of it left
+    NOT_SENT = "unsent"  # no byte of it was sent
 
 
 class ReceiverState(StrEnum):
-    """What the receiver list says of a receiver."""
+    """The state of a receiver in the receiver list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -59,20 +59,20 @@
 
 
 READY = ReceiverState.READY
-"""Bound once for the busiest loops: a look-up of a member on its class costs ten times as much in Python 3.11."""
+"""Bound once for hot loops: looking up an enum member on its class costs ten times as much in Python 3.11."""
 
 NOT_EXECUTED_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.DROPPED))
 """Outcomes that prove that a message was not executed."""
 
 LOAD_REPORT_FIELDS = {"x0": "left", "x1": "limit"}
-"""Names of fields as load reports spell them, and the names that the dispatcher knows them by."""
+"""Maps field names in load reports to the names that the dispatcher uses."""
 
 
 class PriorAttempts(NamedTuple):
-    """What is known of the attempts that an earlier process of the sender made for a message.
+    """The attempts that an earlier process of the sender made for a message.
 
-    attempts: how many were made.
-    executed_at: when the first attempt that may have been executed was sent; None if there was none.
+    attempts: number of attempts.
+    executed_at: send time of the first attempt that may have been executed; None if there was none.
     executed_by: the receiver of that attempt.
     """
 
@@ -85,10 +85,10 @@
 
 
 class Destination:
-    """An outside system with the receivers that serve it.
+    """An external system with the receivers that serve it.
 
     destination_id: the driver's identifier.
-    receivers: its endpoints, in the order in which the list first named them.
+    receivers: its endpoints, in the order of their first occurrence in the list.
     queue, limits: the dispatcher's own, `UNSET` at first.
     """
 
@@ -104,13 +104,13 @@
 class Receiver:
     """One endpoint of a destination; creating it adds it to the destination.
 
-    receiver_id: the driver's identifier; of receivers that are equally good the order of these decides.
+    receiver_id: the driver's identifier; its order breaks ties between receivers.
     kind: index of its kind of receiver in the settings.
-    zone: index of its zone; -1 if it is not known.
-    weight: as the list has it.
-    state: what the list says of it.
-    address: where it is reached, for whoever sends; the dispatcher does not read it.
-    load_report: its latest load report, by the names in `LOAD_REPORT_FIELDS`.
+    zone: index of its zone; -1 if unknown.
+    weight: its weight in the list.
+    state: its state in the list.
+    address: its network address; the dispatcher does not read it.
+    load_report: its latest load report, with the names in `LOAD_REPORT_FIELDS`.
     health, limits: the dispatcher's own, `UNSET` at first.
     """
 
@@ -152,16 +152,16 @@
 class Message:
     """A message for one destination.
 
-    message_id: whatever the driver finds the message by; the dispatcher does not read it.
+    message_id: the driver's identifier, of any type; the dispatcher does not read it.
     arrived_at: when it was first submitted, to this sender or to another one.
-    expires_at: the end of its lifetime.
+    expires_at: end of its lifetime.
     queue_class: index of its class in the settings.
     account: index of the account that submitted it.
-    ordering_key: messages of one key may have to keep their order; 0 if it has none.
+    ordering_key: messages with the same key may have to keep their order; 0 if it has none.
     prior_attempts: attempts of an earlier process of the sender.
-    is_withdrawn: nothing is owed for it any more.
-    retry_after_ms: the wait that its latest attempt was answered with; 0 if none.
-    duration_ms: how long its latest attempt took.
+    is_withdrawn: whether the message no longer needs a result.
+    retry_after_ms: wait that the response to its latest attempt requested; 0 if none.
+    duration_ms: duration of its latest attempt.
     dispatch_state: the dispatcher's own, `UNSET` at first.
     """
 
--- a/dewpin/core/random_source.py
+++ b/dewpin/core/random_source.py
@@ -1,4 +1,4 @@
-"""Pseudo-random numbers that are the same in every run of the same seed."""
+"""Reproducible pseudo-random numbers: the same seed gives the same sequence."""
 
 MULTIPLIER, INCREMENT = 6364136223846793005, 1442695040888963407
 SEED_MASK = 0x9E3779B97F4A7C15
@@ -6,12 +6,12 @@
 
 
 class RandomSource:
-    """A linear congruential generator of 64 bits; the high 32 bits of its state are used."""
+    """A 64-bit linear congruential generator; the high 32 bits of its state are used."""
 
     def __init__(self, seed: int) -> None:
         self.state = (seed ^ SEED_MASK) & BITS_64
 
     def uniform(self, low: float, high: float) -> float:
-        """Draws a number from `low` up to, but not including, `high`."""
+        """Returns a number from `low` up to, but not including, `high`."""
         self.state = (self.state * MULTIPLIER + INCREMENT) & BITS_64
         return low + (high - low) * (self.state >> 32) / 4294967296.0
--- a/dewpin/core/rate_limiter.py
+++ b/dewpin/core/rate_limiter.py
@@ -1,17 +1,17 @@
-"""The rate limit that a sender sets itself at a destination after a rejection."""
+"""The rate limit that a sender applies to a destination after a rejection."""
 
 from math import log, log2
 
 
 class RateLimiter:
-    """A limit in calls a second that starts low and doubles again and again once calls go well.
+    """A limit in calls per second that starts low and grows exponentially once calls succeed.
 
-    initial_rate: calls a second until the first good answer.
-    growth_ms: the time in which the rate doubles.
+    initial_rate: calls per second until the first success.
+    growth_ms: time in which the rate doubles.
     created_at: when it was set.
-    growing_since: when the growth began, by the first good answer; None before it.
-    next_at: when the next call may leave.
-    good_answers: how many came since it was set.
+    growing_since: when growth began, determined at the first success; None before that.
+    next_at: when the next call may start.
+    good_answers: number of successes since it was set.
     """
 
     __slots__ = ("initial_rate", "growth_ms", "created_at", "growing_since", "next_at", "good_answers")
@@ -25,12 +25,12 @@
         self.good_answers = 0
 
     def rate_at(self, now: float) -> float:
-        """The limit at this moment, in calls a second."""
+        """Returns the limit at `now`, in calls per second."""
         doublings = 0.0 if self.growing_since is None else (now - self.growing_since) / self.growth_ms
-        return float(self.initial_rate * 2.0 ** min(doublings, 60.0))  # after hours without traffic as well
+        return float(self.initial_rate * 2.0 ** min(doublings, 60.0))  # no overflow after hours without traffic
 
     def time_after(self, now: float, calls: float) -> float:
-        """When so many calls fit under the limit, counted from `now`, with the growth until then."""
+        """Returns when `calls` calls fit under the limit, counted from `now` and with the growth until then."""
         rate = self.rate_at(now) / 1000.0
         if self.growing_since is None:
             return now + calls / rate
--- a/dewpin/core/receiver_health.py
+++ b/dewpin/core/receiver_health.py
@@ -1,4 +1,4 @@
-"""What a sender has seen of one receiver: the state of its circuit breaker."""
+"""The health of one receiver as a sender observes it, including the state of its circuit breaker."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 from .slow_start import SlowStart
 
 NEVER = -1e12
-"""A point of time before all others."""
+"""A point in time before all others."""
 
 
 class ReceiverHealth:
     """The recent history of a receiver.
 
-    in_flight: calls to it.
-    failures: those that no good answer has made up for yet.
-    is_unanswered: a call there, or a long one to another receiver beside it, got no answer, and none came since.
-    good_at, rejected_at, failed_at, connect_failed_at: the latest answer of each kind.
-    failed_classes: queue classes whose latest call there failed.
+    in_flight: number of calls in flight to it.
+    failures: number of failures that have not been offset by a success.
+    is_unanswered: whether a call to it, or a long one to another receiver of its destination, got no response, and
+        it has not responded since.
+    good_at, rejected_at, failed_at, connect_failed_at: time of the latest outcome of each kind.
+    failed_classes: queue classes whose latest call to it failed.
     slow_start: limits the calls while the circuit breaker is open; None while it is closed.
-    latest_call: which messages that are sent at the same moment may join.
+    latest_call: its latest call; messages sent at the same time may be added to its batch.
     """
 
     __slots__ = (
@@ -46,7 +47,7 @@
 
 
 def health_of(receiver: Receiver) -> ReceiverHealth:
-    """The health of a receiver, which begins with the first look at it."""
+    """Returns the health of a receiver; creates it on first use."""
     health = receiver.health
     if health is None:
         health = receiver.health = ReceiverHealth()
@@ -54,6 +55,6 @@
 
 
 def is_probing(receiver: Receiver) -> bool:
-    """Whether its circuit breaker is open and no trial call has gone well yet."""
+    """Returns whether the circuit breaker is open and no probe call has succeeded yet."""
     slow_start = health_of(receiver).slow_start
     return slow_start is not None and slow_start.growing_since is None
--- a/dewpin/core/sender_state.py
+++ b/dewpin/core/sender_state.py
@@ -1,24 +1,24 @@
-"""What a sender knows and holds beside the state of its destinations, receivers and messages."""
+"""The state of a sender, apart from that of its destinations, receivers and messages."""
 
 from __future__ import annotations
 
 from .model import Receiver
 
-LOSSY_RECOVERY_SHARE = 0.3
-"""Loss on the way is assumed where at least this share of the calls after an unanswered one goes well."""
+MIN_LOSSY_RECOVERY_SHARE = 0.3
+"""The network path counts as lossy if at least this share of the calls after an unanswered one succeeds."""
 
 
 class SenderState:
-    """Facts and counts of one sender over all destinations.
-
-    started_at: when its first message came; None before.
-    usual_call_ms: a moving average over all destinations; None before the first good answer.
-    recovery_share: share of the calls after an unanswered one that go well, a moving average.
-    full_table_kinds: kinds of receivers with a full connection table, which turned a connection away.
-    failed_connection_shares: by kind of receiver, share of the calls that found no connection, a moving average.
-    ejected_receivers: those whose circuit breaker is open.
-    calls_in_flight: each takes a slot.
-    pending_messages: taken in and not done with yet.
+    """The state of one sender that covers all destinations.
+
+    started_at: when its first message arrived; None before.
+    usual_call_ms: moving average of the call time over all destinations; None before the first success.
+    recovery_share: moving average of the share of calls that succeed after an unanswered call.
+    full_table_kinds: kinds of receivers that refused a connection because their connection table was full.
+    failed_connection_shares: per kind of receiver, moving average of the share of calls that found no connection.
+    ejected_receivers: receivers whose circuit breaker is open.
+    calls_in_flight: number of calls in flight; each occupies a slot.
+    pending_messages: number of messages that were accepted and are not finished.
     """
 
     __slots__ = (
@@ -43,13 +43,13 @@
         self.pending_messages = 0
 
     def usual_ms(self, destination_usual_ms: float | None) -> float:
-        """The usual call time of a destination; where it is not known, that of all; 0 before the first good answer."""
+        """Returns the average call time of a destination, or of all if unknown; 0 before the first success."""
         return destination_usual_ms or self.usual_call_ms or 0.0
 
     @property
     def is_path_lossy(self) -> bool:
-        """Whether calls after an unanswered one mostly go well: then failures in a row are no outage.
+        """Returns whether calls after an unanswered one often succeed; consecutive failures are then not an outage.
 
-        It guards against loss on the way, lost answers, or a fault of the sender's own, where all else is well.
+        This covers packet loss, lost responses and faults of the sender itself, where everything else works.
         """
-        return self.recovery_share >= LOSSY_RECOVERY_SHARE
+        return self.recovery_share >= MIN_LOSSY_RECOVERY_SHARE
--- a/dewpin/core/settings.py
+++ b/dewpin/core/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a sender as the dispatcher reads them, checked before the first message.
+"""The settings of the dispatcher, checked before the first message.
 
-Settings come as a map in the spelling of the deployment; this module is the only place that knows its keys. Values are
-taken as they are.
+Settings are passed as a map with the keys of the deployment; this module is the only place that knows these keys.
+Values are not validated or converted.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 
 
 class Effect(StrEnum):
-    """What happens if a message is executed twice."""
+    """The effect of executing a message twice."""
 
-    SAFE = "safe"  # nothing: it may be sent again at any time
-    KEYED = "keyed"  # nothing within the window in which receivers know its idempotency key
-    UNSAFE = "unsafe"  # harm: it must not be sent again once it may have been executed
+    SAFE = "safe"  # none: it may be sent again at any time
+    KEYED = "keyed"  # none within the window in which receivers know its idempotency key
+    UNSAFE = "unsafe"  # harmful: it must not be sent again once it may have been executed
 
 
 class RetryScope(StrEnum):
     """Which receivers know the idempotency key of an earlier attempt."""
 
     ALL = "all"
-    ZONE = "zone"  # those of the zone of the receiver that had it; any other word stands for that receiver alone
+    ZONE = "zone"  # receivers in the zone of the first receiver; any other value means only that receiver
 
 
 class QueueClass:
     """The settings of a class of messages.
 
-    effect: what a second execution does.
-    retry_scope: a value of `RetryScope`, or another word for the same receiver only.
-    retry_window_ms: for so long after the first attempt an idempotency key is known.
+    effect: the effect of a second execution.
+    retry_scope: a value of `RetryScope`; any other value means only the same receiver.
+    retry_window_ms: how long after the first attempt an idempotency key is known.
     target_ms: latency target.
-    lifetime_ms: how long a message of the class is tried.
-    value: the worth of a message that is relayed within its target.
-    late_value_share: share of the value that is left at the end of the lifetime.
-    is_ordered: messages of one ordering key are sent one after the other.
+    lifetime_ms: how long delivery of a message is attempted.
+    value: value of a message that is relayed within its target.
+    late_value_share: share of the value that remains at the end of the lifetime.
+    is_ordered: whether messages of one ordering key are sent one after the other.
     """
 
     __slots__ = (
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, keys: Mapping[str, Any]) -> None:
-        """Reads one entry of `Services`."""
+        """Parses one entry of `Services`."""
         self.effect = Effect(keys["Effect"])
         is_keyed = self.effect is Effect.KEYED
         self.retry_scope: str = keys["KeyScope"] if is_keyed else RetryScope.ALL
@@ -64,56 +64,56 @@
 
 
 class DispatcherSettings:
-    """Everything that the dispatcher's decisions depend on beside what it sees.
-
-    classes: the queue classes, by their index.
-    max_attempts: attempts of one message.
-    max_pending: messages that may be pending at once.
-    suggests_retry_after, max_retry_after_ms: whether clients are told when to submit again, and the longest such wait.
-    idle_close_ms: idle connections close after this time.
-    call_slots: calls that may be in flight at once.
-    batch_sizes: by kind of receiver, how many messages one call may carry.
-    value_halves: a late message loses half of its value with each further latency target; else it loses it evenly.
-    kinds_with_own_limits: kinds of receivers that have rate and concurrency limits, and outages, of their own.
-    fleet_size: senders that share the destinations.
-    clients_mark_retries: messages that are submitted again are marked as such.
-    sender_number: this sender's number in the fleet; one that was drawn if the settings have none.
-    zone, zone_count: this sender's zone and how many there are.
-    tick_ms: the longest delay of a timer.
-    deadline_margin_ms: what a timer and the answer to the client may need of a message's lifetime.
-    weights_are_limits: the weights of receivers in the list stand for their rate limits.
-    cold_capacity_share: capacity of a receiver right after its start, as a share of its full one.
-    warm_up_ms: how long it takes to reach full capacity.
-    overload_factor, overload_window_ms: a receiver fails if it gets so many times its capacity for so long.
-    turn_gap_ms: pause before the next message of an ordering key where work may still be going on.
+    """All settings that the dispatcher's decisions depend on.
+
+    classes: queue classes, by index.
+    max_attempts: maximum number of attempts per message.
+    max_pending: maximum number of pending messages.
+    suggests_retry_after, max_retry_after_ms: whether clients are told when to resubmit, and the longest such wait.
+    idle_close_ms: time after which idle connections close.
+    call_slots: maximum number of calls in flight.
+    batch_sizes: per kind of receiver, the maximum number of messages per call.
+    value_halves: whether a late message loses half of its value per further latency target; else the loss is linear.
+    kinds_with_own_limits: kinds of receivers whose rate and concurrency limits, and outages, are per receiver.
+    fleet_size: number of senders that share the destinations.
+    clients_mark_retries: whether clients mark messages that they submit again.
+    sender_number: this sender's number in the fleet; a random one if the settings have none.
+    zone, zone_count: this sender's zone and the number of zones.
+    tick_ms: maximum delay of a timer.
+    deadline_margin_ms: part of a message's lifetime reserved for a timer and for the response to the client.
+    weights_are_limits: whether the weights of receivers in the list are their rate limits.
+    cold_capacity_share: capacity of a receiver right after its start, as a share of its full capacity.
+    warm_up_ms: time until a receiver reaches full capacity.
+    overload_factor, overload_window_ms: a receiver fails if it gets this multiple of its capacity for this long.
+    turn_gap_ms: pause before the next message of an ordering key while the previous one may still be processed.
     """
 
-    def __init__(self, keys: Mapping[str, Any], drawn_number: int) -> None:
-        """Reads the settings of a deployment; `drawn_number` stands in for a number of the sender.
+    def __init__(self, keys: Mapping[str, Any], random_sender_number: int) -> None:
+        """Parses the settings of a deployment; `random_sender_number` is used if they contain no sender number.
 
         Raises KeyError if a key is missing or an effect is unknown.
         """
         services, allowed, rules, family = keys["Services"], keys["Allowed"], keys["Rules"], keys["FamilyInfo"]
-        own_limits = (kind for kind, has_own in enumerate(family.get("OwnLimits", ())) if has_own)
-        self.kinds_with_own_limits = frozenset(own_limits)
+        own_limit_kinds = (kind for kind, has_own in enumerate(family.get("OwnLimits", ())) if has_own)
+        self.kinds_with_own_limits = frozenset(own_limit_kinds)
         self.fleet_size: int = max(1, keys["FleetSize"])
         self.clients_mark_retries: bool = keys.get("Callers", {}).get("MarksRetry", False)
-        _check(services, allowed, rules, family)
+        _check_required_keys(services, allowed, rules, family)
         self.classes = tuple(QueueClass(service) for service in services)
-        self.sender_number: float = keys.get("SlotNo", drawn_number)
+        self.sender_number: float = keys.get("SlotNo", random_sender_number)
         self.zone: Any = keys.get("Az")
         self.zone_count = max(1, len(keys.get("Zones", ())))
         self.weights_are_limits = keys.get("Weights") in ("nominal", "rough")
         self.tick_ms: float = keys["Tick"]
         self.deadline_margin_ms: float = 2.0 * self.tick_ms + 10.0
-        self._read_allowances(allowed, family)
+        self._read_limits(allowed, family)
         self.cold_capacity_share: float = rules["ColdFrom"]
         self.warm_up_ms: float = rules["WarmAfter"]
         self.overload_factor: float = rules["FallMultiple"]
         self.overload_window_ms: float = rules["OverloadFor"]
         self.turn_gap_ms: float = rules.get("TurnGap", 0.0)
 
-    def _read_allowances(self, allowed: Mapping[str, Any], family: Mapping[str, Any]) -> None:
+    def _read_limits(self, allowed: Mapping[str, Any], family: Mapping[str, Any]) -> None:
         self.max_attempts: int = allowed["MaxAttempts"]
         self.max_pending: int = allowed["MaxOpen"]
         self.suggests_retry_after = bool(allowed.get("RetryAfter"))
@@ -124,13 +124,13 @@
         self.value_halves = family.get("Decay") == "halves"
 
 
-def _check(
+def _check_required_keys(
     services: Sequence[Mapping[str, Any]],
     allowed: Mapping[str, Any],
     rules: Mapping[str, Any],
     family: Mapping[str, Any],
 ) -> None:
-    """Asks for what each rule needs, so that nothing is found missing after the first message."""
+    """Checks that all required keys are present, so that none is found missing after the first message."""
     for service in services:
         if service["Effect"] not in tuple(Effect):
             raise KeyError(f"Services[].Effect: unknown effect {service['Effect']!r}")
--- a/dewpin/core/sliding_window_counter.py
+++ b/dewpin/core/sliding_window_counter.py
@@ -1,12 +1,12 @@
-"""Counts of events over the recent past, in memory that does not grow."""
+"""Counts recent events in a fixed amount of memory."""
 
 
 class SlidingWindowCounter:
-    """Counts by buckets of equal length, which are used again in turn.
+    """Counts in a ring of buckets of equal length.
 
-    bucket_ms: the length of a bucket.
-    counts: what was counted, by bucket.
-    bucket_numbers: which span of time a bucket holds, counted from time 0; -1 if none yet.
+    bucket_ms: length of a bucket.
+    counts: count of each bucket.
+    bucket_numbers: number of the time span that each bucket holds, counted from time 0; -1 if unused.
     """
 
     __slots__ = ("bucket_ms", "counts", "bucket_numbers")
@@ -17,7 +17,7 @@
         self.bucket_numbers = [-1] * buckets
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """Counts `amount` in the bucket of this moment."""
+        """Adds `amount` to the current bucket."""
         number = int(now // self.bucket_ms)
         index = number % len(self.counts)
         if self.bucket_numbers[index] != number:
@@ -26,7 +26,7 @@
         self.counts[index] += amount
 
     def recent(self, now: float, buckets: int) -> list[float]:
-        """The counts of the last `buckets` complete buckets and of the running one, oldest first."""
+        """Returns the counts of the last `buckets` complete buckets and of the current one, oldest first."""
         counts, numbers = self.counts, self.bucket_numbers
         size = len(counts)
         current = int(now // self.bucket_ms)
--- a/dewpin/core/slow_start.py
+++ b/dewpin/core/slow_start.py
@@ -1,4 +1,4 @@
-"""The rate limit at a receiver that comes back from an outage."""
+"""The rate limit for a receiver that recovers from an outage."""
 
 from math import sqrt
 
@@ -6,22 +6,22 @@
 
 
 class SlowStart(RateLimiter):
-    """A limit in calls a second that rises evenly, by `initial_rate` in each `growth_ms`.
+    """A limit in calls per second that rises linearly, by `initial_rate` per `growth_ms`.
 
-    It guards against a return at which the calls of all senders double together: doubling outruns a receiver whose
-    capacity rises evenly while it warms up.
+    If the calls of all senders doubled together, they would exceed the capacity of a receiver, which rises linearly
+    while the receiver warms up.
     """
 
     __slots__ = ()
 
     def rate_at(self, now: float) -> float:
-        """The limit at this moment, in calls a second."""
+        """Returns the limit at `now`, in calls per second."""
         return self.initial_rate * (
             1.0 + (0.0 if self.growing_since is None else (now - self.growing_since) / self.growth_ms)
         )
 
     def time_after(self, now: float, calls: float) -> float:
-        """When so many calls fit under the limit, counted from `now`, with the growth until then."""
+        """Returns when `calls` calls fit under the limit, counted from `now` and with the growth until then."""
         rate = self.rate_at(now) / 1000.0
         if self.growing_since is None:
             return now + calls / rate
