--- a/dewpin/relay/__init__.py
+++ b/dewpin/relay/__init__.py
@@ -1,5 +1,6 @@
-"""The life of a message, from its submission to its end, and the dispatcher as the relay asks it.
+"""The life cycle of messages, from submission to the final notice, and the relay's interface to the dispatcher.
 
-The package owns the order of the steps (recorded, dispatched, sent, reported, ended, notified) and the one timer behind
-them. It knows no wire: frontends submit messages and transports carry attempts, both through `dewpin.ports`.
+The package owns the order of the steps (record, dispatch, send, report, finish, notify) and the single timer that
+drives them. It implements no protocol: frontends submit messages and transports carry out attempts, both through
+`dewpin.ports`.
 """
--- a/dewpin/relay/facade.py
+++ b/dewpin/relay/facade.py
@@ -1,7 +1,7 @@
-"""The dispatcher as the relay asks it: what is due, what to do with it, and what follows from a result.
+"""The relay's interface to the dispatcher: what is due, the decision on it, and the next step after a result.
 
-The facade owns the dispatcher and its messages. It maps names on the wire to the dispatcher's objects and back. It
-keeps no timer, opens no socket and decides nothing.
+The facade owns the dispatcher and its messages, and maps names on the wire to the dispatcher's objects and back. It has
+no timer, opens no socket and makes no decisions.
 """
 
 from collections.abc import Mapping, Sequence
@@ -26,7 +26,7 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """The dispatcher's decision to make an attempt now."""
+    """The decision to start an attempt now."""
 
     record: MessageRecord
     receiver: Receiver
@@ -34,7 +34,7 @@
 
 
 class GiveUp(msgspec.Struct, frozen=True):
-    """The dispatcher's decision to give a message up. `ending`: deferred or bounced."""
+    """The decision to give up a message. `ending`: deferred or bounced."""
 
     record: MessageRecord
     ending: Decision
@@ -42,8 +42,8 @@
 
 
 class FollowUp(msgspec.Struct, frozen=True):
-    """What follows from an attempt's result. `ending`: None where the message stays queued. `closes_idle_connections`:
-    those to the receiver are to be closed."""
+    """The next step after an attempt. `ending`: None if the message stays queued. `closes_idle_connections`: whether
+    idle connections to the receiver are to be closed."""
 
     ending: Decision | None
     retry_after_ms: float
@@ -51,12 +51,12 @@
 
 
 class Facade:
-    """The dispatcher with the names of one sender's settings.
+    """The dispatcher together with the names in one sender's settings.
 
-    `queue_class_indexes`: the dispatcher's number of each queue class. `longest_lifetime_ms`: of any queue class.
-    `max_messages`: how many the dispatcher may hold. `endpoints`: the receivers and destinations.
+    `queue_class_indexes`: the dispatcher's index of each queue class. `longest_lifetime_ms`: the longest lifetime of
+    all queue classes. `max_messages`: maximum number of pending messages. `endpoints`: the receivers and destinations.
 
-    Raises KeyError, TypeError or ValueError for settings that lack what the dispatcher needs."""
+    Raises KeyError, TypeError or ValueError if the settings lack what the dispatcher needs."""
 
     def __init__(self, settings: Mapping[str, Any], seed: int) -> None:
         self.dispatcher = Dispatcher(settings, seed)
@@ -68,15 +68,15 @@
         self.endpoints = EndpointDirectory(self.dispatcher, settings)
         self._due_message: Message | None = None
 
-    # -- what is due ------------------------------------------------------------------------------------------
+    # -- due messages -----------------------------------------------------------------------------------------
 
     def time_until_due_ms(self, now_ms: float) -> float | None:
-        """Ms until something is due: 0 if it is now, None if there is no message."""
+        """Returns the ms until the next message is due: 0 if it is due now, None if there is none."""
         wait_ms, self._due_message = self.dispatcher.next_due(now_ms)
         return None if self._due_message is None else wait_ms
 
     def decide_due(self, now_ms: float) -> Send | GiveUp | None:
-        """What happens to the message that is due now; None if it stays queued."""
+        """Returns the decision on the message that is due now; None if it stays queued."""
         message = self._due_message
         assert message is not None
         result = self.dispatcher.dispatch(message, now_ms)
@@ -87,7 +87,7 @@
         return GiveUp(message.message_id, result.decision, result.retry_after_ms)
 
     def report_result(self, record: MessageRecord, result: AttemptResult, now_ms: float) -> FollowUp:
-        """Reports an attempt's result; what follows from it."""
+        """Reports the result of an attempt to the dispatcher; returns the next step."""
         message: Message = record.message
         message.retry_after_ms, message.duration_ms = result.retry_after_ms, result.duration_ms
         message.is_withdrawn = message.is_withdrawn or result.is_withdrawn
@@ -101,25 +101,25 @@
             message, cast(Outcome, result.outcome), now_ms
         )
         if result.is_withdrawn:
-            decision = Decision.RELAYED  # nothing is owed
+            decision = Decision.RELAYED  # it needs no result
         ending = None if decision == Decision.NOT_YET else decision
         return FollowUp(ending, retry_after_ms, closes_idle_connections)
 
     def backoff_ms(self, record: MessageRecord, now_ms: float) -> float:
-        """How long a message still waits for its retry."""
+        """Returns the ms until the retry of a message."""
         message = record.message
         return max(0.0, message.dispatch_state.due_at - now_ms) if message and message.dispatch_state else 0.0
 
     # -- messages ---------------------------------------------------------------------------------------------
 
     def is_known_class(self, queue_class: bytes, account: bytes) -> bool:
-        """Whether the settings name this queue class and, where they name accounts, this account."""
+        """Returns whether the settings define this queue class and, if they define accounts, this account."""
         return queue_class in self.queue_class_indexes and (
             not self._account_indexes or account in self._account_indexes
         )
 
     def overload_retry_after_ms(self, destination: bytes, now_ms: float) -> float | None:
-        """The retry-after where no more messages may be held, or none for a destination that no list names; else
+        """Returns the retry-after if no further message can be accepted, or if no list names the destination; else
         None."""
         known = self.endpoints.destinations.get(int(destination))
         if known and known.receivers and self.dispatcher.pending_messages < self.max_messages:
@@ -127,26 +127,26 @@
         return self.dispatcher.retry_after_ms(known or Destination(None), now_ms)
 
     def lifetime_ms(self, queue_class: bytes) -> float:
-        """How long a message of this class lasts, at most."""
+        """Returns the maximum lifetime of a message of this class."""
         return self.lifetimes_ms[self.queue_class_indexes[queue_class]]
 
     def first_submitted_at_ms(
         self, queue_class: bytes, remaining_ms: float, is_resubmission: bool, now_ms: float
     ) -> float:
-        """When the message was submitted first, to this sender or to another one, as far as can be told."""
+        """Estimates when the message was first submitted, to this sender or to another one."""
         index = self.queue_class_indexes[queue_class]
         return self.dispatcher.first_submitted_at(index, remaining_ms, is_resubmission, now_ms)
 
     def may_have_executed(self, outcome: str) -> bool:
-        """Whether the receiver may have executed a message after this outcome."""
+        """Returns whether the receiver may have executed the message, given this outcome."""
         return outcome not in NOT_EXECUTED_OUTCOMES
 
     def send_window_ms(self, record: MessageRecord, receiver: Receiver, now_ms: float) -> float:
-        """Ms within which the last byte of an attempt may leave; 0: none of it may."""
+        """Returns within how many ms the last byte of an attempt must be sent; 0: the attempt must not be sent."""
         return self.dispatcher.last_byte_within_ms(record.message, receiver, now_ms)
 
     def add_message(self, record: MessageRecord, now_ms: float) -> None:
-        """Gives an accepted message to the dispatcher."""
+        """Passes an accepted message to the dispatcher."""
         destination = self.endpoints.destination(int(record.destination))
         executed = record.possibly_executed
         executed_by = None if executed is None else self.endpoints.receiver(executed.receiver, destination)
@@ -164,7 +164,7 @@
         self.dispatcher.dispatch(record.message, now_ms)
 
     def adopt_attempt(self, record: MessageRecord, now_ms: float) -> Receiver:
-        """Gives a message to the dispatcher whose attempt the previous process has in flight; its receiver."""
+        """Passes on a message that the previous process has in flight; returns the receiver of that attempt."""
         assert record.in_flight is not None
         attempt = record.in_flight
         receiver = self.endpoints.receiver(attempt.receiver, self.endpoints.destination(int(record.destination)))
@@ -175,18 +175,18 @@
         return receiver
 
     def forget_message(self, record: MessageRecord) -> None:
-        """Separates an ended message from its record: the dispatcher may hold the message until its lifetime is over.
+        """Unlinks a finished message from its record, as the dispatcher may keep the message until its lifetime ends.
 
-        Guards against memory that only a full collection gives back."""
+        Otherwise only a full garbage collection would free the memory."""
         if record.message:
             record.message.message_id = record.message = None
 
     def addresses_under_same_limits(self, receiver: Receiver) -> list[Address]:
-        """The addresses of the receivers that a retry-after of this one holds for."""
+        """Returns the addresses of all receivers that a retry-after of this receiver applies to."""
         limits_of = self.dispatcher.limits_of
         limits = limits_of(receiver)
         receivers = receiver.destination.receivers
-        return [one.address for one in receivers if one.address and limits_of(one) is limits]
+        return [other.address for other in receivers if other.address and limits_of(other) is limits]
 
 
 def _indexes_by_name(items: Sequence[Mapping[str, Any]]) -> dict[bytes, int]:
--- a/dewpin/relay/learned_state.py
+++ b/dewpin/relay/learned_state.py
@@ -1,7 +1,7 @@
-"""What the dispatcher has learned, as plain values, for the process that takes over while this one still runs.
+"""Exports and imports the learned state of the dispatcher, for the process that takes over while this one runs.
 
-The names in these values stay: processes of two versions exchange them. Attempts in flight and pending messages are not
-among them, they are in the journal.
+The names in the exported values must not change: processes of two versions exchange them. Attempts in flight and
+pending messages are not included; they are in the journal.
 """
 
 from collections.abc import Mapping
@@ -12,32 +12,33 @@
 from .facade import Facade
 
 LearnedState = dict[str, Any]
-"""A map for JSON."""
+"""A map that can be encoded as JSON."""
 
 
 def export_learned_state(facade: Facade) -> LearnedState:
-    """The endpoint list, and what is learned of the sender, its destinations and their receivers."""
+    """Returns the endpoint list and the learned state of the sender, its destinations and their receivers."""
     dispatcher, endpoints = facade.dispatcher, facade.endpoints
     return {
         "list": _export_endpoints(facade),
         **dispatcher.export_sender_state(),
         "destinations": [
-            [one.destination_id, *dispatcher.export_destination_state(one)] for one in endpoints.destinations.values()
+            [destination.destination_id, *dispatcher.export_destination_state(destination)]
+            for destination in endpoints.destinations.values()
         ],
         "receivers": [
-            [one.receiver_id.decode("latin-1"), *dispatcher.export_receiver_state(one)]
-            for one in endpoints.receivers.values()
+            [receiver.receiver_id.decode("latin-1"), *dispatcher.export_receiver_state(receiver)]
+            for receiver in endpoints.receivers.values()
         ],
     }
 
 
 def endpoint_entries(state: LearnedState) -> list[EndpointEntry]:
-    """The endpoint list of an exported state."""
+    """Returns the endpoint list of an exported state."""
     return [decode_row(row) for row in state["list"]]
 
 
 def import_learned_state(facade: Facade, state: LearnedState) -> None:
-    """Puts an exported state in force, beside the attempts and messages that are there already."""
+    """Imports an exported state; existing attempts and messages are kept."""
     dispatcher = facade.dispatcher
     dispatcher.restore_sender_state(state)
     for destination_id, queue, limits in state["destinations"]:
@@ -65,4 +66,4 @@
 
 
 def _name_of_index(indexes: Mapping[str, int], index: int) -> str | None:
-    return next((name for name, one in indexes.items() if one == index), None)
+    return next((name for name, other in indexes.items() if other == index), None)
--- a/dewpin/relay/message_lifecycle.py
+++ b/dewpin/relay/message_lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of a message from its submission to its end: recorded, dispatched, sent, reported, ended, notified.
+"""The life cycle of messages: record, dispatch, send, report, finish, notify.
 
-The relay owns the order of these steps and the one timer behind them. No message is acknowledged before it is in the
-journal, no byte of an attempt leaves before the attempt is, and the next message of an ordering key waits until the
-notice for an earlier one is acknowledged. The relay knows no wire, and every decision about a message is the
-dispatcher's, asked through the facade.
+The relay owns the order of these steps and the single timer that drives them. A message is acknowledged only after it
+is in the journal, the first byte of an attempt is sent only after the attempt is in the journal, and the next message
+of an ordering key waits until the notice for an earlier one is acknowledged. The relay implements no protocol, and the
+dispatcher makes all decisions about messages; the relay asks it through the facade.
 """
 
 import asyncio
@@ -45,20 +45,20 @@
 from .recent_message_ids import RecentMessageIds
 
 MAX_POSTPONEMENT_MS = 50.0
-"""For so long an attempt waits for the acknowledgement of an earlier message's notice."""
-MAX_DECISIONS_PER_TURN = 200
-"""Decisions in one turn of the loop, before others have theirs."""
-RETRY_AFTER_FAULT_SECONDS = 0.1
+"""Maximum time that an attempt waits for the acknowledgement of an earlier message's notice."""
+MAX_DECISIONS_PER_ITERATION = 200
+"""Maximum number of decisions per iteration of the event loop, so that other tasks can run."""
+RETRY_AFTER_ERROR_SECONDS = 0.1
 MIN_TIMEOUT_MS = 1.0
 
 
 class Relay:
-    """All messages of a sender.
+    """Manages all messages of a sender.
 
-    `is_draining`: no message is accepted any more. `may_start_attempts`: attempts still start. `attempts_in_flight`:
-    those of which the result is not known, postponed ones and those at the previous process included.
-    `handover_log`: set once the next process has the journal; then what still happens here is written to it.
-    `end_counts`: messages by queue class and the decision that ended them."""
+    `is_draining`: whether new messages are no longer accepted. `may_start_attempts`: whether attempts may start.
+    `attempts_in_flight`: number of attempts without a known result, including postponed ones and those of the previous
+    process. `handover_log`: set once the next process owns the journal; later events of this process are written to it.
+    `end_counts`: number of finished messages by queue class and final decision."""
 
     def __init__(
         self,
@@ -91,12 +91,12 @@
 
     @property
     def record_store(self) -> Journal | HandoverLogWriter:
-        """Where messages are recorded: the journal, or the hand-over log once the next process has the journal."""
+        """Storage for messages: the journal, or the hand-over log once the next process owns the journal."""
         return self.handover_log or self.journal
 
     @property
     def attempts_at_previous_process(self) -> int:
-        """How many attempts the previous process has in flight."""
+        """Number of attempts that the previous process has in flight."""
         return self._previous_process.attempt_count if self._previous_process is not None else 0
 
     # -- start and submission ---------------------------------------------------------------------------------
@@ -104,11 +104,11 @@
     def resume(
         self, handover_reader: HandoverLogReader | None = None, serials_in_flight: set[int] | None = None
     ) -> None:
-        """Continues with the messages that an earlier process left in the journal.
+        """Resumes the messages that an earlier process left in the journal.
 
-        `handover_reader`: the log of a previous process that reports the attempts which are in flight there; without
-        it nobody has them, and they may have been executed. `serials_in_flight`: the messages of those attempts, None
-        where the previous process did not say."""
+        `handover_reader`: the log in which the previous process reports the results of its attempts in flight; without
+        it those attempts are lost and may have been executed. `serials_in_flight`: serial numbers of the messages of
+        those attempts; None if the previous process did not report them."""
         now_ms = self.clock.now_ms()
         if handover_reader is None:
             self.journal.assume_attempts_executed()
@@ -119,7 +119,7 @@
         for record in list(self.journal.pending.values()):
             self._recent_ids.add(record.message_id, now_ms)
             if record.in_flight and serials_in_flight is not None and record.serial not in serials_in_flight:
-                # the journal has no record for the end of an attempt that may have been executed
+                # the journal does not record the end of an attempt that may have been executed
                 record.finish_attempt(may_have_executed=True)
             self._resume_message(record, now_ms)
         self.wake()
@@ -136,13 +136,15 @@
         if record.in_flight:
             self.attempts_in_flight += 1
             receiver = self.facade.adopt_attempt(record, now_ms)
-            assert self._previous_process is not None  # without one, no attempt is in flight any more
+            assert self._previous_process is not None  # without a previous process, no attempt is in flight
             self._previous_process.add_attempt(record, receiver)
         else:
             self.facade.add_message(record, now_ms)
 
     def submit(self, request: SubmitRequest) -> SubmitResult:
-        """Accepts a message or not, at once. Raises what the dispatcher raises; then nothing is owed for it."""
+        """Accepts, defers or rejects a message immediately.
+
+        An exception of the dispatcher is passed on; the message is then not accepted."""
         if not self.facade.is_known_class(request.queue_class, request.account):
             return Rejected(RejectionReason.UNKNOWN_QUEUE_CLASS)
         result = self._try_accept(request)
@@ -153,7 +155,7 @@
         return result
 
     def _try_accept(self, request: SubmitRequest) -> SubmitResult:
-        self.consume_handover_log()  # an earlier message of the key may have been submitted there
+        self.consume_handover_log()  # an earlier message of the key may have been submitted to the previous process
         now_ms = self.clock.now_ms()
         if self.is_draining:
             return Deferred(0.0)
@@ -166,14 +168,14 @@
         if not store.accept(record):
             log_event(events.JOURNAL_FULL, bytes=store.size_bytes, messages=len(store.pending))
             return Deferred(0.0)
-        if self.handover_log:  # the next process has the message from now on
+        if self.handover_log:  # the next process owns the message from now on
             self._recent_ids.add(record.message_id, now_ms)
             log_event(events.MESSAGE_ACCEPTED_FOR_NEXT, message=record.message_id)
             return Accepted()
         try:
             self.facade.add_message(record, now_ms)
         except Exception:
-            self.journal.finish(record)  # the client is told of a failure, and nothing is owed
+            self.journal.finish(record)  # the client gets an error, so the message needs no result
             raise
         log_accepted(record, now_ms)
         self._recent_ids.add(record.message_id, now_ms)
@@ -202,7 +204,7 @@
     # -- dispatch and attempts --------------------------------------------------------------------------------
 
     def wake(self) -> None:
-        """Something has changed: the dispatcher is asked once for all that happens in this turn of the loop."""
+        """Schedules a dispatch after a change, once for all changes in this iteration of the event loop."""
         if not self._is_wake_scheduled:
             self._is_wake_scheduled = True
             self._loop.call_soon(self._dispatch_due)
@@ -214,7 +216,7 @@
             self._timer = None
         now_ms = self.clock.now_ms()
         try:
-            for _ in range(MAX_DECISIONS_PER_TURN):
+            for _ in range(MAX_DECISIONS_PER_ITERATION):
                 wait_ms = self.facade.time_until_due_ms(now_ms) if self.may_start_attempts else None
                 if wait_ms is None:
                     return
@@ -226,10 +228,10 @@
                     self._give_up(decision.record, decision.ending, decision.retry_after_ms)
                 elif decision:
                     self._start_attempt(decision.record, decision.receiver, decision.timeout_ms, now_ms)
-            self.wake()  # others have their turn first
-        except Exception:  # a fault must not end the process, nor repeat without a pause
+            self.wake()  # let other callbacks run first
+        except Exception:  # an error must neither end the process nor repeat without a pause
             log_internal_error("relay")
-            self._timer = self._loop.call_later(RETRY_AFTER_FAULT_SECONDS, self.wake)
+            self._timer = self._loop.call_later(RETRY_AFTER_ERROR_SECONDS, self.wake)
 
     def _start_attempt(self, record: MessageRecord, receiver: Receiver, timeout_ms: float, now_ms: float) -> None:
         if not self.notice_barrier.blocks(record.ordering_key):
@@ -256,12 +258,13 @@
         )
 
     def _send_window_opener(self, record: MessageRecord, receiver: Receiver, timeout_ms: float) -> Callable[[], float]:
-        """What the transport asks right before an attempt's first byte: the ms within which its last byte may leave, or
-        0 if the attempt is not to be made. It records the attempt.
+        """Returns a function that the transport calls right before the first byte of an attempt.
 
-        Guards against a connection that comes up long after the decision: by then a retry's window may be over, a
-        receiver may have asked to wait, this process may end or the next one may have the message. And against a kill
-        while it comes up: what is recorded counts as possibly executed."""
+        It records the attempt and returns the ms within which the last byte must be sent, or 0 if the attempt must not
+        be sent. A connection may be established long after the decision: by then the retry window may have ended, the
+        receiver may have requested a wait, this process may be stopping, or the next one may own the message. The
+        attempt is recorded only now because a recorded attempt counts as possibly executed, also if the process is
+        killed while it connects."""
 
         def open_send_window() -> float:
             now_ms = self.clock.now_ms()
@@ -274,12 +277,12 @@
         return open_send_window
 
     def _drop_postponed_attempt(self, record: MessageRecord, receiver: Receiver) -> None:
-        """The notice of an earlier message of the key is not acknowledged in time: the attempt was never sent."""
+        """Ends a postponed attempt as not sent: the notice of an earlier message was not acknowledged in time."""
         self.notice_barrier.drop(record)
         self.handle_result(record, receiver, AttemptResult(Outcome.NOT_SENT, 0.0, 0.0, {}, False))
 
     def handle_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
-        """Handles the result of an attempt, made here or at the previous process."""
+        """Handles the result of an attempt of this process or of the previous one."""
         self.attempts_in_flight -= 1
         if self.handover_log:
             self.handover_log.finish_attempt(record, result)
@@ -299,19 +302,19 @@
         self.journal.finish_attempt(record, may_have_executed)
 
     def _continue_after_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
-        """Ends the message, or leaves it with the dispatcher for a retry."""
-        following = self.facade.report_result(record, result, self.clock.now_ms())
-        if following.ending == Decision.RELAYED:
+        """Finishes the message, or leaves it with the dispatcher for a retry."""
+        follow_up = self.facade.report_result(record, result, self.clock.now_ms())
+        if follow_up.ending == Decision.RELAYED:
             log_relayed(record)
             # a withdrawn message was not delivered
             self.end_counts[record.queue_class][Decision.RELAYED] += result.outcome == Outcome.DELIVERED
             self.journal.finish(record)
             self.facade.forget_message(record)
-        elif following.ending:
-            self._give_up(record, following.ending, following.retry_after_ms)
+        elif follow_up.ending:
+            self._give_up(record, follow_up.ending, follow_up.retry_after_ms)
         else:
             log_retry_scheduled(record, self.facade.backoff_ms(record, self.clock.now_ms()))
-        if following.closes_idle_connections:
+        if follow_up.closes_idle_connections:
             self.transport.close_idle(receiver.address)
         if result.retry_after_ms > 0.0:
             self._cancel_unsent_under_same_limits(receiver)
@@ -320,7 +323,7 @@
         for address in self.facade.addresses_under_same_limits(receiver):
             self.transport.cancel_unsent(address)
 
-    # -- ends and notices -------------------------------------------------------------------------------------
+    # -- finished messages and notices ------------------------------------------------------------------------
 
     def _give_up(self, record: MessageRecord, ending: Decision, retry_after_ms: float) -> None:
         log_given_up(record, ending, retry_after_ms)
@@ -350,13 +353,13 @@
     # -- hand-over between two processes of one sender --------------------------------------------------------
 
     def hand_over(self, handover_log: HandoverLogWriter) -> None:
-        """From now on the next process has the journal and decides: what still happens here is written to the log."""
+        """Leaves journal and decisions to the next process; later events of this one go to the hand-over log."""
         self.may_start_attempts = False
-        self.attempts_in_flight -= self.notice_barrier.drop_all()  # they were never sent
+        self.attempts_in_flight -= self.notice_barrier.drop_all()  # these attempts were never sent
         self.handover_log = handover_log
 
     def consume_handover_log(self, is_writer_gone: bool = False) -> None:
-        """Handles what the previous process has written since the last call; see `PreviousProcess.consume_log`."""
+        """Handles the new entries of the previous process; see `PreviousProcess.consume_log`."""
         if self._previous_process is not None:
             self._previous_process.consume_log(is_writer_gone)
             if is_writer_gone:
@@ -365,7 +368,7 @@
     def handle_accepted_elsewhere(self, record: MessageRecord) -> None:
         """Takes over a message that the previous process has accepted."""
         if record.message_id in self._recent_ids:
-            return  # read before a kill, and not marked as consumed
+            return  # already read before this process was killed, but not marked as consumed
         now_ms = self.clock.now_ms()
         self._recent_ids.add(record.message_id, now_ms)
         self.journal.accept(record, already_accepted=True)
@@ -376,9 +379,9 @@
     # -- receivers that operators detach ----------------------------------------------------------------------
 
     def detach(self, receiver_id: bytes) -> DetachmentResult:
-        """No attempt starts to this receiver, whatever the endpoint list says, until it is attached again."""
+        """Stops new attempts to this receiver, regardless of the endpoint list, until it is attached again."""
         return self._detachment.detach(receiver_id)
 
     def attach(self, receiver_id: bytes) -> DetachmentResult:
-        """What the endpoint list says of this receiver holds again."""
+        """Applies the state of this receiver in the endpoint list again."""
         return self._detachment.attach(receiver_id)
--- a/dewpin/relay/notice_barrier.py
+++ b/dewpin/relay/notice_barrier.py
@@ -1,4 +1,4 @@
-"""Order within a key: an attempt waits until the notices of the key's earlier messages are acknowledged."""
+"""Keeps order within a key: attempts wait until the notices of the key's earlier messages are acknowledged."""
 
 from asyncio import TimerHandle
 
@@ -9,7 +9,7 @@
 
 
 class PostponedAttempt(msgspec.Struct, frozen=True):
-    """An attempt that waits: its message and receiver, when it times out, and the timer that gives it up before."""
+    """A waiting attempt: message, receiver, time of its time-out, and the timer that ends the wait earlier."""
 
     record: MessageRecord
     receiver: Receiver
@@ -18,27 +18,27 @@
 
 
 class NoticeBarrier:
-    """The notices that are not acknowledged yet, and the attempts that wait for them, by ordering key."""
+    """Tracks unacknowledged notices, and the attempts that wait for them, by ordering key."""
 
     def __init__(self) -> None:
         self._unacknowledged: dict[bytes, int] = {}
         self._postponed: dict[bytes, dict[MessageRecord, PostponedAttempt]] = {}
 
     def blocks(self, ordering_key: bytes) -> bool:
-        """Whether a notice of this key is not acknowledged yet."""
+        """Returns whether a notice of this key is unacknowledged."""
         return ordering_key in self._unacknowledged
 
     def postponed_count(self) -> int:
-        """How many attempts wait."""
+        """Returns the number of waiting attempts."""
         return sum(map(len, self._postponed.values()))
 
     def add_notice(self, ordering_key: bytes) -> None:
-        """A notice is published for a message with this key; messages without a key have no order."""
+        """Records that a notice was published for a message with this key; messages without a key are unordered."""
         if ordering_key:
             self._unacknowledged[ordering_key] = self._unacknowledged.get(ordering_key, 0) + 1
 
     def acknowledge_notice(self, ordering_key: bytes) -> list[PostponedAttempt]:
-        """A notice is acknowledged; the attempts that need not wait any longer, their timers cancelled."""
+        """Records an acknowledgement; returns the attempts that no longer have to wait, with their timers cancelled."""
         if not ordering_key:
             return []
         self._unacknowledged[ordering_key] -= 1
@@ -51,15 +51,15 @@
         return released
 
     def postpone(self, attempt: PostponedAttempt) -> None:
-        """Lets an attempt wait for its key's notices."""
+        """Makes an attempt wait for the notices of its key."""
         self._postponed.setdefault(attempt.record.ordering_key, {})[attempt.record] = attempt
 
     def drop(self, record: MessageRecord) -> None:
-        """Its attempt waits no longer."""
+        """Removes the waiting attempt of a message."""
         del self._postponed[record.ordering_key][record]
 
     def drop_all(self) -> int:
-        """No attempt waits any longer; how many did."""
+        """Removes all waiting attempts; returns their number."""
         count = self.postponed_count()
         for attempts in self._postponed.values():
             for attempt in attempts.values():
--- a/dewpin/relay/previous_process.py
+++ b/dewpin/relay/previous_process.py
@@ -1,4 +1,4 @@
-"""The process that handed its folder over: what it reports by the hand-over log, and its attempts in flight."""
+"""The process that handed over its folder: its reports in the hand-over log, and its attempts in flight."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from ..spool.handover_log import AcceptedMessage, FinishedAttempt, HandoverLogReader
 from ..spool.records import MessageRecord
 
-if TYPE_CHECKING:  # a protocol is costly to make, and each start would make it
+if TYPE_CHECKING:  # creating a protocol class is expensive and would slow down each start
 
     class Successor(Protocol):
-        """What takes over from the previous process: see `Relay`."""
+        """The part of `Relay` that takes over from the previous process."""
 
         def handle_accepted_elsewhere(self, record: MessageRecord) -> None:
             """Takes over a message that the previous process has accepted."""
@@ -28,7 +28,7 @@
 
 
 class PreviousProcess:
-    """The previous process as its successor knows it, until it has ended."""
+    """The successor's view of the previous process, until that process has ended."""
 
     def __init__(self, reader: HandoverLogReader, successor: Successor) -> None:
         self._reader = reader
@@ -37,18 +37,18 @@
 
     @property
     def attempt_count(self) -> int:
-        """How many attempts it has in flight."""
+        """Number of attempts that it has in flight."""
         return len(self._attempts)
 
     def add_attempt(self, record: MessageRecord, receiver: Receiver) -> None:
-        """Records that it has an attempt of a message in flight."""
+        """Records an attempt that it has in flight."""
         self._attempts[record.serial] = record, receiver
 
     def consume_log(self, is_gone: bool) -> None:
-        """Handles what it has written since the last call.
+        """Handles the log entries that it has written since the last call.
 
-        `is_gone`: it has ended; attempts of which it did not report the result are lost. Raises what the successor
-        raises; the event is then handled again by the next call.
+        `is_gone`: whether it has ended; attempts without a reported result are then lost. Exceptions of the successor
+        are passed on; the next call handles the event again.
         """
         for event in self._reader.read_events():
             if isinstance(event, AcceptedMessage):
--- a/dewpin/relay/queue_description.py
+++ b/dewpin/relay/queue_description.py
@@ -1,4 +1,4 @@
-"""Destination queues in plain values, for `dewpin status`. The names of the values are those of its JSON."""
+"""Describes destination queues as plain values, for `dewpin status`. The keys are those of its JSON output."""
 
 from typing import Any
 
@@ -6,14 +6,14 @@
 
 
 def queue_size(queue: Any) -> int:
-    """Messages of one of the dispatcher's queues that wait for a slot or are in flight."""
+    """Returns the number of messages of a queue that wait for a slot or are in flight."""
     size: int = queue.waiting + queue.in_flight
     return size
 
 
 def describe_queue(queue: Any, now_ms: float) -> dict[str, Any]:
-    """One of the dispatcher's queues in plain values, under the names of `dewpin status`: what waits, what is in
-    flight, and what limits each of its receivers."""
+    """Returns a queue as plain values, with the keys of `dewpin status`: waiting messages, calls in flight, and the
+    limits of each of its receivers."""
     return {
         "destination": queue.destination.destination_id,
         "waiting": queue.waiting,
@@ -25,7 +25,7 @@
 
 def _describe_receiver(receiver: Receiver, now_ms: float) -> dict[str, Any]:
     health, limits = receiver.health, receiver.limits or receiver.destination.limits
-    facts = {
+    description = {
         "receiver": receiver.receiver_id.decode("latin-1"),
         "state": receiver.state,
         "health": "unknown",
@@ -37,16 +37,16 @@
         "trickle": None,
     }
     if health:
-        facts |= {
+        description |= {
             "out": health.in_flight,
             "failures": health.failures,
             "health": "set aside" if health.slow_start else "failing" if health.failures else "well",
             "trickle": round(health.slow_start.rate_at(now_ms), 3) if health.slow_start else None,
         }
     if limits:
-        facts |= {
+        description |= {
             "wait_ms": round(max(0.0, limits.retry_after_until - now_ms), 1),
             "usual_ms": None if limits.usual_call_ms is None else round(limits.usual_call_ms, 1),
             "pace": round(limits.rate_limiter.rate_at(now_ms), 3) if limits.rate_limiter else None,
         }
-    return facts
+    return description
--- a/dewpin/relay/receiver_detachment.py
+++ b/dewpin/relay/receiver_detachment.py
@@ -1,4 +1,4 @@
-"""Receivers that operators detach: recorded, then left alone by the dispatcher until they are attached again."""
+"""Detaches receivers on behalf of operators: records it, then excludes them from dispatch until they are attached."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class DetachmentResult(Enum):
-    """What came of detaching or attaching a receiver."""
+    """The result of detaching or attaching a receiver."""
 
     APPLIED = "applied"
     UNKNOWN_RECEIVER = "unknown receiver"
-    """No endpoint list ever named it."""
+    """The receiver has never been in an endpoint list."""
     NOT_RECORDED = "not recorded"
-    """The journal has no capacity for it, or can't be written."""
+    """The journal is full or cannot be written."""
 
 
-if TYPE_CHECKING:  # a protocol is costly to make, and each start would make it
+if TYPE_CHECKING:  # creating a protocol class is expensive and would slow down each start
 
     class DetachmentRecords(Protocol):
-        """Where detachments are recorded: the journal, or the hand-over log."""
+        """Storage of detachments: the journal or the hand-over log."""
 
         def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
-            """Records a detachment or its end; False if that is not possible."""
+            """Records a detachment or its end; returns False if that is not possible."""
 
 
 class ReceiverDetachment:
-    """Detaches and attaches receivers; `records` gives where that is recorded, `on_change` is called after each."""
+    """Detaches and attaches receivers; `records` returns the storage, `on_change` is called after each change."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._on_change = on_change
 
     def detach(self, receiver_id: bytes) -> DetachmentResult:
-        """No attempt starts to this receiver, whatever the endpoint list says, until it is attached again."""
+        """Stops new attempts to this receiver, regardless of the endpoint list, until it is attached again."""
         if not self._endpoints.is_known(receiver_id):
             return DetachmentResult.UNKNOWN_RECEIVER
         if not self._records().set_detached(receiver_id, True):
@@ -60,7 +60,7 @@
         return DetachmentResult.APPLIED
 
     def attach(self, receiver_id: bytes) -> DetachmentResult:
-        """What the endpoint list says of this receiver holds again."""
+        """Applies the state of this receiver in the endpoint list again."""
         if not self._endpoints.is_known(receiver_id):
             return DetachmentResult.UNKNOWN_RECEIVER
         if not self._records().set_detached(receiver_id, False):
--- a/dewpin/relay/recent_message_ids.py
+++ b/dewpin/relay/recent_message_ids.py
@@ -1,13 +1,13 @@
-"""The ids of messages that were accepted lately."""
+"""The ids of recently accepted messages."""
 
 MAX_IDS_PER_GENERATION = 20_000
 
 
 class RecentMessageIds:
-    """Remembers ids for at least `lifetime_ms`, the longest that a message may last, in two generations.
+    """Remembers ids for at least `lifetime_ms`, the maximum lifetime of a message, in two generations.
 
-    Guards against an id that comes again, from whomever: its message would be delivered twice, or after its end. The
-    memory is bounded: with more ids than a generation holds, they are forgotten earlier."""
+    A message whose id is submitted again, by any client, would be delivered twice, or after it has ended. Memory is
+    bounded: if there are more ids than a generation can hold, ids are dropped earlier."""
 
     def __init__(self, lifetime_ms: float) -> None:
         self._lifetime_ms = lifetime_ms
@@ -19,7 +19,7 @@
         return message_id in self._current or message_id in self._previous
 
     def add(self, message_id: bytes, now_ms: float) -> None:
-        """Remembers an id."""
+        """Stores an id."""
         if now_ms > self._next_generation_at_ms or len(self._current) >= MAX_IDS_PER_GENERATION:
             self._current, self._previous = set(), self._current
             self._next_generation_at_ms = now_ms + self._lifetime_ms
