--- a/tests/core/dispatcher_driver.py
+++ b/tests/core/dispatcher_driver.py
@@ -1,17 +1,17 @@
-"""Drives a dispatcher on a clock that the test moves."""
+"""Drives a dispatcher with a clock that the test controls."""
 
 from dewpin.core import model
 from dewpin.core.dispatcher import Dispatcher
 
 
 class DispatcherDriver:
-    """A dispatcher with one destination, and what became of each message.
+    """A dispatcher with one destination, and the result of each message.
 
-    messages: all that were submitted.
-    in_flight: message: (receiver, when it was sent, time-out in ms).
-    decisions, ended_at, retry_after_ms: by message, how and when it ended, and the wait that its client was told.
+    messages: all submitted messages.
+    in_flight: maps messages to (receiver, send time, time-out in ms).
+    decisions, ended_at, retry_after_ms: by message, how and when it ended, and the retry-after for the client.
     sends: (time, message, receiver) of each attempt.
-    on_decision: called with each receiver or decision and the message.
+    on_decision: called with each receiver or decision, and the message.
     """
 
     def __init__(self, settings, receivers=1, zones=1, seed=7):
@@ -25,7 +25,7 @@
         self.on_decision = lambda decision, message: None
 
     def submit(self, time_left_ms=16000.0, dispatches=True, destination=None, **facts):
-        """A new message; it is sent if it may go at once, unless `dispatches` is false."""
+        """Submits a new message; it is sent at once if possible, unless `dispatches` is false."""
         message = model.Message(
             len(self.messages) + 1, destination or self.destination, self.now, self.now + time_left_ms, **facts
         )
@@ -36,16 +36,16 @@
         return message
 
     def dispatch_due(self):
-        """Dispatches until nothing is due; gives when something is, or None."""
+        """Dispatches until nothing is due; returns when the next message is due, or None."""
         for _ in range(10000):
             delay_ms, message = self.dispatcher.next_due(self.now)
             if message is None or delay_ms > 0:
                 return self.now + delay_ms if message else None
             self._apply(message, self.dispatcher.dispatch(message, self.now))
-        raise AssertionError("the dispatcher never settles")
+        raise AssertionError("the dispatcher always reports a message as due")
 
     def end_attempt(self, message, outcome, duration_ms, retry_after_ms=0.0, advances=True):
-        """Ends an attempt, after its duration unless `advances` is false; gives what follows for the message."""
+        """Ends an attempt, after its duration unless `advances` is false; returns the decision on the message."""
         ends_at = self.in_flight[message][1] + duration_ms
         if advances and self.now < ends_at:
             self.advance(ends_at - self.now)
@@ -56,9 +56,9 @@
         return decision
 
     def restart(self, attempts, executed, down_ms):
-        """The sender dies and comes back with what its journal says of the pending messages."""
+        """Simulates a crash of the sender and a restart with the pending messages from its journal."""
         for message, (receiver, sent_at, _) in self.in_flight.items():
-            executed.setdefault(message, (receiver, sent_at))  # it was in flight: it may have been executed
+            executed.setdefault(message, (receiver, sent_at))  # in flight, so possibly executed
         self.in_flight.clear()
         self.now += down_ms
         self.dispatcher = Dispatcher(self.settings, int(self.now))
@@ -74,15 +74,15 @@
             self._apply(message, self.dispatcher.dispatch(message, self.now))
 
     def receiver_of(self, message):
-        """Where a message is in flight to, or None."""
+        """Returns the receiver that a message is in flight to, or None."""
         return self.in_flight[message][0] if message in self.in_flight else None
 
     def advance(self, ms):
-        """Lets time pass."""
+        """Advances the clock."""
         self.advance_until(lambda: False, ms)
 
     def advance_until(self, condition, ms):
-        """Lets time pass until a condition holds, so long at most."""
+        """Advances the clock until a condition holds, by at most `ms`."""
         end_at = self.now + ms
         while not condition() and self.now < end_at:
             due_at = self.dispatch_due()
@@ -91,7 +91,7 @@
         self.dispatch_due()
 
     def keep_traffic(self, ms, every_ms, duration_ms, outcome=model.Outcome.DELIVERED):
-        """Submits messages at a steady rate and lets each attempt end alike."""
+        """Submits messages at a constant rate and ends each attempt with the same outcome."""
         end_at = self.now + ms
         while self.now < end_at:
             self.submit()
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Plain cases of a dispatcher, each of them a failure that must not come again."""
+"""Regression tests for single behaviors of the dispatcher."""
 
 import random
 
@@ -30,7 +30,7 @@
     assert len({round(p / 2**n, 3) for n, p in enumerate(pauses)}) == 4
 
 
-def test_retry_after_holds_the_whole_destination_and_does_not_end_for_all_at_once():
+def test_retry_after_delays_the_whole_destination_and_calls_do_not_all_resume_at_once():
     driver = DispatcherDriver(settings(slots=20), receivers=2)
     driver.keep_traffic(4000.0, every_ms=200.0, duration_ms=50.0)
     first = driver.submit()
@@ -43,7 +43,7 @@
     assert driver.in_flight and sum(driver.receiver_of(m) is None for m in others)
 
 
-def test_keyed_message_bounces_once_its_retry_window_is_over():
+def test_keyed_message_bounces_after_its_retry_window():
     driver = DispatcherDriver(settings(effects=("keyed",), window=3000.0))
     message = driver.submit()
     assert driver.end_attempt(message, Outcome.TIMED_OUT, 3500.0) == Decision.BOUNCED
@@ -57,7 +57,7 @@
     first = driver.receiver_of(message)
     driver.end_attempt(message, Outcome.RESET, 100.0)
     driver.advance(2000.0)
-    # that receiver knows the idempotency key; of the other one it is not known
+    # only that receiver is known to have the idempotency key
     assert driver.receiver_of(message) is first
 
 
@@ -80,7 +80,7 @@
     assert driver.ended_at[message] < message.expires_at
 
 
-def test_draining_receiver_gets_nothing_and_the_other_one_gets_its_messages():
+def test_draining_receiver_gets_no_messages_and_the_other_receiver_gets_them():
     driver = DispatcherDriver(settings(), receivers=2)
     driver.destination.receivers[0].state = ReceiverState.DRAINING
     assert driver.receiver_of(driver.submit()) is driver.destination.receivers[1]
@@ -98,16 +98,16 @@
 
 @pytest.mark.parametrize("window, ending", [(600.0, Decision.BOUNCED), (5000.0, Decision.RELAYED)])
 def test_ordering_key_pauses_after_a_timeout_however_its_message_ends(window, ending):
-    given = settings(effects=("keyed",), order=True, window=window)
-    given["Rules"]["TurnGap"] = 2000.0
-    driver = DispatcherDriver(given)
+    sender_settings = settings(effects=("keyed",), order=True, window=window)
+    sender_settings["Rules"]["TurnGap"] = 2000.0
+    driver = DispatcherDriver(sender_settings)
     first, second = driver.submit(ordering_key=9), driver.submit(ordering_key=9)
     driver.end_attempt(first, Outcome.TIMED_OUT, 100.0)
     ended_at = driver.now
     if ending == Decision.RELAYED:
         driver.advance_until(lambda: driver.receiver_of(first), 1900.0)
         driver.end_attempt(first, Outcome.DELIVERED, 20.0)
-    else:  # it finds no destination before its window is over
+    else:  # no receiver is ready before its window ends
         driver.destination.receivers[0].state = ReceiverState.DRAINING
         driver.advance_until(lambda: first in driver.decisions, 1900.0)
         driver.destination.receivers[0].state = ReceiverState.READY
@@ -123,7 +123,7 @@
     receiver = driver.destination.receivers[0]
     first = driver.submit(
         ordering_key=9, prior_attempts=PriorAttempts(1, driver.now - 50.0, receiver), dispatches=False
-    )  # it was out until just now
+    )  # its call was in flight until just now
     second = driver.submit(ordering_key=9)
     assert driver.decisions[first] == Decision.BOUNCED
     driver.advance(95.0)
@@ -132,7 +132,7 @@
     assert driver.receiver_of(second)
 
 
-def test_withdrawn_message_passes_its_turn_on():
+def test_withdrawn_message_unblocks_the_next_message_of_its_key():
     driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
     driver.destination.receivers[0].state = ReceiverState.DRAINING
     first, second = driver.submit(ordering_key=9), driver.submit(ordering_key=9)
@@ -150,7 +150,7 @@
     assert driver.dispatcher.calls_in_flight == 2
 
 
-def test_hung_destination_leaves_slots_to_others():
+def test_hung_destination_does_not_occupy_all_slots():
     driver = DispatcherDriver(settings(slots=6))
     for _ in range(30):
         driver.submit()
@@ -169,15 +169,15 @@
     assert sum(how == Decision.DEFERRED for how in driver.decisions.values()) >= 2
 
 
-def test_failed_destination_gets_a_slow_start_that_rises_with_good_answers():
+def test_failed_destination_gets_a_slow_start_that_rises_with_successes():
     driver = DispatcherDriver(settings(slots=20))
     driver.keep_traffic(6000.0, every_ms=200.0, duration_ms=50.0)
     driver.keep_traffic(8000.0, every_ms=200.0, duration_ms=2500.0, outcome=Outcome.TIMED_OUT)
-    back, sent = driver.now, len(driver.sends)
+    resumed, sent = driver.now, len(driver.sends)
     driver.keep_traffic(2000.0, every_ms=200.0, duration_ms=50.0)
     early = len(driver.sends) - sent
     driver.keep_traffic(12000.0, every_ms=200.0, duration_ms=50.0)
-    late = sum(at > back + 12000.0 for at, _, _ in driver.sends)
+    late = sum(at > resumed + 12000.0 for at, _, _ in driver.sends)
     assert early <= 7 < 8 <= late
 
 
@@ -186,8 +186,8 @@
         Dispatcher(settings(effects=("maybe",)), 1)
 
 
-def lossy_sends(share, seed=3):
-    """Sends in the last five seconds of a time in which every destination loses a share of its calls."""
+def count_sends_with_lost_calls(share, seed=3):
+    """Counts the sends of the last five seconds while each destination loses a share of its calls."""
     driver, rng, lost = DispatcherDriver(settings(slots=40)), random.Random(seed), {}
     destinations = [Destination(n) for n in range(2, 10)]
     for n, destination in enumerate(destinations):
@@ -207,18 +207,18 @@
     return sum(at > driver.now - 5000.0 for at, _, _ in driver.sends)
 
 
-def test_loss_on_the_way_does_not_eject_receivers():
-    assert sum(lossy_sends(0.5, seed) for seed in (1, 2, 3)) > 300
+def test_lost_calls_do_not_eject_receivers():
+    assert sum(count_sends_with_lost_calls(0.5, seed) for seed in (1, 2, 3)) > 300
 
 
-def test_queue_class_that_fails_at_one_receiver_goes_to_the_other():
+def test_queue_class_that_fails_at_one_receiver_is_sent_to_the_other():
     driver = DispatcherDriver(settings(effects=("safe", "safe"), slots=20), receivers=2)
-    bad, sent = driver.destination.receivers[0], []
+    failing, sent = driver.destination.receivers[0], []
     for step in range(300):
         message = driver.submit(queue_class=step % 2)
         driver.advance(40.0)
         for message, (receiver, at, limit) in list(driver.in_flight.items()):
-            lost = receiver is bad and message.queue_class == 0
+            lost = receiver is failing and message.queue_class == 0
             if driver.now - at >= (limit if lost else 30.0):
                 sent.append(lost)
                 driver.end_attempt(
@@ -230,46 +230,48 @@
     assert sum(sent) < 20 and len(sent) > 290
 
 
-def test_hundreds_of_senders_with_one_long_retry_after_do_not_come_back_together():
-    back = []
+def test_hundreds_of_senders_do_not_resume_together_after_a_long_retry_after():
+    resumed = []
     for seed in range(100):
         driver = DispatcherDriver(settings(fleet=300), seed=seed)
         driver.advance(20000.0)
         driver.end_attempt(driver.submit(), Outcome.REJECTED, 5.0, retry_after_ms=6000.0)
         until = driver.now + 6000.0
         driver.advance_until(lambda: driver.in_flight, 15000.0)
-        back += [driver.now - until] if driver.in_flight else []
-    assert min(back, default=0.0) >= 0.0 and sum(after < 2000.0 for after in back) < 30
+        resumed += [driver.now - until] if driver.in_flight else []
+    assert min(resumed, default=0.0) >= 0.0 and sum(after < 2000.0 for after in resumed) < 30
 
 
-def test_rejected_calls_become_fewer():
+def test_call_rate_decreases_under_rejections():
     driver, calls = DispatcherDriver(settings(slots=20)), []
     driver.keep_traffic(5000.0, every_ms=200.0, duration_ms=50.0)
     driver.keep_traffic(20000.0, every_ms=200.0, duration_ms=20.0, outcome=Outcome.REJECTED)
     calls = sum(at > driver.now - 10000.0 for at, _, _ in driver.sends)
-    assert 1 <= calls < 25  # half of the traffic, and falling
+    assert 1 <= calls < 25  # half of the traffic, and decreasing
 
 
 def test_idle_connections_close_after_a_refused_connection_only():
     kept = {}
-    for turned in (False, True):
+    for has_refused_connection in (False, True):
         driver = DispatcherDriver(settings(slots=20))
         driver.settings["Allowed"]["IdleClose"] = 10000.0
         driver.keep_traffic(3000.0, every_ms=100.0, duration_ms=50.0)
-        if turned:
+        if has_refused_connection:
             driver.end_attempt(driver.submit(), Outcome.CONNECT_FAILED, 50.0)
         for _ in range(5):
             for message in list(driver.in_flight):
                 driver.end_attempt(message, Outcome.DELIVERED, 50.0, advances=False)
             driver.advance(400.0)
-        kept[turned] = not driver.dispatcher.should_close_idle(driver.destination.receivers[0], driver.now)
+        kept[has_refused_connection] = not driver.dispatcher.should_close_idle(
+            driver.destination.receivers[0], driver.now
+        )
     assert kept == {False: True, True: False}
 
 
-def test_sparse_queue_keeps_its_idle_connection_where_no_table_is_full():
+def test_sparse_queue_keeps_its_idle_connection_if_no_table_is_full():
     driver = DispatcherDriver(settings(slots=20))
     driver.settings["Allowed"]["IdleClose"] = 5000.0
-    for _ in range(4):  # a message in two IdleClose: half of its connections are used again
+    for _ in range(4):  # one message per two IdleClose periods: half of the connections are reused
         driver.advance(10000.0)
         message = driver.submit()
         message.duration_ms = 50.0
--- a/tests/core/test_dispatcher_random.py
+++ b/tests/core/test_dispatcher_random.py
@@ -1,4 +1,4 @@
-"""Seeded random runs: drawn settings, destinations and faults, with the six rules checked after every step."""
+"""Seeded random runs with random settings, destinations and faults; the six delivery rules hold after each step."""
 
 import random
 
@@ -24,30 +24,30 @@
 STATES = (ReceiverState.READY, ReceiverState.READY, ReceiverState.DRAINING, ReceiverState.GONE)
 
 
-class RuleWatch:
-    """The rules as an outsider sees them, over all decisions of one run.
+class DeliveryRuleChecker:
+    """Checks the delivery rules independently of the dispatcher, over all decisions of one run.
 
-    executed: message: (receiver, when it was sent) of its first attempt that may have been executed.
-    attempts: how many each message had.
-    turns: by ordering key, its messages in the order of arrival.
-    gap_until, retry_after_until: until when a key, or a destination or receiver, gets nothing.
-    restarted_at: when the sender came back last; nothing is overdue before that.
+    executed: maps messages to (receiver, send time) of the first attempt that may have been executed.
+    attempts: number of attempts per message.
+    pending_by_key: messages of each ordering key, in order of arrival.
+    gap_until, retry_after_until: until when an ordering key, or a destination or receiver, gets no calls.
+    restarted_at: time of the latest restart of the sender; no deadline is earlier.
     """
 
-    def __init__(self, driver, apart):
-        self.driver, self.apart = driver, apart
+    def __init__(self, driver, has_own_limits):
+        self.driver, self.has_own_limits = driver, has_own_limits
         self.classes, self.rules = driver.settings["Services"], driver.settings["Rules"]
-        self.executed, self.attempts, self.turns = {}, {}, {}
+        self.executed, self.attempts, self.pending_by_key = {}, {}, {}
         self.gap_until, self.retry_after_until = {}, {}
         self.restarted_at = 0.0
         driver.on_decision = self.check
 
     def owner(self, receiver):
-        return receiver if self.apart else receiver.destination
+        return receiver if self.has_own_limits else receiver.destination
 
-    def submitted(self, message):
+    def record_submission(self, message):
         if message.ordering_key and self.classes[message.queue_class]["ByArrival"]:
-            self.turns.setdefault(message.ordering_key, []).append(message)
+            self.pending_by_key.setdefault(message.ordering_key, []).append(message)
 
     def check(self, decision, message):
         if isinstance(decision, Receiver):
@@ -58,7 +58,7 @@
     def check_attempt(self, message, receiver):
         now = self.driver.now
         assert receiver.destination is message.destination and receiver.state == ReceiverState.READY
-        assert now >= self.retry_after_until.get(self.owner(receiver), 0.0), "a requested wait was not heeded"
+        assert now >= self.retry_after_until.get(self.owner(receiver), 0.0), "sent before the end of a requested wait"
         assert now <= message.expires_at and 0.0 < self.driver.in_flight[message][2] <= message.expires_at - now
         self.attempts[message] = self.attempts.get(message, 0) + 1
         assert self.attempts[message] <= self.driver.settings["Allowed"]["MaxAttempts"]
@@ -67,31 +67,31 @@
         if message in self.executed:
             self.check_retry(message, receiver)
         key = message.ordering_key
-        if message in self.turns.get(key, ()):
-            assert self.turns[key][0] is message, "out of turn"
+        if message in self.pending_by_key.get(key, ()):
+            assert self.pending_by_key[key][0] is message, "sent before an earlier message of its ordering key"
             is_after_gap = now >= self.gap_until.get(key, 0.0) or self.attempts[message] > 1
-            assert is_after_gap, "no gap for the ordering key"
+            assert is_after_gap, "sent before the gap of its ordering key ended"
 
     def check_retry(self, message, receiver):
-        """Of a message that may have been executed."""
+        """Checks a retry of a message that may have been executed."""
         queue_class = self.classes[message.queue_class]
         first_receiver, sent_at = self.executed[message]
-        assert queue_class["Effect"] != "unsafe", "an unsafe message went again"
+        assert queue_class["Effect"] != "unsafe", "an unsafe message was sent again"
         if queue_class["Effect"] == "keyed":
-            assert self.driver.now < sent_at + queue_class["Window"], "sent outside the window"
+            assert self.driver.now < sent_at + queue_class["Window"], "sent after the retry window"
             assert queue_class["KeyScope"] == "all" or first_receiver.zone == receiver.zone
 
     def check_end(self, message, decision):
         queue_class, now = self.classes[message.queue_class], self.driver.now
         end_at = max(message.expires_at, self.restarted_at) + self.rules["AnswerSlack"]
-        assert message.is_withdrawn or now <= end_at, "answered too late"
+        assert message.is_withdrawn or now <= end_at, "ended too late"
         if decision == Decision.DEFERRED and message in self.executed and not message.is_withdrawn:
             is_safe = queue_class["Effect"] == "safe"
             assert is_safe or (queue_class["Effect"] == "keyed" and queue_class["KeyScope"] == "all")
-        if message in self.turns.get(message.ordering_key, ()):
-            self.turns[message.ordering_key].remove(message)
+        if message in self.pending_by_key.get(message.ordering_key, ()):
+            self.pending_by_key[message.ordering_key].remove(message)
 
-    def attempt_ended(self, message, outcome, retry_after_ms):
+    def record_attempt_end(self, message, outcome, retry_after_ms):
         receiver, sent_at, _ = self.driver.in_flight[message]
         if outcome not in NOT_EXECUTED:
             self.executed.setdefault(message, (receiver, sent_at))
@@ -101,19 +101,19 @@
             owner, until = self.owner(receiver), self.driver.now + retry_after_ms
             self.retry_after_until[owner] = max(self.retry_after_until.get(owner, 0.0), until)
 
-    def withdrawn(self, message):
-        if message in self.turns.get(message.ordering_key, ()) and message not in self.driver.in_flight:
-            self.turns[message.ordering_key].remove(message)
+    def record_withdrawal(self, message):
+        if message in self.pending_by_key.get(message.ordering_key, ()) and message not in self.driver.in_flight:
+            self.pending_by_key[message.ordering_key].remove(message)
 
-    def restarts(self, down_ms):
+    def record_restart(self, down_ms):
         self.restarted_at = self.driver.now + down_ms
-        withdrawn = [message for turn in self.turns.values() for message in turn if message.is_withdrawn]
+        withdrawn = [message for pending in self.pending_by_key.values() for message in pending if message.is_withdrawn]
         for message in withdrawn:
-            self.turns[message.ordering_key].remove(message)
+            self.pending_by_key[message.ordering_key].remove(message)
 
 
-def draw_settings(rng, seed, apart):
-    drawn = settings(
+def random_settings(rng, seed, has_own_limits):
+    sender_settings = settings(
         effects=("safe", "keyed", "unsafe"),
         window=rng.choice((2000.0, 6000.0)),
         scope=rng.choice(("all", "zone")),
@@ -122,26 +122,27 @@
         slots=rng.choice((2, 6, 15)),
         room=rng.choice((25, 200)),
         fleet=rng.choice((1, 3, 300)),
-        apart=apart,
+        apart=has_own_limits,
         attempts=rng.choice((1, 4, 8)),
     )
-    drawn["Rules"]["TurnGap"] = (100.0, 400.0, 1500.0)[seed % 3]  # the first is over before any pause
-    return drawn
+    sender_settings["Rules"]["TurnGap"] = (100.0, 400.0, 1500.0)[seed % 3]  # the first gap ends before any backoff
+    return sender_settings
 
 
 class RandomRun:
-    """A sender among destinations and receivers that change and fail by chance.
+    """A sender with destinations and receivers that change and fail at random.
 
-    faults: outcome of the calls to a destination, or to a receiver with messages of a queue class; None: none.
-    restart_chance: that the sender dies in a step.
-    traffic_share: share of the steps in which messages may come; a small one: one of many senders, with sparse queues.
+    faults: outcome of calls to a destination, or of one queue class to a receiver; None: no fault.
+    restart_chance: probability that the sender crashes in a step.
+    traffic_share: share of the steps in which messages may arrive; a low one simulates one of many senders with sparse
+        queues.
     """
 
     def __init__(self, seed):
         self.rng = rng = random.Random(seed)
-        apart = rng.random() < 0.3
-        self.driver = DispatcherDriver(draw_settings(rng, seed, apart), receivers=0, seed=seed)
-        self.watch = RuleWatch(self.driver, apart)
+        has_own_limits = rng.random() < 0.3
+        self.driver = DispatcherDriver(random_settings(rng, seed, has_own_limits), receivers=0, seed=seed)
+        self.checker = DeliveryRuleChecker(self.driver, has_own_limits)
         self.destinations = [Destination(n) for n in range(4)]
         self.receivers = [Receiver(n, self.destinations[n % 4], zone=rng.randrange(2)) for n in range(9)]
         self.restart_chance = rng.choice((0.0, 0.003))
@@ -149,16 +150,16 @@
         self.traffic_share = rng.choice((1.0, 1.0, 0.1))
 
     def step(self):
-        self.change_receivers()
-        self.submit_messages()
+        self.change_receivers_and_faults()
+        self.submit_random_messages()
         self.driver.dispatch_due()
         self.end_due_attempts()
-        self.withdraw()
+        self.withdraw_random_message()
         if self.rng.random() < self.restart_chance:
             down_ms = self.rng.choice((600.0, 7000.0))
-            self.watch.restarts(down_ms)
-            self.driver.restart(self.watch.attempts, self.watch.executed, down_ms)
-            self.watch.retry_after_until.clear()
+            self.checker.record_restart(down_ms)
+            self.driver.restart(self.checker.attempts, self.checker.executed, down_ms)
+            self.checker.retry_after_until.clear()
         self.driver.advance(self.rng.choice((5.0, 10.0, 15.0)))
 
     def drain(self):
@@ -166,7 +167,7 @@
             self.end_due_attempts()
             self.driver.advance(15.0)
 
-    def change_receivers(self):
+    def change_receivers_and_faults(self):
         rng = self.rng
         for receiver in self.receivers:
             if rng.random() < 0.002:
@@ -174,11 +175,11 @@
         for destination in self.destinations:
             if rng.random() < 0.003:
                 self.faults[destination] = rng.choice((None,) + FAULTS)
-        if rng.random() < 0.01:  # one queue class fails at one receiver
+        if rng.random() < 0.01:  # a single queue class fails at a single receiver
             fault = rng.choice((None, Outcome.ERROR, Outcome.TIMED_OUT))
             self.faults[rng.choice(self.receivers), rng.randrange(3)] = fault
 
-    def submit_messages(self):
+    def submit_random_messages(self):
         rng = self.rng
         count = rng.choice((0, 0, 0, 0, 0, 1, 1, 8 if rng.random() < 0.05 else 0))
         for _ in range(count if rng.random() < self.traffic_share else 0):
@@ -189,10 +190,10 @@
                 destination=rng.choice(self.destinations),
                 queue_class=rng.randrange(3),
             )
-            self.watch.submitted(message)
+            self.checker.record_submission(message)
 
     def end_due_attempts(self):
-        """Ends the attempts that are due, by the fault of their destination."""
+        """Ends the attempts that are due, with the outcome given by the fault of their destination."""
         driver, rng = self.driver, self.rng
         for message, (receiver, sent_at, timeout_ms) in list(driver.in_flight.items()):
             fault = self.faults.get(receiver.destination) or self.faults.get((receiver, message.queue_class))
@@ -203,16 +204,16 @@
             is_over = duration_ms >= timeout_ms or hangs
             outcome = Outcome.TIMED_OUT if is_over else fault if fault and rng.random() < 0.9 else Outcome.DELIVERED
             retry_after_ms = rng.choice((0.0, 700.0, 6000.0)) if outcome == Outcome.REJECTED else 0.0
-            self.watch.attempt_ended(message, outcome, retry_after_ms)
+            self.checker.record_attempt_end(message, outcome, retry_after_ms)
             driver.end_attempt(message, outcome, duration_ms, retry_after_ms, advances=False)
 
-    def withdraw(self):
+    def withdraw_random_message(self):
         driver = self.driver
         if driver.messages and self.rng.random() < 0.01:
             message = self.rng.choice(driver.messages)
             if message not in driver.decisions:
                 message.is_withdrawn = True
-                self.watch.withdrawn(message)
+                self.checker.record_withdrawal(message)
 
 
 @pytest.mark.parametrize("seed", range(16))
--- a/tests/core/test_fleet_after_outage.py
+++ b/tests/core/test_fleet_after_outage.py
@@ -1,9 +1,9 @@
-"""What all senders of a fleet send together to a destination that fails for ten seconds and returns cold.
+"""Total load of a fleet of senders on a destination that fails for ten seconds and returns cold.
 
-The dispatchers share nothing. The destination answers calls one after the other, slower while it is cold, and rejects
-those that would wait too long. The rule: in each window of `OverloadFor` it gets no more than N + 2 x root of N + 2
-calls, N being `FallMultiple` times its capacity at that time. A window breaks the rule only if two thirds of its calls
-came from senders that had seen a call fail in the outage.
+The dispatchers share no state. The destination processes calls one after the other, more slowly while it is cold, and
+rejects calls that would wait too long. In each window of `OverloadFor` it may get at most N + 2 x sqrt(N) + 2 calls,
+where N is `FallMultiple` times its capacity at that time. A window violates this rule only if two thirds of its calls
+came from senders that observed a failed call during the outage.
 """
 
 import heapq
@@ -18,33 +18,38 @@
 from driver import settings
 
 FAILS_AT, RETURNS_AT, ENDS_AT = 12000.0, 22000.0, 34000.0
-QUEUE_DEPTH = 8  # calls that the destination lets wait
+QUEUE_DEPTH = 8  # calls that may wait at the destination
 OUTAGES = {
     "silent": (Outcome.TIMED_OUT, None),
     "errors": (Outcome.ERROR, 60.0),
     "refuses": (Outcome.CONNECT_FAILED, 40.0),
     "shut": (Outcome.REJECTED, 60.0),
-}  # the outcome of a call, and the ms that it takes; None: its time-out
+}  # outcome of a call and its duration in ms; None: until its time-out
 
 
 class Fleet:
-    """`capacity`: calls a second of the one destination, warm; `load`: messages a second, as a share of that."""
+    """`capacity`: calls per second of the warm destination; `load`: messages per second, as a share of it."""
 
     def __init__(self, senders, capacity, load, outage, seed):
         self.rng, self.outage, self.capacity = random.Random(seed), OUTAGES[outage], capacity / 1000.0
-        drawn = settings(fleet=senders)
-        self.rules, self.dispatchers = drawn["Rules"], []
+        sender_settings = settings(fleet=senders)
+        self.rules, self.dispatchers = sender_settings["Rules"], []
         for number in range(senders):
             destination = Destination(1)
             for receiver_id in range(2):
                 Receiver(receiver_id, destination)
-            self.dispatchers.append((Dispatcher(drawn | {"SlotNo": number}, self.rng.getrandbits(64)), destination))
+            self.dispatchers.append(
+                (Dispatcher(sender_settings | {"SlotNo": number}, self.rng.getrandbits(64)), destination)
+            )
         self.events, self.count, self.busy_until = [], 0, 0.0
-        self.calls, self.witnesses = [], set()  # (time, sender) of each call; senders that saw one fail in the outage
-        uneven, at = [self.rng.uniform(0.3, 1.7) ** 2 for _ in self.dispatchers], 0.0
+        self.calls, self.senders_with_failures = (
+            [],
+            set(),
+        )  # (time, sender) of each call; senders with a failed call in the outage
+        sender_weights, at = [self.rng.uniform(0.3, 1.7) ** 2 for _ in self.dispatchers], 0.0
         while at < ENDS_AT:
             at += self.rng.expovariate(self.capacity * load)
-            self.schedule(at, self.submit, self.rng.choices(range(senders), uneven)[0])
+            self.schedule(at, self.submit, self.rng.choices(range(senders), sender_weights)[0])
 
     def schedule(self, at, handler, *arguments):
         self.count += 1
@@ -77,7 +82,7 @@
                 self.schedule(now + duration_ms, self.end_attempt, sender, message, outcome, duration_ms)
 
     def capacity_at(self, now):
-        """Calls a ms that the destination can do at this time."""
+        """Returns the capacity of the destination in calls per ms."""
         cold, warm = self.rules["ColdFrom"], (now - RETURNS_AT) / self.rules["WarmAfter"]
         return self.capacity * (1.0 if now < FAILS_AT else min(1.0, cold + (1.0 - cold) * warm))
 
@@ -98,12 +103,12 @@
     def end_attempt(self, now, sender, message, outcome, duration_ms):
         message.duration_ms, message.retry_after_ms = duration_ms, 0.0
         if outcome != Outcome.DELIVERED and FAILS_AT <= now < RETURNS_AT:
-            self.witnesses.add(sender)
+            self.senders_with_failures.add(sender)
         self.dispatchers[sender][0].record_outcome(message, outcome, now)
         self.dispatch_due(now, sender)
 
     def worst_window(self):
-        """(calls over what the rule allows, calls, ms since the return) of the worst window that counts."""
+        """Returns (ratio of calls to the limit, calls, ms since the return) of the worst window that counts."""
         times, worst, span = [at for at, _ in self.calls], (0.0, 0, 0.0), self.rules["OverloadFor"]
         for last, (at, _) in enumerate(self.calls):
             if not RETURNS_AT <= at < RETURNS_AT + self.rules["WarmAfter"]:
@@ -111,7 +116,7 @@
             window = self.calls[bisect_left(times, max(at - span, RETURNS_AT)) : last + 1]
             n = self.rules["FallMultiple"] * self.capacity_at(at) * span
             over = len(window) / (n + 2.0 * sqrt(n) + 2.0)
-            if over > 1.0 and 3 * sum(sender in self.witnesses for _, sender in window) < 2 * len(window):
+            if over > 1.0 and 3 * sum(sender in self.senders_with_failures for _, sender in window) < 2 * len(window):
                 continue
             worst = max(worst, (over, len(window), at - RETURNS_AT))
         return worst
@@ -122,7 +127,7 @@
 def test_calls_of_all_senders_stay_under_overload_of_a_returning_destination(senders, capacity, load, outage):
     for seed in range(2):
         fleet = Fleet(senders, capacity, load, outage, seed).run()
-        assert fleet.witnesses and any(at > RETURNS_AT + 5000.0 for at, _ in fleet.calls)
+        assert fleet.senders_with_failures and any(at > RETURNS_AT + 5000.0 for at, _ in fleet.calls)
         assert fleet.worst_window()[0] <= 1.0
 
 
--- a/tests/core/test_limits_and_timeouts.py
+++ b/tests/core/test_limits_and_timeouts.py
@@ -1,4 +1,4 @@
-"""What a dispatcher learns: earlier processes, crashes and full tables, rate limits, time-outs, costs."""
+"""Learned state of a dispatcher: prior attempts, crashes and full connection tables, rate limits, time-outs, cost."""
 
 import sys
 
@@ -19,15 +19,16 @@
         ("safe", 6, Decision.DEFERRED),
     ],
 )
-def test_attempts_of_an_earlier_process_count(effect, attempts, ending):
-    """A call was out when the sender was killed: only a retry that is allowed and left may follow."""
+def test_attempts_of_an_earlier_process_are_counted(effect, attempts, ending):
+    """A call was in flight when the sender was killed; it is retried only if that is safe and attempts are left."""
     driver = DispatcherDriver(settings(effects=(effect,)))
     message = driver.submit(prior_attempts=PriorAttempts(attempts, driver.now - 700.0, driver.destination.receivers[0]))
     assert driver.decisions.get(message) == ending and (driver.receiver_of(message) is None) == (ending is not None)
 
 
-def refuse_and_answer(driver, times, refused):
-    """So many messages of which every `refused`-th finds no connection at once; what the last good answer closes."""
+def refuse_and_deliver(driver, times, refused):
+    """Delivers `times` messages, each `refused`-th after a refused connection; returns whether the last success closes
+    idle connections."""
     for at in range(times):
         message = driver.submit()
         driver.advance_until(lambda message=message: driver.receiver_of(message), 5000.0)
@@ -43,10 +44,10 @@
 
 @pytest.mark.parametrize("down, full", [(300.0, True), (6000.0, False)])
 def test_idle_connections_close_after_a_full_table_but_not_after_a_crash(down, full):
-    """One refused at once and soon answered again has no room for idle connections; a crash is over later."""
-    drawn = settings(effects=("safe",))
-    drawn["Allowed"]["IdleClose"] = 15000.0
-    driver = DispatcherDriver(drawn)
+    """A receiver that refuses a connection and soon responds again has a full table; a crash lasts longer."""
+    sender_settings = settings(effects=("safe",))
+    sender_settings["Allowed"]["IdleClose"] = 15000.0
+    driver = DispatcherDriver(sender_settings)
     driver.keep_traffic(3000.0, every_ms=200.0, duration_ms=50.0)
     for message in list(driver.in_flight):
         driver.end_attempt(message, Outcome.DELIVERED, 50.0)
@@ -62,12 +63,12 @@
 
 
 @pytest.mark.parametrize("refused, idle, trials", [(0, 60000.0, True), (2, 60000.0, False), (0, 0.0, False)])
-def test_two_refused_connections_in_a_row_eject_receivers_of_a_sparse_queue_unless_tables_are_full(
+def test_two_consecutive_refused_connections_eject_receivers_of_a_sparse_queue_unless_tables_are_full(
     refused, idle, trials
 ):
-    """Of a line that sees little, and not where every second call of the kind finds a full table, or on a busy one."""
+    """Applies to sparse queues only, and not if every second call to the kind of receiver finds a full table."""
     driver = DispatcherDriver(settings(fleet=200), receivers=2)
-    refuse_and_answer(driver, 20, refused)
+    refuse_and_deliver(driver, 20, refused)
     driver.advance(idle)
     message = driver.submit()
     for _ in range(2):
@@ -78,25 +79,25 @@
     assert all(is_probing(one) for one in driver.destination.receivers) == trials
 
 
-def test_rejected_trial_of_a_sparse_queue_is_followed_by_as_long_a_gap_as_a_good_one():
+def test_gap_after_rejected_probe_of_a_sparse_queue_is_as_long_as_after_a_success():
     gaps = []
     for seed in range(20):
         driver = DispatcherDriver(settings(fleet=200), seed=seed)
         message, health = driver.submit(), driver.dispatcher.health_of(driver.destination.receivers[0])
-        for refusal in range(3):
+        for rejection_index in range(3):
             driver.advance_until(lambda driver=driver, message=message: driver.receiver_of(message), 5000.0)
             driver.end_attempt(message, Outcome.CONNECT_FAILED, 2.0)
-            if refusal == 1:
-                health.slow_start.next_at = driver.now  # the first trial is due
+            if rejection_index == 1:
+                health.slow_start.next_at = driver.now  # the first probe is due
         gaps.append((health.slow_start.next_at - driver.now) * health.slow_start.initial_rate / 1000.0)
     assert 0.8 <= min(gaps) and max(gaps) <= 1.4
 
 
-def test_message_held_by_a_rate_limit_keeps_no_connection_where_tables_are_full():
-    drawn = settings(effects=("safe",))
-    drawn["Allowed"]["IdleClose"] = 15000.0
-    driver = DispatcherDriver(drawn)
-    refuse_and_answer(driver, 20, 2)
+def test_message_delayed_by_a_rate_limit_keeps_no_connection_if_tables_are_full():
+    sender_settings = settings(effects=("safe",))
+    sender_settings["Allowed"]["IdleClose"] = 15000.0
+    driver = DispatcherDriver(sender_settings)
+    refuse_and_deliver(driver, 20, 2)
     first = driver.submit()
     driver.advance_until(lambda: driver.receiver_of(first), 20000.0)
     driver.dispatcher.limits_of(driver.receiver_of(first)).retry_after_until = driver.now + 5000.0
@@ -106,24 +107,24 @@
 
 
 @pytest.mark.parametrize("marked, again, age", [(False, False, 9000.0), (True, True, 9000.0), (True, False, 0.0)])
-def test_resubmitted_message_counts_from_its_first_submission(marked, again, age):
+def test_resubmission_counts_from_its_first_submission(marked, again, age):
     dispatcher = DispatcherDriver(settings() | {"Callers": {"MarksRetry": marked}}).dispatcher
     left = dispatcher.settings.classes[0].lifetime_ms - 9000.0
     assert dispatcher.first_submitted_at(0, left, again, 20000.0) == 20000.0 - age
 
 
-def test_message_with_little_time_left_goes_before_earlier_ones():
+def test_message_with_little_time_left_is_sent_before_earlier_ones():
     driver = DispatcherDriver(settings(slots=1))
     first = driver.submit()
     others = [driver.submit() for _ in range(4)]
-    hurried = driver.submit(time_left_ms=900.0)
+    urgent = driver.submit(time_left_ms=900.0)
     driver.end_attempt(first, Outcome.DELIVERED, 100.0)
-    assert driver.receiver_of(hurried) and not any(driver.receiver_of(message) for message in others)
+    assert driver.receiver_of(urgent) and not any(driver.receiver_of(message) for message in others)
 
 
-def test_rate_limit_grows_more_slowly_after_its_growth_met_a_limit():
+def test_rate_limit_grows_more_slowly_after_growth_reached_the_limit():
     def grows(good_answers=1, grown=0.9, retry_after_ms=0.0, every=1000.0):
-        """Three refusals: what the third limit's growth takes, over the first one's."""
+        """Returns the ratio of the third limit's growth time to the first one's, after three rejections."""
         driver = DispatcherDriver(settings(slots=20))
         driver.keep_traffic(20000.0, every, 20.0)
         receiver, growth_times_ms = driver.destination.receivers[0], []
@@ -137,52 +138,52 @@
         return growth_times_ms[2] / growth_times_ms[0]
 
     assert grows() == 4.0
-    assert grows(good_answers=4) == 1.0  # enough went well: it did not meet it by growing
-    assert grows(grown=0.1) == 1.0  # refusals of one moment
-    assert grows(every=100.0) == 1.0  # a busy line notices in time
-    assert grows(retry_after_ms=100.0) == 1.0  # a requested wait says when there is room
+    assert grows(good_answers=4) == 1.0  # enough successes: growth did not reach the limit
+    assert grows(grown=0.1) == 1.0  # rejections at almost the same time
+    assert grows(every=100.0) == 1.0  # a busy queue notices the limit in time
+    assert grows(retry_after_ms=100.0) == 1.0  # a requested wait tells when calls are accepted again
 
 
-def test_receiver_that_rejects_for_itself_gets_few_messages_and_sets_no_rate_limit():
+def test_receiver_specific_rejections_divert_messages_and_set_no_rate_limit():
     driver = DispatcherDriver(settings(), receivers=2)
-    bad = driver.destination.receivers[0]
-    for _ in range(40):  # one drains, listed late, and turns calls away at once; the other is well
+    failing = driver.destination.receivers[0]
+    for _ in range(40):  # one drains before the list says so and rejects calls; the other is healthy
         driver.submit()
         for message, (receiver, _, _) in list(driver.in_flight.items()):
-            if receiver is bad:
+            if receiver is failing:
                 driver.end_attempt(message, Outcome.REJECTED, 2.0)
             else:
                 driver.end_attempt(message, Outcome.DELIVERED, 50.0)
         driver.advance(100.0)
-    refused = sum(receiver is bad for _, _, receiver in driver.sends)
-    assert refused < 8 and driver.dispatcher.limits_of(bad).rate_limiter is None
+    refused = sum(receiver is failing for _, _, receiver in driver.sends)
+    assert refused < 8 and driver.dispatcher.limits_of(failing).rate_limiter is None
     assert list(driver.decisions.values()).count(Decision.RELAYED) > 35
 
 
 def test_rejection_of_one_of_two_receivers_sets_the_rate_limit_of_their_destination():
     driver = DispatcherDriver(settings(), receivers=2)
     driver.keep_traffic(3000.0, 100.0, 20.0)
-    for _ in range(1):  # with traffic spread thin over a fleet, one refusal is all that one sender sees
+    for _ in range(1):  # with sparse traffic over a fleet, a sender may observe only one rejection
         message = driver.submit()
         driver.advance_until(lambda: driver.receiver_of(message), 1000.0)
         driver.end_attempt(message, Outcome.REJECTED, 2.0)
     assert driver.dispatcher.limits_of(driver.destination.receivers[0]).rate_limiter
 
 
-def test_learned_timeout_follows_usual_call_time_and_doubles_only_if_nobody_is_answered():
+def test_learned_timeout_follows_average_call_time_and_doubles_only_without_successes():
     driver = DispatcherDriver(settings())
     driver.keep_traffic(4000.0, 100.0, 100.0)
-    silent = driver.submit()
-    assert driver.in_flight[silent][2] <= 750.0  # six usual times, and no less than what counts as silent
-    for _ in range(4):  # others are answered meanwhile
+    timed_out = driver.submit()
+    assert driver.in_flight[timed_out][2] <= 750.0  # six average call times, but at least the minimum time-out
+    for _ in range(4):  # other calls succeed in the meantime
         driver.end_attempt(driver.submit(), Outcome.DELIVERED, 100.0)
-    driver.end_attempt(silent, Outcome.TIMED_OUT, 700.0)
+    driver.end_attempt(timed_out, Outcome.TIMED_OUT, 700.0)
     assert driver.in_flight[driver.submit()][2] <= 750.0
 
     def doubled():
         return [limit for _, _, limit in driver.in_flight.values() if limit > 1300.0]
 
-    for _ in range(4):  # nobody is answered: it may be slow
+    for _ in range(4):  # no call succeeds: the destination may be slow
         for message, (_, _, limit) in list(driver.in_flight.items()):
             driver.end_attempt(message, Outcome.TIMED_OUT, limit)
         driver.advance_until(lambda: doubled(), 1000.0)
@@ -206,7 +207,7 @@
             driver.end_attempt(driver.submit(destination=other), Outcome.DELIVERED, 1.0)
         driver.dispatcher.sender.calls_in_flight = driver.settings["FamilyInfo"][
             "CallSlots"
-        ]  # none is free: the message waits
+        ]  # no free slot: the message waits
         driver.submit(dispatches=False)
         sys.setprofile(lambda frame, event, _: entered.append(event))
         try:
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -1,4 +1,4 @@
-"""The memory of relay and facade is bounded and given back."""
+"""The memory of relay and facade is bounded and released."""
 
 import asyncio
 import gc
@@ -19,12 +19,12 @@
     services = settings(effects=("safe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     services["Services"][0]["Name"] = "status"
     facade, addresses = Facade(services, 1), [("127.0.0.1", 9000), ("127.0.0.1", 9001)]
-    for at in range(1000):  # each takes over the address of the last but one, in a destination of its own
-        ident = b"r%d" % at
+    for at in range(1000):  # each reuses the address of the receiver before the previous one, in another destination
+        receiver_id = b"r%d" % at
         unused = facade.endpoints.update(
-            [(ident, at // 2, model.ReceiverState.READY, addresses[at % 2], "a", "k", 1.0)], True
+            [(receiver_id, at // 2, model.ReceiverState.READY, addresses[at % 2], "a", "k", 1.0)], True
         )
-        assert (*addresses[at % 2], ident) not in unused
+        assert (*addresses[at % 2], receiver_id) not in unused
         assert at < 2 or (*addresses[at % 2], b"r%d" % (at - 2)) in unused
         facade.add_message(MessageRecord(b"m", b"status", b"", b"", b"%d" % (at // 2), b"", b"", 0.0, 1000.0), 0.0)
         while facade.time_until_due_ms(1e6) is not None:
@@ -35,10 +35,10 @@
 
 
 def test_ended_message_is_freed_without_garbage_collection(tmp_path, monkeypatch):
-    class Watched(MessageRecord):
+    class WeaklyReferencedRecord(MessageRecord):
         __slots__ = ("__weakref__",)
 
-    class Outside:
+    class StubTransport:
         def send(self, request):
             assert request.open_send_window() > 0.0
             outcome = model.Outcome.DELIVERED if request.message_id < b"m5" else model.Outcome.ERROR
@@ -47,10 +47,10 @@
         def publish(self, message_id, is_deferred, retry_after_ms, on_acknowledged):
             loop.call_soon(on_acknowledged)
 
-    async def scene():
-        facade, outside = Facade(sender_settings, 1), Outside()
+    async def scenario():
+        facade, transport = Facade(sender_settings, 1), StubTransport()
         facade.endpoints.update([(b"r", 7, model.ReceiverState.READY, ("127.0.0.1", 9), "a", "k", 1.0)], True)
-        relay = Relay(loop, facade, Journal(tmp_path, 1e6), outside, outside)
+        relay = Relay(loop, facade, Journal(tmp_path, 1e6), transport, transport)
         for at in range(10):
             request = SubmitRequest(b"m%d" % at, b"charge", b"", b"", b"7", b"", b"body", 5000.0)
             assert isinstance(relay.submit(request), Accepted)
@@ -61,17 +61,17 @@
 
     sender_settings = settings(effects=("unsafe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     sender_settings["Services"][0]["Name"] = "charge"
-    monkeypatch.setattr("dewpin.relay.message_lifecycle.MessageRecord", Watched)
+    monkeypatch.setattr("dewpin.relay.message_lifecycle.MessageRecord", WeaklyReferencedRecord)
     loop = asyncio.new_event_loop()
     gc.disable()
     try:
-        loop.run_until_complete(scene())
+        loop.run_until_complete(scenario())
     finally:
         gc.enable()
         loop.close()
 
 
-def test_slow_start_handed_over_goes_on_as_slow_start():
+def test_slow_start_remains_a_slow_start_after_a_hand_over():
     services = settings(effects=("safe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     services["Services"][0]["Name"] = "status"
     old, new = Facade(services, 1), Facade(services, 2)
--- a/tests/relay/test_notice_barrier.py
+++ b/tests/relay/test_notice_barrier.py
@@ -8,7 +8,7 @@
 
 
 class Timer:
-    """Stands for a timer of the loop."""
+    """A stub for a timer of the event loop."""
 
     def __init__(self):
         self.is_cancelled = False
--- a/tests/relay/test_recent_message_ids.py
+++ b/tests/relay/test_recent_message_ids.py
@@ -1,4 +1,4 @@
-"""Ids of accepted messages: remembered for a message's longest lifetime, in bounded memory."""
+"""Ids of accepted messages are kept for the maximum lifetime of a message, in bounded memory."""
 
 from dewpin.relay import recent_message_ids
 from dewpin.relay.recent_message_ids import RecentMessageIds
