--- a/dewpin/core/circuit_breaker.py
+++ b/dewpin/core/circuit_breaker.py
@@ -42,7 +42,7 @@
         return health.rejected_at > max(health.good_at, now - SUSTAINED_REJECTION_MS)
 
     def check_new_receiver(self, receiver: Receiver, now: float) -> None:
-        """Opens the circuit breaker of a receiver on its first use if its destination, with shared limits, is failing.
+        """Opens the breaker of a new receiver if limits are shared and its destination is failing or being probed.
 
         During an outage the list may replace receivers. The messages pending at all senders would go at once to a
         receiver that no sender has seen fail, although its destination is cold.
--- a/dewpin/core/settings.py
+++ b/dewpin/core/settings.py
@@ -1,7 +1,7 @@
 """The settings of the dispatcher, checked before the first message.
 
 Settings are passed as a map with the keys of the deployment; this module is the only place that knows these keys.
-Values are not validated or converted.
+Values are used as they are, apart from the checks below.
 """
 
 from __future__ import annotations
