--- a/dewpin/dataplane/load_balancing/__init__.py
+++ b/dewpin/dataplane/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Load balancing: the choice of a receiver for each attempt, and the queue of requests that wait for a slot."""
+"""Load balancing: selects a receiver for each attempt and queues requests that wait for a slot."""
--- a/dewpin/dataplane/load_balancing/balancer.py
+++ b/dewpin/dataplane/load_balancing/balancer.py
@@ -1,6 +1,6 @@
-"""Slots at receivers for the threads that serve clients: a `SlotAllocator` behind a lock, with waiting.
+"""Thread-safe slot allocation: a `SlotAllocator` behind a lock, with blocking waits.
 
-A thread acquires a `Slot` for each attempt, reports through it how the attempt went, and releases it at the end.
+A thread acquires a `Slot` for each attempt, records the result of the attempt on it and releases it at the end.
 """
 
 import random
@@ -22,11 +22,11 @@
 
 
 class Slot:
-    """A slot at a receiver; it is held until `release`, which may be called more than once.
+    """A slot at a receiver, held until `release`, which is idempotent.
 
     Attributes:
-        service: name of the service that the slot was requested for.
-        receiver: the receiver that the request may be sent to.
+        service: name of the service for which the slot was requested.
+        receiver: the receiver to which the request may be sent.
     """
 
     __slots__ = ("_acquired_at", "_balancer", "_is_released", "receiver", "service")
@@ -40,11 +40,11 @@
 
     @property
     def acquired_at(self) -> float:
-        """Return when the slot was acquired; it identifies the slot's call among those to the receiver."""
+        """Return when the slot was acquired; this time identifies its call among those to the receiver."""
         return self._acquired_at
 
     def record_response(self) -> None:
-        """Record that the receiver's response began, whatever its status."""
+        """Record that the response has started, whatever its status."""
         self._balancer.record_response(self)
 
     def record_report(self, load: ServerLoad) -> None:
@@ -52,11 +52,11 @@
         self._balancer.record_report(self.receiver, load)
 
     def back_off_full(self, retry_after_s: float | None = None) -> None:
-        """Record that the receiver is full; `retry_after_s` is the wait that it asked for, if any."""
+        """Record that the receiver is full; `retry_after_s` is the delay that it requested, if any."""
         self._balancer.back_off_full(self.receiver, retry_after_s)
 
     def back_off_unreachable(self) -> None:
-        """Record that the receiver could not be reached, or that another one has its address."""
+        """Record that the receiver is unreachable, or that another receiver has its address."""
         self._balancer.back_off_unreachable(self.receiver)
 
     def reset_backoff(self) -> None:
@@ -68,7 +68,7 @@
         self._balancer.record_error(self.receiver)
 
     def record_success(self, call_time_s: float) -> None:
-        """Record a successful call and the time that it took."""
+        """Record a successful call and its duration."""
         self._balancer.record_success(self.receiver, call_time_s)
 
     def release(self) -> None:
@@ -79,9 +79,9 @@
 
 
 class Balancer:
-    """Allocates slots at receivers; every method may be called from any thread.
+    """Allocates slots at receivers; thread-safe.
 
-    `_granted_events` has an event for each queued request, which is set when the request is granted a slot.
+    `_granted_events` holds one event per queued request, which is set when the request is granted a slot.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
     def acquire(
         self, request: SlotRequest, has_client_disconnected: Callable[[], bool] = lambda: False
     ) -> Slot | NoSlot:
-        """Acquire a slot, waiting until `request.wait_until` or until the client disconnects."""
+        """Acquire a slot; wait for one until `request.wait_until` at most, or until the client disconnects."""
         service = request.service.name
         with self._lock:
             now = self._clock()
@@ -111,7 +111,7 @@
         return self._wait_for_slot(queued, granted, has_client_disconnected)
 
     def record_response(self, slot: Slot) -> None:
-        """Record that the response to the call of a slot began."""
+        """Record that the response to the call of a slot has started."""
         with self._lock:
             self._allocator.load_of(slot.receiver.id).record_response(slot.acquired_at, self._clock())
 
@@ -121,13 +121,13 @@
             self._allocator.load_of(receiver.id).record_report(load, self._clock())
 
     def back_off_full(self, receiver: Receiver, retry_after_s: float | None) -> None:
-        """Send nothing to a full receiver for the time that it asked for, or for a derived one."""
+        """Block a full receiver for the delay that it requested, or else for one derived from its call time."""
         with self._lock:
             load = self._allocator.load_of(receiver.id)
             load.back_off_full(self._clock(), receiver.capacity, retry_after_s, self._allocator.draw_jitter())
 
     def back_off_unreachable(self, receiver: Receiver) -> None:
-        """Send nothing for a while to a receiver that cannot be reached."""
+        """Block an unreachable receiver for a backoff."""
         with self._lock:
             self._allocator.load_of(receiver.id).back_off_unreachable(self._clock(), self._allocator.draw_jitter())
 
@@ -142,12 +142,12 @@
             self._allocator.load_of(receiver.id).record_error(self._clock())
 
     def record_success(self, receiver: Receiver, call_time_s: float) -> None:
-        """Record a successful call and the time that it took."""
+        """Record a successful call and its duration."""
         with self._lock:
             self._allocator.load_of(receiver.id).record_success(call_time_s)
 
     def release(self, slot: Slot) -> None:
-        """Release a slot and grant it to a queued request."""
+        """Release a slot and grant free slots to queued requests."""
         with self._lock:
             self._allocator.release(slot.receiver.id)
             self._allocator.load_of(slot.receiver.id).forget_call(slot.acquired_at)
@@ -155,7 +155,7 @@
                 self._grant_queued(slot.service)
 
     def expected_wait_s(self, service: str) -> float:
-        """Return the expected time until a new request for a service gets a slot."""
+        """Return the expected wait of a new request for a slot of a service, in seconds."""
         with self._lock:
             return self._allocator.expected_wait_s(service, self._clock())
 
--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -1,15 +1,15 @@
-"""Slot allocation: which receiver gets the next call, and which queued request gets the next free slot.
+"""Slot allocation: selects the receiver of the next call, and the queued request that gets the next free slot.
 
-A slot is the right to have one call in progress at a receiver. `SlotAllocator` is a state machine without I/O or
-locks, which `balancer.Balancer` puts behind a lock so that threads can wait.
+A slot is the permission to have one call in progress at a receiver. `SlotAllocator` is a state machine without I/O or
+locks; `balancer.Balancer` adds the lock and the waiting.
 
-* A receiver has a free slot if its estimated load leaves room in its capacity and in a queue that is as long as the
-  request's latency target bears, and if this sender's share of the receiver's connections is not used up.
-* A request with a sticky key goes to the receiver that rendezvous hashing (highest random weight) ranks first, if that
-  one is healthy and not too loaded. Any other request goes to the receiver with the lowest cost: load relative to
-  capacity, with penalties for errors, for another zone and for a receiver that does not respond.
-* A request that finds no free slot may be queued. A free slot goes to the route that got its last slot earliest; a
-  route of a lower priority number is served as if it had waited longer by `PRIORITY_STEP_S` for each step.
+* A receiver has a free slot if its estimated load is below its capacity plus the queue length that the request's
+  latency target allows, and if this sender has not used up its share of the receiver's connections.
+* A request with a sticky key goes to the receiver that rendezvous hashing (highest random weight) ranks first and that
+  is healthy and not too loaded. Any other request goes to the receiver with the lowest cost: load relative to
+  capacity, with penalties for errors, for another zone and for not responding.
+* A request that finds no free slot may be queued. A free slot goes to the route whose last slot was granted earliest;
+  each step of a lower priority number counts as `PRIORITY_STEP_S` of additional waiting time.
 
 All times are seconds of one monotonic clock.
 """
@@ -25,37 +25,37 @@
 from dewpin.dataplane.load_balancing.receiver_load import REPORTED_LOAD_HALF_LIFE_S, ReceiverLoad
 
 QUEUE_SHARE_OF_TARGET = 0.5
-"""The time that a request is expected to queue at a receiver may take this share of its latency target."""
+"""Maximum expected queueing time at a receiver, as a share of the request's latency target."""
 MIN_QUEUE_SHARE = 0.25
 MAX_QUEUE_SHARE = 3.0
-"""Bounds of the length of the queue at a receiver, as a share of its capacity."""
+"""Bounds of the queue length at a receiver, as a share of its capacity."""
 ERROR_COST = 2.0
-"""Cost of an error rate of 1, in shares of the receiver's capacity."""
+"""Cost of an error rate of 1, as a share of the receiver's capacity."""
 MAX_STICKY_ERROR_RATE = 0.25
-"""At this error rate a sticky request leaves its receiver."""
+"""Error rate from which a receiver gets no sticky requests by their key."""
 OTHER_ZONE_COST = 0.25
-"""Cost of a receiver in another zone, in shares of its capacity."""
+"""Cost of a receiver in another zone, as a share of its capacity."""
 WARM_UP_CAPACITY_SHARE = 0.5
-"""The share of its capacity that a receiver is taken to have while it is warming up."""
+"""Share of its capacity that a receiver is assumed to have while it is warming up."""
 UNRESPONSIVE_COST = 2.0
-"""Cost of a receiver that does not respond to its pending calls, in shares of its capacity."""
+"""Cost of a receiver that does not respond to pending calls, as a share of its capacity."""
 TIE_BREAK_COST = 0.02
-"""Random cost that spreads calls over receivers of equal cost."""
+"""Upper bound of a random cost that spreads calls over receivers of equal cost."""
 STICKY_LOAD_SHARE = 0.75
-"""A sticky request stays with its receiver while that one's load is below this share of its capacity."""
+"""Load, as a share of its capacity, below which a receiver accepts sticky requests by their key."""
 PRIORITY_STEP_S = 0.1
-"""How much longer a route waits for a slot than one whose priority number is lower by one."""
+"""Additional wait for a slot, in seconds, for each step of a higher priority number."""
 ASSUMED_SENDERS = 8
-"""The number of senders that share a receiver's connections while their number is unknown."""
+"""Number of senders assumed to share a receiver's connections while it is unknown."""
 MIN_CONNECTIONS = 2
-"""The connections to a receiver that each sender may use, however many senders there are."""
+"""Connections to a receiver that each sender may use, however many senders there are."""
 MIN_CALL_TIME_S = 0.001
-"""Lower bound of the call time that the length of a queue is computed from."""
+"""Lower bound of the call time from which the queue length is computed."""
 RECHECK_PERIOD_S = REPORTED_LOAD_HALF_LIFE_S / 4
-"""How often a queued request is checked while nothing changes but the weight of reported loads."""
+"""Interval between checks of a queued request while only the weight of reported loads changes."""
 MIN_RETRY_AFTER_S = 0.02
 MAX_RETRY_AFTER_S = 1.0
-"""Bounds of the expected wait for a slot."""
+"""Bounds of the expected wait for a slot, before jitter."""
 WAIT_JITTER = 0.25
 """Relative jitter of waits."""
 
@@ -66,12 +66,12 @@
 
     Attributes:
         service: the service whose receivers are eligible.
-        route: name of the request's route; routes take turns.
+        route: name of the request's route; free slots are shared between routes.
         priority: priority number of the route; 0 is the highest priority.
         latency_target_s: latency target of the route.
-        wait_until: time until which the request may be queued.
+        wait_until: latest time until which the request may be queued.
         sticky_key: requests with the same key should go to the same receiver.
-        avoid_until: receivers, by id, that may not be chosen before the given time.
+        avoid_until: by receiver id, the time before which that receiver must not be selected.
     """
 
     service: Service
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request in the queue; `receiver` is set once it was granted a slot."""
+    """A queued request; `receiver` is set once the request is granted a slot."""
 
     request: SlotRequest
     receiver: Receiver | None = None
@@ -95,7 +95,7 @@
     """Allocates slots at the receivers of all services. Not thread-safe.
 
     `sender_count` is the number of senders that share the receivers' connections, 0 while it is unknown. A queued
-    request is in the queue of its service until `grant_queued` returns it or `cancel` removes it.
+    request stays in the queue of its service until `grant_queued` returns it or `cancel` removes it.
     """
 
     def __init__(self, zone: str, randomness: random.Random) -> None:
@@ -108,11 +108,11 @@
         self.sender_count = 0
 
     def load_of(self, receiver_id: str) -> ReceiverLoad:
-        """Return the load of a receiver; for one that is no longer listed, an object whose changes are lost."""
+        """Return the load of a receiver; for one that is no longer listed, an object that is not stored."""
         return self._loads.get(receiver_id) or ReceiverLoad()
 
     def update_receivers(self, service: str, receivers: tuple[Receiver, ...]) -> None:
-        """Replace the receivers of a service; the load of receivers that stay is kept."""
+        """Replace the receivers of a service; receivers that remain listed keep their load."""
         previous = self._receivers.get(service, ())
         if receivers is previous:
             return
@@ -125,7 +125,7 @@
         self._receivers[service] = receivers
 
     def acquire(self, request: SlotRequest, now: float) -> Receiver | None:
-        """Acquire a slot at once; return None if there is none, or if other requests are queued for it."""
+        """Acquire a slot without waiting; return None if none is free or other requests are queued."""
         if self._queues.get(request.service.name):
             return None
         return self._acquire(request, now)
@@ -147,34 +147,34 @@
             load.own_calls -= 1
 
     def grant_queued(self, service: str, now: float) -> list[QueuedRequest]:
-        """Grant free slots to queued requests; return those that were granted one and have left the queue."""
+        """Grant free slots to queued requests; remove these requests from the queue and return them."""
         queue = self._queues.get(service)
         granted: list[QueuedRequest] = []
         if not queue:
             return granted
         remaining = list(queue)
         while remaining:
-            queued = min(remaining, key=self._turn_at)
+            queued = min(remaining, key=self._grant_order)
             remaining.remove(queued)
             queued.receiver = self._acquire(queued.request, now)
             if queued.receiver is not None:
                 granted.append(queued)
             elif not queued.request.avoid_until:
-                # Only what a request avoids can make its slot useless to it and useful to the next one.
+                # Only `avoid_until` can make a free slot unusable for this request but usable for the next one.
                 break
         for queued in granted:
             queue.remove(queued)
         return granted
 
     def next_check_at(self, request: SlotRequest, now: float) -> float:
-        """Return when a queued request has to be checked again, even if no slot is released before."""
-        changes = [self._loads[receiver.id].blocked_until for receiver in self._listed(request.service.name)]
+        """Return when a queued request must be checked again even if no slot is released."""
+        changes = [self._loads[receiver.id].blocked_until for receiver in self._listed_receivers(request.service.name)]
         changes.extend(request.avoid_until.values())
         return min([now + RECHECK_PERIOD_S, *(until for until in changes if until > now)])
 
     def expected_wait_s(self, service: str, now: float) -> float:
-        """Return the expected time until a new request gets a slot, from the length of the queue and the call time."""
-        receivers = [receiver for receiver in self._listed(service) if not receiver.draining]
+        """Return the expected wait of a new request for a slot, from the queue length and the call time, in seconds."""
+        receivers = [receiver for receiver in self._listed_receivers(service) if not receiver.draining]
         if not receivers:
             return MAX_RETRY_AFTER_S * self.draw_jitter()
         loads = [self._loads[receiver.id] for receiver in receivers]
@@ -186,19 +186,19 @@
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)) * self.draw_jitter()
 
     def draw_jitter(self) -> float:
-        """Return a random factor that spreads the waits of many requests."""
+        """Return a random factor that spreads out the waits of many requests."""
         return self._random.uniform(1 - WAIT_JITTER, 1 + WAIT_JITTER)
 
-    def _listed(self, service: str) -> tuple[Receiver, ...]:
+    def _listed_receivers(self, service: str) -> tuple[Receiver, ...]:
         return self._receivers.get(service, ())
 
-    def _turn_at(self, queued: QueuedRequest) -> float:
-        """Return the rank of a queued request: the lowest one is next."""
+    def _grant_order(self, queued: QueuedRequest) -> float:
+        """Return the sort key of a queued request; the lowest one is granted the next slot."""
         request = queued.request
         return self._last_grant_at.get(request.route, 0.0) + request.priority * PRIORITY_STEP_S
 
     def _acquire(self, request: SlotRequest, now: float) -> Receiver | None:
-        receivers = self._listed(request.service.name)
+        receivers = self._listed_receivers(request.service.name)
         candidates = [receiver for receiver in receivers if self._has_free_slot(receiver, request, now)]
         if not candidates:
             return None
@@ -246,7 +246,7 @@
 
 
 def rendezvous_rank(key: str, receiver: Receiver) -> float:
-    """Return the rank of a receiver for a key by rendezvous hashing, weighted by capacity; the lowest one is first."""
+    """Return the rank of a receiver for a key by capacity-weighted rendezvous hashing; the lowest rank is preferred."""
     digest = blake2b(f"{key}/{receiver.id}".encode(), digest_size=4).digest()
-    drawn = (int.from_bytes(digest, "big") + 1) / (2**32 + 1)
-    return -math.log(drawn) / max(1, receiver.capacity)
+    sample = (int.from_bytes(digest, "big") + 1) / (2**32 + 1)
+    return -math.log(sample) / max(1, receiver.capacity)
--- a/dewpin/dataplane/routing/__init__.py
+++ b/dewpin/dataplane/routing/__init__.py
@@ -1,1 +1,1 @@
-"""From a request to its response: route and service, attempts, retries, event streams."""
+"""Request routing: route and service selection, attempts, retries and event streams."""
--- a/dewpin/dataplane/routing/event_relay.py
+++ b/dewpin/dataplane/routing/event_relay.py
@@ -1,9 +1,9 @@
-"""Forwards the event stream of a receiver to the client, event by event.
+"""Forwards the server-sent events of a receiver to the client.
 
-Only complete events are forwarded. If the route allows it, a stream that broke off is resumed at another receiver from
-the last event that was forwarded, within the same response. The end of the response is forwarded only after the
-receiver's body has ended properly and, on a route that retains turns, after the turn was stored: a client that sees the
-end can rely on both.
+Only complete events are forwarded. If the route allows it, an interrupted stream is resumed at another receiver after
+the last forwarded event, within the same response. The end of the response is sent only once the receiver's body is
+complete and, on a route that retains turns, the turn is stored, so that the end of the response confirms both to the
+client.
 """
 
 from collections.abc import Callable, Iterator
@@ -17,27 +17,27 @@
 
 
 class EventSource(Protocol):
-    """The body of a receiver's response while it arrives."""
+    """The body of a receiver's response, read incrementally."""
 
     @property
     def ends_by_close(self) -> bool:
-        """Return whether nothing but the end of the connection marks the end of the body."""
+        """Return whether only the end of the connection delimits the body (RFC 9112, 6.3)."""
 
     def read_next(self) -> bytes:
-        """Return the next bytes, or none at the proper end; raises IncompleteResponseError."""
+        """Return the next bytes, or b"" at the end of a complete body; raises IncompleteResponseError."""
 
     def close(self) -> None:
-        """Abandon the rest."""
+        """Stop reading and discard the rest of the body."""
 
 
 ResumeStream = Callable[[str | None, Outcome], EventSource | None]
-"""Given the id of the last forwarded event and how the stream broke off; returns the source that continues, or None."""
+"""Takes the id of the last forwarded event and the outcome of the interrupted stream; returns a new source or None."""
 
 
 class EventRelay:
-    """The body of a response: the events of one receiver's stream, or of several that continue each other.
+    """A response body made of the events of one stream, or of several streams if it is resumed.
 
-    Whoever has a relay must call `close`; iterating over it to the end does so too.
+    The owner must call `close`, unless it iterates over the relay to the end, which closes it as well.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         """Create a relay.
 
         Args:
-            source: the stream to begin with.
-            resume_stream: finds the stream that continues one that broke off; None if the route does not allow it.
-            turn: the turn that counts and stores the events, if the request is one.
-            time_left_s: returns the time until the request's deadline.
-            on_close: called once, with whether the whole body was forwarded.
+            source: the first stream.
+            resume_stream: continues an interrupted stream; None if the route does not allow resumption.
+            turn: the conversation turn that counts and stores the events, if the request opens one.
+            time_left_s: returns the seconds until the request's deadline.
+            on_close: called once, with True if the whole body was forwarded.
         """
         self._source: EventSource | None = source
         self._resume_stream = resume_stream
@@ -70,14 +70,14 @@
         self._is_closed = False
 
     def read_first_events(self) -> None:
-        """Wait for the first events, or the end.
+        """Wait for the first complete events or the end of the body.
 
-        Raises IncompleteResponseError if neither arrives; the relay must not be used then.
+        Raises IncompleteResponseError if the stream is interrupted before; the relay must not be used after that.
         """
         self._first_events = self._read_events()
 
     def __iter__(self) -> Iterator[bytes]:
-        """Return the bytes of complete events as they arrive; raises IncompleteBodyError if the stream breaks off."""
+        """Yield the bytes of complete events as they arrive; raises IncompleteBodyError if the stream ends early."""
         try:
             events = self._next_events() if self._first_events is None else self._first_events
             while events:
@@ -92,7 +92,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close the receiver's stream and settle the turn; may be called more than once."""
+        """Close the receiver's stream and settle the turn; idempotent."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -103,7 +103,7 @@
         self._on_close(self._is_complete)
 
     def _next_events(self) -> bytes:
-        """Return the bytes of the next complete events, after resuming the stream if needed; none at the proper end."""
+        """Return the next complete events, resuming the stream if necessary; b"" at the end of the body."""
         while True:
             try:
                 return self._read_events()
@@ -111,7 +111,7 @@
                 self._resume(error)
 
     def _read_events(self) -> bytes:
-        """Return the bytes of the next complete events of the current source; none at its proper end."""
+        """Return the next complete events of the current source; b"" at its end."""
         while self._source is not None:
             data = self._source.read_next()
             if not data:
@@ -122,7 +122,10 @@
         return b""
 
     def _finish(self, source: EventSource) -> bytes:
-        """Return what followed the last complete event; a connection that ends within an event broke off."""
+        """Return the bytes after the last complete event.
+
+        If only the end of the connection delimits the body, such bytes mean that the stream was interrupted.
+        """
         self._source = None
         remaining = self._splitter.flush()
         if remaining and source.ends_by_close:
@@ -130,7 +133,7 @@
         return b"".join([self._forward(event) for event in remaining])
 
     def _was_forwarded(self, event: Event) -> bool:
-        """Return whether a resumed stream repeats an event that the client already has."""
+        """Return whether a resumed stream repeats an event that was already forwarded."""
         if not self._is_resumed or event.id is None or self._last_event_id is None:
             return False
         return event.id == self._last_event_id or (
--- a/dewpin/dataplane/routing/request_attempts.py
+++ b/dewpin/dataplane/routing/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one routed request: performs the actions of the retry state machine until there is a response."""
+"""Executes the attempts of one routed request as directed by its retry state machine."""
 
 import random
 from collections.abc import Callable
@@ -28,19 +28,19 @@
 from dewpin.dataplane.upstream.receiver_client import ReceiverClient
 
 QUEUE_TIME_SHARE_OF_TARGET = 0.2
-"""A request that has not run waits for a slot for this share of its latency target at most."""
+"""Maximum wait for a slot of a request that has not been executed, as a share of its latency target."""
 OUTCOMES_WITHOUT_RESPONSE = frozenset({Outcome.NOT_SENT, Outcome.TIMED_OUT, Outcome.CLIENT_DISCONNECTED})
-"""Outcomes of calls in which the receiver showed no sign of life."""
+"""Outcomes without any response from the receiver."""
 RECEIVER_ERRORS = frozenset({Outcome.ERROR, Outcome.RESET, Outcome.CLOSED, Outcome.MALFORMED})
-"""Outcomes that count as errors of the receiver; a time-out may be the fault of the request itself."""
+"""Outcomes that count towards the receiver's error rate; a time-out may be caused by the request itself."""
 LOWEST_PRIORITY = 9
-"""The highest priority number that receivers know; 0 is the highest priority, as it is for routes."""
+"""The highest priority number that receivers accept; 0 is the highest priority, as it is for routes."""
 LENGTH_HEADERS = frozenset({"content-length"})
 
 
 @dataclass(frozen=True, slots=True)
 class SharedComponents:
-    """What all requests of a sender share."""
+    """Components that all requests of a sender share."""
 
     balancer: Balancer
     receiver_client: ReceiverClient
@@ -52,15 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request and what was found out about it.
+    """A request with its routing decision.
 
     Attributes:
         request: the request as it was received.
-        route: the route that it matches.
-        service: the service whose receivers may get it.
-        deadline: when it has to be completed, in seconds of the monotonic clock.
+        route: the matching route.
+        service: the service whose receivers are eligible.
+        deadline: time by which the request must be completed, in seconds of the monotonic clock.
         sticky_key: requests with the same key should go to the same receiver.
-        turn: the conversation turn that the request is, if it is one.
+        turn: the conversation turn that the request opens, if any.
     """
 
     request: Request
@@ -72,25 +72,25 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Return whether the request may run more than once."""
+        """Return whether the request may be executed more than once."""
         return self.route.may_repeat or (self.route.is_stream and self.route.resumable)
 
     @property
     def latency_target_s(self) -> float:
-        """Return the latency target."""
+        """Return the latency target, bounded by the route's time-out."""
         return min(self.route.target_ms, self.route.timeout_ms) / 1000
 
 
 @dataclass(frozen=True, slots=True)
 class _OpenStream:
-    """The stream that is being forwarded; it holds its slot until it ends."""
+    """The stream being forwarded; it holds its slot until it ends."""
 
     slot: Slot
     started_at: float
 
 
 class RequestAttempts:
-    """Runs one request until there is a response, on the thread of its client's connection."""
+    """Makes attempts for one request until there is a response; runs on the thread of the client's connection."""
 
     def __init__(self, shared: SharedComponents, routed: RoutedRequest) -> None:
         self._shared = shared
@@ -103,7 +103,7 @@
         self._resume_headers: tuple[HeaderField, ...] = ()
 
     def run(self) -> Response:
-        """Return the response to the client; an `EventRelay` in it settles the turn when it is closed."""
+        """Return the response for the client; if its body is an `EventRelay`, closing it settles the turn."""
         while True:
             result = self._next_result()
             if isinstance(result, Response):
@@ -114,13 +114,13 @@
             try:
                 relay.read_first_events()
             except IncompleteResponseError as error:
-                self._record_broken_stream(error.outcome)
+                self._record_interrupted_stream(error.outcome)
                 continue
             self._shared.metrics.forwarded += 1
             return response_to_client(result.response, relay)
 
     def _next_result(self) -> CallResult | Response:
-        """Perform actions until a stream begins or the request ends."""
+        """Perform actions until a stream starts or the request ends."""
         while True:
             action = self._retry.next_action(self._shared.clock())
             if isinstance(action, SendToReceiver):
@@ -148,7 +148,7 @@
         return error_response(ErrorKind.DEADLINE_PASSED if has_timed_out else ErrorKind.RECEIVER_FAILED)
 
     def _send(self, action: SendToReceiver) -> CallResult | None:
-        """Send the request to a receiver with a free slot; return None if there is none in time."""
+        """Send the request to a receiver with a free slot; return None if no slot became free in time."""
         slot = self._shared.balancer.acquire(self._slot_request(action), self._has_client_disconnected)
         if isinstance(slot, NoSlot):
             self._retry.record_no_slot(slot.retry_after_s)
@@ -173,7 +173,7 @@
         routed = self._routed
         wait_until = routed.request.received_at + QUEUE_TIME_SHARE_OF_TARGET * routed.latency_target_s
         if action.may_have_run:
-            # It cannot be rejected any more, so that a longer wait is better than an error.
+            # The request may have been executed and cannot be rejected any more: a longer wait is better than an error.
             wait_until = max(wait_until, self._shared.clock() + routed.latency_target_s)
         return SlotRequest(
             service=routed.service,
@@ -208,13 +208,13 @@
         return result
 
     def _priority_headers(self) -> tuple[HeaderField, ...]:
-        """Return the priority for the receiver: that of the route, unless the client has given one itself."""
+        """Return the route's priority as a header field, unless the client has sent one itself."""
         if self._routed.request.headers.get(PRIORITY) is not None:
             return ()
         return (("Priority", str(min(self._routed.route.priority, LOWEST_PRIORITY))),)
 
     def _record_result(self, slot: Slot, result: CallResult, now: float, call_time_s: float) -> None:
-        """Report the end of a call to the retry state machine and to the balancer."""
+        """Record the result of a call in the retry state machine and the balancer."""
         is_forwardable = result.response is not None and result.response.is_forwardable
         if is_forwardable:
             self._forwardable_response = result.response
@@ -232,7 +232,7 @@
         if not result.is_misdirected:
             slot.back_off_full(result.retry_after_s)
         elif self._routed.request.headers.get("expect-version") is None:
-            # Without an expected version, 421 means that another receiver has this address now.
+            # Without an expected version, 421 means that another receiver now has this address.
             slot.back_off_unreachable()
         self._retry.record_expected_wait(self._shared.balancer.expected_wait_s(self._routed.service.name))
 
@@ -253,8 +253,8 @@
             self._shared.metrics.incomplete_streams += 1
 
     def _resume_stream(self, last_event_id: str | None, outcome: Outcome) -> EventSource | None:
-        """Resume a stream that broke off at another receiver, after the last event that was forwarded."""
-        self._record_broken_stream(outcome)
+        """Resume an interrupted stream at another receiver, after the last forwarded event."""
+        self._record_interrupted_stream(outcome)
         if last_event_id is not None:
             self._resume_headers = (("Last-Event-Id", last_event_id),)
         result = self._next_result()
@@ -263,8 +263,8 @@
         self._shared.metrics.resumed_streams += 1
         return result.stream
 
-    def _record_broken_stream(self, outcome: Outcome) -> None:
-        """Report that the open stream broke off, and release its slot."""
+    def _record_interrupted_stream(self, outcome: Outcome) -> None:
+        """Record that the open stream was interrupted, and release its slot."""
         stream = self._open_stream
         if stream is not None:
             self._retry.record_call(stream.slot.receiver.id, outcome, self._shared.clock())
@@ -279,6 +279,6 @@
 
 
 def response_to_client(response: ReceiverResponse, body: bytes | EventRelay) -> Response:
-    """Return the response of a receiver as it is forwarded to the client."""
+    """Convert a receiver's response into the response for the client, with end-to-end header fields only."""
     excluded = frozenset() if isinstance(body, bytes) else LENGTH_HEADERS
     return Response(response.status, Headers(response.headers).end_to_end(excluded), body, response.reason)
--- a/dewpin/dataplane/routing/request_handler.py
+++ b/dewpin/dataplane/routing/request_handler.py
@@ -1,4 +1,4 @@
-"""From a request to its attempts: configuration, route, service, conversation turn."""
+"""Handles a client's request: selects route and service, opens the conversation turn and starts the attempts."""
 
 import random
 import time
@@ -25,9 +25,9 @@
 
 
 class RequestHandler:
-    """Handles the requests of clients; `handle` is called by many threads at once.
+    """Handles the requests of clients; `handle` is called concurrently by many threads.
 
-    `metrics` counts what became of the requests.
+    `metrics` counts requests by their result.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._last_maintenance_at = clock()
 
     def handle(self, request: Request) -> Response:
-        """Return the response to a request; a body in it that is a stream has to be closed by the caller."""
+        """Return the response to a request; the caller must close a streamed body."""
         self.metrics.requests += 1
         self._maintain_connections()
         try:
@@ -81,13 +81,13 @@
         return self._run_turn(turn, RoutedRequest(request, route, service, deadline, key, turn))
 
     def _no_route_error(self) -> TierError:
-        """Return the error for a request without a route; NO_ROUTE only if the configuration is known to be current."""
+        """Return the error for a request without a matching route; NO_ROUTE only if the configuration is confirmed."""
         if not self._state.is_current():
             return TierError(ErrorKind.NO_CONFIGURATION, "no majority has confirmed the configuration held here")
         return TierError(ErrorKind.NO_ROUTE)
 
     def _run_turn(self, turn: OpenTurn, routed: RoutedRequest) -> Response:
-        """Open the turn and run its request; the turn is settled here unless a stream in the response does it later."""
+        """Open the turn and execute its request; the turn is settled here unless a streamed body does so on close."""
         turn.begin(lambda: routed.deadline - self._clock(), self._state.is_cut_off())
         response = None
         try:
@@ -114,7 +114,7 @@
         return seconds * self._random.uniform(1 - RETRY_AFTER_JITTER, 1 + RETRY_AFTER_JITTER)
 
     def _maintain_connections(self) -> None:
-        """Close connections that are no longer useful, at most once in `MAINTENANCE_PERIOD_S`."""
+        """Close expired connections and those to removed receivers, at most once per `MAINTENANCE_PERIOD_S`."""
         now = self._clock()
         if now - self._last_maintenance_at >= MAINTENANCE_PERIOD_S:
             self._last_maintenance_at = now
--- a/dewpin/dataplane/routing/request_timeout.py
+++ b/dewpin/dataplane/routing/request_timeout.py
@@ -1,4 +1,4 @@
-"""How long a request may take."""
+"""The time-out of a request."""
 
 import math
 
@@ -8,9 +8,9 @@
 
 
 def request_timeout_s(headers: Headers, route: Route) -> float:
-    """Return the time-out that a client gave its request, or that of the route if it is less.
+    """Return the time-out that the client requested, limited by that of the route, in seconds.
 
-    Raises TierError if the client's time-out is not a number of milliseconds.
+    Raises TierError if the client's value is not a non-negative number of milliseconds.
     """
     value = headers.get(REQUEST_DEADLINE)
     try:
--- a/dewpin/dataplane/routing/retry.py
+++ b/dewpin/dataplane/routing/retry.py
@@ -1,11 +1,11 @@
-"""Retries: what follows each outcome of an attempt, as a state machine without I/O.
+"""Retry policy: decides what follows each outcome of an attempt, as a state machine without I/O.
 
-The driver asks `RetryStateMachine.next_action`, performs the action and reports the result by one of the `record`
-methods, until the action is a final one.
+The driver calls `RetryStateMachine.next_action`, performs the action and reports its result by one of the `record`
+methods, until an action is final.
 
-An idempotent request may run more than once. Any other request is retried only if its last attempt proves that it has
-not run. A failed attempt blocks its receiver for this request, with exponential backoff. After a proof of no effect
-another receiver may be tried at once, otherwise only after a backoff.
+An idempotent request may be executed more than once. Any other request is retried only if its last attempt proves that
+it was not executed. A failed attempt blocks its receiver for this request, with exponential backoff. After a proof of
+no effect another receiver may be tried immediately, otherwise only after a backoff.
 
 All times are seconds of one monotonic clock.
 """
@@ -18,25 +18,25 @@
 from dewpin.dataplane.upstream.outcome import Outcome
 
 SAME_RECEIVER_BACKOFF_S = 0.25
-"""First backoff before the same receiver is tried again; doubles with each failure."""
+"""Initial backoff before a retry at the same receiver; doubles with each failure."""
 OTHER_RECEIVER_BACKOFF_S = 0.05
-"""First backoff before another receiver is tried after an attempt with unknown effect; doubles with each failure."""
+"""Initial backoff before a retry at another receiver after an unknown effect; doubles with each failure."""
 BACKOFF_JITTER = 0.5
-"""A backoff is drawn between `1 - BACKOFF_JITTER` and `1 + BACKOFF_JITTER` times its length."""
+"""Relative jitter: a backoff is multiplied by a random factor in `1 - BACKOFF_JITTER` to `1 + BACKOFF_JITTER`."""
 CONNECTS_PER_ATTEMPT = 2
-"""How many connects may fail for each attempt that a route allows."""
+"""Number of failed connects allowed for each attempt that the route allows."""
 MIN_SHARE_OF_TARGET = 0.1
-"""A request is not sent if less than this share of its latency target is left until its deadline."""
+"""A request is not sent if the time until its deadline is at most this share of its latency target."""
 MIN_RETRY_AFTER_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPolicy:
-    """What a route allows.
+    """The retries that a route allows.
 
     Attributes:
-        is_idempotent: whether the request may run more than once.
-        max_attempts: bounds the receivers that the request is sent to.
+        is_idempotent: whether the request may be executed more than once.
+        max_attempts: maximum number of times that the request is sent.
         latency_target_s: latency target of the route.
     """
 
@@ -50,8 +50,8 @@
     """Send the request to a receiver.
 
     Attributes:
-        avoid_until: receivers, by id, that the request may not be sent to before the given time.
-        may_have_run: whether an earlier attempt may have run, so that the request cannot be rejected any more.
+        avoid_until: by receiver id, the time before which the request must not be sent to that receiver.
+        may_have_run: whether an earlier attempt may have been executed, so that rejecting the request is ruled out.
     """
 
     avoid_until: Mapping[str, float]
@@ -60,26 +60,26 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitUntil:
-    """Wait until `time`, then ask for the next action again."""
+    """Wait until `time`, then call `next_action` again."""
 
     time: float
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardResponse:
-    """Final: give the client the last response of a receiver that may be forwarded."""
+    """Final: forward the last forwardable response of a receiver to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final: promise the client that the request has not run; it may retry after `retry_after_s`."""
+    """Final: tell the client that the request was not executed; it may retry after `retry_after_s`."""
 
     retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final: an error without that promise, since the request may have run.
+    """Final: respond with an error that leaves open whether the request was executed.
 
     `status` is BAD_GATEWAY, or GATEWAY_TIMEOUT after the deadline.
     """
@@ -92,10 +92,10 @@
 
 
 class RetryStateMachine:
-    """The attempts of one request.
+    """The retry state of one request.
 
-    Invariants: a request whose effect is unknown is never rejected with the promise that it has not run; a request that
-    is not idempotent is sent to no receiver after an attempt with unknown effect.
+    Invariants: a request that may have been executed is never rejected as not executed; a request that is not
+    idempotent is never sent again after an attempt with unknown effect.
     """
 
     def __init__(self, policy: RetryPolicy, deadline: float, randomness: random.Random) -> None:
@@ -115,11 +115,11 @@
 
     @property
     def attempts(self) -> int:
-        """Return how many receivers the request was sent to."""
+        """Return how many times the request was sent to a receiver."""
         return self._attempts
 
     def next_action(self, now: float) -> RetryAction:
-        """Return what to do at `now`."""
+        """Return the action to perform at `now`."""
         if self._has_succeeded:
             return ForwardResponse()
         if not self._may_send(now):
@@ -129,7 +129,10 @@
         return SendToReceiver(dict(self._avoid_until), self._may_have_run)
 
     def record_call(self, receiver_id: str, outcome: Outcome, now: float, is_forwardable: bool = False) -> None:
-        """Record how a call ended; `is_forwardable`: the client may get its response if all further attempts fail."""
+        """Record the outcome of a call.
+
+        If `is_forwardable`, the client may get its response if all further attempts fail.
+        """
         if outcome is Outcome.NOT_SENT:
             self._failed_connects += 1
         else:
@@ -148,16 +151,16 @@
         self._next_send_at = now + self._draw_backoff_s(OTHER_RECEIVER_BACKOFF_S)
 
     def record_no_slot(self, retry_after_s: float) -> None:
-        """Record that no receiver had a free slot in time; one is expected to have after `retry_after_s`."""
+        """Record that no receiver had a free slot in time; one is expected to be free after `retry_after_s`."""
         self._may_continue = False
         self._retry_after_s = max(MIN_RETRY_AFTER_S, retry_after_s)
 
     def record_client_disconnected(self) -> None:
-        """Record that nobody waits for the response any more: nothing further is sent."""
+        """Record that the client has disconnected; no further attempt is made."""
         self._may_continue = False
 
     def record_expected_wait(self, retry_after_s: float) -> None:
-        """Record the expected wait for a free slot, for `Retry-After` of a rejection."""
+        """Record the expected wait for a free slot, which becomes `Retry-After` of a rejection."""
         self._retry_after_s = max(MIN_RETRY_AFTER_S, retry_after_s)
 
     def _may_send(self, now: float) -> bool:
--- a/dewpin/dataplane/routing/service_choice.py
+++ b/dewpin/dataplane/routing/service_choice.py
@@ -1,4 +1,4 @@
-"""The choice of a service for a request on a route that is split over several."""
+"""Selects a service for a request on a route that splits its traffic between services."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -17,13 +17,13 @@
     sticky_key: str | None,
     randomness: random.Random,
 ) -> Service:
-    """Return a service of the route by weight; requests with the same sticky key get the same service.
+    """Select a service of the route by weight; requests with the same sticky key get the same service.
 
-    Services without receivers, or whose receivers are all draining, are chosen only if that holds for all services.
+    Services without receivers or with only draining ones are selected only if the route has no other service.
     """
-    shares = [share for share in route.split if _has_staying_receivers(share, receivers)] or list(route.split)
-    drawn = randomness.random() if sticky_key is None else share_of_key(sticky_key)
-    remaining_weight = drawn * sum(share.weight for share in shares)
+    shares = [share for share in route.split if _has_active_receivers(share, receivers)] or list(route.split)
+    fraction = randomness.random() if sticky_key is None else share_of_key(sticky_key)
+    remaining_weight = fraction * sum(share.weight for share in shares)
     chosen = shares[-1]
     for share in shares:
         remaining_weight -= share.weight
@@ -33,6 +33,6 @@
     return configuration.services[chosen.backend]
 
 
-def _has_staying_receivers(share: Share, receivers: ReceiversByService) -> bool:
-    """Return whether a service has receivers that are not draining."""
+def _has_active_receivers(share: Share, receivers: ReceiversByService) -> bool:
+    """Return whether the service has a receiver that is not draining."""
     return any(not receiver.draining for receiver in receivers.get(share.backend, ()))
