--- a/dewpin/dataplane/routing/affinity.py
+++ b/dewpin/dataplane/routing/affinity.py
@@ -34,6 +34,6 @@
     return None
 
 
-def share_of_key(key: str) -> float:
+def hash_fraction(key: str) -> float:
     """Hash a key to a number in [0, 1); every sender computes the same number."""
     return int.from_bytes(blake2b(key.encode(), digest_size=4).digest(), "big") / 2**32
--- a/dewpin/dataplane/routing/service_choice.py
+++ b/dewpin/dataplane/routing/service_choice.py
@@ -5,7 +5,7 @@
 
 from dewpin.cluster.configuration import Configuration, Route, Service, Share
 from dewpin.cluster.receivers import Receiver
-from dewpin.dataplane.routing.affinity import share_of_key
+from dewpin.dataplane.routing.affinity import hash_fraction
 
 ReceiversByService = Mapping[str, Sequence[Receiver]]
 
@@ -22,7 +22,7 @@
     Services without receivers or with only draining ones are selected only if the route has no other service.
     """
     shares = [share for share in route.split if _has_active_receivers(share, receivers)] or list(route.split)
-    fraction = randomness.random() if sticky_key is None else share_of_key(sticky_key)
+    fraction = randomness.random() if sticky_key is None else hash_fraction(sticky_key)
     remaining_weight = fraction * sum(share.weight for share in shares)
     chosen = shares[-1]
     for share in shares:
--- a/tests/dataplane/test_affinity.py
+++ b/tests/dataplane/test_affinity.py
@@ -3,7 +3,7 @@
 import pytest
 from dataplane.peers import request
 
-from dewpin.dataplane.routing.affinity import share_of_key, sticky_key
+from dewpin.dataplane.routing.affinity import hash_fraction, sticky_key
 
 
 @pytest.mark.parametrize(
@@ -41,6 +41,6 @@
     assert sticky_key(request(*fields)) == key
 
 
-def test_share_of_key_is_deterministic():
-    assert share_of_key("session") == share_of_key("session")
-    assert 0 <= share_of_key("session") < 1
+def test_hash_fraction_is_deterministic():
+    assert hash_fraction("session") == hash_fraction("session")
+    assert 0 <= hash_fraction("session") < 1
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -85,7 +85,7 @@
 from dewpin.dataplane.programs.errors import BudgetExceededError, StoreUnavailableError, TurnNotFoundError
 from dewpin.dataplane.programs.program_store import Settlement, Turn
 from dewpin.dataplane.programs.store_client import StoreClient
-from dewpin.dataplane.routing.affinity import share_of_key
+from dewpin.dataplane.routing.affinity import hash_fraction
 from dewpin.dataplane.routing.request_handler import RequestHandler
 
 Json = dict[str, Any]
@@ -982,7 +982,7 @@
     return {
         "spread": {key: sorted(replicas(key, members, 3, locations)) for key in keys},
         "no_locations": {key: sorted(replicas(key, members, 5)) for key in keys},
-        "shares": {key: share_of_key(key) for key in keys},
+        "shares": {key: hash_fraction(key) for key in keys},
     }
 
 
