--- a/dewpin/dataplane/routing/event_relay.py
+++ b/dewpin/dataplane/routing/event_relay.py
@@ -20,7 +20,7 @@
     """The body of a receiver's response, read incrementally."""
 
     @property
-    def ends_by_close(self) -> bool:
+    def is_close_delimited(self) -> bool:
         """Return whether only the end of the connection delimits the body (RFC 9112, 6.3)."""
 
     def read_next(self) -> bytes:
@@ -128,7 +128,7 @@
         """
         self._source = None
         remaining = self._splitter.flush()
-        if remaining and source.ends_by_close:
+        if remaining and source.is_close_delimited:
             raise IncompleteResponseError(Outcome.CLOSED)
         return b"".join([self._forward(event) for event in remaining])
 
--- a/dewpin/dataplane/upstream/response_stream.py
+++ b/dewpin/dataplane/upstream/response_stream.py
@@ -35,7 +35,7 @@
         self._is_open = True
 
     @property
-    def ends_by_close(self) -> bool:
+    def is_close_delimited(self) -> bool:
         """Return whether nothing but the end of the connection marks the end of the body."""
         return self._framing.end is BodyEnd.CLOSE
 
--- a/tests/dataplane/test_event_relay.py
+++ b/tests/dataplane/test_event_relay.py
@@ -12,10 +12,10 @@
 class ScriptedSource:
     """The body of a receiver's response: parts, then the proper end or an error."""
 
-    def __init__(self, *parts, cut=None, ends_by_close=False):
+    def __init__(self, *parts, cut=None, is_close_delimited=False):
         self._parts = list(parts)
         self._cut = cut
-        self.ends_by_close = ends_by_close
+        self.is_close_delimited = is_close_delimited
         self.closed = False
 
     def read_next(self):
@@ -191,11 +191,14 @@
 
 def test_connection_closed_within_event_breaks_stream():
     cut_in_event = event(1) + event(2)[:-3]
-    assert forwarded(relay(ScriptedSource(cut_in_event, ends_by_close=True))) == ([event(1)], True)
-    resumed = Resumptions(ScriptedSource(event(2)))
-    assert forwarded(relay(ScriptedSource(cut_in_event, ends_by_close=True), resumed)) == ([event(1), event(2)], False)
-    assert resumed.asked == [("1", Outcome.CLOSED)]
+    assert forwarded(relay(ScriptedSource(cut_in_event, is_close_delimited=True))) == ([event(1)], True)
+    resume = Resumptions(ScriptedSource(event(2)))
+    assert forwarded(relay(ScriptedSource(cut_in_event, is_close_delimited=True), resume)) == (
+        [event(1), event(2)],
+        False,
+    )
+    assert resume.asked == [("1", Outcome.CLOSED)]
 
 
 def test_connection_closed_after_event_ends_unframed_stream():
-    assert forwarded(relay(ScriptedSource(event(1), ends_by_close=True))) == ([event(1)], False)
+    assert forwarded(relay(ScriptedSource(event(1), is_close_delimited=True))) == ([event(1)], False)
