--- a/dewpin/dataplane/http11/__init__.py
+++ b/dewpin/dataplane/http11/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 messages of clients and receivers: parsing, formatting and event streams, free of I/O."""
+"""HTTP/1.1 messages and server-sent events: parsing and formatting, without I/O."""
--- a/dewpin/dataplane/http11/event_splitter.py
+++ b/dewpin/dataplane/http11/event_splitter.py
@@ -1,7 +1,7 @@
-"""Server-sent events: splits the bytes of a stream into complete events (WHATWG HTML, section 9.2.6).
+"""Splits a byte stream into complete server-sent events (WHATWG HTML, section 9.2.6).
 
-An event ends with an empty line; a line ends with LF or CRLF. The bytes of an event are kept as they were received.
-Only the fields `id` and `data` are parsed; all other fields (`versions`, `event`, comments) are forwarded unread.
+An event ends with an empty line; a line ends with LF or CRLF. The bytes of an event are preserved as received. Only the
+fields `id` and `data` are parsed; all others (`versions`, `event`, comments) are passed through.
 """
 
 import re
@@ -15,9 +15,9 @@
     """One complete event.
 
     Attributes:
-        raw: its bytes, with the empty line at the end.
-        id: its id, None if it has none.
-        data: its `data` lines, joined by LF; None if it has none.
+        raw: the bytes of the event, including the empty line at the end.
+        id: the value of its `id` field; None if absent.
+        data: the values of its `data` fields, joined by LF; None if absent.
     """
 
     raw: bytes
@@ -26,13 +26,13 @@
 
 
 class EventSplitter:
-    """Buffers the bytes of a stream until they make complete events."""
+    """Buffers the bytes of a stream until an event is complete."""
 
     def __init__(self) -> None:
         self._pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Buffer the next bytes and return the events that are complete now."""
+        """Buffer the next bytes and return the events that they complete."""
         self._pending += data
         events = []
         start = 0
@@ -43,12 +43,12 @@
         return events
 
     def flush(self) -> list[Event]:
-        """Return what is pending as an event, at the end of a complete body, which also ends an event."""
+        """Return the pending bytes as an event: the end of a complete body also ends an event."""
         pending, self._pending = self._pending, b""
         return [parse_event(pending)] if pending else []
 
     def discard_pending(self) -> None:
-        """Discard the bytes of an event that will not be completed."""
+        """Discard the bytes of an incomplete event."""
         self._pending = b""
 
 
--- a/dewpin/dataplane/http11/messages.py
+++ b/dewpin/dataplane/http11/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as the data plane handles them, apart from any connection."""
+"""Requests and responses of the data plane, independent of any connection."""
 
 from collections.abc import Iterable, Iterator, Sequence, Set
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 from dewpin.cluster.errors import ERROR_RESPONSES, ErrorKind
 from dewpin.dataplane.errors import DataplaneError
 
-# Names of header fields, in lower case, as `Headers` looks them up.
+# Header field names, in lower case for lookups in `Headers`.
 REQUEST_ID = "x-dewpin-request-id"
 REQUEST_DEADLINE = "x-dewpin-request-deadline"
 TARGET_INSTANCE = "x-dewpin-target-instance"
@@ -19,7 +19,7 @@
 PRIORITY = "priority"
 PROMPT_PREFIX = "x-dewpin-prompt-prefix"
 AFFINITY = "x-dewpin-session-affinity"
-"""Header or cookie that requests about the same object have in common."""
+"""Name of the header field or cookie whose value is shared by requests for the same object."""
 
 CONNECTION_HEADERS = frozenset(
     {
@@ -35,13 +35,13 @@
         "upgrade",
     }
 )
-"""Fields, in lower case, that apply to one connection only and are not forwarded (RFC 9110, 7.6.1)."""
+"""Hop-by-hop header fields, in lower case, which are not forwarded (RFC 9110, 7.6.1)."""
 
 HeaderField = tuple[str, str]
 
 
 class Headers:
-    """Header fields in their order; names are looked up in lower case (field names are case-insensitive)."""
+    """Header fields in their original order; lookups take lower-case names, since field names are case-insensitive."""
 
     __slots__ = ("_values", "fields")
 
@@ -52,25 +52,25 @@
             self._values.setdefault(name.lower(), []).append(value)
 
     def get(self, name: str) -> str | None:
-        """Return the first value of a field whose name is given in lower case."""
+        """Return the first value of the field with this lower-case name, or None."""
         values = self._values.get(name)
         return values[0] if values else None
 
     def get_all(self, name: str) -> Sequence[str]:
-        """Return every value of a field whose name is given in lower case."""
+        """Return all values of the field with this lower-case name."""
         return self._values.get(name, ())
 
     def tokens(self, name: str) -> set[str]:
-        """Return the comma-separated members of a field's values, in lower case."""
+        """Return the comma-separated members of a field's values, converted to lower case."""
         return {token.strip().lower() for value in self.get_all(name) for token in value.split(",") if token.strip()}
 
     @property
     def has_body_framing(self) -> bool:
-        """Return whether the fields say how the body ends, even if only that it is empty (RFC 9112, 6)."""
+        """Return whether a field declares the body's framing, even that of an empty body (RFC 9112, 6)."""
         return "content-length" in self._values or "transfer-encoding" in self._values
 
     def end_to_end(self, excluded: Set[str] = frozenset()) -> list[HeaderField]:
-        """Return the fields that are forwarded: neither those of the connection nor those in `excluded`."""
+        """Return the end-to-end fields, without hop-by-hop fields and those in `excluded`."""
         dropped = excluded | self.tokens("connection") | CONNECTION_HEADERS
         return [(name, value) for name, value in self.fields if name.lower() not in dropped]
 
@@ -78,12 +78,12 @@
 class Client(Protocol):
     """The connection to a client, watched while its request is in progress.
 
-    A client that half-closed its connection counts as disconnected, even if bytes of it remain to be read: it cannot be
-    told apart from a client that closed the connection. It gets a response all the same, in case it still reads.
+    A client that half-closed its connection counts as disconnected, even if it has sent bytes that remain unread: it is
+    indistinguishable from a client that closed the connection. It still gets a response, in case it reads on.
     """
 
     def fileno(self) -> int:
-        """Return the descriptor to poll for POLLRDHUP."""
+        """Return the file descriptor to poll for POLLRDHUP."""
 
     def has_disconnected(self) -> bool:
         """Return, without blocking, whether the client has closed the connection or its sending side."""
@@ -94,12 +94,12 @@
     """A complete request.
 
     Attributes:
-        method: the method.
-        target: the request target as it was received.
+        method: the request method.
+        target: the request target as received.
         headers: the header fields.
         body: the body, without transfer coding.
-        received_at: when its first byte was received, in seconds of the monotonic clock.
-        client: the connection that it was received on.
+        received_at: when the first byte was received, in seconds of the monotonic clock.
+        client: the connection on which the request was received.
     """
 
     method: str
@@ -122,16 +122,16 @@
         """Return the bytes in order; raises IncompleteBodyError if the body cannot be completed."""
 
     def close(self) -> None:
-        """Abandon the rest; may be called at any time and more than once."""
+        """Stop reading and discard the rest; may be called at any time and is idempotent."""
 
 
 class IncompleteBodyError(DataplaneError):
-    """A body ended before it was complete; the client must be able to detect that."""
+    """A body ended before it was complete; the client must be able to detect this."""
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A response to a client. `body` is complete, or a stream of which the receiver of this object is the owner."""
+    """A response to a client. `body` is complete, or a stream that the owner of the response must close."""
 
     status: int
     headers: Sequence[HeaderField] = field(default=())
@@ -140,7 +140,7 @@
 
 
 def error_response(kind: ErrorKind, detail: str = "", retry_after_s: float | None = None) -> Response:
-    """Return the response that the sender itself gives to an error; `retry_after_s` becomes `Retry-After`."""
+    """Create the sender's own response to an error; `retry_after_s` becomes `Retry-After`."""
     status = ERROR_RESPONSES[kind].status
     headers: list[HeaderField] = [("Content-Type", "text/plain; charset=utf-8")]
     if retry_after_s is not None:
@@ -150,7 +150,7 @@
 
 
 def reason_phrase(status: int) -> str:
-    """Return the standard reason phrase of a status, or an empty one for an unknown status."""
+    """Return the standard reason phrase of a status, or "" for an unknown status."""
     try:
         return HTTPStatus(status).phrase
     except ValueError:
--- a/dewpin/dataplane/http11/response_format.py
+++ b/dewpin/dataplane/http11/response_format.py
@@ -1,15 +1,15 @@
-"""The bytes of responses to clients (RFC 9112)."""
+"""Serializes responses to clients (RFC 9112)."""
 
 from collections.abc import Iterable
 
 from dewpin.dataplane.http11.messages import HeaderField, Response, reason_phrase
 
 NO_BODY_STATUSES = frozenset({204, 304})
-"""Responses with these statuses have neither a body nor `Content-Length` (RFC 9110, 8.6)."""
+"""Statuses of responses with neither a body nor `Content-Length` (RFC 9110, 8.6)."""
 
 
 def format_response(response: Response, body: bytes, is_closing: bool, omit_body: bool) -> bytes:
-    """Return the bytes of a response with a complete body; `omit_body` is set for the response to a HEAD request."""
+    """Serialize a response with a complete body; `omit_body` is set for a response to a HEAD request."""
     if omit_body or response.status in NO_BODY_STATUSES:
         return format_response_head(response, is_closing, [])
     headers = [field for field in response.headers if field[0].lower() != "content-length"]
@@ -18,7 +18,7 @@
 
 
 def format_response_head(response: Response, is_closing: bool, framing: Iterable[HeaderField]) -> bytes:
-    """Return the bytes of a response's head with the given framing fields."""
+    """Serialize the head of a response with the given framing fields."""
     reason = response.reason or reason_phrase(response.status)
     lines = [f"HTTP/1.1 {response.status} {reason}"]
     lines.extend(f"{name}: {value}" for name, value in response.headers)
@@ -29,5 +29,5 @@
 
 
 def format_chunk(data: bytes) -> bytes:
-    """Return one chunk of the chunked transfer coding (RFC 9112, 7.1)."""
+    """Encode one chunk of the chunked transfer coding (RFC 9112, 7.1)."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/dewpin/dataplane/ingress/__init__.py
+++ b/dewpin/dataplane/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP server for clients, and the readiness endpoint for the platform."""
+"""The HTTP server for clients and the readiness endpoint for the platform."""
--- a/dewpin/dataplane/ingress/client_connection.py
+++ b/dewpin/dataplane/ingress/client_connection.py
@@ -1,4 +1,4 @@
-"""The connection to a client: reading and writing with deadlines on a non-blocking socket."""
+"""The connection to a client: buffered reads and writes with deadlines on a non-blocking socket."""
 
 import select
 import socket
@@ -10,7 +10,7 @@
 RECEIVE_BYTES = 65536
 LINGER_S = 1.0
 MAX_LINGER_BYTES = 4 * 1024 * 1024
-"""How long, and how much, is read from a client after the last response, so that it can read that response."""
+"""Bounds of the time and the bytes read from a client after the last response, so that it can receive that response."""
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -19,27 +19,27 @@
 
 
 class MessageTooLargeError(DataplaneError, ValueError):
-    """What a client sends exceeds a limit."""
+    """A message from a client exceeds a size limit."""
 
 
 class ClientConnection:
-    """A connection that buffers what was received beyond the bytes that were asked for.
+    """A connection that buffers the bytes received beyond those requested.
 
     Deadlines are times of the clock, in seconds. The `read` methods raise ClientDisconnectedError if the client has
     closed the connection, and TimeoutError at the deadline.
     """
 
     def __init__(self, sock: socket.socket, wakeup_fd: int, clock: Callable[[], float]) -> None:
-        """Take over a connected socket; `wait_for_request` ends once the descriptor `wakeup_fd` is readable."""
+        """Take ownership of a connected socket; `wait_for_request` ends once the descriptor `wakeup_fd` is readable."""
         self._socket = sock
         self._wakeup_fd = wakeup_fd
         self._clock = clock
         self._buffer = bytearray()
-        self._is_at_end = False
+        self._is_eof = False
         sock.setblocking(False)
 
     def fileno(self) -> int:
-        """Return the socket's descriptor."""
+        """Return the file descriptor of the socket."""
         return self._socket.fileno()
 
     def has_disconnected(self) -> bool:
@@ -49,14 +49,14 @@
         return bool(poller.poll(0))
 
     def wait_for_request(self, idle_timeout_s: Callable[[], float]) -> bool:
-        """Wait for the first byte of a request; return False after the time-out, or once woken up.
+        """Wait for the first byte of a request; return False on time-out, wake-up or end of the connection.
 
         `idle_timeout_s` is called again after each wait, since the operator may change the time-out meanwhile.
         """
         idle_since = self._clock()
         while not self._buffer:
             left_s = idle_since + idle_timeout_s() - self._clock()
-            if self._is_at_end or left_s <= 0:
+            if self._is_eof or left_s <= 0:
                 return False
             poller = select.poll()
             poller.register(self._socket, select.POLLIN)
@@ -69,7 +69,7 @@
         return True
 
     def read_until(self, delimiter: bytes, limit: int, deadline: float) -> bytes:
-        """Return the bytes up to `delimiter`, which is dropped; raises MessageTooLargeError beyond `limit` bytes."""
+        """Return the bytes before `delimiter` and consume both; raises MessageTooLargeError beyond `limit` bytes."""
         searched = 0
         while True:
             end = self._buffer.find(delimiter, searched)
@@ -83,7 +83,7 @@
             self._receive_by(deadline)
 
     def read_exactly(self, length: int, deadline: float) -> bytes:
-        """Return the next `length` bytes."""
+        """Return exactly the next `length` bytes."""
         while len(self._buffer) < length:
             self._receive_by(deadline)
         data = bytes(self._buffer[:length])
@@ -92,16 +92,16 @@
 
     @property
     def has_buffered_bytes(self) -> bool:
-        """Return whether bytes were received that were not read yet."""
+        """Return whether received bytes remain unread."""
         return bool(self._buffer)
 
     def skip_empty_lines(self) -> None:
-        """Drop empty lines before a request (RFC 9112, 2.2), which some clients send after a body."""
+        """Skip empty lines before a request (RFC 9112, 2.2), which some clients send after a body."""
         while self._buffer.startswith(b"\r\n"):
             del self._buffer[:2]
 
     def send_all(self, data: bytes, deadline: float) -> None:
-        """Send every byte; raises TimeoutError at the deadline and OSError if the connection is broken."""
+        """Send all bytes; raises TimeoutError at the deadline and OSError if the connection is broken."""
         view = memoryview(data)
         while view:
             try:
@@ -110,18 +110,18 @@
                 self._wait(select.POLLOUT, deadline)
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
         self._socket.close()
 
     def reset(self) -> None:
-        """Reset the connection, so that the client cannot take an incomplete response for a complete one."""
+        """Reset the connection, so that the client cannot mistake an incomplete response for a complete one."""
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self._socket.close()
 
     def close_lingering(self) -> None:
-        """Close the sending side, then read for a while before closing, so that the client can read what was sent.
+        """Shut down the sending side and discard input for a limited time, so that the client can read the response.
 
-        Closing with unread bytes would reset the connection (RFC 9112, 9.6).
+        Closing a socket with unread bytes would reset the connection (RFC 9112, 9.6).
         """
         deadline = self._clock() + LINGER_S
         try:
@@ -136,19 +136,19 @@
         self.close()
 
     def _receive_by(self, deadline: float) -> None:
-        """Receive some bytes; raises ClientDisconnectedError at the end and TimeoutError at the deadline."""
+        """Receive some bytes; raises ClientDisconnectedError at end of input and TimeoutError at the deadline."""
         while not self._receive():
-            if self._is_at_end:
+            if self._is_eof:
                 raise ClientDisconnectedError
             self._wait(select.POLLIN, deadline)
 
     def _receive(self) -> bool:
-        """Receive what is available; return False if nothing is."""
+        """Receive the available bytes without blocking; return False if there are none."""
         try:
             received = self._socket.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return False
-        self._is_at_end = not received
+        self._is_eof = not received
         self._buffer += received
         return bool(received)
 
--- a/dewpin/dataplane/ingress/connection_acceptor.py
+++ b/dewpin/dataplane/ingress/connection_acceptor.py
@@ -1,6 +1,6 @@
-"""Accepts the connections of clients and has each served on a thread of its own.
+"""Accepts client connections and serves each on a worker thread.
 
-Of `socketserver` only the accept loop is used: its request handlers are replaced by `connection_handler`.
+Only the accept loop of `socketserver` is used; `connection_handler` replaces its request handlers.
 """
 
 import logging
@@ -19,10 +19,10 @@
 
 
 class ConnectionAcceptor(TCPServer):
-    """A listening socket; `serve_forever` accepts its connections until `shutdown`.
+    """A listening socket; `serve_forever` accepts connections until `shutdown`.
 
-    Of each connection `try_admit` is called first, which may reject it by returning False, then `serve` on a worker
-    thread, which has to close the socket, and at last `on_closed`.
+    For each connection, `try_admit` is called first and may reject it by returning False. Then `serve` is called on a
+    worker thread and must close the socket. Finally `on_closed` is called.
     """
 
     request_queue_size = LISTEN_BACKLOG
@@ -43,20 +43,20 @@
         super().__init__(address, BaseRequestHandler)
 
     def accept_pending(self) -> None:
-        """Serve the connections that are established but not accepted yet, once `serve_forever` has ended."""
+        """Serve the connections left in the listen backlog after `serve_forever` has returned."""
         self.timeout = 0
         self._has_accepted_all = False
         while not self._has_accepted_all:
             self.handle_request()
 
     def server_bind(self) -> None:
-        """Bind without looking up the name of the host."""
+        """Bind without resolving the host name."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(self.server_address)
         self.server_address = self.socket.getsockname()
 
     def get_request(self) -> tuple[socket.socket, Any]:
-        """Accept a connection; pause after an error, which would recur at once while descriptors have run out."""
+        """Accept a connection; pause after an error, since one for lack of file descriptors would recur immediately."""
         try:
             accepted, address = self.socket.accept()
         except OSError:
@@ -70,7 +70,7 @@
         self._has_accepted_all = True
 
     def verify_request(self, request: Any, client_address: Any) -> bool:
-        """Return whether a connection may be served."""
+        """Return whether the connection is admitted."""
         return self._try_admit()
 
     def process_request(self, request: Any, client_address: Any) -> None:
@@ -82,8 +82,8 @@
             raise
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Log why a connection could not be served."""
-        log.exception("a connection could not be served")
+        """Log the exception that prevented a connection from being served."""
+        log.exception("failed to serve an accepted connection")
 
     def _serve_admitted(self, sock: socket.socket) -> None:
         try:
--- a/dewpin/dataplane/ingress/connection_handler.py
+++ b/dewpin/dataplane/ingress/connection_handler.py
@@ -1,4 +1,4 @@
-"""Serves one connection of a client: reads its requests one after the other and writes their responses."""
+"""Serves one client connection: reads requests sequentially and writes the responses."""
 
 import logging
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 log = logging.getLogger(__name__)
 
 IDLE_TIMEOUT_FACTOR = 1.1
-"""An idle connection is kept a little longer than the operator's limit says."""
+"""Idle connections are kept slightly longer than the configured idle time-out."""
 WRITE_TIMEOUT_S = 10.0
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -25,8 +25,8 @@
 class ConnectionHandler:
     """Serves the requests of one connection.
 
-    A response is the last one of its connection if the client wants that, if the server is draining or if only the end
-    of the connection can mark the end of the body.
+    The connection is closed after a response if the client requests it, if the server is draining, or if only the end
+    of the connection can delimit the body.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._reader = RequestReader(connection, clock)
 
     def serve(self) -> None:
-        """Serve requests until the connection is closed; raises OSError and IncompleteBodyError if it breaks."""
+        """Serve requests until the connection is closed; raises OSError and IncompleteBodyError on failure."""
         while self._connection.wait_for_request(self._idle_timeout_s):
             self._connection.skip_empty_lines()
             if not self._connection.has_buffered_bytes:
@@ -65,14 +65,14 @@
         try:
             return self._handle_request(request)
         except Exception:
-            log.exception("a request could not be handled")
+            log.exception("unhandled exception in the request handler")
             return error_response(ErrorKind.INTERNAL)
 
     def _idle_timeout_s(self) -> float:
         return limits_of(self._state.configuration).idle_timeout_ms / 1000 * IDLE_TIMEOUT_FACTOR
 
     def _write_final_error(self, kind: ErrorKind) -> None:
-        """Write the response to an error as the last one of the connection."""
+        """Write an error response with `Connection: close`."""
         response = error_response(kind)
         self._send(format_response(response, cast(bytes, response.body), is_closing=True, omit_body=False))
 
@@ -91,8 +91,9 @@
     def _write_stream(self, head: RequestHead, response: Response, body: BodyStream, is_closing: bool) -> bool:
         """Write a body as it arrives; return whether the connection must be closed.
 
-        If the body breaks off, the client gets an error if nothing was sent yet. Otherwise it does not get the last
-        chunk or, where no chunk marks the end, the connection is reset (RFC 9112, 8); IncompleteBodyError is raised.
+        If the body is incomplete, the client gets an error response if nothing was sent yet. Otherwise
+        IncompleteBodyError is raised: the last chunk is omitted or, without chunked transfer coding, the connection is
+        reset, so that the client detects the incomplete response (RFC 9112, 8).
         """
         is_chunked = not head.is_http_1_0
         is_closing = is_closing or not is_chunked
--- a/dewpin/dataplane/ingress/readiness.py
+++ b/dewpin/dataplane/ingress/readiness.py
@@ -1,4 +1,4 @@
-"""The readiness endpoint: the platform asks it whether clients may be sent to this sender."""
+"""The readiness endpoint, which the platform polls to decide whether to direct clients to this sender."""
 
 import logging
 import socket
@@ -15,7 +15,7 @@
 
 
 class ReadinessServer:
-    """Responds to GET `/dewpin/ready` with 200 while clients may be sent here, else with 503."""
+    """Responds to GET `/dewpin/ready` with 200 while the sender is ready, otherwise with 503."""
 
     PATH = "/dewpin/ready"
 
@@ -69,7 +69,7 @@
     block_on_close = False
 
     def server_bind(self) -> None:
-        """Bind without looking up the name of the host."""
+        """Bind without resolving the host name."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(self.server_address)
         self.server_address = self.socket.getsockname()
--- a/dewpin/dataplane/ingress/request_reader.py
+++ b/dewpin/dataplane/ingress/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one connection, within the operator's limits and the time that each request is allowed."""
+"""Reads the requests of a connection within the configured size limits and time-outs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 from dewpin.dataplane.routing.request_timeout import request_timeout_s
 
 BODY_TIMEOUT_S = 10.0
-"""How long a body may take to arrive if no route says otherwise."""
+"""Maximum time until a body is received; a route may set a shorter one."""
 MAX_CHUNK_LINE_BYTES = 256
 
 _DEFAULT_LIMITS = Limits(
@@ -28,21 +28,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """A request and its head, which says whether the connection may be kept."""
+    """A request and its head, which determines whether the connection is kept."""
 
     head: RequestHead
     request: Request
 
 
 class RequestReader:
-    """Reads requests one after the other. Times are the clock's, in seconds."""
+    """Reads requests sequentially. Times are those of the clock, in seconds."""
 
     def __init__(self, connection: ClientConnection, clock: Callable[[], float]) -> None:
         self._connection = connection
         self._clock = clock
 
     def read(self, configuration: Configuration | None) -> ReceivedRequest | ErrorKind:
-        """Return the next request, or the error to respond with; raises ClientDisconnectedError and OSError."""
+        """Read the next request; return it or the error to respond with; raises ClientDisconnectedError and OSError."""
         limits = limits_of(configuration)
         received_at = self._clock()
         head_deadline = received_at + limits.header_timeout_ms / 1000
@@ -77,7 +77,7 @@
         return self._read_chunked_body(limits, deadline)
 
     def _read_chunked_body(self, limits: Limits, deadline: float) -> bytes:
-        """Read a body with the chunked transfer coding (RFC 9112, 7.1); its trailers are dropped."""
+        """Read a body with the chunked transfer coding (RFC 9112, 7.1); trailers are discarded."""
         body = bytearray()
         while True:
             size = parse_chunk_size(self._connection.read_until(b"\r\n", MAX_CHUNK_LINE_BYTES, deadline))
@@ -87,19 +87,19 @@
                 raise MessageTooLargeError
             body += self._connection.read_exactly(size, deadline)
             if self._connection.read_exactly(2, deadline) != b"\r\n":
-                raise MalformedMessageError("a chunk does not end where it should")
+                raise MalformedMessageError("chunk data does not end with CRLF")
         while self._connection.read_until(b"\r\n", limits.max_header_bytes, deadline):
             pass
         return bytes(body)
 
 
 def limits_of(configuration: Configuration | None) -> Limits:
-    """Return the limits in force."""
+    """Return the configured limits, or the default limits before the first configuration."""
     return configuration.limits if configuration is not None else _DEFAULT_LIMITS
 
 
 def body_timeout_s(head: RequestHead, configuration: Configuration | None) -> float:
-    """Return how long after its first byte a request may go on arriving: no longer than its own time-out."""
+    """Return the time allowed to receive a request, from its first byte: at most the request's own time-out."""
     if configuration is None or head.content_length == 0:
         return BODY_TIMEOUT_S
     route = configuration.route_for(head.headers.get("host") or "", head.target)
@@ -108,5 +108,5 @@
     try:
         return min(BODY_TIMEOUT_S, request_timeout_s(head.headers, route))
     except TierError:
-        # An invalid time-out is reported by the request handler, once the request is complete.
+        # The request handler reports an invalid time-out once the request is complete.
         return BODY_TIMEOUT_S
--- a/dewpin/dataplane/ingress/server.py
+++ b/dewpin/dataplane/ingress/server.py
@@ -1,7 +1,8 @@
-"""The HTTP/1.1 server for clients: one thread per connection, bounded in number, with graceful shutdown.
+"""The HTTP/1.1 server for clients: one thread per connection, a connection limit and graceful shutdown.
 
-`connection_acceptor` accepts connections, `connection_handler` serves one. Requests are read by `request_reader` rather
-than by `http.server`, which neither bounds a head by the operator's limits nor rejects ambiguous requests.
+`connection_acceptor` accepts connections and `connection_handler` serves each one. Requests are read by
+`request_reader` instead of `http.server`, which neither enforces the configured head size limit nor rejects ambiguous
+requests.
 """
 
 import logging
@@ -28,8 +29,8 @@
     """Serves clients at one address.
 
     Attributes:
-        is_draining: whether each response closes its connection.
-        is_stopped: whether connections are no longer accepted and idle ones are closed.
+        is_draining: whether every response closes its connection.
+        is_stopped: whether new connections are refused and idle ones are closed.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         self._accept_poll_s = accept_poll_s
         self._max_connections = max_connections
         self._acceptor: ConnectionAcceptor | None = None
-        # Closing the write end wakes all connections that wait for a request.
+        # Closing the write end of this pipe wakes all connections that wait for a request.
         self._wakeup_read_fd, self._wakeup_write_fd = os.pipe()
         self._connection_count_changed = threading.Condition()
         self._connection_count = 0
@@ -79,10 +80,10 @@
         self.is_draining = True
 
     def stop(self, drain_s: float, accept_s: float = 0.0) -> bool:
-        """Drain and stop; return whether all requests ended in time.
+        """Drain and stop the server; return whether all connections ended in time.
 
-        New connections are accepted for `accept_s` more; then idle connections are closed, and requests in progress
-        have until `drain_s` after the call.
+        New connections are accepted for another `accept_s` seconds; then idle connections are closed. Requests in
+        progress may complete until `drain_s` seconds after the call.
         """
         drain_deadline = self._clock() + drain_s
         self.begin_drain()
@@ -100,7 +101,7 @@
             )
 
     def _try_admit(self) -> bool:
-        """Count a new connection; return False if there are too many."""
+        """Count a new connection; return False if the maximum is reached."""
         with self._connection_count_changed:
             if self._connection_count >= self._max_connections:
                 return False
@@ -121,5 +122,5 @@
         except (OSError, IncompleteBodyError):
             connection.close()
         except Exception:
-            log.exception("a connection ended with an error")
+            log.exception("unhandled exception while serving a connection")
             connection.close()
--- a/dewpin/dataplane/ingress/worker_threads.py
+++ b/dewpin/dataplane/ingress/worker_threads.py
@@ -1,6 +1,6 @@
-"""Threads that each serve one connection at a time and are kept for a while afterwards.
+"""A pool of threads that each serve one connection at a time and are reused.
 
-Starting a thread costs about as much as serving a request, and many clients open a connection for each request.
+Starting a thread costs about as much as serving a request, and many clients open a new connection for each request.
 """
 
 import queue
@@ -9,14 +9,14 @@
 from collections.abc import Callable
 
 IDLE_TIMEOUT_S = 5.0
-"""How long a thread without work is kept."""
+"""Time after which an idle thread ends."""
 
 
 class WorkerThreads:
-    """A thread pool without an upper bound.
+    """A thread pool without a size limit.
 
-    `serve` is called on a thread for each socket and must not raise. `_idle_count` is the number of threads that wait
-    for a socket, less the sockets that were submitted to them already.
+    `serve` is called on a thread for each socket and must not raise. `_idle_count` is the number of threads waiting for
+    a socket, minus the number of submitted sockets that they have not taken yet.
     """
 
     def __init__(self, serve: Callable[[socket.socket], None], idle_timeout_s: float = IDLE_TIMEOUT_S) -> None:
@@ -27,7 +27,7 @@
         self._idle_count = 0
 
     def submit(self, sock: socket.socket) -> None:
-        """Serve a socket on an idle thread or a new one; raises RuntimeError if no thread can be started."""
+        """Serve a socket on an idle or new thread; raises RuntimeError if no thread can be started."""
         with self._lock:
             if self._idle_count > 0:
                 self._idle_count -= 1
@@ -44,13 +44,13 @@
             sock = self._next_socket()
 
     def _next_socket(self) -> socket.socket | None:
-        """Return the next socket, or None if this thread has been idle for too long."""
+        """Return the next socket, or None after the idle time-out."""
         try:
             return self._submitted.get(timeout=self._idle_timeout_s)
         except queue.Empty:
             pass
         with self._lock:
-            # A socket may have been submitted to this thread after the time-out.
+            # A socket may have been submitted between the time-out and acquiring the lock.
             try:
                 return self._submitted.get_nowait()
             except queue.Empty:
--- a/dewpin/dataplane/load_balancing/receiver_load.py
+++ b/dewpin/dataplane/load_balancing/receiver_load.py
@@ -17,7 +17,7 @@
 CALL_TIME_WEIGHT = 0.2
 """Weight of the newest measurement in the moving averages of times."""
 MIN_CALL_TIME_RISE = 0.02
-"""Weight of a measurement above `min_call_time_s`; a measurement below replaces it at once."""
+"""Weight of a measurement above `min_call_time_s`; a measurement below replaces it immediately."""
 ERROR_WEIGHT = 0.1
 """Weight of the newest call in the error rate."""
 ERROR_HALF_LIFE_S = 5.0
--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -5,9 +5,9 @@
 
 * A receiver has a free slot if its estimated load is below its capacity plus the queue length that the request's
   latency target allows, and if this sender has not used up its share of the receiver's connections.
-* A request with a sticky key goes to the receiver that rendezvous hashing (highest random weight) ranks first and that
-  is healthy and not too loaded. Any other request goes to the receiver with the lowest cost: load relative to
-  capacity, with penalties for errors, for another zone and for not responding.
+* A request with a sticky key goes to the highest-ranked receiver by rendezvous hashing (highest random weight) that is
+  healthy and not too loaded. Otherwise a request goes to the receiver with the lowest cost: load relative to capacity,
+  with penalties for errors, for another zone and for not responding.
 * A request that finds no free slot may be queued. A free slot goes to the route whose last slot was granted earliest;
   each step of a lower priority number counts as `PRIORITY_STEP_S` of additional waiting time.
 
--- a/dewpin/dataplane/upstream/__init__.py
+++ b/dewpin/dataplane/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to receivers over HTTP/1.1, and the connections that carry them."""
+"""Calls to receivers over HTTP/1.1, with connection pooling."""
--- a/dewpin/dataplane/upstream/call.py
+++ b/dewpin/dataplane/upstream/call.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiverResponse:
-    """The response of a receiver; `body` is complete, or empty if a stream carries it."""
+    """The response of a receiver; `body` is complete, or empty if the body is streamed."""
 
     status: int
     reason: str
@@ -22,20 +22,20 @@
 
     @property
     def is_forwardable(self) -> bool:
-        """Return whether this is the receiver's own response and makes no promise without proof."""
+        """Return whether the response is signed and its status does not claim that the request was not executed."""
         return self.is_signed and self.status not in NOT_RUN_STATUSES
 
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """How one call ended.
+    """The result of one call.
 
     Attributes:
-        outcome: how it ended.
+        outcome: how the call ended.
         response: the response, if a valid one was received.
-        stream: the rest of the body, if the call is a success whose body is still arriving; it has to be closed.
+        stream: the rest of the body, if the call succeeded and its body is still arriving; the caller must close it.
         load: the load that the receiver reported.
-        retry_after_s: the wait that the receiver asked for.
+        retry_after_s: the delay that the receiver requested.
         is_misdirected: the receiver responded with 421 (Misdirected Request).
     """
 
@@ -53,11 +53,11 @@
 
     Attributes:
         request: the client's request.
-        deadline: when the call has to be over, in seconds of the monotonic clock.
-        is_idempotent: whether the request may run more than once.
+        deadline: time by which the call must end, in seconds of the monotonic clock.
+        is_idempotent: whether the request may be executed more than once.
         is_streaming: whether the body of a successful response is returned as a stream.
-        body: replaces the body of the request.
-        replaced_headers: replace the fields of the same names.
+        body: replaces the body of the request, if given.
+        replaced_headers: header fields that replace those of the same names.
     """
 
     request: Request
@@ -69,16 +69,16 @@
 
     @property
     def watched_client(self) -> Client | None:
-        """Return the client whose disconnection ends the call; None if the call should go on to its response."""
+        """Return the client whose disconnect aborts the call; None if the call must run to completion."""
         return self.request.client if self.is_streaming or self.is_idempotent else None
 
     @property
     def has_client_disconnected(self) -> bool:
-        """Return whether the client has disconnected, so that nothing may be sent for it any more."""
+        """Return whether the client has disconnected, in which case nothing may be sent for it."""
         client = self.request.client
         return client is not None and client.has_disconnected()
 
     @property
     def request_id(self) -> str:
-        """Return the request id, which the response has to repeat."""
+        """Return the request id, which the response must repeat."""
         return self.request.headers.get(REQUEST_ID) or ""
--- a/dewpin/dataplane/upstream/connection_pool.py
+++ b/dewpin/dataplane/upstream/connection_pool.py
@@ -1,12 +1,12 @@
-"""The idle connections to one receiver that are kept for further calls.
+"""Connection pool: the idle connections to one receiver.
 
-urllib3's own pool is not used: whether a connection may carry a call depends on how long it was idle, and that pool
-rewrites targets. A connection is kept only after a complete response with nothing after it. It is closed before use if
-bytes were received on it meanwhile, or if it was idle for longer than the receiver keeps it.
+urllib3's own pool is not used: whether a connection may be reused depends on how long it was idle, and that pool
+rewrites request targets. A connection is kept only after a complete response without trailing bytes. It is closed
+before reuse if bytes were received on it meanwhile, or if its idle time exceeds the receiver's keep-alive time.
 
-An idempotent call takes the connection that was idle longest and so renews it; recently used connections are left to
-calls that are not idempotent, which need them (see `idle_limit`) and take the newest one. While receivers are known to
-drop idle connections early, all calls take the newest one.
+An idempotent call takes the least recently used connection, which restarts its keep-alive time. Recently used
+connections are left to calls that are not idempotent, which require them (see `idle_limit`) and take the most recently
+used one. While receivers are known to drop idle connections early, all calls take the most recently used one.
 """
 
 import threading
@@ -24,13 +24,13 @@
 MAX_CONNECT_TIMEOUT_S = 1.0
 MIN_CONNECT_TIMEOUT_S = 0.25
 CONNECT_TIME_FACTOR = 8.0
-"""A connect may take this many times as long as recent connects to the same receiver did."""
+"""The connect time-out is this multiple of the average connect time to the receiver, within the bounds above."""
 CONNECT_TIME_WEIGHT = 0.25
-"""Weight of the newest connect in the moving average."""
+"""Weight of the latest connect in the moving average."""
 KEEP_ALIVE_MARGIN_S = 0.15
-"""A connection is not used in the last part of the time for which the receiver announced that it keeps it."""
+"""A connection is not reused in this last part of the keep-alive time that the receiver announced."""
 DEFAULT_KEEP_ALIVE_S = 0.5
-"""How long a connection may be idle if the receiver does not announce how long it keeps it."""
+"""Keep-alive time assumed if the receiver announces none."""
 
 
 @dataclass(slots=True, eq=False)
@@ -40,12 +40,12 @@
     keep_alive_s: float
 
     def is_kept_alive(self, now: float) -> bool:
-        """Return whether the receiver still keeps the connection, as it announced."""
+        """Return whether the announced keep-alive time has not elapsed."""
         return now - self.idle_since < self.keep_alive_s
 
 
 class ConnectionPool:
-    """The idle connections to one receiver, in the order of their last use. Times are the clock's, in seconds."""
+    """The idle connections to one receiver, least recently used first. Times are those of the clock, in seconds."""
 
     def __init__(self, receiver: Receiver, clock: Callable[[], float], idle_limit: IdleLimit) -> None:
         host, _, port = receiver.address.rpartition(":")
@@ -60,11 +60,11 @@
         self._connect_time_s: float | None = None
 
     def acquire_idle(self, is_idempotent: bool, request_id: str = "") -> ReceiverConnection | None:
-        """Return a connection that may carry a call now, or None; unusable ones that are met are closed.
+        """Return an idle connection that is usable for a call, or None; unusable connections that it finds are closed.
 
-        A connection that carried the same request before may still bring the response to that, and is closed. If the
-        newest connection is only too old for a call that is not idempotent, the oldest one is closed in exchange for
-        the new connection that the call needs.
+        A connection on which the same request was sent before is closed, because a late response to that may still
+        arrive. If the most recently used connection has been idle for too long for a call that is not idempotent but is
+        still kept alive, the least recently used one is closed to make room for the new connection that the call needs.
         """
         while True:
             with self._lock:
@@ -72,10 +72,10 @@
                     return None
                 now = self._clock()
                 newest = self._idle[-1]
-                is_replaced = newest.is_kept_alive(now) and not self._is_allowed(newest, is_idempotent, now)
-                uses_oldest = is_replaced or self._uses_oldest(is_idempotent, now)
+                replaces_oldest = newest.is_kept_alive(now) and not self._is_allowed(newest, is_idempotent, now)
+                uses_oldest = replaces_oldest or self._uses_oldest(is_idempotent, now)
                 idle = self._idle.pop(0 if uses_oldest else -1)
-            if is_replaced:
+            if replaces_oldest:
                 idle.connection.close()
                 return None
             if self._is_usable(idle, is_idempotent, request_id, now):
@@ -84,10 +84,10 @@
             idle.connection.close()
 
     def detect_stale(self, connection: ReceiverConnection, outcome: Outcome) -> bool:
-        """Return whether the receiver had dropped an idle connection, judging by the outcome of a call on it.
+        """Return whether the outcome of a call indicates that the receiver had already dropped the idle connection.
 
-        A stale connection lowers the idle limit. It proves nothing about the request: a receiver that runs the request
-        may fail as quickly.
+        A stale connection lowers the idle limit. It proves nothing about the request: a receiver that executes the
+        request may fail as quickly.
         """
         now = self._clock()
         is_closed = outcome in (Outcome.RESET, Outcome.CLOSED) and not connection.receiver_socket.has_received
@@ -97,7 +97,7 @@
         return True
 
     def connect(self, timeout_s: float) -> ReceiverConnection:
-        """Return a new connection; raises OSError if none is established in time."""
+        """Open a new connection; raises OSError if it is not established in time."""
         started_at = self._clock()
         connection = ReceiverConnection(self._host, self._port, self._clock)
         connection.connect_within(min(timeout_s, self._connect_timeout_s))
@@ -105,7 +105,7 @@
         return connection
 
     def release(self, connection: ReceiverConnection, response: HTTPResponse, framing: BodyFraming) -> None:
-        """Keep a connection whose last response was complete, or close it if it cannot be used again."""
+        """Return a connection to the pool after a complete response; close it if it is not reusable."""
         keep_alive_s = announced_keep_alive_s(response)
         if connection.is_reusable(framing) and keep_alive_s > 0:
             connection.end_call()
@@ -116,7 +116,7 @@
         connection.close()
 
     def close_expired(self) -> None:
-        """Close the connections that the receiver no longer keeps."""
+        """Close the connections whose keep-alive time has elapsed."""
         now = self._clock()
         with self._lock:
             expired = [idle for idle in self._idle if not idle.is_kept_alive(now)]
@@ -125,7 +125,7 @@
             idle.connection.close()
 
     def close(self) -> None:
-        """Close every idle connection, and those that are released later."""
+        """Close all idle connections; connections released later are closed, too."""
         with self._lock:
             self._is_closed = True
             closing, self._idle = self._idle, []
@@ -150,12 +150,12 @@
         with self._lock:
             average_s = connect_time_s if self._connect_time_s is None else self._connect_time_s
             self._connect_time_s = average_s + CONNECT_TIME_WEIGHT * (connect_time_s - average_s)
-            allowed_s = CONNECT_TIME_FACTOR * self._connect_time_s
-            self._connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, max(MIN_CONNECT_TIMEOUT_S, allowed_s))
+            timeout_s = CONNECT_TIME_FACTOR * self._connect_time_s
+            self._connect_timeout_s = min(MAX_CONNECT_TIMEOUT_S, max(MIN_CONNECT_TIMEOUT_S, timeout_s))
 
 
 def announced_keep_alive_s(response: HTTPResponse) -> float:
-    """Return how long a connection may be idle before its next call; 0 if it must not be used again."""
+    """Return the keep-alive time of a connection after a response, in seconds; 0 if it must not be reused."""
     if "close" in response.headers.get("connection", "").lower():
         return 0.0
     for parameter in response.headers.get("keep-alive", "").split(","):
@@ -167,7 +167,7 @@
 
 
 def parse_seconds(value: str | None) -> float | None:
-    """Parse a number of seconds; return None if it is missing or invalid."""
+    """Parse a non-negative number of seconds; return None if it is missing or invalid."""
     try:
         seconds = float(value) if value is not None else None
     except ValueError:
--- a/dewpin/dataplane/upstream/outcome.py
+++ b/dewpin/dataplane/upstream/outcome.py
@@ -1,4 +1,4 @@
-"""The outcomes of one call to a receiver, and what each proves."""
+"""The outcomes of a call to a receiver, and which of them prove that the request had no effect."""
 
 from enum import Enum, unique
 
@@ -10,32 +10,32 @@
     """How a call ended."""
 
     SUCCESS = "success"
-    """A complete response, signed by the receiver, that is not a server error."""
+    """The receiver sent a complete, signed response that is not a server error."""
     NOT_EXECUTED = "not_executed"
-    """The receiver said that it did not run the request (`X-Dewpin-Not-Executed` or 421); proves no effect."""
+    """The receiver reported that it did not execute the request (`X-Dewpin-Not-Executed` or 421); proves no effect."""
     NOT_SENT = "not_sent"
-    """No connection was established, so that no byte of the request was sent; proves no effect."""
+    """No connection was established, so no byte of the request was sent; proves no effect."""
     ERROR = "error"
-    """The receiver responded with an error and without proof that the request did not run."""
+    """The receiver sent an error response without proof that the request was not executed."""
     RESET = "reset"
     """The connection was reset after the request was sent."""
     CLOSED = "closed"
     """The connection was closed before the response was complete."""
     TIMED_OUT = "timed_out"
-    """The request's deadline passed; that proves only that the caller stopped waiting."""
+    """The request's deadline passed; this proves only that the caller stopped waiting."""
     MALFORMED = "malformed"
-    """What was received is not a valid response, or it is the response to another request."""
+    """The received bytes are not a valid response, or belong to another request."""
     CLIENT_DISCONNECTED = "client_disconnected"
     """The client disconnected while the call was in progress."""
 
     @property
     def proves_no_effect(self) -> bool:
-        """Return whether it is certain that the request has not run and will not run."""
+        """Return whether it is certain that the request was not and will not be executed."""
         return self in _PROOFS_OF_NO_EFFECT
 
 
 class IncompleteResponseError(DataplaneError):
-    """The response of a receiver could not be received completely; `outcome` tells why."""
+    """The response of a receiver was not received completely; `outcome` is the reason."""
 
     def __init__(self, outcome: Outcome) -> None:
         super().__init__(outcome.value)
--- a/dewpin/dataplane/upstream/receiver_client.py
+++ b/dewpin/dataplane/upstream/receiver_client.py
@@ -1,7 +1,7 @@
 """The HTTP client for receivers: sends a request, receives the response and classifies how the call ended.
 
-urllib3 does the HTTP; its retries, redirects and content decoding are not used. Method, target and body are sent as
-they were received. A response counts only if it names the request that was sent in this call.
+HTTP is implemented by urllib3, without its retries, redirects and content decoding. Method, target and body are sent
+as received from the client. A response is accepted only if it carries the id of the request that was sent in this call.
 """
 
 import threading
@@ -27,14 +27,14 @@
 from dewpin.dataplane.upstream.response_stream import TRANSPORT_ERRORS, ResponseStream, outcome_of_error
 
 CONNECT_SHARE_OF_TIME_LEFT = 0.25
-"""A connect may take this share of the time left, so that another receiver can be tried."""
+"""Maximum share of the time left for a connect, so that time remains to try another receiver."""
 MIN_CONNECT_TIMEOUT_S = 0.001
 
 
 class ReceiverClient:
-    """Makes calls to receivers; may be used by any thread.
+    """Makes calls to receivers; thread-safe.
 
-    There is one connection pool for each receiver id and address: a receiver that takes over the address of another one
+    There is one connection pool per receiver id and address: a receiver that takes over the address of another one
     gets connections of its own.
     """
 
@@ -46,11 +46,11 @@
         self._idle_limits: dict[str, IdleLimit] = {}
 
     def call(self, receiver: Receiver, call: Call) -> CallResult:
-        """Send a request to a receiver and return how the call ended; failures of the receiver raise nothing.
+        """Send a request to a receiver and return the result; failures of the receiver do not raise.
 
-        If a connection that was used before turns out to be closed, the call is made again on a new connection,
-        provided that nothing could be sent, or that the connection was stale and the request is idempotent.
-        A client that disconnects ends the call at once if it is the call's `watched_client`.
+        If a reused connection turns out to be closed, the call is repeated on a new connection, provided that nothing
+        was sent, or that the connection was stale and the request is idempotent. The call is aborted as soon as its
+        `watched_client` disconnects.
         """
         if call.has_client_disconnected:
             return CallResult(Outcome.CLIENT_DISCONNECTED)
@@ -66,12 +66,12 @@
             return result
         second_result = self._call_on_new_connection(receiver, pool, call)
         if second_result.outcome.proves_no_effect:
-            # The first call may have run all the same.
+            # The request may have been executed by the first call.
             return replace(second_result, outcome=result.outcome)
         return second_result
 
     def retain_only(self, receivers: Sequence[Receiver]) -> None:
-        """Close the idle connections to receivers that are not in `receivers`, and those that have expired."""
+        """Close the idle connections to receivers that are not in `receivers`, and expired connections."""
         listed = {(receiver.id, receiver.address) for receiver in receivers}
         with self._lock:
             removed = [self._pools.pop(key) for key in list(self._pools) if key not in listed]
@@ -82,7 +82,7 @@
             pool.close_expired()
 
     def close(self) -> None:
-        """Close every idle connection."""
+        """Close all idle connections."""
         self.retain_only(())
 
     def _pool_of(self, receiver: Receiver) -> ConnectionPool:
@@ -117,7 +117,7 @@
     def _call_on(
         self, receiver: Receiver, pool: ConnectionPool, connection: ReceiverConnection, call: Call
     ) -> CallResult:
-        """Make a call on a connection, which is closed if the call fails."""
+        """Make a call on a connection; close the connection if the call fails."""
         try:
             return self._exchange(receiver, pool, connection, call)
         except RequestNotSentError:
@@ -151,7 +151,7 @@
         return self._result(call, response, stream)
 
     def _result(self, call: Call, response: HTTPResponse, stream: ResponseStream) -> CallResult:
-        """Return the result of a call whose response has begun."""
+        """Return the result of a call whose response head has been received."""
         received = ReceiverResponse(
             response.status, response.reason or "", tuple(response.headers.items()), SIGNATURE in response.headers
         )
--- a/dewpin/dataplane/upstream/receiver_connection.py
+++ b/dewpin/dataplane/upstream/receiver_connection.py
@@ -1,10 +1,10 @@
-"""One connection to a receiver: urllib3's, over a `ReceiverSocket` and with one read buffer for all responses.
+"""A connection to a receiver: urllib3's connection on a `ReceiverSocket`, with one read buffer for all responses.
 
-http.client gives each response a buffer of its own and drops it at the end of the response, with the bytes that follow.
-Here the buffer lasts as long as the connection, so that bytes after a response are detected.
+http.client creates a buffer for each response and discards it with any bytes that follow the response. Here the buffer
+has the lifetime of the connection, so that bytes after a response are detected.
 
-A receiver may send a second, late response to an earlier call of the connection. Such a response names the request of
-that call and is skipped.
+A receiver may send a second, late response to an earlier call on the connection. Such a response carries the request id
+of that call and is skipped.
 """
 
 import http.client
@@ -25,9 +25,9 @@
 
 READ_BUFFER_BYTES = 16384
 MAX_SKIPPED_RESPONSES = 16
-"""How many interim responses and late responses to earlier calls may precede the response that is due."""
+"""Maximum number of interim responses and late responses to earlier calls before the expected response."""
 REMEMBERED_IDS = 16
-"""How many earlier calls of a connection may still get a late response."""
+"""Number of earlier calls of a connection whose late responses are recognized."""
 
 _HEAD_DEFECTS = (FirstHeaderLineIsContinuationDefect, MissingHeaderBodySeparatorDefect)
 
@@ -35,7 +35,7 @@
 class _PersistentReader(io.BufferedReader):
     """The read buffer of a connection; it stays open when a response is closed.
 
-    `last_line` is the line that was read last, with its end.
+    `last_line` is the last line that was read, including its line ending.
     """
 
     def __init__(self, raw: ReceiverSocket) -> None:
@@ -43,16 +43,16 @@
         self.last_line = b""
 
     def readline(self, size: int | None = -1, /) -> bytes:
-        """Return the next line and keep it in `last_line`."""
+        """Return the next line and store it in `last_line`."""
         self.last_line = super().readline(size)
         return self.last_line
 
     def close(self) -> None:
-        """Do nothing: the connection closes its socket itself."""
+        """Do nothing: `ReceiverConnection.close` closes the socket."""
 
 
 class _SocketAdapter:
-    """What http.client takes for a socket: its `makefile` returns the connection's read buffer."""
+    """Stands in for the socket in http.client: `makefile` returns the connection's read buffer."""
 
     def __init__(self, reader: _PersistentReader) -> None:
         self._reader = reader
@@ -62,7 +62,7 @@
 
 
 class _FinalResponse(http.client.HTTPResponse):
-    """The response that is due; interim responses and late responses to earlier calls are skipped."""
+    """The expected response; interim responses and late responses to earlier calls are skipped."""
 
     def __init__(self, reader: _PersistentReader, method: str | None, earlier_ids: deque[str]) -> None:
         super().__init__(_SocketAdapter(reader), method=method)  # type: ignore[arg-type]
@@ -71,7 +71,7 @@
         self._earlier_ids = earlier_ids
 
     def begin(self) -> None:
-        """Read the head of the response that is due; raises IncompleteResponseError if it is invalid."""
+        """Read the head of the expected response; raises IncompleteResponseError if it is invalid."""
         for _ in range(MAX_SKIPPED_RESPONSES):
             super().begin()
             self._check_head()
@@ -84,7 +84,7 @@
         raise IncompleteResponseError(Outcome.MALFORMED)
 
     def _check_head(self) -> None:
-        """Reject a head that ended before its empty line, or that has a line which is not a header field."""
+        """Reject a head without its final empty line, or with a line that is not a header field."""
         if self._reader.last_line not in (b"\r\n", b"\n"):
             raise IncompleteResponseError(Outcome.CLOSED)
         if any(isinstance(defect, _HEAD_DEFECTS) for defect in self.headers.defects):
@@ -102,11 +102,11 @@
 
 
 class ReceiverConnection(HTTPConnection):
-    """A connection to an IP address; `connect_within` before use, `close` at the end.
+    """A connection to an IP address; call `connect_within` before use and `close` after it.
 
     Attributes:
-        idle_s: how long the connection was idle before the current call, in seconds; 0 for a new one.
-        call_started_at: when the current call began.
+        idle_s: idle time of the connection before the current call, in seconds; 0 for a new connection.
+        call_started_at: start of the current call, in seconds of the clock.
     """
 
     def __init__(self, host: str, port: int, clock: Callable[[], float]) -> None:
@@ -122,7 +122,7 @@
 
     @property
     def receiver_socket(self) -> ReceiverSocket:
-        """Return the socket, which enforces the time of the call."""
+        """Return the socket, which enforces the deadline of the call."""
         assert self._receiver_socket is not None
         return self._receiver_socket
 
@@ -145,18 +145,18 @@
         self.use(sock)
 
     def use(self, sock: socket.socket) -> None:
-        """Use a connected socket."""
+        """Use a connected socket for this connection."""
         self.sock = sock
-        self.timeout = 0.0  # urllib3 sets it on the socket, which has to stay non-blocking for ReceiverSocket
+        self.timeout = 0.0  # urllib3 sets this on the socket, which must stay non-blocking for ReceiverSocket
         self._receiver_socket = ReceiverSocket(sock, self._clock)
         self._reader = _PersistentReader(self._receiver_socket)
 
     def connect(self) -> None:
-        """Prevent the implicit reconnect of http.client: a call must not move to another connection unnoticed."""
-        raise ConnectionResetError("the connection has ended")
+        """Prevent the implicit reconnect of http.client, which would move a call to another connection unnoticed."""
+        raise ConnectionResetError("connection is closed")
 
     def begin_call(self, request_id: str, deadline: float, client: Client | None) -> None:
-        """Begin a call that has to be over at `deadline`; `client`, if given, is watched meanwhile."""
+        """Start a call that must end by `deadline`; if `client` is given, its disconnect aborts the call."""
         self.receiver_socket.begin_call(deadline, client)
         self.call_started_at = self._clock()
         self._request_id = request_id
@@ -171,23 +171,23 @@
         self.receiver_socket.send(data)
 
     def has_carried(self, request_id: str) -> bool:
-        """Return whether a late response to this request id may still arrive on this connection."""
+        """Return whether this request id was sent before, so that a late response to it may still arrive."""
         return request_id in self._earlier_ids
 
     @property
     def is_first_call(self) -> bool:
-        """Return whether the connection carried no call before the current one."""
+        """Return whether no call was completed on the connection before the current one."""
         return not self._earlier_ids
 
     def is_reusable(self, framing: BodyFraming) -> bool:
-        """Return whether nothing of this call is left: neither received bytes after the response nor unsent ones."""
+        """Return whether the call left neither unread bytes after the response nor unsent bytes of the request."""
         self.receiver_socket.end_call()
         if self.sock is None or framing.end is BodyEnd.CLOSE or not self.receiver_socket.was_sent_before_response:
             return False
         return not self.reader.peek(1)
 
     def getresponse(self) -> HTTPResponse:  # type: ignore[override]
-        """Return the response that is due, with its body unread."""
+        """Return the expected response, with its body unread."""
         self._is_reading_head = True
         try:
             return super().getresponse()
@@ -197,7 +197,7 @@
     def close(self) -> None:
         """Close the connection.
 
-        http.client does so itself after a head with `Connection: close`; the body stays readable then.
+        http.client calls this itself after a head with `Connection: close`; the socket stays open to read the body.
         """
         self.sock = None
         super().close()
@@ -207,5 +207,5 @@
     def response_class(  # type: ignore[override]
         self, sock: socket.socket, method: str | None = None, **options: Any
     ) -> _FinalResponse:
-        """Create the response that is due; http.client expects a class here."""
+        """Create the response object; http.client expects a class here."""
         return _FinalResponse(self.reader, method, self._earlier_ids)
--- a/dewpin/dataplane/upstream/receiver_socket.py
+++ b/dewpin/dataplane/upstream/receiver_socket.py
@@ -1,8 +1,8 @@
-"""The socket of one connection to a receiver: sends a request and reads the response within the time of a call.
+"""The socket of a connection to a receiver: sends a request and reads the response before the call's deadline.
 
 Every wait ends at the call's deadline or, if a client is watched, as soon as that client disconnects. Bytes that the
-receiver does not accept at once are sent while waiting for its response, because a receiver may respond before it has
-read a long body (RFC 9112, 9.5).
+receiver does not accept immediately are sent while waiting for its response, because a receiver may respond before it
+has read a long body (RFC 9112, 9.5).
 """
 
 import io
@@ -20,18 +20,18 @@
 
 
 _NOTHING = memoryview(b"")
-"""Replaces an empty slice of a body, which would keep the whole body in memory."""
+"""Replaces an empty slice of a request body, which would keep the whole body in memory."""
 
 
 class RequestNotSentError(DataplaneError, ConnectionError):
-    """The connection had been closed before a byte of the request could be sent on it."""
+    """The connection was closed before any byte of the request was sent on it."""
 
 
 class ReceiverSocket(io.RawIOBase):
-    """A raw file over a non-blocking socket; between calls a read returns None and does not touch the socket.
+    """A raw file over a non-blocking socket; between calls a read returns None without accessing the socket.
 
-    While a call is in progress, `_unsent` holds the bytes of the request that the receiver has not accepted yet, and
-    `_send_error` the error that ended the sending, until the bytes received before it are read.
+    During a call, `_unsent` holds the bytes of the request that the socket has not accepted yet, and `_send_error` the
+    error that stopped sending, which is raised after the bytes received before it are read.
     """
 
     def __init__(self, sock: socket.socket, clock: Callable[[], float]) -> None:
@@ -49,7 +49,7 @@
         self._has_early_response = False
 
     def begin_call(self, deadline: float, client: Client | None) -> None:
-        """Begin a call that has to be over at `deadline`, a time of the clock; `client`, if given, is watched."""
+        """Start a call that must end by `deadline`, in seconds of the clock; `client`, if given, is watched."""
         self._in_call = True
         self._deadline = deadline
         self._client = client
@@ -60,7 +60,7 @@
         self._has_early_response = False
 
     def end_call(self) -> None:
-        """End a call: reads no longer wait."""
+        """End a call; subsequent reads do not wait."""
         self._in_call = False
         self._client = None
 
@@ -71,14 +71,14 @@
 
     @property
     def was_sent_before_response(self) -> bool:
-        """Return whether the request was sent completely before its response began."""
+        """Return whether the request was sent completely before its response started."""
         return not self._unsent and self._send_error is None and not self._has_early_response
 
     def send(self, data: "ReadableBuffer") -> None:
-        """Send bytes of the request; return early if the receiver responds before it has accepted them all.
+        """Send bytes of the request; return early if the receiver responds before it has accepted all of them.
 
-        Raises RequestNotSentError if the connection was closed before the first byte of the call was sent. An error
-        after that is raised by `readinto`, once the bytes that were received before it are read.
+        Raises RequestNotSentError if the connection was closed before the first byte of the call was sent. A later
+        error is raised by `readinto`, once the bytes received before it are read.
         """
         self._unsent = memoryview(b"".join((self._unsent, data))) if self._unsent else memoryview(data)
         while self._unsent and self._send_error is None:
@@ -87,7 +87,7 @@
                 return
 
     def readable(self) -> bool:
-        """Return True: this file can be read."""
+        """Return True: this file is readable."""
         return True
 
     def readinto(self, buffer: "WriteableBuffer") -> int | None:
@@ -116,7 +116,7 @@
             self._socket.close()
 
     def _send_some(self) -> None:
-        """Send what the receiver accepts without waiting."""
+        """Send as many bytes as the socket accepts without blocking."""
         if not self._unsent or self._send_error is not None:
             return
         try:
@@ -132,7 +132,7 @@
         self._unsent = self._unsent[count:] or _NOTHING
 
     def _wait(self, events: int) -> int:
-        """Wait until the socket is ready and return the events.
+        """Wait until the socket is ready and return the poll events.
 
         Raises IncompleteResponseError if the deadline passes or the watched client disconnects first.
         """
@@ -149,7 +149,7 @@
                 raise IncompleteResponseError(Outcome.CLIENT_DISCONNECTED)
 
     def _time_left_s(self) -> float:
-        """Return the time until the deadline; raises IncompleteResponseError if it has passed."""
+        """Return the seconds until the deadline; raises IncompleteResponseError if it has passed."""
         left_s = self._deadline - self._clock()
         if left_s <= 0:
             raise IncompleteResponseError(Outcome.TIMED_OUT)
--- a/dewpin/dataplane/upstream/request_headers.py
+++ b/dewpin/dataplane/upstream/request_headers.py
@@ -1,4 +1,4 @@
-"""The header fields of a request as it is sent to a receiver."""
+"""The header fields of a request to a receiver."""
 
 from urllib3.util import SKIP_HEADER
 
@@ -7,11 +7,11 @@
 
 _EXCLUDED = frozenset({"content-length", REQUEST_DEADLINE, TARGET_INSTANCE})
 _FIELDS_OF_URLLIB3 = ("user-agent", "accept-encoding")
-"""Fields that urllib3 adds unless it is told not to."""
+"""Fields that urllib3 adds unless they are set to SKIP_HEADER."""
 
 
 def request_headers(call: Call, receiver_id: str, body_length: int, time_left_s: float) -> dict[str, str]:
-    """Return the fields of a request: the client's own, the time that is left and the receiver that is meant."""
+    """Return the client's end-to-end fields with the time left and the id of the target receiver."""
     request = call.request
     replaced = {name.lower() for name, _ in call.replaced_headers}
     headers: dict[str, str] = {}
--- a/dewpin/dataplane/upstream/response_body.py
+++ b/dewpin/dataplane/upstream/response_body.py
@@ -1,7 +1,7 @@
-"""The body of a receiver's response: how its end is marked, and strict reading up to that end (RFC 9112, 6 and 7).
+"""Strict parsing of response bodies of receivers: framing and incremental reading (RFC 9112, 6 and 7).
 
-http.client and urllib3 accept some broken bodies as complete: they do not check what follows a chunk, and accept a
-truncated chunk size.
+http.client and urllib3 accept some malformed bodies as complete: they do not check the bytes after a chunk, and accept
+a truncated chunk size.
 """
 
 import re
@@ -27,15 +27,15 @@
         """Return `size` bytes; fewer only at the end of the connection."""
 
     def read1(self, size: int, /) -> bytes:
-        """Return the bytes that are available, `size` at most; none only at the end of the connection."""
+        """Return the available bytes, at most `size`; b"" only at the end of the connection."""
 
     def readline(self, size: int, /) -> bytes:
-        """Return the bytes up to a line feed; without it only at the end of the connection or after `size` bytes."""
+        """Return the bytes up to and including a line feed, which is missing only at the end or after `size` bytes."""
 
 
 @unique
 class BodyEnd(Enum):
-    """What marks the end of a body."""
+    """How the end of a body is determined."""
 
     LENGTH = "length"
     LAST_CHUNK = "last_chunk"
@@ -44,18 +44,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyFraming:
-    """How a body ends; `length` applies to BodyEnd.LENGTH alone."""
+    """The framing of a body; `length` applies to BodyEnd.LENGTH only."""
 
     end: BodyEnd
     length: int = 0
 
 
 GetAll = Callable[[str], Sequence[str]]
-"""Returns the values of a header field whose name is given in lower case."""
+"""Returns all values of a header field by its lower-case name."""
 
 
 def framing_of(method: str | None, status: int, get_all: GetAll) -> BodyFraming:
-    """Return how the body of a response ends (RFC 9112, 6.3); raises IncompleteResponseError if that is ambiguous."""
+    """Return the framing of a response body (RFC 9112, 6.3); raises IncompleteResponseError if it is ambiguous."""
     if method == "HEAD" or status in _STATUSES_WITHOUT_BODY:
         return BodyFraming(BodyEnd.LENGTH)
     codings = [coding.strip().lower() for value in get_all("transfer-encoding") for coding in value.split(",")]
@@ -73,7 +73,7 @@
 
 
 def read_body(reader: ByteReader, framing: BodyFraming) -> Iterator[bytes]:
-    """Yield the bytes of a body as they arrive, up to its proper end; raises IncompleteResponseError and OSError."""
+    """Yield the bytes of a body as they arrive until it is complete; raises IncompleteResponseError and OSError."""
     if framing.end is BodyEnd.LAST_CHUNK:
         return _read_chunks(reader)
     if framing.end is BodyEnd.LENGTH:
--- a/dewpin/dataplane/upstream/response_check.py
+++ b/dewpin/dataplane/upstream/response_check.py
@@ -1,4 +1,4 @@
-"""What a receiver's response is worth: whether it belongs to the request, and which outcome it means."""
+"""Validates a receiver's response: checks that it belongs to the request, and classifies its outcome."""
 
 from http import HTTPStatus
 
@@ -10,9 +10,9 @@
 
 
 def is_response_to(response: HTTPResponse, request: Request, is_first_on_connection: bool) -> bool:
-    """Return whether a response is the one to a request, in a form that may be forwarded.
+    """Return whether a response belongs to a request and has a form that may be forwarded.
 
-    A rejection without a request id counts only if it is the first response on its connection: otherwise it may be a
+    A rejection without a request id is accepted only as the first response on its connection; otherwise it may be a
     late response to an earlier request.
     """
     if "content-encoding" in response.headers or response.status < HTTPStatus.OK:
@@ -24,12 +24,12 @@
 
 
 def is_rejection(response: HTTPResponse) -> bool:
-    """Return whether a response proves that the receiver did not run the request."""
+    """Return whether a response proves that the receiver did not execute the request."""
     return response.status == HTTPStatus.MISDIRECTED_REQUEST or NOT_EXECUTED in response.headers
 
 
 def classify_response(response: HTTPResponse, received: ReceiverResponse) -> Outcome:
-    """Return the outcome of a call that brought a complete response."""
+    """Return the outcome of a call with a complete response."""
     if is_rejection(response):
         return Outcome.NOT_EXECUTED
     if received.status >= HTTPStatus.INTERNAL_SERVER_ERROR or not received.is_forwardable:
--- a/dewpin/dataplane/upstream/response_stream.py
+++ b/dewpin/dataplane/upstream/response_stream.py
@@ -1,4 +1,4 @@
-"""The body of a receiver's response while it arrives."""
+"""Streams the body of a receiver's response."""
 
 import http.client
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 from dewpin.dataplane.upstream.response_body import BodyEnd, BodyFraming, read_body
 
 TRANSPORT_ERRORS = (OSError, http.client.HTTPException, HTTPError, ValueError)
-"""What urllib3 and the libraries below it raise if a connection breaks or a response is invalid."""
+"""Exceptions of urllib3 and the libraries below it for a broken connection or an invalid response."""
 
 ReleaseConnection = Callable[[ReceiverConnection, HTTPResponse, BodyFraming], None]
-"""Takes a connection back after a complete response, to keep it or to close it."""
+"""Returns a connection to its pool after a complete response."""
 
 
 class ResponseStream:
-    """A body that is read within the time of its call; whoever has it must call `close`."""
+    """A body that is read before the deadline of its call; the owner must call `close`."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
 
     @property
     def is_close_delimited(self) -> bool:
-        """Return whether nothing but the end of the connection marks the end of the body."""
+        """Return whether only the end of the connection delimits the body (RFC 9112, 6.3)."""
         return self._framing.end is BodyEnd.CLOSE
 
     def read_next(self) -> bytes:
-        """Return the next bytes, or none at the proper end; raises IncompleteResponseError."""
+        """Return the next bytes, or b"" at the end of a complete body; raises IncompleteResponseError."""
         try:
             data = next(self._parts, b"")
         except IncompleteResponseError:
@@ -63,7 +63,7 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Close the connection, unless the response was complete and the connection was released."""
+        """Close the connection unless the response was complete and the connection was released; idempotent."""
         if self._is_open:
             self._is_open = False
             self._response.close()
@@ -71,7 +71,7 @@
 
 
 def outcome_of_error(error: Exception) -> Outcome:
-    """Return the outcome of a call that raised one of TRANSPORT_ERRORS after part of the request was sent."""
+    """Return the outcome of a call that raised one of TRANSPORT_ERRORS after sending part of the request."""
     cause: BaseException | None = error
     while cause is not None:
         if isinstance(cause, http.client.RemoteDisconnected | http.client.IncompleteRead):
