--- a/tests/dataplane/test_call_endings.py
+++ b/tests/dataplane/test_call_endings.py
@@ -1,7 +1,7 @@
-"""Every way a call to a receiver can end against every kind of request: one row per cell of the table in the docs.
+"""Every way in which a call to a receiver can end, for every kind of request: one test per cell of the table in docs.
 
-The first receiver ends the call in some way; the second one, which comes second because it is in another zone, answers
-properly. The requests go through the whole request handler; only backoffs do not block.
+The first receiver ends the call in the given way. The second one, which is in another zone and therefore tried last,
+sends complete responses. Requests pass through the whole request handler; only backoffs do not block.
 """
 
 from collections.abc import Callable
@@ -18,32 +18,32 @@
     NO_RESPONSE,
     RECEIVER_ERROR,
     RETRIED,
-    SHORT_MS,
+    SHORT_TIMEOUT_MS,
     STALLED_BODY,
     TIMED_OUT,
     UNKNOWN_EFFECT,
     SenderHarness,
-    before,
-    behind,
-    changed,
-    check,
+    check_result,
     chunked,
-    cut_by,
-    framed,
-    half_a_head,
-    headed,
-    nothing,
-    of_another,
-    of_none,
-    refusing,
+    close_delimited,
+    duplicated,
+    length_delimited,
+    no_bytes,
+    partial_head,
+    rejecting,
     respond_and_close,
-    respond_and_fall_silent,
-    respond_and_keep,
+    respond_and_keep_alive,
     respond_and_reset,
+    respond_and_stall,
     second_receiver,
-    twice,
-    unframed,
+    truncated_by,
     whole_body,
+    with_body_replaced,
+    with_header_lines,
+    with_other_request_id,
+    with_prefix,
+    with_suffix,
+    without_request_id,
 )
 from dataplane.peers import (
     END,
@@ -58,106 +58,139 @@
 
 
 @dataclass(frozen=True)
-class Ending:
-    """How a call ends at the first receiver, and what follows for each kind of request, in the order of `KINDS`."""
+class CallEnding:
+    """How a call ends at the first receiver, and the consequence for each kind of request, in the order of `KINDS`."""
 
     name: str
     script: Callable[[PeerConnection, ReceivedRequest], object]
-    follows: tuple[str, str, str, str]
+    consequences: tuple[str, str, str, str]
     status: int = 200
-    is_bare_end: bool = False
+    ends_without_response: bool = False
 
 
-HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
+EARLY_HINTS = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
 
 ENDINGS = [
-    Ending("reset after the whole request", reset, UNKNOWN_EFFECT, is_bare_end=True),
-    Ending("close without an answer", respond_and_close(nothing), UNKNOWN_EFFECT, is_bare_end=True),
-    Ending("silence", respond_and_fall_silent(nothing), NO_RESPONSE),
-    Ending("half a head, then the end", respond_and_close(half_a_head), UNKNOWN_EFFECT),
-    Ending("half a head, then a reset", respond_and_reset(half_a_head), UNKNOWN_EFFECT),
-    Ending("half a head, then silence", respond_and_fall_silent(half_a_head), NO_RESPONSE),
-    Ending("half a status line", respond_and_close(lambda got: b"HTTP/1.1 200"), UNKNOWN_EFFECT),
-    Ending("bytes that are no answer", respond_and_close(lambda got: b"no answer at all\r\n\r\n"), UNKNOWN_EFFECT),
-    Ending("a line in the head that is no header", respond_and_close(headed(framed, b"no header")), UNKNOWN_EFFECT),
-    Ending("an answer to another id", respond_and_keep(of_another), UNKNOWN_EFFECT),
-    Ending("an answer without an id", respond_and_keep(of_none), UNKNOWN_EFFECT),
-    Ending("an answer with a coding", respond_and_keep(headed(framed, b"Content-Encoding: gzip")), UNKNOWN_EFFECT),
-    Ending("a length and chunks", respond_and_keep(headed(framed, b"Transfer-Encoding: chunked")), UNKNOWN_EFFECT),
-    Ending("two lengths", respond_and_keep(headed(framed, b"Content-Length: 3")), UNKNOWN_EFFECT),
-    Ending("a length that is no number", respond_and_keep(headed(unframed, b"Content-Length: x")), UNKNOWN_EFFECT),
-    Ending(
-        "an unknown transfer coding", respond_and_close(headed(unframed, b"Transfer-Encoding: gzip")), UNKNOWN_EFFECT
+    CallEnding("reset after the complete request", reset, UNKNOWN_EFFECT, ends_without_response=True),
+    CallEnding("close without a response", respond_and_close(no_bytes), UNKNOWN_EFFECT, ends_without_response=True),
+    CallEnding("no response", respond_and_stall(no_bytes), NO_RESPONSE),
+    CallEnding("partial head, then close", respond_and_close(partial_head), UNKNOWN_EFFECT),
+    CallEnding("partial head, then reset", respond_and_reset(partial_head), UNKNOWN_EFFECT),
+    CallEnding("partial head, then stall", respond_and_stall(partial_head), NO_RESPONSE),
+    CallEnding("partial status line", respond_and_close(lambda received: b"HTTP/1.1 200"), UNKNOWN_EFFECT),
+    CallEnding("malformed response", respond_and_close(lambda received: b"no answer at all\r\n\r\n"), UNKNOWN_EFFECT),
+    CallEnding(
+        "malformed header line", respond_and_close(with_header_lines(length_delimited, b"no header")), UNKNOWN_EFFECT
     ),
-    Ending("two answers at once", respond_and_keep(twice(framed)), COMPLETE),
-    Ending("two answers in chunks at once", respond_and_keep(twice(chunked)), COMPLETE),
-    Ending("garbage after a whole answer", respond_and_keep(behind(framed, b"garbage")), COMPLETE),
-    Ending("100 Continue before the answer", respond_and_keep(before(CONTINUE, framed)), COMPLETE),
-    Ending("103 before the answer", respond_and_keep(before(HINTS + HINTS, chunked)), COMPLETE),
-    Ending("100 Continue and nothing more", respond_and_close(lambda got: CONTINUE), UNKNOWN_EFFECT),
-    Ending("an answer without a length", respond_and_close(unframed), COMPLETE),
-    Ending("an answer without a length, reset at its end", respond_and_reset(unframed), INCOMPLETE_BODY),
-    Ending(
-        "an answer without a length, silent at its end",
-        respond_and_fall_silent(unframed),
+    CallEnding("response with another request id", respond_and_keep_alive(with_other_request_id), UNKNOWN_EFFECT),
+    CallEnding("response without a request id", respond_and_keep_alive(without_request_id), UNKNOWN_EFFECT),
+    CallEnding(
+        "response with a content coding",
+        respond_and_keep_alive(with_header_lines(length_delimited, b"Content-Encoding: gzip")),
+        UNKNOWN_EFFECT,
+    ),
+    CallEnding(
+        "Content-Length and chunked",
+        respond_and_keep_alive(with_header_lines(length_delimited, b"Transfer-Encoding: chunked")),
+        UNKNOWN_EFFECT,
+    ),
+    CallEnding(
+        "two values of Content-Length",
+        respond_and_keep_alive(with_header_lines(length_delimited, b"Content-Length: 3")),
+        UNKNOWN_EFFECT,
+    ),
+    CallEnding(
+        "Content-Length that is not a number",
+        respond_and_keep_alive(with_header_lines(close_delimited, b"Content-Length: x")),
+        UNKNOWN_EFFECT,
+    ),
+    CallEnding(
+        "unknown transfer coding",
+        respond_and_close(with_header_lines(close_delimited, b"Transfer-Encoding: gzip")),
+        UNKNOWN_EFFECT,
+    ),
+    CallEnding("two responses sent together", respond_and_keep_alive(duplicated(length_delimited)), COMPLETE),
+    CallEnding("two chunked responses sent together", respond_and_keep_alive(duplicated(chunked)), COMPLETE),
+    CallEnding(
+        "garbage after a complete response", respond_and_keep_alive(with_suffix(length_delimited, b"garbage")), COMPLETE
+    ),
+    CallEnding(
+        "100 Continue before the response", respond_and_keep_alive(with_prefix(CONTINUE, length_delimited)), COMPLETE
+    ),
+    CallEnding(
+        "103 Early Hints before the response",
+        respond_and_keep_alive(with_prefix(EARLY_HINTS + EARLY_HINTS, chunked)),
+        COMPLETE,
+    ),
+    CallEnding("100 Continue without a final response", respond_and_close(lambda received: CONTINUE), UNKNOWN_EFFECT),
+    CallEnding("close-delimited response", respond_and_close(close_delimited), COMPLETE),
+    CallEnding("close-delimited response, then reset", respond_and_reset(close_delimited), INCOMPLETE_BODY),
+    CallEnding(
+        "close-delimited response, then stall",
+        respond_and_stall(close_delimited),
         STALLED_BODY,
     ),
-    Ending("a body that is too short", respond_and_close(cut_by(7, framed)), INCOMPLETE_BODY),
-    Ending("a body that is too short, then a reset", respond_and_reset(cut_by(7, framed)), INCOMPLETE_BODY),
-    Ending("a chunk that is cut", respond_and_close(cut_by(9, chunked)), INCOMPLETE_BODY),
-    Ending("no last chunk", respond_and_close(cut_by(len(END), chunked)), INCOMPLETE_BODY),
-    Ending("half of the last chunk's size", respond_and_close(cut_by(4, chunked)), INCOMPLETE_BODY),
-    Ending(
-        "a chunk's size that is no number", respond_and_close(changed(chunked, END, b"zz\r\n\r\n")), INCOMPLETE_BODY
+    CallEnding("truncated body", respond_and_close(truncated_by(7, length_delimited)), INCOMPLETE_BODY),
+    CallEnding("truncated body, then reset", respond_and_reset(truncated_by(7, length_delimited)), INCOMPLETE_BODY),
+    CallEnding("truncated chunk", respond_and_close(truncated_by(9, chunked)), INCOMPLETE_BODY),
+    CallEnding("missing last chunk", respond_and_close(truncated_by(len(END), chunked)), INCOMPLETE_BODY),
+    CallEnding("truncated size of the last chunk", respond_and_close(truncated_by(4, chunked)), INCOMPLETE_BODY),
+    CallEnding(
+        "chunk size that is not a number",
+        respond_and_close(with_body_replaced(chunked, END, b"zz\r\n\r\n")),
+        INCOMPLETE_BODY,
+    ),
+    CallEnding(
+        "negative chunk size", respond_and_close(with_body_replaced(chunked, END, b"-5\r\n\r\n")), INCOMPLETE_BODY
     ),
-    Ending("a chunk's size below zero", respond_and_close(changed(chunked, END, b"-5\r\n\r\n")), INCOMPLETE_BODY),
-    Ending(
-        "a chunk longer than its size",
-        respond_and_close(changed(chunked, b"\r\n0", b"more\r\n0")),
+    CallEnding(
+        "chunk longer than its size",
+        respond_and_close(with_body_replaced(chunked, b"\r\n0", b"more\r\n0")),
         INCOMPLETE_BODY,
     ),
     *(
-        Ending(f"{status} with proof", refusing(status), NO_EFFECT)
+        CallEnding(f"{status} with proof", rejecting(status), NO_EFFECT)
         for status in ("503 Full", "429 Too Many", "421 Misdirected Request", "400 Bad Request")
     ),
-    Ending("421 without proof", full_response(b"", "421 Misdirected Request", signed=False), NO_EFFECT),
-    Ending("503 without proof", full_response(b"", "503 Service Unavailable"), UNKNOWN_EFFECT),
-    Ending("429 without proof", full_response(b"", "429 Too Many Requests"), UNKNOWN_EFFECT),
-    Ending("408 without proof", full_response(b"", "408 Request Timeout"), UNKNOWN_EFFECT),
-    Ending("an own 500", full_response(b"no", "500 Internal Server Error"), RECEIVER_ERROR, status=500),
-    Ending("an own 504", full_response(b"no", "504 Gateway Timeout"), RECEIVER_ERROR, status=504),
-    Ending("an own 404", full_response(b"no", "404 Not Found"), COMPLETE, status=404),
-    Ending("a success without a signature", full_response(BODY, signed=False), UNKNOWN_EFFECT),
+    CallEnding("421 without proof", full_response(b"", "421 Misdirected Request", signed=False), NO_EFFECT),
+    CallEnding("503 without proof", full_response(b"", "503 Service Unavailable"), UNKNOWN_EFFECT),
+    CallEnding("429 without proof", full_response(b"", "429 Too Many Requests"), UNKNOWN_EFFECT),
+    CallEnding("408 without proof", full_response(b"", "408 Request Timeout"), UNKNOWN_EFFECT),
+    CallEnding("signed 500", full_response(b"no", "500 Internal Server Error"), RECEIVER_ERROR, status=500),
+    CallEnding("signed 504", full_response(b"no", "504 Gateway Timeout"), RECEIVER_ERROR, status=504),
+    CallEnding("signed 404", full_response(b"no", "404 Not Found"), COMPLETE, status=404),
+    CallEnding("success without a signature", full_response(BODY, signed=False), UNKNOWN_EFFECT),
 ]
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("ending", ENDINGS, ids=lambda ending: ending.name)
 def test_call_ending_has_the_documented_consequence(ending, kind):
-    follows = ending.follows[KINDS.index(kind)]
+    consequence = ending.consequences[KINDS.index(kind)]
     first, second = ScriptedReceiver(ending.script, id="i-1"), second_receiver()
-    silent = TIMED_OUT in ending.follows
+    times_out = TIMED_OUT in ending.consequences
     with receivers(first, second) as listed:
-        given = SenderHarness(kind, listed).send_request(time_ms=SHORT_MS if silent else 5000)
+        result = SenderHarness(kind, listed).send_request(timeout_ms=SHORT_TIMEOUT_MS if times_out else 5000)
     assert len(first.requests) == 1
-    check(kind, follows, ending.status, given, second)
+    check_result(kind, consequence, ending.status, result, second)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("ending", ENDINGS, ids=lambda ending: ending.name)
 def test_call_ending_on_reused_connection_has_the_documented_consequence(ending, kind, monkeypatch):
-    """A reused connection proves no more and no less.
+    """The consequences are the same as on a new connection.
 
-    If it ends without a byte of a response, an idempotent call is made again at the same receiver, on a new connection.
+    If the connection ends before any byte of a response, an idempotent call is repeated at the same receiver, on a new
+    connection.
     """
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
-    follows = ending.follows[KINDS.index(kind)]
-    first, second = ScriptedReceiver(respond_and_keep(chunked), ending.script, id="i-1"), second_receiver()
-    silent = TIMED_OUT in ending.follows
+    consequence = ending.consequences[KINDS.index(kind)]
+    first, second = ScriptedReceiver(respond_and_keep_alive(chunked), ending.script, id="i-1"), second_receiver()
+    times_out = TIMED_OUT in ending.consequences
     with receivers(first, second) as listed:
         sender = SenderHarness(kind, listed)
         assert sender.send_request() == (200, whole_body(kind), False)
-        given = sender.send_request(time_ms=SHORT_MS if silent else 5000)
-    goes_on_anew = ending.is_bare_end and follows == RETRIED
-    assert (len(first.requests), first.connections) == ((3, 2) if goes_on_anew else (2, 1))
-    check(kind, follows, ending.status, given, second)
+        result = sender.send_request(timeout_ms=SHORT_TIMEOUT_MS if times_out else 5000)
+    is_repeated = ending.ends_without_response and consequence == RETRIED
+    assert (len(first.requests), first.connections) == ((3, 2) if is_repeated else (2, 1))
+    check_result(kind, consequence, ending.status, result, second)
--- a/tests/dataplane/test_early_responses.py
+++ b/tests/dataplane/test_early_responses.py
@@ -1,4 +1,4 @@
-"""Responses that arrive before the request was sent or read completely."""
+"""Responses that arrive before the request is sent or read completely."""
 
 import contextlib
 import threading
@@ -13,13 +13,13 @@
     LONG_BODY,
     NO_EFFECT,
     RECEIVER_ERROR,
-    SHORT_MS,
+    SHORT_TIMEOUT_MS,
     SenderHarness,
-    check,
-    early_refusal,
-    framed,
+    check_result,
+    close_delimited,
+    early_rejection,
+    length_delimited,
     second_receiver,
-    unframed,
 )
 from dataplane.peers import (
     PATIENCE_S,
@@ -31,10 +31,10 @@
 )
 
 EARLY = [
-    ("refusal", early_refusal, NO_EFFECT, 200),
-    ("error", lambda got: head(got, "500 No", "Content-Length: 2") + b"\r\nno", RECEIVER_ERROR, 500),
-    ("success", framed, COMPLETE, 200),
-    ("success behind 100 Continue", lambda got: CONTINUE + framed(got), COMPLETE, 200),
+    ("rejection", early_rejection, NO_EFFECT, 200),
+    ("error", lambda received: head(received, "500 No", "Content-Length: 2") + b"\r\nno", RECEIVER_ERROR, 500),
+    ("success", length_delimited, COMPLETE, 200),
+    ("success after 100 Continue", lambda received: CONTINUE + length_delimited(received), COMPLETE, 200),
 ]
 
 
@@ -42,68 +42,68 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize(("name", "make", "follows", "status"), EARLY, ids=[row[0] for row in EARLY])
 def test_response_before_body_was_read_counts_and_closes_connection(name, make, follows, status, kind, then):
-    """A receiver that reads on gets the rest of that body or the end of the connection, and no other bytes."""
-    answered = threading.Event()
-    read_on: list[bytes] = []
-    done = threading.Event()
+    """A receiver that reads on gets the rest of the body or the end of the connection, and no other bytes."""
+    response_checked = threading.Event()
+    received_later: list[bytes] = []
+    receiver_finished = threading.Event()
 
     def respond_early(sock):
-        got = read_head(sock)
-        sock.sendall(make(got))
-        if got.id != "r-1":
+        received = read_head(sock)
+        sock.sendall(make(received))
+        if received.id != "r-1":
             return
         if then == "resets":
             PeerConnection(sock).wait_until_taken()
             PeerConnection(sock).reset()
         else:
-            assert answered.wait(PATIENCE_S)
+            assert response_checked.wait(PATIENCE_S)
             with contextlib.suppress(ConnectionError):
                 while data := sock.recv(1 << 20):
-                    read_on.append(data)
-        done.set()
+                    received_later.append(data)
+        receiver_finished.set()
 
     first, second = RawReceiver(respond_early), second_receiver()
     with receivers(first, second) as listed:
         sender = SenderHarness(kind, listed)
-        given = sender.send_request(LONG_BODY)
-        check(kind, follows[KINDS.index(kind)], status, given, second)
-        answered.set()
-        sender.send_request(time_ms=SHORT_MS)
-        assert done.wait(PATIENCE_S)
-    rest = b"".join(read_on)
+        result = sender.send_request(LONG_BODY)
+        check_result(kind, follows[KINDS.index(kind)], status, result, second)
+        response_checked.set()
+        sender.send_request(timeout_ms=SHORT_TIMEOUT_MS)
+        assert receiver_finished.wait(PATIENCE_S)
+    rest = b"".join(received_later)
     assert rest == LONG_BODY[: len(rest)]
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_reset_early_response_without_length_is_incomplete(kind):
-    """The reset may be detected while sending the rest of the body; reading then ends as at a close."""
+    """The reset may be detected while sending the rest of the body; reading then ends as after a close."""
 
     def respond_early(sock):
-        sock.sendall(unframed(read_head(sock)))
+        sock.sendall(close_delimited(read_head(sock)))
         PeerConnection(sock).wait_until_taken()
         PeerConnection(sock).reset()
 
     first, second = RawReceiver(respond_early), second_receiver()
     with receivers(first, second) as listed:
-        given = SenderHarness(kind, listed).send_request(LONG_BODY)
-    check(kind, INCOMPLETE_BODY[KINDS.index(kind)], 200, given, second)
+        result = SenderHarness(kind, listed).send_request(LONG_BODY)
+    check_result(kind, INCOMPLETE_BODY[KINDS.index(kind)], 200, result, second)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_receiver_that_waits_for_rest_of_body_gets_it(kind):
-    """The head of a response may arrive early and its body only once the request was read completely."""
+def test_receiver_that_waits_for_rest_of_body_receives_it(kind):
+    """The head of a response may arrive early, and its body only after the receiver has read the whole request."""
 
     def respond_head_first(sock):
-        got = read_head(sock)
-        data = framed(got)
-        split = data.index(b"\r\n\r\n") + 4
-        sock.sendall(data[:split])
-        left = int(got.headers["content-length"])
-        while left:
-            left -= len(sock.recv(min(left, 1 << 20)))
-        sock.sendall(data[split:])
+        received = read_head(sock)
+        data = length_delimited(received)
+        head_end = data.index(b"\r\n\r\n") + 4
+        sock.sendall(data[:head_end])
+        remaining = int(received.headers["content-length"])
+        while remaining:
+            remaining -= len(sock.recv(min(remaining, 1 << 20)))
+        sock.sendall(data[head_end:])
 
     first, second = RawReceiver(respond_head_first), second_receiver()
     with receivers(first, second) as listed:
-        given = SenderHarness(kind, listed).send_request(LONG_BODY)
-    check(kind, FORWARDED, 200, given, second)
+        result = SenderHarness(kind, listed).send_request(LONG_BODY)
+    check_result(kind, FORWARDED, 200, result, second)
--- a/tests/dataplane/test_unsent_requests.py
+++ b/tests/dataplane/test_unsent_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are not sent completely: failed connects, connections that end before or during sending."""
+"""Requests that are not sent completely: failed connects, and connections that end before or during sending."""
 
 import socket
 import threading
@@ -10,9 +10,9 @@
     RETRIED,
     UNKNOWN_EFFECT,
     SenderHarness,
-    check,
+    check_result,
     chunked,
-    respond_and_keep,
+    respond_and_keep_alive,
     second_receiver,
     whole_body,
 )
@@ -36,78 +36,81 @@
     first, second = ScriptedReceiver(full_response(), id="i-1"), second_receiver()
     first.close()
     with receivers(second) as listed:
-        given = SenderHarness(kind, [first.receiver, *listed]).send_request()
-    check(kind, RETRIED, 200, given, second)
+        result = SenderHarness(kind, [first.receiver, *listed]).send_request()
+    check_result(kind, RETRIED, 200, result, second)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_connect_time_out_proves_no_effect(kind):
     listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     host, port = listener.getsockname()
-    waiting = [socket.socket() for _ in range(3)]
-    for sock in waiting:
+    pending = [socket.socket() for _ in range(3)]
+    for sock in pending:
         sock.setblocking(False)
         sock.connect_ex((host, port))
-    hanging = Receiver("i-1", SERVICE, f"{host}:{port}", "here", 4, False, 0.0, "v1")
+    unresponsive = Receiver("i-1", SERVICE, f"{host}:{port}", "here", 4, False, 0.0, "v1")
     second = second_receiver()
     with receivers(second) as listed:
-        given = SenderHarness(kind, [hanging, *listed]).send_request(time_ms=2400)
-    check(kind, RETRIED, 200, given, second)
-    for sock in [listener, *waiting]:
+        result = SenderHarness(kind, [unresponsive, *listed]).send_request(timeout_ms=2400)
+    check_result(kind, RETRIED, 200, result, second)
+    for sock in [listener, *pending]:
         sock.close()
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_reset_before_request_is_sent_proves_no_effect(kind, monkeypatch):
-    gone = threading.Event()
+    was_reset = threading.Event()
     connect = ConnectionPool.connect
 
-    def reset_at_once(sock):
+    def reset_immediately(sock):
         PeerConnection(sock).reset()
-        gone.set()
+        was_reset.set()
 
     def connect_and_wait(connections, timeout_s):
         connection = connect(connections, timeout_s)
         if connection.port == int(first.receiver.address.rpartition(":")[2]):
-            assert gone.wait(PATIENCE_S)
+            assert was_reset.wait(PATIENCE_S)
         return connection
 
-    first, second = RawReceiver(reset_at_once), second_receiver()
+    first, second = RawReceiver(reset_immediately), second_receiver()
     monkeypatch.setattr(ConnectionPool, "connect", connect_and_wait)
     with receivers(first, second) as listed:
-        given = SenderHarness(kind, listed).send_request()
-    check(kind, RETRIED, 200, given, second)
+        result = SenderHarness(kind, listed).send_request()
+    check_result(kind, RETRIED, 200, result, second)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_reused_connection_that_cannot_send_is_replaced(kind, monkeypatch):
-    """The connection ends between the last check and the sending: the call is made again at the same receiver."""
+    """The connection ends between the last check and sending; the call is repeated at the same receiver."""
     monkeypatch.setattr("dewpin.dataplane.upstream.receiver_connection.ReceiverConnection.is_connected", True)
-    gone = threading.Event()
+    was_reset = threading.Event()
 
-    def respond_and_reset_at_rest(connection, got):
-        connection.send(chunked(got))
+    def respond_and_reset_idle_connection(connection, received):
+        connection.send(chunked(received))
         connection.wait_until_taken()
         connection.reset()
-        gone.set()
+        was_reset.set()
         return True
 
-    first, second = ScriptedReceiver(respond_and_reset_at_rest, respond_and_keep(chunked), id="i-1"), second_receiver()
+    first, second = (
+        ScriptedReceiver(respond_and_reset_idle_connection, respond_and_keep_alive(chunked), id="i-1"),
+        second_receiver(),
+    )
     with receivers(first, second) as listed:
         sender = SenderHarness(kind, listed)
         sender.send_request()
-        assert gone.wait(PATIENCE_S)
+        assert was_reset.wait(PATIENCE_S)
         assert sender.send_request() == (200, whole_body(kind), False)
     assert (len(first.requests), first.connections, second.requests) == (2, 2, [])
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_reset_after_part_of_request_proves_nothing(kind):
-    def read_some(sock):
+def test_reset_after_part_of_request_leaves_effect_unknown(kind):
+    def read_head_and_reset(sock):
         read_head(sock)
         PeerConnection(sock).reset()
 
-    first, second = RawReceiver(read_some), second_receiver()
+    first, second = RawReceiver(read_head_and_reset), second_receiver()
     with receivers(first, second) as listed:
-        given = SenderHarness(kind, listed).send_request(LONG_BODY)
-    check(kind, UNKNOWN_EFFECT[KINDS.index(kind)], 200, given, second)
+        result = SenderHarness(kind, listed).send_request(LONG_BODY)
+    check_result(kind, UNKNOWN_EFFECT[KINDS.index(kind)], 200, result, second)
