--- a/tests/dataplane/conftest.py
+++ b/tests/dataplane/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the data plane's tests."""
+"""Fixtures for the tests of the data plane."""
 
 import pytest
 from dataplane.ingress_harness import ServerHarness
--- a/tests/dataplane/ingress_harness.py
+++ b/tests/dataplane/ingress_harness.py
@@ -1,4 +1,4 @@
-"""The ingress server on loopback, and a client that sends it bytes."""
+"""An ingress server on loopback, and a client that sends raw bytes."""
 
 import json
 import socket
@@ -14,13 +14,13 @@
 LIMITS = {"max_header_bytes": 1000, "max_body_bytes": 5000, "header_timeout_ms": 10_000, "idle_timeout_ms": 10_000}
 
 
-def cluster(**limits):
+def cluster_state(**limits):
     body = {"generation": 1, "routes": [], "services": [], "limits": {**LIMITS, **limits}}
     return ClusterState(parse_configuration(json.dumps(body).encode()))
 
 
 class ScriptedBody:
-    """A streamed body of parts; each may be bytes, a function to call first, or an error to raise."""
+    """A streamed body whose parts are bytes to yield, functions to call or errors to raise."""
 
     def __init__(self, *parts):
         self._parts = parts
@@ -40,12 +40,12 @@
 
 
 class ServerHarness:
-    """An ingress server whose responses are a function of the request; it records the requests."""
+    """An ingress server that responds with a function of the request and records the requests."""
 
     def __init__(self, response=None, **limits):
         self.requests = []
         self._respond = response or (lambda request: Response(200, [("X-Thing", "a")], b"done"))
-        self.ingress = IngressServer(cluster(**limits), self._handle, accept_poll_s=0.01)
+        self.ingress = IngressServer(cluster_state(**limits), self._handle, accept_poll_s=0.01)
         self.ingress.start(("127.0.0.1", 0))
 
     def _handle(self, request):
@@ -65,7 +65,7 @@
         self.socket.sendall("\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body)
 
     def read(self, method="GET"):
-        """Return the next response: its status, its headers in lower case and its body."""
+        """Return the next response: its status, its header fields with lower-case names and its body."""
         status = self._reader.readline()
         if not status:
             raise EOFError
@@ -98,7 +98,7 @@
             yield data[:-2]
 
     def is_closed(self):
-        """Return whether the server closes the connection without sending anything more."""
+        """Return whether the server closes the connection without sending more bytes."""
         return self._reader.read(1) == b""
 
     def close(self):
--- a/tests/dataplane/receiver_caller.py
+++ b/tests/dataplane/receiver_caller.py
@@ -1,4 +1,4 @@
-"""Calls through one `ReceiverClient`, on a monotonic clock that the test can advance."""
+"""Makes calls through one `ReceiverClient`, with a monotonic clock that the test can advance."""
 
 import time
 
@@ -13,17 +13,17 @@
 
 
 class Clock:
-    """The monotonic clock, advanced by the test."""
+    """The monotonic clock plus an offset that the test sets."""
 
     def __init__(self):
-        self.ahead_s = 0.0
+        self.offset_s = 0.0
 
     def __call__(self):
-        return time.monotonic() + self.ahead_s
+        return time.monotonic() + self.offset_s
 
 
 class Caller:
-    """Makes calls through one `ReceiverClient`; each has an id of its own, from r-1 on."""
+    """Makes calls through one `ReceiverClient`, with the request ids r-1, r-2 and so on."""
 
     def __init__(self):
         self.calls = 0
@@ -31,10 +31,12 @@
         self.metrics = RequestMetrics()
         self.receiver_client = ReceiverClient(self.clock, self.metrics)
 
-    def __call__(self, receiver, *fields, is_idempotent=True, time_s=PATIENCE_S, **options):
+    def __call__(self, receiver, *fields, is_idempotent=True, timeout_s=PATIENCE_S, **options):
         self.calls += 1
         options.setdefault("request_id", f"r-{self.calls}")
-        named = ("method", "target", "body", "request_id", "client")
-        kwargs = {key: options.pop(key) for key in named if key in options}
-        asked = request(*fields, **kwargs)
-        return self.receiver_client.call(receiver, Call(asked, self.clock() + time_s, is_idempotent, **options))
+        request_options = ("method", "target", "body", "request_id", "client")
+        kwargs = {key: options.pop(key) for key in request_options if key in options}
+        client_request = request(*fields, **kwargs)
+        return self.receiver_client.call(
+            receiver, Call(client_request, self.clock() + timeout_s, is_idempotent, **options)
+        )
--- a/tests/dataplane/request_handler_harness.py
+++ b/tests/dataplane/request_handler_harness.py
@@ -1,4 +1,4 @@
-"""A request handler with scripted receivers, and access to its responses."""
+"""A request handler with scripted receivers, and functions to read its responses."""
 
 import random
 import time
@@ -16,21 +16,23 @@
 
 
 class RequestHandlerHarness:
-    """A request handler on a cluster of scripted receivers; backoffs are recorded in `pauses` and do not block.
+    """A request handler with scripted receivers; backoffs are recorded in `backoffs_s` and do not block.
 
-    With `frozen` the clock is advanced by backoffs alone.
+    With `frozen`, only backoffs advance the clock.
     """
 
     def __init__(self, listed, store=None, frozen=False, **route):
         self._now = (lambda: 1000.0) if frozen else time.monotonic
         self.store = store or MemoryStore()
         self.state = ClusterState(configuration(**route), {SERVICE: tuple(listed)})
-        self.pauses = []
+        self.backoffs_s = []
         self.calls = 0
-        self.handler = RequestHandler(self.state, self.store, "here", self._clock, self.pauses.append, random.Random(5))
+        self.handler = RequestHandler(
+            self.state, self.store, "here", self._clock, self.backoffs_s.append, random.Random(5)
+        )
 
     def _clock(self):
-        return self._now() + sum(self.pauses)
+        return self._now() + sum(self.backoffs_s)
 
     def __call__(self, *fields, **options):
         self.calls += 1
@@ -45,12 +47,12 @@
     """Return the body of a response and whether it is incomplete."""
     if isinstance(response.body, bytes):
         return response.body, False
-    got = b""
+    received = b""
     try:
         for part in response.body:
-            got += part
+            received += part
     except IncompleteBodyError:
-        return got, True
+        return received, True
     finally:
         response.body.close()
-    return got, False
+    return received, False
--- a/tests/dataplane/test_affinity.py
+++ b/tests/dataplane/test_affinity.py
@@ -1,4 +1,4 @@
-"""Sticky keys: what requests that need the same cached state have in common."""
+"""Sticky keys: requests that need the same cached state have the same key."""
 
 import pytest
 from dataplane.peers import request
@@ -37,7 +37,7 @@
         ([("Cookie", "X-Dewpin-Session-Affinity=17"), ("X-Dewpin-Prompt-Prefix", "a:1,b:2")], "a"),
     ],
 )
-def test_sticky_key_without_prompt_is_the_object_of_the_request(fields, key):
+def test_sticky_key_without_prompt_is_the_affinity_value(fields, key):
     assert sticky_key(request(*fields)) == key
 
 
--- a/tests/dataplane/test_balancer.py
+++ b/tests/dataplane/test_balancer.py
@@ -1,4 +1,4 @@
-"""Slots for threads: a waiting thread gets the slot that another one releases, or gives up in time."""
+"""Thread-safe slot allocation: a waiting thread gets a slot released by another thread, or times out."""
 
 import threading
 import time
@@ -22,7 +22,7 @@
 
 
 def full_balancer(clock=time.monotonic):
-    """Return a balancer whose only receiver is full, and the slots that fill it."""
+    """Return a balancer whose only receiver is full, and all of its slots."""
     balancer = Balancer(ClusterState(receivers={SERVICE: (receiver("a"),)}), "here", clock)
     return balancer, [balancer.acquire(slot_request(0.0)) for _ in range(2)]
 
@@ -46,15 +46,17 @@
 
 def test_released_slot_goes_to_waiting_thread():
     balancer, slots = full_balancer()
-    got = []
-    waiting = threading.Thread(target=lambda: got.append(balancer.acquire(slot_request(time.monotonic() + PATIENCE_S))))
+    acquired = []
+    waiting = threading.Thread(
+        target=lambda: acquired.append(balancer.acquire(slot_request(time.monotonic() + PATIENCE_S)))
+    )
     waiting.start()
     slots[0].release()
     waiting.join(PATIENCE_S)
-    assert [type(slot) for slot in got] == [Slot]
+    assert [type(slot) for slot in acquired] == [Slot]
 
 
-def test_slot_released_twice_is_freed_once():
+def test_second_release_of_a_slot_has_no_effect():
     balancer, slots = full_balancer()
     slots[0].release()
     slots[0].release()
@@ -70,29 +72,29 @@
     assert isinstance(balancer.acquire(slot_request(0.0)), Slot)
 
 
-def test_many_threads_neither_lose_nor_share_slots():
+def test_concurrent_threads_neither_lose_nor_share_slots():
     capacity = 4
     balancer = Balancer(ClusterState(receivers={SERVICE: (receiver("a", capacity),)}), "here", time.monotonic)
     lock = threading.Lock()
-    holding, most, served = [0], [0], [0]
+    held, max_held, served = [0], [0], [0]
 
-    def work():
+    def acquire_repeatedly():
         for _ in range(50):
             slot = balancer.acquire(slot_request(time.monotonic() + PATIENCE_S))
             assert isinstance(slot, Slot)
             with lock:
-                holding[0] += 1
-                most[0] = max(most[0], holding[0])
+                held[0] += 1
+                max_held[0] = max(max_held[0], held[0])
                 served[0] += 1
             with lock:
-                holding[0] -= 1
+                held[0] -= 1
             slot.release()
 
-    threads = [threading.Thread(target=work) for _ in range(16)]
+    threads = [threading.Thread(target=acquire_repeatedly) for _ in range(16)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join(PATIENCE_S)
     assert served[0] == 16 * 50
-    assert most[0] <= capacity + capacity // 2
+    assert max_held[0] <= capacity + capacity // 2
     assert [type(balancer.acquire(slot_request(0.0))) for _ in range(7)] == [Slot] * 6 + [NoSlot]
--- a/tests/dataplane/test_client_disconnects.py
+++ b/tests/dataplane/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: their calls in progress are aborted, and nothing more is sent for them."""
+"""Clients that disconnect: their calls in progress are aborted, and no further request is sent for them."""
 
 import socket
 import threading
@@ -23,81 +23,83 @@
 from dewpin.dataplane.upstream.call import Call
 
 LONG_MS = 10 * PATIENCE_S * 1000
-"""Longer than any test waits: what ends sooner ended because the client disconnected."""
+"""Longer than any test waits, so that only the disconnect of the client can end a call in time."""
 
 
 @pytest.fixture
 def client():
-    leaving = DisconnectingClient()
-    yield leaving
-    leaving.ours.close()
+    disconnecting_client = DisconnectingClient()
+    yield disconnecting_client
+    disconnecting_client.ours.close()
 
 
-class Work:
-    """A script that begins a response, then records whether the caller closes the connection."""
+class PendingResponse:
+    """A script that starts a response, then records whether the caller closes the connection."""
 
     def __init__(self, begin):
-        self._begin = begin
+        self._start_response = begin
         self.started = threading.Event()
         self.ended = False
 
-    def __call__(self, connection, got):
-        self._begin(connection, got)
+    def __call__(self, connection, received):
+        self._start_response(connection, received)
         self.started.set()
         self.ended = connection.wait_for_close()
         return True
 
 
-def nothing(connection, got):
-    """Stay silent."""
+def send_nothing(connection, received):
+    """Send no response."""
 
 
-def half_a_head(connection, got):
-    connection.send(head(got, "200 OK", "Content-Length: 9")[:-4])
+def send_partial_head(connection, received):
+    connection.send(head(received, "200 OK", "Content-Length: 9")[:-4])
 
 
-def half_a_body(connection, got):
-    connection.send(head(got, "200 OK", "Content-Length: 9") + b"\r\nhalf")
+def send_partial_body(connection, received):
+    connection.send(head(received, "200 OK", "Content-Length: 9") + b"\r\nhalf")
 
 
-def half_of_the_chunks(connection, got):
-    connection.send(head(got, "200 OK", *STREAM_FIELDS) + b"\r\n" + chunk(b"half"))
+def send_partial_stream(connection, received):
+    connection.send(head(received, "200 OK", *STREAM_FIELDS) + b"\r\n" + chunk(b"half"))
 
 
-@pytest.mark.parametrize("begin", [nothing, half_a_head, half_a_body, half_of_the_chunks])
+@pytest.mark.parametrize("begin", [send_nothing, send_partial_head, send_partial_body, send_partial_stream])
 def test_idempotent_call_is_aborted_when_client_disconnects(begin, client):
-    work = Work(begin)
+    work = PendingResponse(begin)
     peer = ScriptedReceiver(work)
     with receivers(peer) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", retries=3, timeout_ms=LONG_MS)
-        serving = threading.Thread(target=lambda: harness(client=client))
-        serving.start()
+        handling = threading.Thread(target=lambda: harness(client=client))
+        handling.start()
         assert work.started.wait(PATIENCE_S)
         client.disconnect()
-        serving.join(PATIENCE_S)
-        assert not serving.is_alive()
+        handling.join(PATIENCE_S)
+        assert not handling.is_alive()
     assert len(peer.requests) == 1
 
 
-@pytest.mark.parametrize("begin", [nothing, half_a_body])
+@pytest.mark.parametrize("begin", [send_nothing, send_partial_body])
 def test_non_idempotent_call_continues_when_client_disconnects(begin, client):
-    started, go_on = threading.Event(), threading.Event()
+    started, proceed = threading.Event(), threading.Event()
 
-    def work(connection, got):
-        begin(connection, got)
+    def work(connection, received):
+        begin(connection, received)
         started.set()
-        assert go_on.wait(PATIENCE_S)
-        connection.send(b" done" if begin is half_a_body else head(got, "200 OK", "Content-Length: 4") + b"\r\ndone")
+        assert proceed.wait(PATIENCE_S)
+        connection.send(
+            b" done" if begin is send_partial_body else head(received, "200 OK", "Content-Length: 4") + b"\r\ndone"
+        )
 
     responses = []
     with receivers(ScriptedReceiver(work)) as listed:
         harness = RequestHandlerHarness(listed, kind="non_idempotent")
-        serving = threading.Thread(target=lambda: responses.append(harness(client=client)))
-        serving.start()
+        handling = threading.Thread(target=lambda: responses.append(harness(client=client)))
+        handling.start()
         assert started.wait(PATIENCE_S)
         client.disconnect()
-        go_on.set()
-        serving.join(PATIENCE_S)
+        proceed.set()
+        handling.join(PATIENCE_S)
     assert [response.status for response in responses] == [200]
 
 
@@ -129,47 +131,47 @@
     assert sum(len(peer.requests) for peer in peers) == 1
 
 
-MOST_CALLS = 4
-"""The calls that a receiver with one slot gets from a route with a long latency target."""
+MAX_CALLS = 4
+"""Number of calls in progress that a receiver with one slot gets from a route with a long latency target."""
 
 
 def test_client_that_disconnects_while_request_is_queued_ends_the_wait(client):
-    started, go_on = threading.Semaphore(0), threading.Event()
+    started, proceed = threading.Semaphore(0), threading.Event()
 
-    def hold(connection, got):
+    def hold(connection, received):
         started.release()
-        assert go_on.wait(PATIENCE_S)
-        full_response()(connection, got)
+        assert proceed.wait(PATIENCE_S)
+        full_response()(connection, received)
 
     peer = ScriptedReceiver(hold, capacity=1)
     with receivers(peer) as listed:
         harness = RequestHandlerHarness(listed, target_ms=LONG_MS, timeout_ms=LONG_MS)
-        serving = [threading.Thread(target=harness) for _ in range(MOST_CALLS)]
-        for each in serving:
-            each.start()
+        handling = [threading.Thread(target=harness) for _ in range(MAX_CALLS)]
+        for thread in handling:
+            thread.start()
             assert started.acquire(timeout=PATIENCE_S)
         waiting = threading.Thread(target=lambda: harness(client=client))
         waiting.start()
         client.disconnect()
         waiting.join(PATIENCE_S)
-        gave_up = not waiting.is_alive()
-        go_on.set()
-        for each in [*serving, waiting]:
-            each.join(PATIENCE_S)
-    assert gave_up
-    assert len(peer.requests) == MOST_CALLS
+        stopped_waiting = not waiting.is_alive()
+        proceed.set()
+        for thread in [*handling, waiting]:
+            thread.join(PATIENCE_S)
+    assert stopped_waiting
+    assert len(peer.requests) == MAX_CALLS
 
 
-def test_connection_established_after_client_disconnected_carries_nothing(client):
+def test_nothing_is_sent_on_connection_established_after_client_disconnected(client):
     peer = ScriptedReceiver(full_response())
     with receivers(peer) as (receiver,):
         harness = RequestHandlerHarness([receiver], kind="idempotent")
         receiver_client = harness.handler._shared.receiver_client
-        asked = request(now=harness._clock(), client=client)
-        connections = receiver_client._pool_of(receiver)
-        connect = connections.connect
-        connections.connect = lambda timeout_s: (connect(timeout_s), client.disconnect())[0]
-        receiver_client.call(receiver, Call(asked, harness._clock() + PATIENCE_S, is_idempotent=True))
+        client_request = request(now=harness._clock(), client=client)
+        pool = receiver_client._pool_of(receiver)
+        connect = pool.connect
+        pool.connect = lambda timeout_s: (connect(timeout_s), client.disconnect())[0]
+        receiver_client.call(receiver, Call(client_request, harness._clock() + PATIENCE_S, is_idempotent=True))
     assert peer.requests == []
 
 
@@ -178,89 +180,89 @@
 
     def __init__(self):
         listener = socket.create_server(("127.0.0.1", 0))
-        self.theirs = socket.create_connection(listener.getsockname())
-        ours, _ = listener.accept()
+        self.client_socket = socket.create_connection(listener.getsockname())
+        accepted, _ = listener.accept()
         listener.close()
-        self.ours = ClientConnection(ours, 0, time.monotonic)
+        self.server_connection = ClientConnection(accepted, 0, time.monotonic)
 
 
 @pytest.fixture
 def connection():
-    made = ConnectionPair()
-    yield made
-    made.theirs.close()
-    made.ours.close()
+    pair = ConnectionPair()
+    yield pair
+    pair.client_socket.close()
+    pair.server_connection.close()
 
 
 def test_pipelining_client_is_not_disconnected(connection):
-    assert not connection.ours.has_disconnected()
-    connection.theirs.sendall(b"GET /next HTTP/1.1\r\n")
-    assert not connection.ours.has_disconnected()
+    assert not connection.server_connection.has_disconnected()
+    connection.client_socket.sendall(b"GET /next HTTP/1.1\r\n")
+    assert not connection.server_connection.has_disconnected()
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /next HTTP/1.1\r\n"])
 def test_client_that_closed_is_disconnected_even_with_unread_bytes(connection, sent):
-    connection.theirs.sendall(sent)
-    connection.theirs.close()
-    assert connection.ours.has_disconnected()
+    connection.client_socket.sendall(sent)
+    connection.client_socket.close()
+    assert connection.server_connection.has_disconnected()
 
 
 def test_call_continues_for_pipelining_client(connection):
-    started, go_on = threading.Event(), threading.Event()
+    started, proceed = threading.Event(), threading.Event()
 
-    def respond(receiving, got):
+    def respond(receiver_connection, received):
         started.set()
-        assert go_on.wait(PATIENCE_S)
-        full_response(b"done")(receiving, got)
+        assert proceed.wait(PATIENCE_S)
+        full_response(b"done")(receiver_connection, received)
 
     responses = []
-    connection.theirs.sendall(b"GET /next HTTP/1.1\r\n\r\n")
+    connection.client_socket.sendall(b"GET /next HTTP/1.1\r\n\r\n")
     with receivers(ScriptedReceiver(respond)) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent")
-        serving = threading.Thread(target=lambda: responses.append(harness(client=connection.ours)))
-        serving.start()
+        handling = threading.Thread(target=lambda: responses.append(harness(client=connection.server_connection)))
+        handling.start()
         assert started.wait(PATIENCE_S)
-        go_on.set()
-        serving.join(PATIENCE_S)
+        proceed.set()
+        handling.join(PATIENCE_S)
     assert [(respond.status, respond.body) for respond in responses] == [(200, b"done")]
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /next HTTP/1.1\r\n\r\n"])
 def test_call_is_aborted_when_client_disconnects_even_with_unread_bytes(connection, sent):
-    work = Work(nothing)
+    work = PendingResponse(send_nothing)
     with receivers(ScriptedReceiver(work)) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", timeout_ms=LONG_MS)
-        connection.theirs.sendall(sent)
-        serving = threading.Thread(target=lambda: harness(client=connection.ours))
-        serving.start()
+        connection.client_socket.sendall(sent)
+        handling = threading.Thread(target=lambda: harness(client=connection.server_connection))
+        handling.start()
         assert work.started.wait(PATIENCE_S)
-        connection.theirs.close()
-        serving.join(PATIENCE_S)
-        assert not serving.is_alive()
+        connection.client_socket.close()
+        handling.join(PATIENCE_S)
+        assert not handling.is_alive()
 
 
-def test_half_closed_client_gets_response_without_promise(connection):
-    """It cannot be told apart from a client that closed, so its call is aborted; the response it gets is true."""
-    work = Work(nothing)
+def test_half_closed_client_gets_response_without_claim_about_execution(connection):
+    """It is indistinguishable from a client that closed: its call is aborted, and a 502 leaves the effect unknown."""
+    work = PendingResponse(send_nothing)
     responses = []
     with receivers(ScriptedReceiver(work)) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", timeout_ms=LONG_MS)
-        serving = threading.Thread(target=lambda: responses.append(harness(client=connection.ours)))
-        serving.start()
+        handling = threading.Thread(target=lambda: responses.append(harness(client=connection.server_connection)))
+        handling.start()
         assert work.started.wait(PATIENCE_S)
-        connection.theirs.shutdown(socket.SHUT_WR)
-        serving.join(PATIENCE_S)
+        connection.client_socket.shutdown(socket.SHUT_WR)
+        handling.join(PATIENCE_S)
     assert [response.status for response in responses] == [502]
 
 
 def test_stream_is_aborted_when_pipelining_client_disconnects(connection):
-    work = Work(half_of_the_chunks)
-    connection.theirs.sendall(b"GET /next HTTP/1.1\r\n\r\n")
+    work = PendingResponse(send_partial_stream)
+    connection.client_socket.sendall(b"GET /next HTTP/1.1\r\n\r\n")
     with receivers(ScriptedReceiver(work)) as listed:
         harness = RequestHandlerHarness(listed, kind="stream", timeout_ms=LONG_MS)
-        serving = threading.Thread(target=lambda: read(harness(client=connection.ours)))
-        serving.start()
+        handling = threading.Thread(target=lambda: read(harness(client=connection.server_connection)))
+        handling.start()
         assert work.started.wait(PATIENCE_S)
-        connection.theirs.close()
-        serving.join(PATIENCE_S)
-        assert not serving.is_alive()
+        connection.client_socket.close()
+        handling.join(PATIENCE_S)
+        assert not handling.is_alive()
--- a/tests/dataplane/test_event_relay.py
+++ b/tests/dataplane/test_event_relay.py
@@ -1,4 +1,4 @@
-"""Forwarding of streams: complete events only, resumption if allowed, an end only after a complete stream."""
+"""Event relay: forwards complete events only, resumes if allowed, and ends the body only after a complete stream."""
 
 import pytest
 from dataplane.peers import MemoryStore, configuration, event, request
@@ -10,19 +10,19 @@
 
 
 class ScriptedSource:
-    """The body of a receiver's response: parts, then the proper end or an error."""
+    """The body of a receiver's response: parts, then the end of the body or an error."""
 
-    def __init__(self, *parts, cut=None, is_close_delimited=False):
+    def __init__(self, *parts, interruption=None, is_close_delimited=False):
         self._parts = list(parts)
-        self._cut = cut
+        self._interruption = interruption
         self.is_close_delimited = is_close_delimited
         self.closed = False
 
     def read_next(self):
         if self._parts:
             return self._parts.pop(0)
-        if self._cut is not None:
-            raise IncompleteResponseError(self._cut)
+        if self._interruption is not None:
+            raise IncompleteResponseError(self._interruption)
         return b""
 
     def close(self):
@@ -30,30 +30,30 @@
 
 
 class Resumptions:
-    """Returns the sources that continue a stream, and records the arguments."""
+    """Returns sources that continue a stream, and records the arguments."""
 
     def __init__(self, *sources):
         self._sources = list(sources)
-        self.asked = []
+        self.arguments = []
 
-    def __call__(self, last_id, cut):
-        self.asked.append((last_id, cut))
+    def __call__(self, last_event_id, interruption):
+        self.arguments.append((last_event_id, interruption))
         return self._sources.pop(0) if self._sources else None
 
 
 def relay(source, resume=None, turn=None):
     closings = []
-    made = EventRelay(source, resume, turn, lambda: 1.0, closings.append)
-    made.closings = closings
-    made.read_first_events()
-    return made
+    event_relay = EventRelay(source, resume, turn, lambda: 1.0, closings.append)
+    event_relay.closings = closings
+    event_relay.read_first_events()
+    return event_relay
 
 
-def forwarded(made):
-    """Return the parts that the client got and whether the body is incomplete."""
+def forwarded(event_relay):
+    """Return the forwarded parts and whether the body is incomplete."""
     parts = []
     try:
-        for part in made:
+        for part in event_relay:
             parts.append(part)
     except IncompleteBodyError:
         return parts, True
@@ -61,17 +61,17 @@
 
 
 def test_events_are_forwarded_as_they_arrive():
-    made = relay(ScriptedSource(event(1), event(2) + event(3)))
-    assert forwarded(made) == ([event(1), event(2) + event(3)], False)
-    assert made.closings == [True]
+    event_relay = relay(ScriptedSource(event(1), event(2) + event(3)))
+    assert forwarded(event_relay) == ([event(1), event(2) + event(3)], False)
+    assert event_relay.closings == [True]
 
 
 def test_event_is_forwarded_once_complete():
     complete = event(1) + event(2)
-    made = relay(ScriptedSource(complete[:5], complete[5:25], complete[25:]))
-    parts, broken = forwarded(made)
+    event_relay = relay(ScriptedSource(complete[:5], complete[5:25], complete[25:]))
+    parts, is_incomplete = forwarded(event_relay)
     assert b"".join(parts) == complete
-    assert not broken
+    assert not is_incomplete
     assert all(part.endswith(b"\n\n") for part in parts)
 
 
@@ -83,70 +83,74 @@
     assert forwarded(relay(ScriptedSource())) == ([], False)
 
 
-def test_break_before_first_event_raises_and_forwards_nothing():
-    made = EventRelay(ScriptedSource(b"id: 1\nda", cut=Outcome.RESET), Resumptions(), None, lambda: 1.0, print)
+def test_interruption_before_first_event_raises_and_forwards_nothing():
+    event_relay = EventRelay(
+        ScriptedSource(b"id: 1\nda", interruption=Outcome.RESET), Resumptions(), None, lambda: 1.0, print
+    )
     with pytest.raises(IncompleteResponseError) as raised:
-        made.read_first_events()
+        event_relay.read_first_events()
     assert raised.value.outcome is Outcome.RESET
 
 
-def test_break_without_resumption_makes_body_incomplete():
-    source = ScriptedSource(event(1), b"id: 2\ndata: ha", cut=Outcome.RESET)
-    made = relay(source)
-    assert forwarded(made) == ([event(1)], True)
-    assert made.closings == [False]
+def test_interruption_without_resumption_makes_body_incomplete():
+    source = ScriptedSource(event(1), b"id: 2\ndata: ha", interruption=Outcome.RESET)
+    event_relay = relay(source)
+    assert forwarded(event_relay) == ([event(1)], True)
+    assert event_relay.closings == [False]
 
 
-def test_broken_stream_is_resumed_after_last_complete_event():
+def test_interrupted_stream_is_resumed_after_last_complete_event():
     resume = Resumptions(ScriptedSource(event(2), event(3)))
-    made = relay(ScriptedSource(event(1), b"id: 2\ndata: ha", cut=Outcome.RESET), resume)
-    assert forwarded(made) == ([event(1), event(2), event(3)], False)
-    assert resume.asked == [("1", Outcome.RESET)]
-    assert made.closings == [True]
+    event_relay = relay(ScriptedSource(event(1), b"id: 2\ndata: ha", interruption=Outcome.RESET), resume)
+    assert forwarded(event_relay) == ([event(1), event(2), event(3)], False)
+    assert resume.arguments == [("1", Outcome.RESET)]
+    assert event_relay.closings == [True]
 
 
 def test_stream_can_be_resumed_repeatedly():
-    resume = Resumptions(ScriptedSource(cut=Outcome.CLOSED), ScriptedSource(event(2), cut=Outcome.RESET))
-    made = relay(ScriptedSource(event(1), cut=Outcome.CLOSED), resume)
-    assert forwarded(made) == ([event(1), event(2)], True)
-    assert [last for last, _ in resume.asked] == ["1", "1", "2"]
+    resume = Resumptions(
+        ScriptedSource(interruption=Outcome.CLOSED), ScriptedSource(event(2), interruption=Outcome.RESET)
+    )
+    event_relay = relay(ScriptedSource(event(1), interruption=Outcome.CLOSED), resume)
+    assert forwarded(event_relay) == ([event(1), event(2)], True)
+    assert [last_event_id for last_event_id, _ in resume.arguments] == ["1", "1", "2"]
 
 
 def test_forwarded_events_are_not_repeated_after_resumption():
     resume = Resumptions(ScriptedSource(event(9) + event(10), event(11)))
-    made = relay(ScriptedSource(event(9), event(10), cut=Outcome.RESET), resume)
-    assert forwarded(made) == ([event(9), event(10), event(11)], False)
+    event_relay = relay(ScriptedSource(event(9), event(10), interruption=Outcome.RESET), resume)
+    assert forwarded(event_relay) == ([event(9), event(10), event(11)], False)
 
 
 def test_closing_early_closes_source_and_settles_once():
     store = MemoryStore()
     turn = open_turn(store)
     source = ScriptedSource(event(1), event(2))
-    made = relay(source, turn=turn)
-    iterator = iter(made)
+    event_relay = relay(source, turn=turn)
+    iterator = iter(event_relay)
     assert next(iterator) == event(1)
-    made.close()
-    made.close()
+    event_relay.close()
+    event_relay.close()
     assert source.closed
     assert store.settled == [("r-1", 10)]
-    assert made.closings == [False]
+    assert event_relay.closings == [False]
     iterator.close()
     assert store.settled == [("r-1", 10)]
 
 
 def test_unread_relay_settles_when_closed():
     store = MemoryStore()
-    made = relay(ScriptedSource(event(1)), turn=open_turn(store))
-    made.close()
+    event_relay = relay(ScriptedSource(event(1)), turn=open_turn(store))
+    event_relay.close()
     assert [turn for turn, _ in store.settled] == ["r-1"]
 
 
 def open_turn(store, *fields, **route):
-    given = configuration("stream", **{"retained": True, **route})
+    config = configuration("stream", **{"retained": True, **route})
     fields = fields or (("Budget", "100"), ("X-Dewpin-Token-Usage", "30,40"), ("Program", "p"))
-    asked = request(*fields)
-    plan = plan_turn(asked, given.routes[0], next(iter(given.services.values())))
-    turn = OpenTurn(store, plan, asked)
+    arguments = request(*fields)
+    plan = plan_turn(arguments, config.routes[0], next(iter(config.services.values())))
+    turn = OpenTurn(store, plan, arguments)
     turn.begin(lambda: 1.0)
     return turn
 
@@ -155,8 +159,8 @@
     store = MemoryStore()
     steps = []
     store.on_store_turn = lambda turn: steps.append("stored")
-    made = relay(ScriptedSource(event(1, "a"), event(2, "b")), turn=open_turn(store))
-    for part in made:
+    event_relay = relay(ScriptedSource(event(1, "a"), event(2, "b")), turn=open_turn(store))
+    for part in event_relay:
         steps.append(part)
     assert steps == [event(1, "a"), event(2, "b"), "stored"]
     assert store.turns["r-1"].output == b"a\nb\n"
@@ -166,16 +170,16 @@
 
 def test_body_is_incomplete_if_turn_cannot_be_stored():
     store = MemoryStore(fails=["store_turn"])
-    made = relay(ScriptedSource(event(1)), turn=open_turn(store))
-    assert forwarded(made) == ([event(1)], True)
+    event_relay = relay(ScriptedSource(event(1)), turn=open_turn(store))
+    assert forwarded(event_relay) == ([event(1)], True)
     assert store.settled == [("r-1", 10)]
-    assert made.closings == [False]
+    assert event_relay.closings == [False]
 
 
 def test_incomplete_turn_is_not_stored():
     store = MemoryStore()
-    made = relay(ScriptedSource(event(1), cut=Outcome.RESET), turn=open_turn(store))
-    assert forwarded(made) == ([event(1)], True)
+    event_relay = relay(ScriptedSource(event(1), interruption=Outcome.RESET), turn=open_turn(store))
+    assert forwarded(event_relay) == ([event(1)], True)
     assert store.turns == {}
     assert store.settled == [("r-1", 10)]
 
@@ -183,21 +187,21 @@
 def test_resumed_turn_is_stored_with_each_event_once():
     store = MemoryStore()
     resume = Resumptions(ScriptedSource(event(1), event(2)))
-    made = relay(ScriptedSource(event(1), cut=Outcome.RESET), resume, open_turn(store))
-    assert forwarded(made) == ([event(1), event(2)], False)
+    event_relay = relay(ScriptedSource(event(1), interruption=Outcome.RESET), resume, open_turn(store))
+    assert forwarded(event_relay) == ([event(1), event(2)], False)
     assert store.turns["r-1"].output == b"t1\nt2\n"
     assert store.settled == [("r-1", 20)]
 
 
-def test_connection_closed_within_event_breaks_stream():
-    cut_in_event = event(1) + event(2)[:-3]
-    assert forwarded(relay(ScriptedSource(cut_in_event, is_close_delimited=True))) == ([event(1)], True)
+def test_connection_closed_within_event_interrupts_stream():
+    truncated_stream = event(1) + event(2)[:-3]
+    assert forwarded(relay(ScriptedSource(truncated_stream, is_close_delimited=True))) == ([event(1)], True)
     resume = Resumptions(ScriptedSource(event(2)))
-    assert forwarded(relay(ScriptedSource(cut_in_event, is_close_delimited=True), resume)) == (
+    assert forwarded(relay(ScriptedSource(truncated_stream, is_close_delimited=True), resume)) == (
         [event(1), event(2)],
         False,
     )
-    assert resume.asked == [("1", Outcome.CLOSED)]
+    assert resume.arguments == [("1", Outcome.CLOSED)]
 
 
 def test_connection_closed_after_event_ends_unframed_stream():
--- a/tests/dataplane/test_event_splitter.py
+++ b/tests/dataplane/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""Splitting of streams into events, and parsing of events."""
+"""Splitting streams into events, and parsing the fields of events."""
 
 import pytest
 from hypothesis import given
@@ -49,10 +49,10 @@
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
 def test_events_are_independent_of_read_sizes(cuts):
-    places = [0, *sorted(cuts), len(STREAM)]
+    positions = [0, *sorted(cuts), len(STREAM)]
     splitter = EventSplitter()
     events = []
-    for start, end in zip(places, places[1:], strict=False):
+    for start, end in zip(positions, positions[1:], strict=False):
         events += splitter.feed(STREAM[start:end])
     assert b"".join(event.raw for event in events) == STREAM
     assert [event.data for event in events] == [b"a", b"b", None, b"c\nd"]
--- a/tests/dataplane/test_idle_limit.py
+++ b/tests/dataplane/test_idle_limit.py
@@ -52,7 +52,7 @@
     with receivers(forgetful, other) as (first, second):
         call(first)
         call(second)
-        call.clock.ahead_s += 1.0
+        call.clock.offset_s += 1.0
         assert (call(first, is_idempotent=is_idempotent).outcome is Outcome.SUCCESS) == is_idempotent
         assert call(second, is_idempotent=False).outcome is Outcome.SUCCESS
     call.receiver_client.close()
@@ -66,7 +66,7 @@
     peer = ScriptedReceiver(full_response(b"", "200 OK", TOLD), reset)
     with receivers(peer) as (receiver,):
         call(receiver)
-        call.clock.ahead_s += 1.0
+        call.clock.offset_s += 1.0
         assert call(receiver).outcome is Outcome.RESET
         limit = call.receiver_client._pool_of(receiver)._idle_limit
         assert limit.max_idle_s(call.clock()) == MAX_IDLE_S
@@ -103,7 +103,7 @@
         call(receiver)
         connections = call.receiver_client._pool_of(receiver)
         assert select.select([connections._idle[0].connection.sock], [], [], PATIENCE_S)[0]
-        call.clock.ahead_s += 1.0
+        call.clock.offset_s += 1.0
         assert call(receiver, is_idempotent=False).outcome is Outcome.SUCCESS
         assert connections._idle_limit.max_idle_s(call.clock()) == MAX_IDLE_S
     call.receiver_client.close()
--- a/tests/dataplane/test_ingress_server.py
+++ b/tests/dataplane/test_ingress_server.py
@@ -4,7 +4,7 @@
 import threading
 
 import pytest
-from dataplane.ingress_harness import RawClient, ScriptedBody, ServerHarness, cluster
+from dataplane.ingress_harness import RawClient, ScriptedBody, ServerHarness, cluster_state
 from dataplane.peers import PATIENCE_S
 
 from dewpin.dataplane.http11.messages import IncompleteBodyError, Response
@@ -149,7 +149,9 @@
 
 def test_idle_connection_follows_newest_idle_limit(serve):
     server = serve()
-    state = ChangingState(cluster(idle_timeout_ms=50).configuration, cluster(idle_timeout_ms=60_000).configuration)
+    state = ChangingState(
+        cluster_state(idle_timeout_ms=50).configuration, cluster_state(idle_timeout_ms=60_000).configuration
+    )
     server.ingress._state = state
     client = server.connect()
     assert state.has_changed.wait(PATIENCE_S)
@@ -312,7 +314,7 @@
         stopping.start()
         assert resting.is_closed()
     elif meanwhile == "shorter idle limit":
-        server.ingress._state.configuration = cluster(idle_timeout_ms=1).configuration
+        server.ingress._state.configuration = cluster_state(idle_timeout_ms=1).configuration
     else:
         server.ingress._max_connections = 2
         assert server.connect().is_closed()
@@ -358,7 +360,7 @@
 
 def test_connection_beyond_maximum_is_closed():
     ingress = IngressServer(
-        cluster(), lambda request: Response(200, [], b"done"), max_connections=1, accept_poll_s=0.01
+        cluster_state(), lambda request: Response(200, [], b"done"), max_connections=1, accept_poll_s=0.01
     )
     ingress.start(("127.0.0.1", 0))
     first = RawClient(ingress.address)
--- a/tests/dataplane/test_priority.py
+++ b/tests/dataplane/test_priority.py
@@ -1,4 +1,4 @@
-"""Priority of routes: at the receivers, which get it as a header, and in the queue for slots."""
+"""Route priority: receivers get it as a header field, and the slot queue is ordered by it."""
 
 import random
 
@@ -19,31 +19,31 @@
         response = RequestHandlerHarness(listed, kind=kind, priority=priority)()
         assert response.status == 200
         read(response)
-    assert [got.headers["priority"] for got in peer.requests] == [told]
+    assert [received.headers["priority"] for received in peer.requests] == [told]
 
 
 def test_priority_of_client_is_forwarded_unchanged():
     peer = ScriptedReceiver(full_response())
     with receivers(peer) as listed:
         assert RequestHandlerHarness(listed, priority=0)(("Priority", "7")).status == 200
-    (got,) = peer.requests
-    assert [value for name, value in got.fields if name.lower() == "priority"] == ["7"]
+    (received,) = peer.requests
+    assert [value for name, value in received.fields if name.lower() == "priority"] == ["7"]
 
 
 def test_resuming_call_has_priority_of_first_call():
-    broken = ScriptedReceiver(stream(event(1), is_complete=False), id="i-1")
-    sound = ScriptedReceiver(stream(event(2)), id="i-2", zone="there")
-    with receivers(broken, sound) as listed:
+    interrupted = ScriptedReceiver(stream(event(1), is_complete=False), id="i-1")
+    healthy = ScriptedReceiver(stream(event(2)), id="i-2", zone="there")
+    with receivers(interrupted, healthy) as listed:
         assert read(RequestHandlerHarness(listed, frozen=True, kind="stream", resumable=True, priority=3)()) == (
             event(1) + event(2),
             False,
         )
-    assert [got.headers["priority"] for got in broken.requests + sound.requests] == ["3", "3"]
-    assert sound.requests[0].headers["last-event-id"] == "1"
+    assert [received.headers["priority"] for received in interrupted.requests + healthy.requests] == ["3", "3"]
+    assert healthy.requests[0].headers["last-event-id"] == "1"
 
 
 def test_higher_priority_goes_first_under_load_without_starving_others():
-    """One slot is released each 10 ms while requests of both routes are queued."""
+    """A slot is released every 10 ms while requests of both routes are queued."""
     allocator = SlotAllocator("here", random.Random(1))
     allocator.update_receivers(SERVICE, (Receiver("i-1", SERVICE, "10.0.0.1:80", "here", 1, False, 0.0, "v1"),))
     service = configuration().services[SERVICE]
@@ -56,7 +56,7 @@
         pass
     waiting = [allocator.enqueue(slot_request(route, priority)) for route, priority in (("usual", 1), ("urgent", 0))]
     served = {"urgent": 0, "usual": 0}
-    longest_s, last_s = 0.0, now
+    max_wait_s, last_grant_s = 0.0, now
     for _ in range(1000):
         now += 0.01
         allocator.release("i-1")
@@ -64,16 +64,16 @@
         route = queued.request.route
         served[route] += 1
         if route == "usual":
-            longest_s, last_s = max(longest_s, now - last_s), now
+            max_wait_s, last_grant_s = max(max_wait_s, now - last_grant_s), now
         waiting.append(allocator.enqueue(slot_request(route, queued.request.priority)))
     assert served["urgent"] > 5 * served["usual"]
-    assert 0 < longest_s <= PRIORITY_STEP_S + 0.02
+    assert 0 < max_wait_s <= PRIORITY_STEP_S + 0.02
 
 
-def test_expected_version_passes_over_other_versions_without_penalty():
+def test_receivers_of_other_versions_are_skipped_without_penalty():
     other = ScriptedReceiver(full_response(b"", "421 Misdirected Request", "Versions: 3", signed=False), id="i-1")
-    meant = ScriptedReceiver(stream(b"versions: 4\nid: 1\ndata: a\n\n", event(2)), id="i-2", zone="there")
-    with receivers(other, meant) as listed:
+    matching = ScriptedReceiver(stream(b"versions: 4\nid: 1\ndata: a\n\n", event(2)), id="i-2", zone="there")
+    with receivers(other, matching) as listed:
         harness = RequestHandlerHarness(listed, frozen=True, kind="stream")
         for _ in range(2):
             response = harness(("Expect-Version", "4"))
@@ -82,10 +82,10 @@
         assert (load.unreachable_count, load.rejections, load.blocked_until) == (0, 0, 0.0)
         assert load.error_rate(1000.0) == 0.0
     assert len(other.requests) == 2
-    assert {got.headers["expect-version"] for got in other.requests + meant.requests} == {"4"}
+    assert {received.headers["expect-version"] for received in other.requests + matching.requests} == {"4"}
 
 
-def test_version_that_no_receiver_has_gets_503():
+def test_request_for_version_without_receiver_gets_503():
     peer = ScriptedReceiver(full_response(b"", "421 Misdirected Request", "Versions: 3", signed=False))
     with receivers(peer) as listed:
         response = RequestHandlerHarness(listed, kind="non_idempotent", retries=1)(("Expect-Version", "4"))
--- a/tests/dataplane/test_receiver_client.py
+++ b/tests/dataplane/test_receiver_client.py
@@ -233,7 +233,7 @@
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(stay_silent)) as (receiver,):
-        assert call(receiver, time_s=0.1).outcome is Outcome.TIMED_OUT
+        assert call(receiver, timeout_s=0.1).outcome is Outcome.TIMED_OUT
 
 
 def test_refused_connect_is_not_sent(call):
@@ -313,7 +313,7 @@
     peer = ScriptedReceiver(full_response(b"", "200 OK", *fields))
     with receivers(peer) as (receiver,):
         call(receiver)
-        call.clock.ahead_s += idle_s
+        call.clock.offset_s += idle_s
         call(receiver, is_idempotent=is_idempotent)
     assert peer.connections == (1 if used_again else 2)
 
@@ -332,7 +332,7 @@
             thread.start()
         for thread in threads:
             thread.join(PATIENCE_S)
-        call.clock.ahead_s += 4.3
+        call.clock.offset_s += 4.3
         call(receiver, is_idempotent=False)
         connections = call.receiver_client._pool_of(receiver)
         assert peer.connections == 3
@@ -377,7 +377,7 @@
         raise TimeoutError
 
     monkeypatch.setattr(ConnectionPool, "connect", connect)
-    assert call(Receiver("i-1", "s", "127.0.0.1:9", "here", 1, False, 0.0, "v1"), time_s=2.0).outcome is (
+    assert call(Receiver("i-1", "s", "127.0.0.1:9", "here", 1, False, 0.0, "v1"), timeout_s=2.0).outcome is (
         Outcome.NOT_SENT
     )
     assert bounds[0] <= 2.0 * CONNECT_SHARE_OF_TIME_LEFT
--- a/tests/dataplane/test_request_handler.py
+++ b/tests/dataplane/test_request_handler.py
@@ -91,7 +91,7 @@
         harness = RequestHandlerHarness(listed, kind="idempotent", retries=3)
         response = harness()
     assert response.status == 200
-    assert len(harness.pauses) >= 1
+    assert len(harness.backoffs_s) >= 1
     assert harness.handler.metrics.attempts == 3
     assert first.requests
     assert second.requests
@@ -120,7 +120,7 @@
     with receivers(full, free) as listed:
         harness = RequestHandlerHarness(listed, frozen=True, kind=kind)
         assert harness().status == 200
-        assert harness.pauses == []
+        assert harness.backoffs_s == []
     assert len(full.requests) == 1
 
 
--- a/tests/dataplane/test_request_timeout.py
+++ b/tests/dataplane/test_request_timeout.py
@@ -163,7 +163,7 @@
         harness = RequestHandlerHarness(listed, frozen=True, kind="idempotent", target_ms=500)
         assert harness(("X-Dewpin-Request-Deadline", "1200")).status == 200
         first, second = deadlines_ms(failing) + deadlines_ms(sound)
-        waited_ms = 1000 * sum(harness.pauses)
+        waited_ms = 1000 * sum(harness.backoffs_s)
     assert first == 1200
     assert waited_ms > 0
     assert 1200 - waited_ms - 1 <= second <= 1200 - waited_ms
@@ -181,7 +181,7 @@
         assert next(parts) == event(1)
         clock.now_s += 1.5
         assert b"".join(parts) == event(2)
-        waited_ms = 1000 * sum(harness.pauses)
+        waited_ms = 1000 * sum(harness.backoffs_s)
     first, second = deadlines_ms(broken) + deadlines_ms(sound)
     assert first == 4000
     assert 2500 - waited_ms - 1 <= second <= 2500 - waited_ms
--- a/tests/dataplane/test_response_stream.py
+++ b/tests/dataplane/test_response_stream.py
@@ -117,7 +117,7 @@
     with receivers(ScriptedReceiver(respond)) as (receiver,):
         result = call(receiver, is_streaming=True)
         result.stream.read_next()
-        call.clock.ahead_s += PATIENCE_S
+        call.clock.offset_s += PATIENCE_S
         with pytest.raises(IncompleteResponseError) as raised:
             result.stream.read_next()
     assert raised.value.outcome is Outcome.TIMED_OUT
@@ -131,7 +131,7 @@
     with receivers(ScriptedReceiver(respond)) as (receiver,):
         result = call(receiver, is_streaming=True)
         result.stream.read_next()
-        call.clock.ahead_s += PATIENCE_S - 0.1
+        call.clock.offset_s += PATIENCE_S - 0.1
         started = time.monotonic()
         with pytest.raises(IncompleteResponseError) as raised:
             result.stream.read_next()
--- a/tests/dataplane/test_streamed_responses.py
+++ b/tests/dataplane/test_streamed_responses.py
@@ -96,7 +96,7 @@
         assert harness().status == 503
         load = harness.handler._shared.balancer._allocator.load_of("i-1")
         assert load.rejections == 1
-        harness.pauses.append(PATIENCE_S)
+        harness.backoffs_s.append(PATIENCE_S)
         before = load.call_time_s
         assert read(harness()) == (event(1), False)
     assert load.rejections == 0
