--- a/tests/dataplane/test_client_disconnects.py
+++ b/tests/dataplane/test_client_disconnects.py
@@ -66,13 +66,13 @@
 
 @pytest.mark.parametrize("begin", [send_nothing, send_partial_head, send_partial_body, send_partial_stream])
 def test_idempotent_call_is_aborted_when_client_disconnects(begin, client):
-    work = PendingResponse(begin)
-    peer = ScriptedReceiver(work)
+    script = PendingResponse(begin)
+    peer = ScriptedReceiver(script)
     with receivers(peer) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", retries=3, timeout_ms=LONG_MS)
         handling = threading.Thread(target=lambda: harness(client=client))
         handling.start()
-        assert work.started.wait(PATIENCE_S)
+        assert script.started.wait(PATIENCE_S)
         client.disconnect()
         handling.join(PATIENCE_S)
         assert not handling.is_alive()
@@ -83,7 +83,7 @@
 def test_non_idempotent_call_continues_when_client_disconnects(begin, client):
     started, proceed = threading.Event(), threading.Event()
 
-    def work(connection, received):
+    def script(connection, received):
         begin(connection, received)
         started.set()
         assert proceed.wait(PATIENCE_S)
@@ -92,7 +92,7 @@
         )
 
     responses = []
-    with receivers(ScriptedReceiver(work)) as listed:
+    with receivers(ScriptedReceiver(script)) as listed:
         harness = RequestHandlerHarness(listed, kind="non_idempotent")
         handling = threading.Thread(target=lambda: responses.append(harness(client=client)))
         handling.start()
@@ -229,13 +229,13 @@
 
 @pytest.mark.parametrize("sent", [b"", b"GET /next HTTP/1.1\r\n\r\n"])
 def test_call_is_aborted_when_client_disconnects_even_with_unread_bytes(connection, sent):
-    work = PendingResponse(send_nothing)
-    with receivers(ScriptedReceiver(work)) as listed:
+    script = PendingResponse(send_nothing)
+    with receivers(ScriptedReceiver(script)) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", timeout_ms=LONG_MS)
         connection.client_socket.sendall(sent)
         handling = threading.Thread(target=lambda: harness(client=connection.server_connection))
         handling.start()
-        assert work.started.wait(PATIENCE_S)
+        assert script.started.wait(PATIENCE_S)
         connection.client_socket.close()
         handling.join(PATIENCE_S)
         assert not handling.is_alive()
@@ -243,26 +243,26 @@
 
 def test_half_closed_client_gets_response_without_claim_about_execution(connection):
     """It is indistinguishable from a client that closed: its call is aborted, and a 502 leaves the effect unknown."""
-    work = PendingResponse(send_nothing)
+    script = PendingResponse(send_nothing)
     responses = []
-    with receivers(ScriptedReceiver(work)) as listed:
+    with receivers(ScriptedReceiver(script)) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", timeout_ms=LONG_MS)
         handling = threading.Thread(target=lambda: responses.append(harness(client=connection.server_connection)))
         handling.start()
-        assert work.started.wait(PATIENCE_S)
+        assert script.started.wait(PATIENCE_S)
         connection.client_socket.shutdown(socket.SHUT_WR)
         handling.join(PATIENCE_S)
     assert [response.status for response in responses] == [502]
 
 
 def test_stream_is_aborted_when_pipelining_client_disconnects(connection):
-    work = PendingResponse(send_partial_stream)
+    script = PendingResponse(send_partial_stream)
     connection.client_socket.sendall(b"GET /next HTTP/1.1\r\n\r\n")
-    with receivers(ScriptedReceiver(work)) as listed:
+    with receivers(ScriptedReceiver(script)) as listed:
         harness = RequestHandlerHarness(listed, kind="stream", timeout_ms=LONG_MS)
         handling = threading.Thread(target=lambda: read(harness(client=connection.server_connection)))
         handling.start()
-        assert work.started.wait(PATIENCE_S)
+        assert script.started.wait(PATIENCE_S)
         connection.client_socket.close()
         handling.join(PATIENCE_S)
         assert not handling.is_alive()
--- a/tests/dataplane/test_event_relay.py
+++ b/tests/dataplane/test_event_relay.py
@@ -148,9 +148,9 @@
 def open_turn(store, *fields, **route):
     config = configuration("stream", **{"retained": True, **route})
     fields = fields or (("Budget", "100"), ("X-Dewpin-Token-Usage", "30,40"), ("Program", "p"))
-    arguments = request(*fields)
-    plan = plan_turn(arguments, config.routes[0], next(iter(config.services.values())))
-    turn = OpenTurn(store, plan, arguments)
+    opening_request = request(*fields)
+    plan = plan_turn(opening_request, config.routes[0], next(iter(config.services.values())))
+    turn = OpenTurn(store, plan, opening_request)
     turn.begin(lambda: 1.0)
     return turn
 
--- a/tests/dataplane/test_idle_limit.py
+++ b/tests/dataplane/test_idle_limit.py
@@ -1,4 +1,4 @@
-"""How long a connection may be idle for a call, how a stale one lowers the limit, and the connects that this costs."""
+"""Idle limit of reused connections: its value, its reduction after stale connections, and its cost in new connects."""
 
 import heapq
 import random
@@ -16,7 +16,7 @@
 from dewpin.dataplane.upstream.response_body import BodyEnd, BodyFraming
 
 KEEP_ALIVE_S = 4.85
-TOLD = "Keep-Alive: timeout=5"
+KEEP_ALIVE_FIELD = "Keep-Alive: timeout=5"
 
 
 def test_idempotent_call_may_use_connection_for_its_whole_keep_alive():
@@ -47,23 +47,26 @@
 def test_reused_connection_that_ends_at_once_lowers_limit_of_its_service(ending, is_idempotent, monkeypatch):
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
     call = Caller()
-    told = full_response(b"", "200 OK", TOLD)
-    forgetful, other = ScriptedReceiver(told, ending, told, id="i-1"), ScriptedReceiver(told, id="i-2")
-    with receivers(forgetful, other) as (first, second):
+    keep_alive_response = full_response(b"", "200 OK", KEEP_ALIVE_FIELD)
+    dropping, other = (
+        ScriptedReceiver(keep_alive_response, ending, keep_alive_response, id="i-1"),
+        ScriptedReceiver(keep_alive_response, id="i-2"),
+    )
+    with receivers(dropping, other) as (first, second):
         call(first)
         call(second)
         call.clock.offset_s += 1.0
         assert (call(first, is_idempotent=is_idempotent).outcome is Outcome.SUCCESS) == is_idempotent
         assert call(second, is_idempotent=False).outcome is Outcome.SUCCESS
     call.receiver_client.close()
-    assert len(forgetful.requests) == (3 if is_idempotent else 2)
+    assert len(dropping.requests) == (3 if is_idempotent else 2)
     assert other.connections == 2
 
 
 def test_reused_connection_that_ends_later_keeps_limit_and_ends_call(monkeypatch):
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", -1.0)
     call = Caller()
-    peer = ScriptedReceiver(full_response(b"", "200 OK", TOLD), reset)
+    peer = ScriptedReceiver(full_response(b"", "200 OK", KEEP_ALIVE_FIELD), reset)
     with receivers(peer) as (receiver,):
         call(receiver)
         call.clock.offset_s += 1.0
@@ -74,45 +77,45 @@
     assert len(peer.requests) == 2
 
 
-@pytest.mark.parametrize("then", ["refuses", "is gone"])
-def test_call_repeated_on_new_connection_without_effect_may_still_have_run_before(then, monkeypatch):
+@pytest.mark.parametrize("then", ["rejects", "is gone"])
+def test_call_repeated_on_new_connection_without_effect_may_have_been_executed_before(then, monkeypatch):
     monkeypatch.setattr("dewpin.dataplane.upstream.connection_pool.STALE_RESET_WITHIN_S", PATIENCE_S)
 
-    def reset_and_go(connection, got):
+    def reset_and_close(connection, received):
         if then == "is gone":
             peer.close()
-        return reset(connection, got)
+        return reset(connection, received)
 
     call = Caller()
-    peer = ScriptedReceiver(full_response(b"", "200 OK", TOLD), reset_and_go, rejection())
+    peer = ScriptedReceiver(full_response(b"", "200 OK", KEEP_ALIVE_FIELD), reset_and_close, rejection())
     call(peer.receiver)
     result = call(peer.receiver)
     assert result.outcome is Outcome.RESET
     call.receiver_client.close()
-    if then == "refuses":
+    if then == "rejects":
         peer.close()
 
 
 def test_connection_found_closed_before_use_keeps_limit():
-    def respond_and_close(connection, got):
-        full_response(b"", "200 OK", TOLD)(connection, got)
+    def respond_and_close(connection, received):
+        full_response(b"", "200 OK", KEEP_ALIVE_FIELD)(connection, received)
         return True
 
     call = Caller()
     with receivers(ScriptedReceiver(respond_and_close)) as (receiver,):
         call(receiver)
-        connections = call.receiver_client._pool_of(receiver)
-        assert select.select([connections._idle[0].connection.sock], [], [], PATIENCE_S)[0]
+        pool = call.receiver_client._pool_of(receiver)
+        assert select.select([pool._idle[0].connection.sock], [], [], PATIENCE_S)[0]
         call.clock.offset_s += 1.0
         assert call(receiver, is_idempotent=False).outcome is Outcome.SUCCESS
-        assert connections._idle_limit.max_idle_s(call.clock()) == MAX_IDLE_S
+        assert pool._idle_limit.max_idle_s(call.clock()) == MAX_IDLE_S
     call.receiver_client.close()
 
 
-class Day:
-    """Calls to the receivers of a service in simulated time: counts new connections and calls lost for good.
+class CallSimulation:
+    """Calls to the receivers of a service in simulated time; counts new connections and lost calls.
 
-    A receiver announces that it keeps a connection for 5 s and drops some sooner; a call then meets a reset.
+    A receiver announces a keep-alive time of 5 s but drops some connections earlier; the next call on them is reset.
     """
 
     def __init__(self, seed, calls_per_s, pairs, non_idempotent_share, drops_after_s):
@@ -133,56 +136,56 @@
 
     def _call(self, now, longest_s):
         self.calls += 1
-        front, receiver = self.rng.randrange(self.pairs[0]), self.rng.randrange(self.pairs[1])
+        sender, receiver = self.rng.randrange(self.pairs[0]), self.rng.randrange(self.pairs[1])
         is_idempotent = self.rng.random() >= self.non_idempotent_share
-        since, kept_until = self.idle.pop((front, receiver), (None, 0.0))
-        limit = self.limits[front]
-        usable = since is not None and limit.allows(now - since, KEEP_ALIVE_S, is_idempotent, now)
-        if longest_s is not None and not is_idempotent and since is not None:
-            usable = now - since < longest_s
-        if not usable:
+        idle_since, kept_until = self.idle.pop((sender, receiver), (None, 0.0))
+        limit = self.limits[sender]
+        is_usable = idle_since is not None and limit.allows(now - idle_since, KEEP_ALIVE_S, is_idempotent, now)
+        if longest_s is not None and not is_idempotent and idle_since is not None:
+            is_usable = now - idle_since < longest_s
+        if not is_usable:
             self.connects += 1
         elif now >= kept_until:
-            limit.record_stale_connection(now - since, now)
+            limit.record_stale_connection(now - idle_since, now)
             self.connects += 1
             self.lost += not is_idempotent
-        self.idle[(front, receiver)] = (now, now + self.rng.uniform(*self.drops_after_s))
+        self.idle[(sender, receiver)] = (now, now + self.rng.uniform(*self.drops_after_s))
 
 
-SMALL = {"calls_per_s": 32.0, "pairs": (6, 4), "non_idempotent_share": 0.37}
-GROWN = {"calls_per_s": 86.0, "pairs": (69, 10), "non_idempotent_share": 0.3}
-TRUE_WORD = (5.0, 5.0)
-EARLY = (0.5, 5.0)
-LATER = (2.0, 5.0)
+SMALL_SITE = {"calls_per_s": 32.0, "pairs": (6, 4), "non_idempotent_share": 0.37}
+LARGE_SITE = {"calls_per_s": 86.0, "pairs": (69, 10), "non_idempotent_share": 0.3}
+AS_ANNOUNCED = (5.0, 5.0)
+FROM_500_MS = (0.5, 5.0)
+FROM_2_S = (2.0, 5.0)
 
 
-def days(longest_s, site, drops_after_s):
-    made = [Day(seed, drops_after_s=drops_after_s, **site).run(34.0, longest_s) for seed in range(20)]
-    return sum(day.connects for day in made) / 20, sum(day.lost for day in made) / 20
+def simulate(longest_s, site, drops_after_s):
+    runs = [CallSimulation(seed, drops_after_s=drops_after_s, **site).run(34.0, longest_s) for seed in range(20)]
+    return sum(result.connects for result in runs) / 20, sum(result.lost for result in runs) / 20
 
 
 @pytest.mark.parametrize(
     ("site", "drops_after_s", "most_connects", "most_lost"),
     [
-        (SMALL, EARLY, 2.5, 0.1),
-        (SMALL, LATER, 2.0, 0.0),
-        (SMALL, TRUE_WORD, 2.1, 0.0),
-        (GROWN, EARLY, 1.07, 0.15),
-        (GROWN, LATER, 1.07, 0.0),
-        (GROWN, TRUE_WORD, 1.1, 0.0),
+        (SMALL_SITE, FROM_500_MS, 2.5, 0.1),
+        (SMALL_SITE, FROM_2_S, 2.0, 0.0),
+        (SMALL_SITE, AS_ANNOUNCED, 2.1, 0.0),
+        (LARGE_SITE, FROM_500_MS, 1.07, 0.15),
+        (LARGE_SITE, FROM_2_S, 1.07, 0.0),
+        (LARGE_SITE, AS_ANNOUNCED, 1.1, 0.0),
     ],
 )
 def test_limit_saves_calls_at_bounded_cost_in_connections(site, drops_after_s, most_connects, most_lost):
-    """Both bounds are relative to the earlier limit, which was 0.85 of the announced keep-alive time."""
-    before_connects, before_lost = days(0.85 * KEEP_ALIVE_S, site, drops_after_s)
-    connects, lost = days(None, site, drops_after_s)
+    """Both bounds are relative to a former limit, 0.85 of the announced keep-alive time."""
+    before_connects, before_lost = simulate(0.85 * KEEP_ALIVE_S, site, drops_after_s)
+    connects, lost = simulate(None, site, drops_after_s)
     print(f"connects {before_connects:.0f} -> {connects:.0f}, calls lost {before_lost:.1f} -> {lost:.1f}")
     assert connects <= most_connects * before_connects
     assert lost <= most_lost * before_lost
 
 
-class HandClock:
-    """A clock that is set by hand, in seconds."""
+class ManualClock:
+    """A clock that the test sets, in seconds."""
 
     def __init__(self):
         self.now = 0.0
@@ -192,7 +195,7 @@
 
 
 class IdleConnection:
-    """Stands for a connection that carries calls; `dropped_at`: when its receiver drops it without notice."""
+    """A stand-in for a connection; `dropped_at` is the time at which its receiver drops it without notice."""
 
     is_connected = True
 
@@ -213,70 +216,70 @@
         self.closed = True
 
 
-class PoolOfReceiver:
-    """The pool of one sender for a receiver that announces 5 s, on a clock that is set by hand."""
+class ReceiverPool:
+    """The pool of one sender for a receiver that announces a keep-alive time of 5 s, with a manual clock."""
 
     response = SimpleNamespace(headers={"keep-alive": "timeout=5"})
 
     def __init__(self, clock, limit=None):
         receiver = Receiver("i-1", "engines", "10.0.0.1:80", "east", 4)
-        self.connections = ConnectionPool(receiver, clock, limit or IdleLimit())
+        self.pool = ConnectionPool(receiver, clock, limit or IdleLimit())
 
     def release(self, connection):
-        self.connections.release(connection, self.response, BodyFraming(BodyEnd.LENGTH, 0))
+        self.pool.release(connection, self.response, BodyFraming(BodyEnd.LENGTH, 0))
 
-    def take(self, is_idempotent):
-        return self.connections.acquire_idle(is_idempotent)
+    def acquire(self, is_idempotent):
+        return self.pool.acquire_idle(is_idempotent)
 
 
-def two_idle(clock, limit=None):
-    """A receiver with an older and a newer idle connection, 3 s and 0.5 s at the clock's time."""
-    kept, older, newer = PoolOfReceiver(clock, limit), IdleConnection(), IdleConnection()
-    kept.release(older)
+def pool_with_two_idle_connections(clock, limit=None):
+    """Return a pool and its older and newer connections, idle for 3 s and 0.5 s."""
+    receiver_pool, older, newer = ReceiverPool(clock, limit), IdleConnection(), IdleConnection()
+    receiver_pool.release(older)
     clock.now = 2.5
-    kept.release(newer)
+    receiver_pool.release(newer)
     clock.now = 3.0
-    return kept, older, newer
+    return receiver_pool, older, newer
 
 
 def test_idempotent_call_takes_oldest_connection():
-    kept, older, newer = two_idle(HandClock())
-    assert kept.take(is_idempotent=True) is older
-    assert kept.take(is_idempotent=False) is newer
+    receiver_pool, older, newer = pool_with_two_idle_connections(ManualClock())
+    assert receiver_pool.acquire(is_idempotent=True) is older
+    assert receiver_pool.acquire(is_idempotent=False) is newer
 
 
 def test_non_idempotent_call_takes_newest_connection():
-    kept, older, newer = two_idle(HandClock())
-    assert kept.take(is_idempotent=False) is newer
+    receiver_pool, older, newer = pool_with_two_idle_connections(ManualClock())
+    assert receiver_pool.acquire(is_idempotent=False) is newer
     assert not older.closed
 
 
 def test_all_calls_take_newest_connection_while_limit_is_lowered():
     limit = IdleLimit()
     limit.record_stale_connection(1.2, 0.0)
-    kept, _, newer = two_idle(HandClock(), limit)
-    assert kept.take(is_idempotent=True) is newer
+    receiver_pool, _, newer = pool_with_two_idle_connections(ManualClock(), limit)
+    assert receiver_pool.acquire(is_idempotent=True) is newer
 
 
-def test_expired_connection_is_closed_and_passed_over():
-    clock = HandClock()
-    kept, older, newer = two_idle(clock)
+def test_expired_connection_is_closed_and_skipped():
+    clock = ManualClock()
+    receiver_pool, older, newer = pool_with_two_idle_connections(clock)
     clock.now = KEEP_ALIVE_S
-    assert kept.take(is_idempotent=True) is newer
+    assert receiver_pool.acquire(is_idempotent=True) is newer
     assert older.closed
 
 
-class BusyDay:
-    """Overlapping calls in bursts, from senders that each prefer one receiver, over `ConnectionPool`."""
+class BurstSimulation:
+    """Bursts of overlapping calls on a `ConnectionPool`, from senders that each prefer one receiver."""
 
     def __init__(self, seed, drops_after_s):
         self.rng = random.Random(seed)
-        self.clock = HandClock()
+        self.clock = ManualClock()
         limits = [IdleLimit() for _ in range(8)]
-        self.pools = [[PoolOfReceiver(self.clock, limits[front]) for _ in range(4)] for front in range(8)]
+        self.pools = [[ReceiverPool(self.clock, limits[sender]) for _ in range(4)] for sender in range(8)]
         self.limits = limits
         self.drops_after_s = drops_after_s
-        self.ending = []
+        self.pending_ends = []
         self.connects = self.lost = self.calls = 0
 
     def run(self, length_s):
@@ -288,36 +291,38 @@
         return self
 
     def _call(self):
-        front = self.rng.randrange(8)
-        weights = [5 if receiver == front % 4 else 1 for receiver in range(4)]
-        kept = self.rng.choices(self.pools[front], weights)[0]
+        sender = self.rng.randrange(8)
+        weights = [5 if receiver == sender % 4 else 1 for receiver in range(4)]
+        receiver_pool = self.rng.choices(self.pools[sender], weights)[0]
         is_idempotent = self.rng.random() >= 0.37
-        connection = kept.take(is_idempotent)
+        connection = receiver_pool.acquire(is_idempotent)
         self.calls += 1
         if connection is not None and self.clock.now >= connection.dropped_at:
-            self.limits[front].record_stale_connection(connection.idle_s, self.clock.now)
+            self.limits[sender].record_stale_connection(connection.idle_s, self.clock.now)
             self.lost += not is_idempotent
             connection = None
         if connection is None:
             self.connects += 1
             connection = IdleConnection()
-        ends = self.clock.now + self.rng.uniform(0.02, 1.0)
-        heapq.heappush(self.ending, (ends, self.calls, kept, connection))
+        ends_at = self.clock.now + self.rng.uniform(0.02, 1.0)
+        heapq.heappush(self.pending_ends, (ends_at, self.calls, receiver_pool, connection))
 
     def _end_calls(self):
         now = self.clock.now
-        while self.ending and self.ending[0][0] <= now:
-            self.clock.now, _, kept, connection = heapq.heappop(self.ending)
+        while self.pending_ends and self.pending_ends[0][0] <= now:
+            self.clock.now, _, receiver_pool, connection = heapq.heappop(self.pending_ends)
             connection.dropped_at = self.clock.now + self.rng.uniform(*self.drops_after_s)
-            kept.release(connection)
+            receiver_pool.release(connection)
         self.clock.now = now
 
 
-@pytest.mark.parametrize(("drops_after_s", "most_connects", "most_lost"), [(TRUE_WORD, 0.12, 0), (EARLY, 0.29, 5)])
-def test_idempotent_calls_save_connects_while_receivers_honour_keep_alive(drops_after_s, most_connects, most_lost):
-    """New connections as a share of the calls: 0.17 and 0.27 where all calls take the newest connection."""
-    played = [BusyDay(seed, drops_after_s).run(50.0) for seed in range(3)]
-    connects, lost = sum(day.connects for day in played), sum(day.lost for day in played)
-    print(f"{connects} connects and {lost} lost of {sum(day.calls for day in played)} calls")
-    assert connects <= most_connects * sum(day.calls for day in played)
+@pytest.mark.parametrize(
+    ("drops_after_s", "most_connects", "most_lost"), [(AS_ANNOUNCED, 0.12, 0), (FROM_500_MS, 0.29, 5)]
+)
+def test_idempotent_calls_avoid_connects_while_receivers_honour_keep_alive(drops_after_s, most_connects, most_lost):
+    """Bounds new connections per call, which are 0.17 and 0.27 if all calls take the newest connection."""
+    runs = [BurstSimulation(seed, drops_after_s).run(50.0) for seed in range(3)]
+    connects, lost = sum(result.connects for result in runs), sum(result.lost for result in runs)
+    print(f"{connects} connects and {lost} lost of {sum(result.calls for result in runs)} calls")
+    assert connects <= most_connects * sum(result.calls for result in runs)
     assert lost <= 3 * most_lost
--- a/tests/dataplane/test_ingress_server.py
+++ b/tests/dataplane/test_ingress_server.py
@@ -1,4 +1,4 @@
-"""The ingress server on loopback: framing, limits, keep-alive, incomplete streams, draining."""
+"""The ingress server on loopback: message framing, limits, keep-alive, incomplete streams and draining."""
 
 import http.client
 import threading
@@ -58,7 +58,7 @@
         (["POST / HTTP/1.1", "Host: h", "Transfer-Encoding: chunked"], b"1389\r\n" + b"a" * 5001, 413),
     ],
 )
-def test_rejected_request_gets_error_and_close(serve, lines, body, status):
+def test_rejected_request_gets_error_and_closes_connection(serve, lines, body, status):
     server = serve()
     client = server.connect()
     client.send(*lines, body=body)
@@ -133,7 +133,7 @@
 
 
 class ChangingState:
-    """A cluster state whose configuration is the first one when it is read first, and the second one from then on."""
+    """A cluster state whose configuration changes after it is read for the first time."""
 
     def __init__(self, first, second):
         self._configurations = [first, second]
@@ -147,7 +147,7 @@
         return self._configurations[0]
 
 
-def test_idle_connection_follows_newest_idle_limit(serve):
+def test_idle_connection_applies_latest_idle_time_out(serve):
     server = serve()
     state = ChangingState(
         cluster_state(idle_timeout_ms=50).configuration, cluster_state(idle_timeout_ms=60_000).configuration
@@ -169,14 +169,14 @@
 
 
 def test_stream_is_forwarded_as_it_arrives(serve):
-    go_on = threading.Event()
-    body = ScriptedBody(b"one", lambda: go_on.wait(PATIENCE_S), b"two")
+    proceed = threading.Event()
+    body = ScriptedBody(b"one", lambda: proceed.wait(PATIENCE_S), b"two")
     client = serve(lambda request: Response(200, [("Content-Type", "text/event-stream")], body)).connect()
     client.send("GET / HTTP/1.1", "Host: h")
     client.read_head()
     chunks = client.chunks()
     assert next(chunks) == b"one"
-    go_on.set()
+    proceed.set()
     assert list(chunks) == [b"two"]
     assert body.closed.wait(PATIENCE_S)
     client.send("GET / HTTP/1.1", "Host: h")
@@ -195,8 +195,8 @@
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_stream_that_breaks_before_first_byte_gets_502(serve, version):
-    """A connection that is closed without a response would tell the client nothing."""
+def test_stream_interrupted_before_first_byte_gets_502(serve, version):
+    """Closing the connection without a response would not tell the client what failed."""
     body = ScriptedBody(IncompleteBodyError("cut"))
     client = serve(lambda request: Response(200, [("X-Dewpin-Response-Signature", "s")], body)).connect()
     client.send(f"GET / HTTP/{version}", "Host: h")
@@ -225,33 +225,33 @@
 
 
 def test_stream_of_disconnected_client_is_closed(serve):
-    go_on = threading.Event()
-    body = ScriptedBody(b"one", lambda: go_on.wait(PATIENCE_S), *[b"x" * 65536] * 200)
+    proceed = threading.Event()
+    body = ScriptedBody(b"one", lambda: proceed.wait(PATIENCE_S), *[b"x" * 65536] * 200)
     client = serve(lambda request: Response(200, [], body)).connect()
     client.send("GET / HTTP/1.1", "Host: h")
     client.read_head()
     client.close()
-    go_on.set()
+    proceed.set()
     assert body.closed.wait(PATIENCE_S)
 
 
 def test_client_of_request_can_be_watched(serve):
     seen = []
-    asked, left = threading.Event(), threading.Event()
+    started, disconnected = threading.Event(), threading.Event()
 
     def respond(request):
         seen.append(request.client.has_disconnected())
-        asked.set()
-        assert left.wait(PATIENCE_S)
+        started.set()
+        assert disconnected.wait(PATIENCE_S)
         seen.append(request.client.has_disconnected())
         return Response(200, [], b"")
 
     server = serve(respond)
     client = server.connect()
     client.send("GET / HTTP/1.1", "Host: h")
-    assert asked.wait(PATIENCE_S)
+    assert started.wait(PATIENCE_S)
     client.close()
-    left.set()
+    disconnected.set()
     assert server.ingress.stop(PATIENCE_S)
     assert seen == [False, True]
 
@@ -266,59 +266,59 @@
 
 
 def test_draining_closes_idle_connections_and_completes_requests(serve):
-    asked, go_on = threading.Event(), threading.Event()
+    started, proceed = threading.Event(), threading.Event()
 
     def respond(request):
-        asked.set()
-        assert go_on.wait(PATIENCE_S)
+        started.set()
+        assert proceed.wait(PATIENCE_S)
         return Response(200, [], b"late")
 
     server = serve(respond)
-    resting, working = server.connect(), server.connect()
-    working.send("GET / HTTP/1.1", "Host: h")
-    assert asked.wait(PATIENCE_S)
-    ended = []
-    stopping = threading.Thread(target=lambda: ended.append(server.ingress.stop(PATIENCE_S)))
+    idle, active = server.connect(), server.connect()
+    active.send("GET / HTTP/1.1", "Host: h")
+    assert started.wait(PATIENCE_S)
+    stop_results = []
+    stopping = threading.Thread(target=lambda: stop_results.append(server.ingress.stop(PATIENCE_S)))
     stopping.start()
-    assert resting.is_closed()
-    go_on.set()
-    code, headers, body = working.read()
+    assert idle.is_closed()
+    proceed.set()
+    code, headers, body = active.read()
     assert (code, headers["connection"], body) == (200, "close", b"late")
-    assert working.is_closed()
+    assert active.is_closed()
     stopping.join(PATIENCE_S)
-    assert ended == [True]
+    assert stop_results == [True]
     assert server.ingress.connection_count == 0
 
 
 @pytest.mark.parametrize("meanwhile", ["drain", "stop", "shorter idle limit", "full"])
-def test_request_of_reused_connection_gets_response_whatever_happens_meanwhile(meanwhile):
-    """The second request of a connection is in progress while the sender gets a reason to close connections."""
-    asked, go_on = threading.Event(), threading.Event()
+def test_request_in_progress_on_reused_connection_gets_response(meanwhile):
+    """The second request of a connection is in progress while the server starts to close connections."""
+    started, proceed = threading.Event(), threading.Event()
 
     def respond(request):
         if request.target == "/second":
-            asked.set()
-            assert go_on.wait(PATIENCE_S)
+            started.set()
+            assert proceed.wait(PATIENCE_S)
         return Response(200, [], b"done")
 
     server = ServerHarness(respond)
-    client, resting = server.connect(), server.connect()
+    client, idle = server.connect(), server.connect()
     client.send("GET /first HTTP/1.1", "Host: h")
     assert client.read()[0] == 200
     client.send("GET /second HTTP/1.1", "Host: h")
-    assert asked.wait(PATIENCE_S)
+    assert started.wait(PATIENCE_S)
     stopping = threading.Thread(target=server.ingress.stop, args=(PATIENCE_S,))
     if meanwhile == "drain":
         server.ingress.begin_drain()
     elif meanwhile == "stop":
         stopping.start()
-        assert resting.is_closed()
+        assert idle.is_closed()
     elif meanwhile == "shorter idle limit":
         server.ingress._state.configuration = cluster_state(idle_timeout_ms=1).configuration
     else:
         server.ingress._max_connections = 2
         assert server.connect().is_closed()
-    go_on.set()
+    proceed.set()
     code, headers, body = client.read()
     assert (code, body) == (200, b"done")
     assert (headers.get("connection") == "close") == (meanwhile in ("drain", "stop"))
@@ -330,9 +330,9 @@
 
 def test_draining_server_accepts_connections_until_stopped(serve):
     server = serve()
-    resting = server.connect()
+    idle = server.connect()
     server.ingress.begin_drain()
-    for client in (resting, server.connect()):
+    for client in (idle, server.connect()):
         client.send("GET / HTTP/1.1", "Host: h")
         code, headers, _ = client.read()
         assert (code, headers["connection"]) == (200, "close")
@@ -343,19 +343,19 @@
 
 
 def test_draining_waits_no_longer_than_allowed(serve):
-    asked, go_on = threading.Event(), threading.Event()
+    started, proceed = threading.Event(), threading.Event()
 
     def respond(request):
-        asked.set()
-        go_on.wait(PATIENCE_S)
+        started.set()
+        proceed.wait(PATIENCE_S)
         return Response(200, [], b"")
 
     server = serve(respond)
     client = server.connect()
     client.send("GET / HTTP/1.1", "Host: h")
-    assert asked.wait(PATIENCE_S)
+    assert started.wait(PATIENCE_S)
     assert not server.ingress.stop(0.05)
-    go_on.set()
+    proceed.set()
 
 
 def test_connection_beyond_maximum_is_closed():
--- a/tests/dataplane/test_receiver_client.py
+++ b/tests/dataplane/test_receiver_client.py
@@ -1,4 +1,4 @@
-"""Calls to scripted receivers: what they get, how each ending is classified, which connections are reused."""
+"""Calls to scripted receivers: the request sent, the classification of outcomes and the reuse of connections."""
 
 import threading
 
@@ -47,12 +47,12 @@
             body=b"\x00body",
         )
     assert result.outcome is Outcome.SUCCESS
-    (got,) = peer.requests
-    assert got.line == "PATCH /a%2f../b//c;d?q=%7E&r=[x] HTTP/1.1"
-    assert got.body == b"\x00body"
-    deadline = got.headers.pop("x-dewpin-request-deadline")
+    (received,) = peer.requests
+    assert received.line == "PATCH /a%2f../b//c;d?q=%7E&r=[x] HTTP/1.1"
+    assert received.body == b"\x00body"
+    deadline = received.headers.pop("x-dewpin-request-deadline")
     assert PATIENCE_S * 1000 - 1000 <= int(deadline) <= PATIENCE_S * 1000
-    assert got.headers == {
+    assert received.headers == {
         "host": "tier.example",
         "x-dewpin-request-id": "r-1",
         "content-length": "5",
@@ -65,8 +65,8 @@
 def test_request_without_body_gets_no_body_headers(call):
     peer = ScriptedReceiver(full_response())
     with receivers(peer) as (receiver,):
-        asked = request(method="GET", body=b"")
-        bare = type(asked)(asked.method, asked.target, type(asked.headers)(asked.headers.fields[:2]), b"", 0.0)
+        full = request(method="GET", body=b"")
+        bare = type(full)(full.method, full.target, type(full.headers)(full.headers.fields[:2]), b"", 0.0)
         call.receiver_client.call(receiver, Call(bare, call.clock() + PATIENCE_S, True))
     assert set(peer.requests[0].headers) == {
         "host",
@@ -88,16 +88,18 @@
 
 
 def test_chunked_body_is_returned(call):
-    def respond(connection, got):
-        connection.send(head(got, "200 OK", "Transfer-Encoding: chunked") + b"\r\n" + chunk(b"ab") + chunk(b"c") + END)
+    def respond(connection, received):
+        connection.send(
+            head(received, "200 OK", "Transfer-Encoding: chunked") + b"\r\n" + chunk(b"ab") + chunk(b"c") + END
+        )
 
     with receivers(ScriptedReceiver(respond)) as (receiver,):
         assert call(receiver).response.body == b"abc"
 
 
 def raw(data):
-    def respond(connection, got):
-        connection.send(data.replace(b"ID", got.id.encode()))
+    def respond(connection, received):
+        connection.send(data.replace(b"ID", received.id.encode()))
         return True
 
     return respond
@@ -143,8 +145,8 @@
 
 
 def test_rejection_without_id_proves_nothing_on_reused_connection(call):
-    nameless = raw(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Dewpin-Not-Executed: 1\r\n\r\n")
-    with receivers(ScriptedReceiver(full_response(), nameless)) as (receiver,):
+    rejection_without_id = raw(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Dewpin-Not-Executed: 1\r\n\r\n")
+    with receivers(ScriptedReceiver(full_response(), rejection_without_id)) as (receiver,):
         call(receiver)
         assert call(receiver).outcome is Outcome.MALFORMED
     assert call.metrics.rejections_without_id == 1
@@ -155,11 +157,11 @@
     "started", [b"", b"HTTP/1.1 200 OK\r\nContent-", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfi"]
 )
 def test_call_ends_at_once_when_watched_client_disconnects(call, is_idempotent, is_streaming, started):
-    asked, ended = threading.Event(), threading.Event()
+    started_call, ended = threading.Event(), threading.Event()
 
-    def respond(connection, got):
-        connection.send(started.replace(b"\r\n\r\n", f"\r\nX-Dewpin-Request-Id: {got.id}\r\n\r\n".encode()))
-        asked.set()
+    def respond(connection, received):
+        connection.send(started.replace(b"\r\n\r\n", f"\r\nX-Dewpin-Request-Id: {received.id}\r\n\r\n".encode()))
+        started_call.set()
         if connection.wait_for_close():
             ended.set()
 
@@ -169,29 +171,29 @@
         options = {"is_idempotent": is_idempotent, "is_streaming": is_streaming, "client": client}
         calling = threading.Thread(target=lambda: results.append(call(receiver, **options)))
         calling.start()
-        assert asked.wait(PATIENCE_S)
+        assert started_call.wait(PATIENCE_S)
         client.disconnect()
         assert ended.wait(PATIENCE_S)
         calling.join(PATIENCE_S)
     assert [result.outcome for result in results] == [Outcome.CLIENT_DISCONNECTED]
 
 
-def test_non_idempotent_call_goes_on_to_its_response_when_client_disconnects(call):
-    asked, left = threading.Event(), threading.Event()
+def test_non_idempotent_call_continues_to_its_response_when_client_disconnects(call):
+    started_call, disconnected = threading.Event(), threading.Event()
 
-    def respond(connection, got):
-        asked.set()
-        assert left.wait(PATIENCE_S)
-        full_response()(connection, got)
+    def respond(connection, received):
+        started_call.set()
+        assert disconnected.wait(PATIENCE_S)
+        full_response()(connection, received)
 
     client = DisconnectingClient()
     with receivers(ScriptedReceiver(respond)) as (receiver,):
         results = []
         calling = threading.Thread(target=lambda: results.append(call(receiver, is_idempotent=False, client=client)))
         calling.start()
-        assert asked.wait(PATIENCE_S)
+        assert started_call.wait(PATIENCE_S)
         client.disconnect()
-        left.set()
+        disconnected.set()
         calling.join(PATIENCE_S)
     assert [result.outcome for result in results] == [Outcome.SUCCESS]
 
@@ -206,16 +208,16 @@
     assert (peer.requests, call.metrics.connects) == ([], 0)
 
 
-def test_client_that_disconnects_during_connect_gets_nothing_sent(call, monkeypatch):
+def test_nothing_is_sent_if_client_disconnects_during_connect(call, monkeypatch):
     peer = ScriptedReceiver(full_response())
     client = DisconnectingClient()
     connect = ConnectionPool.connect
 
-    def leave_and_connect(connections, timeout_s):
+    def disconnect_and_connect(pool, timeout_s):
         client.disconnect()
-        return connect(connections, timeout_s)
+        return connect(pool, timeout_s)
 
-    monkeypatch.setattr(ConnectionPool, "connect", leave_and_connect)
+    monkeypatch.setattr(ConnectionPool, "connect", disconnect_and_connect)
     with receivers(peer) as (receiver,):
         assert call(receiver, client=client).outcome is Outcome.CLIENT_DISCONNECTED
     assert peer.requests == []
@@ -229,7 +231,7 @@
 
 
 def test_call_without_response_times_out_at_deadline(call):
-    def stay_silent(connection, got):
+    def stay_silent(connection, received):
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(stay_silent)) as (receiver,):
@@ -267,7 +269,7 @@
         raw(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Dewpin-Request-Id: x\r\n\r\n"),
     ],
 )
-def test_closed_or_confused_connection_is_not_reused(call, first):
+def test_closing_or_mismatched_connection_is_not_reused(call, first):
     peer = ScriptedReceiver(first, full_response())
     with receivers(peer) as (receiver,):
         call(receiver)
@@ -278,14 +280,14 @@
 def test_connection_with_unread_bytes_is_not_reused(call):
     sent = threading.Event()
 
-    def respond_and_go_on(connection, got):
-        full_response(b"done")(connection, got)
+    def respond_and_send_more(connection, received):
+        full_response(b"done")(connection, received)
         assert read.wait(PATIENCE_S)
         connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         sent.set()
 
     read = threading.Event()
-    peer = ScriptedReceiver(respond_and_go_on, full_response())
+    peer = ScriptedReceiver(respond_and_send_more, full_response())
     with receivers(peer) as (receiver,):
         call(receiver)
         read.set()
@@ -318,12 +320,12 @@
     assert peer.connections == (1 if used_again else 2)
 
 
-def test_call_that_needs_new_connection_leaves_idle_ones(call):
-    both = threading.Barrier(2)
+def test_call_that_needs_new_connection_keeps_newer_idle_ones(call):
+    barrier = threading.Barrier(2)
 
-    def respond_together(connection, got):
-        both.wait(PATIENCE_S)
-        full_response(b"", "200 OK", "Keep-Alive: timeout=5")(connection, got)
+    def respond_together(connection, received):
+        barrier.wait(PATIENCE_S)
+        full_response(b"", "200 OK", "Keep-Alive: timeout=5")(connection, received)
 
     peer = ScriptedReceiver(respond_together, respond_together, full_response(b"", "200 OK", "Keep-Alive: timeout=5"))
     with receivers(peer) as (receiver,):
@@ -334,29 +336,29 @@
             thread.join(PATIENCE_S)
         call.clock.offset_s += 4.3
         call(receiver, is_idempotent=False)
-        connections = call.receiver_client._pool_of(receiver)
+        pool = call.receiver_client._pool_of(receiver)
         assert peer.connections == 3
-        assert len(connections._idle) == 2
-        taken = [connections.acquire_idle(is_idempotent=True) for _ in range(3)]
-        assert taken[2] is None
-        for connection in taken[:2]:
+        assert len(pool._idle) == 2
+        acquired = [pool.acquire_idle(is_idempotent=True) for _ in range(3)]
+        assert acquired[2] is None
+        for connection in acquired[:2]:
             connection.close()
 
 
 def test_connections_to_removed_receivers_are_closed(call):
-    gone = threading.Event()
+    connection_closed = threading.Event()
 
-    def respond_and_watch(connection, got):
-        full_response()(connection, got)
+    def respond_and_watch(connection, received):
+        full_response()(connection, received)
         if connection.wait_for_close():
-            gone.set()
+            connection_closed.set()
 
     with receivers(ScriptedReceiver(respond_and_watch)) as (receiver,):
         call(receiver)
         call.receiver_client.retain_only([receiver])
-        assert not gone.is_set()
+        assert not connection_closed.is_set()
         call.receiver_client.retain_only([])
-        assert gone.wait(PATIENCE_S)
+        assert connection_closed.wait(PATIENCE_S)
 
 
 def test_other_receiver_at_same_address_gets_own_connections(call):
@@ -370,17 +372,17 @@
 
 
 def test_connect_takes_only_share_of_time_left(call, monkeypatch):
-    bounds = []
+    timeouts_s = []
 
-    def connect(connections, timeout_s):
-        bounds.append(timeout_s)
+    def connect(pool, timeout_s):
+        timeouts_s.append(timeout_s)
         raise TimeoutError
 
     monkeypatch.setattr(ConnectionPool, "connect", connect)
     assert call(Receiver("i-1", "s", "127.0.0.1:9", "here", 1, False, 0.0, "v1"), timeout_s=2.0).outcome is (
         Outcome.NOT_SENT
     )
-    assert bounds[0] <= 2.0 * CONNECT_SHARE_OF_TIME_LEFT
+    assert timeouts_s[0] <= 2.0 * CONNECT_SHARE_OF_TIME_LEFT
 
 
 def test_error_of_streaming_call_has_complete_body(call):
--- a/tests/dataplane/test_request_handler.py
+++ b/tests/dataplane/test_request_handler.py
@@ -1,4 +1,4 @@
-"""Requests through the handler to scripted receivers and back, under the rules of their routes."""
+"""Requests through the request handler to scripted receivers, under the settings of their routes."""
 
 import threading
 
@@ -71,9 +71,11 @@
 
 def test_request_without_id_gets_400():
     harness = RequestHandlerHarness([])
-    asked = request()
-    bare = type(asked)("GET", "/", type(asked.headers)([("Host", "tier.example")]), b"", 0.0)
-    assert harness.handler.handle(bare).status == 400
+    complete_request = request()
+    request_without_id = type(complete_request)(
+        "GET", "/", type(complete_request.headers)([("Host", "tier.example")]), b"", 0.0
+    )
+    assert harness.handler.handle(request_without_id).status == 400
 
 
 @pytest.mark.parametrize("value", ["soon", "-1", "nan", "inf"])
@@ -84,9 +86,9 @@
 @pytest.mark.parametrize("failure", FAILURES)
 def test_idempotent_request_is_retried_at_another_receiver_after_backoff(failure):
     first, second = ScriptedReceiver(failure, id="i-1"), ScriptedReceiver(failure, id="i-2")
-    good = full_response(b"done")
-    first._scripts.append(good)
-    second._scripts.append(good)
+    success = full_response(b"done")
+    first._scripts.append(success)
+    second._scripts.append(success)
     with receivers(first, second) as listed:
         harness = RequestHandlerHarness(listed, kind="idempotent", retries=3)
         response = harness()
@@ -113,15 +115,15 @@
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
 def test_rejected_request_is_retried_at_another_receiver_at_once(kind):
-    full, free = (
+    full_receiver, free_receiver = (
         ScriptedReceiver(rejection(), id="i-1"),
         ScriptedReceiver(full_response(b"done"), id="i-2", zone="there"),
     )
-    with receivers(full, free) as listed:
+    with receivers(full_receiver, free_receiver) as listed:
         harness = RequestHandlerHarness(listed, frozen=True, kind=kind)
         assert harness().status == 200
         assert harness.backoffs_s == []
-    assert len(full.requests) == 1
+    assert len(full_receiver.requests) == 1
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
@@ -138,7 +140,7 @@
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent"])
-def test_unreachable_receiver_is_passed_over(kind):
+def test_unreachable_receiver_is_skipped(kind):
     down, up = (
         ScriptedReceiver(full_response(), id="i-1"),
         ScriptedReceiver(full_response(b"done"), id="i-2", zone="there"),
@@ -161,8 +163,8 @@
     other = ScriptedReceiver(
         full_response(b"", "421 Misdirected Request", "X-Dewpin-Instance-Id: i-9", signed=False), id="i-1"
     )
-    meant = ScriptedReceiver(full_response(b"done"), id="i-2", zone="there")
-    with receivers(other, meant) as listed:
+    matching = ScriptedReceiver(full_response(b"done"), id="i-2", zone="there")
+    with receivers(other, matching) as listed:
         harness = RequestHandlerHarness(listed, frozen=True, kind="non_idempotent")
         assert harness().status == 200
         assert harness().status == 200
@@ -186,7 +188,7 @@
 
 
 @pytest.mark.parametrize("status", ["408 Request Timeout", "429 Too Many Requests", "503 Service Unavailable"])
-def test_status_that_promises_without_proof_is_not_forwarded(status):
+def test_status_that_claims_no_execution_without_proof_is_not_forwarded(status):
     with receivers(ScriptedReceiver(full_response(b"no", status))) as listed:
         response = RequestHandlerHarness(listed, kind="non_idempotent")()
     assert response.status == 502
@@ -200,7 +202,7 @@
 
 
 def test_request_without_response_gets_504_at_deadline():
-    def stay_silent(connection, got):
+    def stay_silent(connection, received):
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(stay_silent)) as listed:
@@ -218,12 +220,12 @@
 
 
 def test_request_gets_503_early_while_service_is_full():
-    started, go_on = threading.Semaphore(0), threading.Event()
+    started, proceed = threading.Semaphore(0), threading.Event()
 
-    def hold(connection, got):
+    def hold(connection, received):
         started.release()
-        assert go_on.wait(PATIENCE_S)
-        full_response()(connection, got)
+        assert proceed.wait(PATIENCE_S)
+        full_response()(connection, received)
 
     with receivers(ScriptedReceiver(hold, capacity=1)) as listed:
         harness = RequestHandlerHarness(listed, target_ms=100)
@@ -235,7 +237,7 @@
         response = harness()
         assert response.status == 503
         assert float(header(response, "retry-after")) > 0
-        go_on.set()
+        proceed.set()
         for thread in threads:
             thread.join(PATIENCE_S)
 
@@ -250,10 +252,10 @@
     with receivers(peer) as listed:
         harness = RequestHandlerHarness(listed, store, kind="stream", retained=True)
         assert read(harness(*TURN, ("Previous", "t-1"))) == (event(1, "a") + event(2, "b"), False)
-    (got,) = peer.requests
-    assert got.body == b"firstanswer\ninput"
-    assert got.headers["content-length"] == str(len(got.body))
-    assert got.headers["previous"] == "t-1"
+    (received,) = peer.requests
+    assert received.body == b"firstanswer\ninput"
+    assert received.headers["content-length"] == str(len(received.body))
+    assert received.headers["previous"] == "t-1"
     assert store.turns["r-1"] == Turn("r-1", "p", "t-1", b"input", b"a\nb\n", 60.0)
     assert store.settled == [("r-1", 20)]
 
--- a/tests/dataplane/test_request_parsing.py
+++ b/tests/dataplane/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Parsing of request heads: what is accepted, and what is rejected because it is ambiguous."""
+"""Parsing of request heads: accepted heads, and heads that are rejected as invalid or ambiguous."""
 
 import pytest
 
@@ -78,7 +78,7 @@
         ("HTTP/1.0", "keep-alive", True),
     ],
 )
-def test_client_asks_to_close_connection(version, connection, closes):
+def test_client_requests_close_of_connection(version, connection, closes):
     lines = [f"Connection: {connection}"] if connection else []
     assert parse(f"GET / {version}", "Host: h", *lines).wants_close is closes
 
--- a/tests/dataplane/test_request_timeout.py
+++ b/tests/dataplane/test_request_timeout.py
@@ -1,4 +1,4 @@
-"""Requests end by the deadline of their client and their route, whatever the receiver does."""
+"""Requests end by the deadline of their client and route, regardless of the receiver's behaviour."""
 
 import socket
 import threading
@@ -35,7 +35,7 @@
 
 
 class ScriptedClock:
-    """A clock that only scripts advance; a request that waits for it otherwise would outlast the test."""
+    """A clock that only scripts advance; a request that waits on it without a script would outlast the test."""
 
     def __init__(self):
         self.now_s = 1000.0
@@ -45,73 +45,73 @@
 
 
 class SlowScript:
-    """A script that sends one byte each second for longer than the request may take, then blocks."""
+    """A script that sends one byte per second for longer than the request's time-out, then blocks."""
 
     def __init__(self, clock, data):
         self._clock = clock
         self._data = data
         self.release = threading.Event()
 
-    def __call__(self, connection, got):
-        for byte in self._data(got):
+    def __call__(self, connection, received):
+        for byte in self._data(received):
             connection.send(bytes([byte]))
             self._clock.now_s += 1.0
         self.release.wait(4 * PATIENCE_S)
         return True
 
 
-def long_head(got):
-    return head(got, "200 OK", "Content-Length: 4", "X-Long: " + "x" * 200)
+def long_head(received):
+    return head(received, "200 OK", "Content-Length: 4", "X-Long: " + "x" * 200)
 
 
-def long_body(got):
-    return head(got, "200 OK", "Content-Length: 900") + b"\r\n" + b"x" * 200
+def long_body(received):
+    return head(received, "200 OK", "Content-Length: 900") + b"\r\n" + b"x" * 200
 
 
-def long_stream(got):
-    return stream_head(got) + chunk(event(1)) + chunk(event(2) * 20)
+def long_stream(received):
+    return stream_head(received) + chunk(event(1)) + chunk(event(2) * 20)
 
 
 @pytest.mark.parametrize("kind", ["idempotent", "non_idempotent", "stream"])
 @pytest.mark.parametrize("data", [long_head, long_body, long_stream])
 def test_slow_response_ends_at_deadline(kind, data):
-    """Each byte would restart a time-out of the socket."""
+    """Each byte would restart a plain socket time-out."""
     clock = ScriptedClock()
     script = SlowScript(clock, data)
-    ended = []
+    results = []
     with receivers(ScriptedReceiver(script)) as listed:
         harness = RequestHandlerHarness(listed, kind=kind, retries=3, timeout_ms=TIMEOUT_MS)
         harness._now = clock
 
-        def ask():
+        def handle():
             response = harness()
-            ended.append(response.status == 504 or read(response)[1])
+            results.append(response.status == 504 or read(response)[1])
 
-        asking = threading.Thread(target=ask)
-        asking.start()
-        asking.join(PATIENCE_S)
-        in_time = not asking.is_alive()
+        handling = threading.Thread(target=handle)
+        handling.start()
+        handling.join(PATIENCE_S)
+        ended_in_time = not handling.is_alive()
         script.release.set()
-        asking.join(PATIENCE_S)
-    assert in_time
-    assert ended == [True]
+        handling.join(PATIENCE_S)
+    assert ended_in_time
+    assert results == [True]
     assert harness.handler.metrics.attempts == 1
 
 
 def test_stream_that_never_blocks_ends_at_deadline():
-    """Its bytes are available before they are read, so that no wait checks the deadline."""
+    """All bytes are available before they are read, so that no wait checks the deadline."""
     clock = ScriptedClock()
     sent, release = threading.Event(), threading.Event()
     parts, timeout_s = 30, 5
 
-    def send_ahead(connection, got):
-        connection.send(stream_head(got))
+    def send_without_waiting(connection, received):
+        connection.send(stream_head(received))
         for number in range(parts):
             connection.send(chunk(event(number, "x" * 20_000)))
         sent.set()
         release.wait(PATIENCE_S)
 
-    with receivers(ScriptedReceiver(send_ahead)) as listed:
+    with receivers(ScriptedReceiver(send_without_waiting)) as listed:
         harness = RequestHandlerHarness(listed, kind="stream", resumable=True, timeout_ms=timeout_s * 1000)
         harness._now = clock
         response = harness()
@@ -124,20 +124,20 @@
 
 
 def deadlines_ms(peer):
-    return [int(got.headers["x-dewpin-request-deadline"]) for got in peer.requests]
+    return [int(received.headers["x-dewpin-request-deadline"]) for received in peer.requests]
 
 
 class SlowStore(MemoryStore):
-    """A store that takes a given time, and records its time-outs."""
+    """A store that takes a given time per call, and records the time-outs it is given."""
 
     def __init__(self, clock, takes_s):
         super().__init__()
         self._clock = clock
         self._takes_s = takes_s
-        self.given_s = []
+        self.timeouts_s = []
 
     def begin_turn(self, program, turn_id, max_tokens, budget, previous_id, timeout_s):
-        self.given_s.append(timeout_s)
+        self.timeouts_s.append(timeout_s)
         self._clock.now_s += self._takes_s
         return super().begin_turn(program, turn_id, max_tokens, budget, previous_id, timeout_s)
 
@@ -158,11 +158,11 @@
 
 def test_retry_gets_time_left_after_backoff():
     failing = ScriptedReceiver(reset, id="i-1")
-    sound = ScriptedReceiver(full_response(), id="i-2", zone="there")
-    with receivers(failing, sound) as listed:
+    healthy = ScriptedReceiver(full_response(), id="i-2", zone="there")
+    with receivers(failing, healthy) as listed:
         harness = RequestHandlerHarness(listed, frozen=True, kind="idempotent", target_ms=500)
         assert harness(("X-Dewpin-Request-Deadline", "1200")).status == 200
-        first, second = deadlines_ms(failing) + deadlines_ms(sound)
+        first, second = deadlines_ms(failing) + deadlines_ms(healthy)
         waited_ms = 1000 * sum(harness.backoffs_s)
     assert first == 1200
     assert waited_ms > 0
@@ -171,9 +171,9 @@
 
 def test_resuming_call_gets_time_left():
     clock = ScriptedClock()
-    broken = ScriptedReceiver(stream(event(1), is_complete=False), id="i-1")
-    sound = ScriptedReceiver(stream(event(2)), id="i-2", zone="there")
-    with receivers(broken, sound) as listed:
+    interrupted = ScriptedReceiver(stream(event(1), is_complete=False), id="i-1")
+    healthy = ScriptedReceiver(stream(event(2)), id="i-2", zone="there")
+    with receivers(interrupted, healthy) as listed:
         harness = RequestHandlerHarness(listed, kind="stream", resumable=True, timeout_ms=4000)
         harness._now = clock
         response = harness()
@@ -182,7 +182,7 @@
         clock.now_s += 1.5
         assert b"".join(parts) == event(2)
         waited_ms = 1000 * sum(harness.backoffs_s)
-    first, second = deadlines_ms(broken) + deadlines_ms(sound)
+    first, second = deadlines_ms(interrupted) + deadlines_ms(healthy)
     assert first == 4000
     assert 2500 - waited_ms - 1 <= second <= 2500 - waited_ms
 
@@ -190,7 +190,7 @@
 @pytest.mark.parametrize(
     ("deadline_ms", "given_s", "takes_s", "left_ms"), [(1200, 1.0, 1.0, 200), (875, 0.875, 0.5, 375)]
 )
-def test_turn_gets_time_left_by_stores_which_get_no_more_than_it(deadline_ms, given_s, takes_s, left_ms):
+def test_turn_gets_time_left_by_stores_which_get_at_most_the_time_left(deadline_ms, given_s, takes_s, left_ms):
     clock = ScriptedClock()
     store = SlowStore(clock, takes_s)
     store.turns["t-1"] = Turn("t-1", "p", None, b"first", b"answer\n", 60.0)
@@ -201,7 +201,7 @@
         fields = [("Program", "p"), ("Budget", "100"), ("X-Dewpin-Token-Usage", "5,40"), ("Previous", "t-1")]
         assert read(harness(*fields, ("X-Dewpin-Request-Deadline", str(deadline_ms)))) == (event(1), False)
     assert deadlines_ms(peer) == pytest.approx([left_ms], abs=1)
-    assert store.given_s == pytest.approx([given_s])
+    assert store.timeouts_s == pytest.approx([given_s])
 
 
 def test_nothing_is_sent_if_deadline_passes_during_connect():
@@ -210,24 +210,24 @@
     with receivers(peer) as (receiver,):
         harness = RequestHandlerHarness([receiver], kind="non_idempotent", retries=1, target_ms=100)
         harness._now = clock
-        connections = harness.handler._shared.receiver_client._pool_of(receiver)
-        connect = connections.connect
+        pool = harness.handler._shared.receiver_client._pool_of(receiver)
+        connect = pool.connect
 
         def connect_slowly(timeout_s):
             clock.now_s += 2.0
             return connect(timeout_s)
 
-        connections.connect = connect_slowly
+        pool.connect = connect_slowly
         assert harness(("X-Dewpin-Request-Deadline", "1200")).status == 503
     assert peer.requests == []
 
 
 def test_wait_for_slot_ends_at_deadline():
     harness = RequestHandlerHarness([], frozen=True, kind="idempotent", target_ms=4000)
-    asked = request(("X-Dewpin-Request-Deadline", "500"), now=harness._clock())
+    client_request = request(("X-Dewpin-Request-Deadline", "500"), now=harness._clock())
     route = harness.state.configuration.routes[0]
     service = harness.state.configuration.services[route.split[0].backend]
-    routed = RoutedRequest(asked, route, service, harness._clock() + 0.5)
+    routed = RoutedRequest(client_request, route, service, harness._clock() + 0.5)
     attempts = RequestAttempts(harness.handler._shared, routed)
     for may_have_run in (False, True):
         assert attempts._slot_request(SendToReceiver({}, may_have_run)).wait_until <= routed.deadline
@@ -240,7 +240,7 @@
 
 
 class SteppingClock:
-    """A clock that advances by five seconds whenever it is read."""
+    """A clock that advances by five seconds each time it is read."""
 
     def __init__(self):
         self.now_s = 1000.0
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize("framing", ["Content-Length: 9", "Transfer-Encoding: chunked"])
 @pytest.mark.parametrize(("timeout_ms", "told"), [(4000, []), (9000, ["X-Dewpin-Request-Deadline: 4000"])])
 def test_body_may_arrive_until_request_times_out(framing, timeout_ms, told):
-    """The clock is read when the request begins and when the rest of its body is awaited, which is too late by then."""
+    """The clock is read at the start of the request and before the wait for its body, which is past the time-out."""
     clock = SteppingClock()
     listener = socket.create_server(("127.0.0.1", 0))
     client = socket.create_connection(listener.getsockname())
--- a/tests/dataplane/test_response_stream.py
+++ b/tests/dataplane/test_response_stream.py
@@ -1,4 +1,4 @@
-"""Response streams of scripted receivers: read as they arrive, broken off, bounded by the deadline."""
+"""Response streams of scripted receivers: incremental reads, interruptions and the deadline."""
 
 import threading
 import time
@@ -25,8 +25,8 @@
 def test_stream_is_read_as_it_arrives_and_connection_reused(call):
     first_read = threading.Event()
 
-    def respond(connection, got):
-        connection.send(stream_head(got) + chunk(event(1)))
+    def respond(connection, received):
+        connection.send(stream_head(received) + chunk(event(1)))
         assert first_read.wait(PATIENCE_S)
         connection.send(chunk(event(2)) + END)
 
@@ -43,8 +43,8 @@
 
 
 def test_chunks_received_together_are_read_without_waiting(call):
-    def respond(connection, got):
-        connection.send(stream_head(got) + chunk(event(1)) + chunk(event(2)))
+    def respond(connection, received):
+        connection.send(stream_head(received) + chunk(event(1)) + chunk(event(2)))
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(respond)) as (receiver,):
@@ -57,10 +57,10 @@
 def test_stream_whose_connection_breaks_is_incomplete(call, ending, outcome):
     read = threading.Event()
 
-    def respond(connection, got):
-        connection.send(stream_head(got) + chunk(event(1)))
+    def respond(connection, received):
+        connection.send(stream_head(received) + chunk(event(1)))
         assert read.wait(PATIENCE_S)
-        return ending(connection, got)
+        return ending(connection, received)
 
     with receivers(ScriptedReceiver(respond)) as (receiver,):
         result = call(receiver, is_streaming=True)
@@ -74,11 +74,11 @@
 def test_stream_with_length_is_complete_only_at_that_length(call):
     body = event(1) + event(2)
 
-    def respond(connection, got):
-        connection.send(head(got, "200 OK", f"Content-Length: {len(body)}") + b"\r\n" + body)
+    def respond(connection, received):
+        connection.send(head(received, "200 OK", f"Content-Length: {len(body)}") + b"\r\n" + body)
 
-    def respond_short(connection, got):
-        connection.send(head(got, "200 OK", f"Content-Length: {len(body)}") + b"\r\n" + event(1))
+    def respond_short(connection, received):
+        connection.send(head(received, "200 OK", f"Content-Length: {len(body)}") + b"\r\n" + event(1))
         return True
 
     def read_all(result):
@@ -94,24 +94,24 @@
 
 
 def test_closing_stream_closes_connection(call):
-    gone = threading.Event()
+    connection_closed = threading.Event()
 
-    def respond(connection, got):
-        connection.send(stream_head(got) + chunk(event(1)))
+    def respond(connection, received):
+        connection.send(stream_head(received) + chunk(event(1)))
         if connection.wait_for_close():
-            gone.set()
+            connection_closed.set()
 
     with receivers(ScriptedReceiver(respond)) as (receiver,):
         result = call(receiver, is_streaming=True)
         result.stream.read_next()
         result.stream.close()
-        assert gone.wait(PATIENCE_S)
+        assert connection_closed.wait(PATIENCE_S)
 
 
 @pytest.mark.parametrize("fields", [STREAM_FIELDS, (*STREAM_FIELDS, "Connection: close")])
 def test_stream_ends_at_deadline(call, fields):
-    def respond(connection, got):
-        connection.send(head(got, "200 OK", *fields) + b"\r\n" + chunk(event(1)))
+    def respond(connection, received):
+        connection.send(head(received, "200 OK", *fields) + b"\r\n" + chunk(event(1)))
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(respond)) as (receiver,):
@@ -124,8 +124,8 @@
 
 
 def test_stream_on_closing_connection_ends_at_deadline(call):
-    def respond(connection, got):
-        connection.send(head(got, "200 OK", *STREAM_FIELDS, "Connection: close") + b"\r\n" + chunk(event(1)))
+    def respond(connection, received):
+        connection.send(head(received, "200 OK", *STREAM_FIELDS, "Connection: close") + b"\r\n" + chunk(event(1)))
         connection.wait_for_close()
 
     with receivers(ScriptedReceiver(respond)) as (receiver,):
--- a/tests/dataplane/test_retry.py
+++ b/tests/dataplane/test_retry.py
@@ -1,4 +1,4 @@
-"""The retry state machine: what follows each outcome, for idempotent requests and others."""
+"""The retry state machine: the action after each outcome, for idempotent and other requests."""
 
 import random
 
@@ -21,14 +21,14 @@
 
 NOW = 100.0
 DEADLINE = 104.0
-AIM_S = 0.2
-UNKNOWN = [Outcome.ERROR, Outcome.RESET, Outcome.CLOSED, Outcome.MALFORMED]
-PROOFS = [Outcome.NOT_EXECUTED, Outcome.NOT_SENT]
-FINAL = [Outcome.TIMED_OUT, Outcome.CLIENT_DISCONNECTED]
+LATENCY_TARGET_S = 0.2
+UNKNOWN_EFFECT = [Outcome.ERROR, Outcome.RESET, Outcome.CLOSED, Outcome.MALFORMED]
+PROOFS_OF_NO_EFFECT = [Outcome.NOT_EXECUTED, Outcome.NOT_SENT]
+FINAL_OUTCOMES = [Outcome.TIMED_OUT, Outcome.CLIENT_DISCONNECTED]
 
 
 def make_machine(is_idempotent=True, attempts=2, deadline=DEADLINE):
-    return RetryStateMachine(RetryPolicy(is_idempotent, attempts, AIM_S), deadline, random.Random(1))
+    return RetryStateMachine(RetryPolicy(is_idempotent, attempts, LATENCY_TARGET_S), deadline, random.Random(1))
 
 
 def test_first_action_is_to_send_to_any_receiver():
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
-@pytest.mark.parametrize("outcome", PROOFS)
+@pytest.mark.parametrize("outcome", PROOFS_OF_NO_EFFECT)
 def test_proof_of_no_effect_allows_another_receiver_at_once(is_idempotent, outcome):
     machine = make_machine(is_idempotent)
     machine.record_call("a", outcome, NOW)
@@ -57,7 +57,7 @@
     )
 
 
-@pytest.mark.parametrize("outcome", UNKNOWN)
+@pytest.mark.parametrize("outcome", UNKNOWN_EFFECT)
 def test_idempotent_request_with_unknown_effect_is_retried_after_backoff(outcome):
     machine = make_machine(is_idempotent=True)
     machine.record_call("a", outcome, NOW)
@@ -70,7 +70,7 @@
     assert action.may_have_run
 
 
-@pytest.mark.parametrize("outcome", UNKNOWN)
+@pytest.mark.parametrize("outcome", UNKNOWN_EFFECT)
 def test_unknown_effect_ends_non_idempotent_request(outcome):
     machine = make_machine(is_idempotent=False)
     machine.record_call("a", outcome, NOW)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
-@pytest.mark.parametrize("outcome", FINAL)
+@pytest.mark.parametrize("outcome", FINAL_OUTCOMES)
 def test_time_out_and_client_disconnect_are_never_retried(is_idempotent, outcome):
     machine = make_machine(is_idempotent)
     machine.record_call("a", outcome, DEADLINE)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("is_idempotent", [True, False])
-def test_request_that_has_not_run_is_rejected_with_expected_wait(is_idempotent):
+def test_request_that_was_not_executed_is_rejected_with_expected_wait(is_idempotent):
     machine = make_machine(is_idempotent, attempts=2)
     machine.record_call("a", Outcome.NOT_EXECUTED, NOW)
     machine.record_call("b", Outcome.NOT_EXECUTED, NOW)
@@ -147,7 +147,7 @@
 
 
 def test_request_near_deadline_gets_503_unsent():
-    assert isinstance(make_machine(deadline=NOW + 0.1 * AIM_S).next_action(NOW), RejectRequest)
+    assert isinstance(make_machine(deadline=NOW + 0.1 * LATENCY_TARGET_S).next_action(NOW), RejectRequest)
 
 
 def test_backoff_doubles():
@@ -164,7 +164,7 @@
         assert base * (1 - BACKOFF_JITTER) <= wait <= base * (1 + BACKOFF_JITTER)
 
 
-def test_no_slot_rejects_request_only_if_it_has_not_run():
+def test_no_slot_rejects_request_only_if_it_was_not_executed():
     rejected = make_machine()
     rejected.record_no_slot(0.07)
     assert rejected.next_action(NOW) == RejectRequest(0.07)
--- a/tests/dataplane/test_slot_allocation.py
+++ b/tests/dataplane/test_slot_allocation.py
@@ -1,4 +1,4 @@
-"""The choice of receivers and the order of queued requests, on a clock that the tests control."""
+"""Selection of receivers and order of queued requests, at times given by the tests."""
 
 import random
 from collections import Counter
@@ -39,9 +39,9 @@
 
 
 def make_allocator(*receivers):
-    made = SlotAllocator("here", random.Random(3))
-    made.update_receivers(SERVICE, receivers)
-    return made
+    new_allocator = SlotAllocator("here", random.Random(3))
+    new_allocator.update_receivers(SERVICE, receivers)
+    return new_allocator
 
 
 def slot_request(route="route", priority=0, key=None, avoid_until=None, wait_until=NOW + 1, latency_target_s=0.1):
@@ -49,7 +49,9 @@
 
 
 def acquired_ids(allocator, times, request=None, now=NOW):
-    return [got.id if (got := allocator.acquire(request or slot_request(), now)) else None for _ in range(times)]
+    return [
+        acquired.id if (acquired := allocator.acquire(request or slot_request(), now)) else None for _ in range(times)
+    ]
 
 
 def test_calls_spread_over_receivers_of_own_zone():
@@ -57,8 +59,8 @@
 
 
 def test_calls_spread_by_capacity():
-    spread = Counter(acquired_ids(make_allocator(receiver("a", capacity=2), receiver("b", capacity=6)), 8))
-    assert spread == {"a": 2, "b": 6}
+    counts = Counter(acquired_ids(make_allocator(receiver("a", capacity=2), receiver("b", capacity=6)), 8))
+    assert counts == {"a": 2, "b": 6}
 
 
 def test_own_zone_is_preferred_up_to_its_load():
@@ -68,11 +70,11 @@
     assert "b" in order[2:5]
 
 
-def test_receiver_that_warms_up_gets_fewer_calls():
-    spread = Counter(
+def test_receiver_that_is_warming_up_gets_fewer_calls():
+    counts = Counter(
         acquired_ids(make_allocator(receiver("a", capacity=8), receiver("b", capacity=8, warm_up_left_ms=500)), 9)
     )
-    assert spread["b"] == pytest.approx(spread["a"] * WARM_UP_CAPACITY_SHARE, abs=1)
+    assert counts["b"] == pytest.approx(counts["a"] * WARM_UP_CAPACITY_SHARE, abs=1)
 
 
 def test_draining_receiver_gets_no_calls():
@@ -95,11 +97,11 @@
     [(0.1, 0.1, 6), (0.1, 0.2, 8), (0.05, 0.2, 12), (0.01, 2.0, 16), (2.0, 0.1, 5)],
 )
 def test_queue_at_receiver_is_bounded_by_latency_target(call_time_s, latency_target_s, taken_at_most):
-    given = configuration()
+    config = configuration()
     allocator = make_allocator(receiver("a", capacity=4))
     allocator.load_of("a").min_call_time_s = call_time_s
     allocator.sender_count = 1
-    assert given.services[SERVICE].max_conns > taken_at_most
+    assert config.services[SERVICE].max_conns > taken_at_most
     assert acquired_ids(allocator, 20, slot_request(latency_target_s=latency_target_s)).count("a") == taken_at_most
 
 
@@ -123,7 +125,7 @@
 def test_sticky_request_leaves_failing_receiver():
     receivers = [receiver(name, capacity=8) for name in ("a", "b", "c")]
     allocator = make_allocator(*receivers)
-    first = min(receivers, key=lambda each: rendezvous_rank("session", each)).id
+    first = min(receivers, key=lambda candidate: rendezvous_rank("session", candidate)).id
     for _ in range(10):
         allocator.load_of(first).record_error(NOW)
     assert first not in acquired_ids(allocator, 4, slot_request(key="session"))
@@ -172,7 +174,7 @@
 def test_sticky_request_stays_with_receiver_while_load_allows():
     receivers = [receiver(name, capacity=8) for name in ("a", "b", "c")]
     allocator = make_allocator(*receivers)
-    first = min(receivers, key=lambda each: rendezvous_rank("session", each)).id
+    first = min(receivers, key=lambda candidate: rendezvous_rank("session", candidate)).id
     order = acquired_ids(allocator, 10, slot_request(key="session"))
     assert order[:6] == [first] * 6
     assert set(order[6:]) != {first}
@@ -180,19 +182,21 @@
 
 def test_sticky_keys_spread_by_capacity():
     receivers = [receiver("a", capacity=4), receiver("b", capacity=12)]
-    firsts = Counter(min(receivers, key=lambda each: rendezvous_rank(f"s{number}", each)).id for number in range(2000))
+    firsts = Counter(
+        min(receivers, key=lambda candidate: rendezvous_rank(f"s{number}", candidate)).id for number in range(2000)
+    )
     assert firsts["b"] == pytest.approx(1500, rel=0.05)
 
 
 def test_removed_receiver_moves_only_its_own_sticky_keys():
     receivers = [receiver(name) for name in ("a", "b", "c", "d")]
 
-    def home(among, number):
-        return min(among, key=lambda each: rendezvous_rank(f"s{number}", each)).id
+    def preferred_id(candidates, number):
+        return min(candidates, key=lambda candidate: rendezvous_rank(f"s{number}", candidate)).id
 
     for number in range(200):
-        before = home(receivers, number)
-        after = home(receivers[1:], number)
+        before = preferred_id(receivers, number)
+        after = preferred_id(receivers[1:], number)
         assert after == before or before == "a"
 
 
@@ -296,7 +300,7 @@
     assert acquired_ids(allocator, 1) == ["a"]
 
 
-def test_slots_of_removed_receiver_are_forgotten():
+def test_slots_of_removed_receiver_are_discarded():
     allocator = make_allocator(receiver("a"), receiver("b"))
     acquired_ids(allocator, 4)
     allocator.update_receivers(SERVICE, (receiver("b"),))
@@ -308,8 +312,8 @@
 def test_expected_wait_grows_with_queue_and_is_bounded():
     allocator = make_allocator(receiver("a", capacity=1))
     allocator.load_of("a").call_time_s = 0.1
-    alone = allocator.expected_wait_s(SERVICE, NOW)
-    assert 0.1 * (1 - WAIT_JITTER) <= alone <= 0.1 * (1 + WAIT_JITTER)
+    initial_wait_s = allocator.expected_wait_s(SERVICE, NOW)
+    assert 0.1 * (1 - WAIT_JITTER) <= initial_wait_s <= 0.1 * (1 + WAIT_JITTER)
     for _ in range(4):
         allocator.enqueue(slot_request())
     assert 0.5 * (1 - WAIT_JITTER) <= allocator.expected_wait_s(SERVICE, NOW) <= 0.5 * (1 + WAIT_JITTER)
@@ -324,8 +328,8 @@
 
 
 def test_sticky_request_prefers_own_zone_while_load_allows():
-    far = [receiver(f"far-{number}", zone="there") for number in range(8)]
-    allocator = make_allocator(receiver("near", zone="here"), *far)
+    other_zone = [receiver(f"far-{number}", zone="there") for number in range(8)]
+    allocator = make_allocator(receiver("near", zone="here"), *other_zone)
     chosen = [allocator.acquire(slot_request(key=f"session-{number}"), NOW).id for number in range(3)]
     assert chosen == ["near"] * 3
     assert allocator.acquire(slot_request(key="session-9"), NOW).id != "near"
@@ -333,11 +337,11 @@
 
 def test_unresponsive_receiver_gets_no_calls_while_others_can():
     allocator = make_allocator(receiver("hung"), receiver("sound"))
-    hung = allocator.load_of("hung")
-    hung.record_sent(NOW)
-    assert not hung.is_unresponsive(NOW + MIN_UNRESPONSIVE_S)
-    later = NOW + 2 * MIN_UNRESPONSIVE_S + UNRESPONSIVE_RESPONSE_TIMES * hung.response_time_s
-    assert hung.is_unresponsive(later)
+    hung_load = allocator.load_of("hung")
+    hung_load.record_sent(NOW)
+    assert not hung_load.is_unresponsive(NOW + MIN_UNRESPONSIVE_S)
+    later = NOW + 2 * MIN_UNRESPONSIVE_S + UNRESPONSIVE_RESPONSE_TIMES * hung_load.response_time_s
+    assert hung_load.is_unresponsive(later)
     assert {allocator.acquire(slot_request(key=f"session-{number}"), later).id for number in range(3)} == {"sound"}
     assert {allocator.acquire(slot_request(), later).id for _ in range(3)} == {"sound"}
 
--- a/tests/dataplane/test_streamed_responses.py
+++ b/tests/dataplane/test_streamed_responses.py
@@ -32,22 +32,22 @@
 
 
 def test_events_are_forwarded_before_stream_ends():
-    go_on = threading.Event()
+    proceed = threading.Event()
 
-    def respond_slowly(connection, got):
-        connection.send(stream_head(got) + chunk(event(1)))
-        assert go_on.wait(PATIENCE_S)
+    def respond_slowly(connection, received):
+        connection.send(stream_head(received) + chunk(event(1)))
+        assert proceed.wait(PATIENCE_S)
         connection.send(chunk(event(2)) + END)
 
     with receivers(ScriptedReceiver(respond_slowly)) as listed:
         response = RequestHandlerHarness(listed, kind="stream")()
         parts: Iterator[bytes] = iter(response.body)
         assert next(parts) == event(1)
-        go_on.set()
+        proceed.set()
         assert list(parts) == [event(2)]
 
 
-def test_non_resumable_stream_that_breaks_is_incomplete():
+def test_interrupted_non_resumable_stream_is_incomplete():
     peers = [ScriptedReceiver(stream(event(1), is_complete=False), id=name) for name in ("i-1", "i-2")]
     with receivers(*peers) as listed:
         harness = RequestHandlerHarness(listed, kind="stream")
@@ -56,7 +56,7 @@
     assert harness.handler.metrics.incomplete_streams == 1
 
 
-def test_stream_that_breaks_before_first_event_gets_502():
+def test_stream_interrupted_before_first_event_gets_502():
     with receivers(ScriptedReceiver(stream(b"id: 1\nda", is_complete=False))) as listed:
         assert RequestHandlerHarness(listed, kind="stream")().status == 502
 
@@ -65,12 +65,15 @@
     def scripts(name):
         first = stream(event(1), event(2), b"id: 3\nda", is_complete=False)
 
-        def second(connection, got):
-            assert got.headers["last-event-id"] == "2"
-            stream(event(3), event(4))(connection, got)
+        def second(connection, received):
+            assert received.headers["last-event-id"] == "2"
+            stream(event(3), event(4))(connection, received)
 
         return ScriptedReceiver(
-            lambda connection, got: (second if "last-event-id" in got.headers else first)(connection, got), id=name
+            lambda connection, received: (second if "last-event-id" in received.headers else first)(
+                connection, received
+            ),
+            id=name,
         )
 
     peers = [scripts("i-1"), scripts("i-2")]
@@ -117,9 +120,9 @@
 def test_client_disconnect_aborts_streaming_call(after_head):
     started, ended = threading.Event(), threading.Event()
 
-    def respond(connection, got):
+    def respond(connection, received):
         if after_head:
-            connection.send(stream_head(got) + chunk(event(1)))
+            connection.send(stream_head(received) + chunk(event(1)))
         started.set()
         if connection.wait_for_close():
             ended.set()
@@ -127,10 +130,10 @@
     client = DisconnectingClient()
     with receivers(ScriptedReceiver(respond)) as listed:
         harness = RequestHandlerHarness(listed, kind="stream", resumable=True)
-        serving = threading.Thread(target=lambda: read(harness(client=client)))
-        serving.start()
+        handling = threading.Thread(target=lambda: read(harness(client=client)))
+        handling.start()
         assert started.wait(PATIENCE_S)
         client.disconnect()
         assert ended.wait(PATIENCE_S)
-        serving.join(PATIENCE_S)
+        handling.join(PATIENCE_S)
     assert harness.handler.metrics.attempts == 1
--- a/tests/dataplane/test_worker_threads.py
+++ b/tests/dataplane/test_worker_threads.py
@@ -19,8 +19,8 @@
     threads = set()
     for sock in sockets(20):
         workers.submit(sock)
-        got, thread = served.get(timeout=PATIENCE_S)
-        assert got is sock
+        served_socket, thread = served.get(timeout=PATIENCE_S)
+        assert served_socket is sock
         threads.add(thread)
     assert len(threads) < 20
 
