--- a/dewpin/peers/__init__.py
+++ b/dewpin/peers/__init__.py
@@ -1,6 +1,5 @@
-"""Coordination between senders that may talk to each other: membership and leases. In work; docs/peers.md says what
-stands.
+"""Peer-to-peer coordination of senders that can reach each other: membership and leases.
 
-The protocols are free of I/O; `node` connects them to a socket and a file. No sender imports this package yet, and on
-the platform nothing of it runs.
+Experimental; docs/peers.md describes the status. The protocols do no I/O; `node` connects them to a socket and a file.
+No sender imports this package yet, and the platform runs none of it.
 """
--- a/dewpin/peers/fencing.py
+++ b/dewpin/peers/fencing.py
@@ -1,17 +1,17 @@
-"""Fencing at the side that takes the effects of a lease holder."""
+"""Fencing at the resource that a lease holder acts on."""
 
 
 class FencingGuard:
-    """Rejects acts under an older fencing token than the latest that it has seen.
+    """Rejects operations with a fencing token lower than the highest one seen.
 
-    `highest_token`: the latest. `rejected_count`: acts that were rejected."""
+    `highest_token`: the highest token seen. `rejected_count`: number of rejected operations."""
 
     def __init__(self, highest_token: int = 0) -> None:
         self.highest_token = highest_token
         self.rejected_count = 0
 
     def accepts(self, fencing_token: int) -> bool:
-        """Whether an act under this token may take effect."""
+        """Returns whether an operation with this token may take effect."""
         if fencing_token < self.highest_token:
             self.rejected_count += 1
             return False
--- a/dewpin/peers/lease_messages.py
+++ b/dewpin/peers/lease_messages.py
@@ -1,5 +1,7 @@
-"""The messages of the lease protocol. The attributes have the field's terms, the datagrams keep the names given
-here."""
+"""Messages of the lease protocol.
+
+The names passed to `tag` and `field` are the wire format and must not change with the attribute names.
+"""
 
 from typing import NamedTuple
 
@@ -7,11 +9,11 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, tag="ask"):
-    """A candidate wants to acquire or to renew the lease on a role.
+    """A candidate's request to acquire or renew the lease on a role.
 
-    `fencing_token`: the token that it wants the lease under. `round`: marks the replies to this request.
-    `incarnation`: drawn at the candidate's start; after a restart it is another holder, since the one before may only
-    have been stopped. `acknowledged_token`: the token that it knows this voter to have granted it."""
+    `fencing_token`: the token requested. `round`: copied into the replies to this request. `incarnation`: chosen at the
+    candidate's start; a restarted candidate is a different holder, because the earlier process may only be suspended.
+    `acknowledged_token`: the last token that the candidate knows this voter to have granted it."""
 
     role: str = msgspec.field(name="duty")
     fencing_token: int = msgspec.field(name="number")
@@ -21,8 +23,8 @@
 
 
 class LeaseReply(msgspec.Struct, frozen=True, tag="answer"):
-    """A voter's reply. `highest_token`: the highest that it has granted, so that the next request can exceed it.
-    `wait_ms`: how long its earlier grant may still hold."""
+    """A voter's reply. `highest_token`: the highest token it has granted, which the next request has to exceed.
+    `wait_ms`: remaining time for which an earlier grant may be in force."""
 
     role: str = msgspec.field(name="duty")
     round: int
@@ -32,7 +34,7 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, tag="release"):
-    """A candidate gives back what a voter granted it."""
+    """A candidate releases a voter's grant."""
 
     role: str = msgspec.field(name="duty")
     fencing_token: int = msgspec.field(name="number")
@@ -40,19 +42,19 @@
 
 
 class LeaseFreed(msgspec.Struct, frozen=True, tag="free"):
-    """Tells candidates whose requests were rejected that the lease was released."""
+    """Notifies candidates with rejected requests that the lease was released."""
 
     role: str = msgspec.field(name="duty")
 
 
 class RecoveryRequest(msgspec.Struct, frozen=True, tag="recall"):
-    """A voter that lost its stored votes asks the others what they granted."""
+    """A voter without stored votes asks the other voters for their grants."""
 
     round: int
 
 
 class RecoveryReply(msgspec.Struct, frozen=True, tag="recalled"):
-    """The highest fencing token that a voter granted for each role."""
+    """The highest fencing token that a voter has granted, by role."""
 
     round: int
     highest_tokens: dict[str, int] = msgspec.field(name="seen")
@@ -62,12 +64,12 @@
 
 
 class LeaseEnvelope(NamedTuple):
-    """A message and the peer that it goes to."""
+    """A message and its destination peer."""
 
     peer: str
     message: LeaseMessage
 
 
 def majority(voters: int) -> int:
-    """How many of so many voters are a majority."""
+    """Returns the size of a majority of `voters` voters."""
     return voters // 2 + 1
--- a/dewpin/peers/lease_voter.py
+++ b/dewpin/peers/lease_voter.py
@@ -1,7 +1,8 @@
-"""A voter of the lease protocol, free of I/O: which candidate may hold the lease on a role, under which fencing token.
+"""Voter side of the lease protocol, without I/O: grants the lease on a role to one candidate with a fencing token.
 
-Messages and the time (ms of a clock that never steps and goes on while the machine sleeps) go in, messages come out. A
-voter never grants what may still be held by another. docs/peers.md has the argument.
+The inputs are messages and the time, in ms of a clock that never steps and continues while the machine is suspended;
+the outputs are messages. A voter never grants a lease that another candidate may still hold. docs/peers.md has the
+proof.
 """
 
 from collections.abc import Sequence
@@ -19,45 +20,45 @@
 )
 
 MAX_WAITING_CANDIDATES = 16
-"""Candidates that a voter remembers to tell that a lease is free."""
+"""Maximum number of candidates per role that a voter notifies when the lease is released."""
 NO_VOTE = (0, "")
 Votes = dict[str, tuple[int, str]]
-"""Role: (fencing token, holder). The holder is the peer's name and incarnation, or empty after a release."""
+"""By role: (fencing token, holder). The holder is "name/incarnation" of a peer, or empty after a release."""
 
 
 class LeaseVoter:
     """One voter.
 
-    `votes` must be stored before the messages of the call that changed it leave (`has_unsaved_votes`). After a start
-    the voter grants nothing new for `term_ms`: what it granted before may still hold, and it can't know since when.
-    Without stored votes (`votes` None) it is recovering and grants nothing at all until enough others reported their
-    grants: one of them is in every majority that this voter was part of."""
+    If a call sets `has_unsaved_votes`, `votes` must be stored before the messages that it returned are sent. After a
+    start the voter makes no new grants for `term_ms`, because earlier grants may still be in force and their times are
+    not stored. Without stored votes (`votes` None) it is recovering: it grants nothing until enough other voters have
+    reported their grants for every majority that included this voter to contain one of them."""
 
     def __init__(self, name: str, voters: Sequence[str], term_ms: float, now_ms: float, votes: Votes | None) -> None:
         self.name = name
         self.other_voters = [voter for voter in voters if voter != name]
         self.term_ms = term_ms
         self.votes: Votes = dict(votes or {})
-        self.granted_until_ms: dict[str, float] = {}  # what was granted since the start, by role
-        self.grants_nothing_until_ms = now_ms + term_ms
-        self.waiting_candidates: dict[str, dict[str, None]] = {}  # by role, in order
+        self.granted_until_ms: dict[str, float] = {}  # grants since the start, by role
+        self.no_grants_until_ms = now_ms + term_ms
+        self.waiting_candidates: dict[str, dict[str, None]] = {}  # by role, in order of arrival
         self.recovery_replies_needed = len(voters) - majority(len(voters)) + 1 if votes is None else 0
-        self.recovered_tokens: dict[str, dict[str, int]] = {}  # by voter: what it granted, by role
+        self.recovered_tokens: dict[str, dict[str, int]] = {}  # by voter: the tokens that it granted, by role
         self.has_unsaved_votes = False
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it lost its votes and has not heard enough of the others' yet."""
+        """Whether its votes are lost and too few other voters have reported their grants."""
         return len(self.recovered_tokens) < self.recovery_replies_needed
 
     def start_recovery(self) -> list[LeaseEnvelope]:
-        """What a recovering voter asks the others; to be sent again until it has recovered."""
+        """Returns a recovering voter's requests to the others; to be repeated until it has recovered."""
         if not self.is_recovering:
             return []
         return [LeaseEnvelope(voter, RecoveryRequest(0)) for voter in self.other_voters]
 
     def receive(self, peer: str, message: LeaseMessage, now_ms: float) -> list[LeaseEnvelope]:
-        """Handles a message of a peer; the messages that follow from it."""
+        """Handles a message from a peer; returns the messages to send."""
         if isinstance(message, LeaseRequest):
             return self._handle_request(peer, message, now_ms)
         if isinstance(message, LeaseRelease):
@@ -71,10 +72,10 @@
     def _handle_request(self, peer: str, request: LeaseRequest, now_ms: float) -> list[LeaseEnvelope]:
         role = request.role
         granted_token, holder = self.votes.get(role, NO_VOTE)
-        free_at_ms = max(self.grants_nothing_until_ms, self.granted_until_ms.get(role, 0.0) if holder else 0.0)
+        free_at_ms = max(self.no_grants_until_ms, self.granted_until_ms.get(role, 0.0) if holder else 0.0)
         candidate = f"{peer}/{request.incarnation}"
-        # a renewal: nobody else was granted the lease since; a higher token only for a candidate that receives our
-        # replies, since one that is heard and hears nobody would keep the lease from the others for good
+        # A renewal: the lease was granted to nobody else since. A higher token is granted only to a candidate that has
+        # acknowledged the last one: a candidate that can send but not receive would block the lease indefinitely.
         is_renewal = candidate == holder and (
             request.fencing_token == granted_token
             or request.fencing_token > granted_token == request.acknowledged_token
@@ -117,7 +118,7 @@
         self.recovered_tokens[peer] = reply.highest_tokens
         if self.is_recovering:
             return
-        self.grants_nothing_until_ms = now_ms + self.term_ms
+        self.no_grants_until_ms = now_ms + self.term_ms
         for highest_tokens in self.recovered_tokens.values():
             for role, token in highest_tokens.items():
                 if token > self.votes.get(role, NO_VOTE)[0]:
--- a/dewpin/peers/membership.py
+++ b/dewpin/peers/membership.py
@@ -1,9 +1,10 @@
-"""Membership of the senders: SWIM with suspicion and Lifeguard's local health. Free of I/O.
+"""Membership of the senders: SWIM with suspicion and Lifeguard's local health. Does no I/O.
 
-Messages, where they came from and the time (ms of a clock that never steps) go in, messages and where they go come out.
-No member is called lost before others were asked about it, and a process that stood still itself must stay harmless.
-The member list is an opinion: whoever needs to be the only one takes a lease. docs/peers.md has the sources (SWIM:
-Das, Gupta, Motivala; Lifeguard: Dadgar, Phillips, Currey) and the measurements.
+The inputs are messages with their source addresses and the time, in ms of a clock that never steps; the outputs are
+messages with their destinations. No member is declared lost before others were asked to probe it, and a process that
+was suspended itself must not declare others lost. The member list is only eventually consistent: exclusive roles need a
+lease. docs/peers.md has the references (SWIM: Das, Gupta, Motivala; Lifeguard: Dadgar, Phillips, Currey) and
+measurements.
 """
 
 import random
@@ -35,25 +36,25 @@
 from .suspicion import KnownMember, LocalHealth
 
 RETRANSMIT_FACTOR = 4.0
-"""Times log2 of the members: how often an update is sent."""
+"""Transmissions of an update, as a multiple of log2 of the number of members."""
 MAX_MEMBERS = 1000
-"""Members that are remembered, lost ones included; further names are left out and counted."""
+"""Maximum size of the member list, including lost members; further names are rejected and counted."""
 LOST_MEMBER_PERIODS = 60.0
-"""For so long a lost member is remembered, and pinged again now and then."""
+"""Periods for which a lost member is kept in the list and occasionally pinged."""
 SYNC_PERIODS = 30.0
-"""Between two comparisons of the whole list with another member's."""
+"""Periods between two comparisons of the whole list with another member."""
 REJOIN_PERIODS = 10.0
-"""Between two pings of lost members and seeds."""
+"""Periods between two pings of lost members and seeds."""
 
 
 class Membership:
-    """One member's view of all members.
+    """One member's view of the group.
 
-    `seeds`: addresses of any members, asked until one answers. `period_ms`: between two probes. `timeout_ms`: for an
-    ack. `own_record`: what others are sent of this member. `members`: all others that are known. `active_count`:
-    those of them that are alive or suspected. `has_joined`: some member has answered. `is_replaced`: another process
-    was started under this name, and this one falls silent. `has_left`: it left by intent. `rejected_count`: names and
-    records that were out of bounds."""
+    `seeds`: addresses of arbitrary members, contacted until one responds. `period_ms`: interval between probes.
+    `timeout_ms`: for an ack. `own_record`: the record of this member that is sent to others. `members`: all other known
+    members. `active_count`: how many of them are alive or suspected. `has_joined`: whether any member has responded.
+    `is_replaced`: another process was started under this name, and this one sends nothing more. `has_left`: it left
+    voluntarily. `rejected_count`: records rejected as invalid or because the list was full."""
 
     def __init__(
         self,
@@ -87,25 +88,25 @@
         self._next_rejoin_at_ms = now_ms + REJOIN_PERIODS * period_ms
         self._changes: list[tuple[str, int]] = []
 
-    # -- for the process --------------------------------------------------------------------------------------
+    # -- interface of the process -----------------------------------------------------------------------------
 
     def active_members(self) -> list[str]:
-        """The names of all active members in order, this one and the suspected ones included."""
+        """Returns the sorted names of all active members, including this one and suspected ones."""
         own = [] if self.has_left or self.is_replaced else [self.name]
         return sorted(own + [name for name, member in self.members.items() if member.is_active])
 
     def address_of(self, name: str) -> Address | None:
-        """The address of an active member."""
+        """Returns the address of an active member, or None."""
         member = self.members.get(name)
         return member.record.address if member and member.is_active else None
 
     def take_changes(self) -> list[tuple[str, int]]:
-        """The changes since the last call: name and new state (of `MemberState`)."""
+        """Returns the changes since the last call: name and new state (of `MemberState`)."""
         changes, self._changes = self._changes, []
         return changes
 
     def leave(self) -> list[MembershipEnvelope]:
-        """Leaves by intent: some members are notified at once and spread it. Nothing is sent after it."""
+        """Leaves the group; returns notifications for some members, which disseminate it. Sends nothing afterwards."""
         self.own_record = msgspec.structs.replace(self.own_record, state=MemberState.LEFT)
         self.has_left = True
         self._updates.add(self.own_record)
@@ -115,12 +116,14 @@
         ]
 
     def tick(self, now_ms: float) -> list[MembershipEnvelope]:
-        """What is due. To be called several times a time-out: a gap means that this process stood still."""
-        late_ms, self._last_tick_ms = now_ms - self._last_tick_ms, now_ms
+        """Returns the messages that are due.
+
+        To be called several times per `timeout_ms`: a longer gap is taken for a pause of this process."""
+        pause_ms, self._last_tick_ms = now_ms - self._last_tick_ms, now_ms
         if self.has_left or self.is_replaced:
             return []
-        if late_ms > self.timeout_ms:
-            self._handle_own_stall(late_ms)
+        if pause_ms > self.timeout_ms:
+            self._handle_local_pause(pause_ms)
         self._expire_suspicions(now_ms)
         envelopes = self._prober.tick(now_ms)
         if now_ms >= self._next_sync_at_ms:
@@ -132,62 +135,65 @@
     def receive(
         self, peer: str, address: Address, message: MembershipMessage, now_ms: float
     ) -> list[MembershipEnvelope]:
-        """Handles a message of a peer; the messages that follow from it."""
+        """Handles a message from a peer; returns the messages to send."""
         if self.has_left or self.is_replaced:
             return []
         if isinstance(message, Ping):
-            self._learn(message.updates, now_ms)
+            self._apply_records(message.updates, now_ms)
             return [MembershipEnvelope(peer, address, Ack(message.sequence, self.updates_for(peer)))]
         if isinstance(message, Ack):
-            self._learn(message.updates, now_ms)
+            self._apply_records(message.updates, now_ms)
             return self._prober.handle_ack(message.sequence)
         if isinstance(message, Nack):
             self._prober.handle_nack(message.sequence)
             return []
         if isinstance(message, PingRequest):
-            self._learn(message.updates, now_ms)
+            self._apply_records(message.updates, now_ms)
             return self._prober.handle_ping_request(peer, address, message, now_ms)
         if isinstance(message, SyncRequest):
-            self._learn((message.sender,), now_ms)
+            self._apply_records((message.sender,), now_ms)
             return [MembershipEnvelope(peer, address, self._sync_page(message))]
         return self._handle_sync_page(peer, address, message, now_ms)
 
-    # -- for the prober ---------------------------------------------------------------------------------------
+    # -- interface of the prober ------------------------------------------------------------------------------
 
     def updates_for(self, name: str) -> tuple[MemberRecord, ...]:
-        """The updates that ride on a message to this member; one that is not alive hears that first, to refute it."""
+        """Returns the updates to piggyback on a message to this member.
+
+        The first one is the member's own record unless that says alive, so that the member can refute it."""
         member = self.members.get(name)
-        is_doubted = member is not None and member.record.state != MemberState.ALIVE
-        first = member.record if member and is_doubted else None
+        is_not_alive = member is not None and member.record.state != MemberState.ALIVE
+        first = member.record if member and is_not_alive else None
         return self._updates.take(first, ceil(RETRANSMIT_FACTOR * log2(self.active_count + 2)))
 
     def envelope_to(self, name: str, message: MembershipMessage) -> MembershipEnvelope:
-        """A message to a known member."""
+        """Addresses a message to a known member."""
         return MembershipEnvelope(name, self.members[name].record.address, message)
 
     def random_members(self, count: int, excluding: str = "") -> list[str]:
-        """Active members by chance, so many at most."""
+        """Returns up to `count` randomly chosen active members."""
         names = [name for name, member in self.members.items() if member.is_active and name != excluding]
         return self.random.sample(names, min(count, len(names)))
 
     def suspect(self, name: str, now_ms: float) -> None:
-        """This member's own probes failed: it suspects an active member, or confirms a suspicion."""
+        """Handles a failed probe: suspects an active member, or confirms an existing suspicion."""
         member = self.members.get(name)
         if member and member.is_active:
             suspicion = msgspec.structs.replace(member.record, state=MemberState.SUSPECT, suspected_by=self.name)
-            self._learn((suspicion,), now_ms)
+            self._apply_records((suspicion,), now_ms)
 
-    # -- time -------------------------------------------------------------------------------------------------
+    # -- timeouts ---------------------------------------------------------------------------------------------
 
-    def _handle_own_stall(self, late_ms: float) -> None:
-        """Guards against a process that stood still and then takes all others for lost: what they sent is not read yet.
+    def _handle_local_pause(self, pause_ms: float) -> None:
+        """Extends all deadlines by the length of a pause of this process and lowers its local health.
 
-        Its deadlines move by as long, and it doubts itself."""
+        Without this a suspended process would declare all others lost on waking up, before it has read the messages
+        that they sent meanwhile."""
         self.local_health.adjust(1)
-        self._prober.postpone(late_ms)
+        self._prober.postpone(pause_ms)
         for member in self.members.values():
-            member.suspicion_ends_at_ms += late_ms
-        self._suspicion_deadlines = [(at_ms + late_ms, name) for at_ms, name in self._suspicion_deadlines]
+            member.suspicion_ends_at_ms += pause_ms
+        self._suspicion_deadlines = [(at_ms + pause_ms, name) for at_ms, name in self._suspicion_deadlines]
 
     def _expire_suspicions(self, now_ms: float) -> None:
         while self._suspicion_deadlines and self._suspicion_deadlines[0][0] <= now_ms:
@@ -196,13 +202,14 @@
             if not member or member.record.state != MemberState.SUSPECT:
                 continue
             if member.suspicion_ends_at_ms <= now_ms:
-                self._learn((msgspec.structs.replace(member.record, state=MemberState.LOST),), now_ms)
+                self._apply_records((msgspec.structs.replace(member.record, state=MemberState.LOST),), now_ms)
 
     # -- joining and anti-entropy -----------------------------------------------------------------------------
 
     def _request_sync(self, now_ms: float) -> list[MembershipEnvelope]:
-        """Asks for the whole list: from seeds until one answers, then now and then from any member. It repairs what the
-        dissemination of updates missed."""
+        """Requests the whole list: from seeds until one responds, later periodically from a random member.
+
+        This repairs updates that the dissemination missed."""
         periods = SYNC_PERIODS * self.random.uniform(0.8, 1.2) if self.has_joined else 1.0
         self._next_sync_at_ms = now_ms + self.period_ms * periods
         request = SyncRequest("", self._digest(), self.own_record)
@@ -215,8 +222,9 @@
         return [MembershipEnvelope("", seed, request) for seed in seeds if seed != self.own_record.address]
 
     def _rejoin(self, now_ms: float) -> list[MembershipEnvelope]:
-        """Tries a lost member and a seed, so that halves that lost each other find together again. Forgets members that
-        are long gone."""
+        """Contacts a lost member and a seed, so that the sides of a healed partition merge.
+
+        Removes members that have been inactive for `LOST_MEMBER_PERIODS`."""
         self._next_rejoin_at_ms = now_ms + REJOIN_PERIODS * self.period_ms * self.random.uniform(0.8, 1.2)
         inactive = [member for member in self.members.values() if not member.is_active]
         for member in inactive:
@@ -235,7 +243,7 @@
         return envelopes
 
     def _handle_sync_page(self, peer: str, address: Address, page: SyncPage, now_ms: float) -> list[MembershipEnvelope]:
-        self._learn(page.records, now_ms)
+        self._apply_records(page.records, now_ms)
         self.has_joined = True
         if not page.has_more or not page.records:
             return []
@@ -255,7 +263,7 @@
         return SyncPage(tuple(records), False)
 
     def _digest(self) -> int:
-        """A checksum of the list; 0 stands for none."""
+        """Returns a checksum of the list; never 0, which means no digest."""
         records = {name: member.record for name, member in self.members.items()}
         pairs = sorted([(self.name, self.own_record), *records.items()], key=lambda pair: pair[0])
         text = "".join(f"{name}{record.precedence}" for name, record in pairs)
@@ -263,17 +271,17 @@
 
     # -- records ----------------------------------------------------------------------------------------------
 
-    def _learn(self, records: Sequence[MemberRecord], now_ms: float) -> None:
+    def _apply_records(self, records: Sequence[MemberRecord], now_ms: float) -> None:
         for record in records:
             if record.name == self.name:
                 self._handle_own_record(record)
-            elif _is_out_of_bounds(record):
+            elif _is_invalid(record):
                 self.rejected_count += 1
             else:
-                self._merge(record, now_ms)
+                self._merge_record(record, now_ms)
 
     def _handle_own_record(self, record: MemberRecord) -> None:
-        """What others say of this member; a suspicion is refuted."""
+        """Handles a record of this member received from others; refutes a suspicion."""
         own = self.own_record
         if record.incarnation > own.incarnation:
             self.is_replaced = True
@@ -286,16 +294,16 @@
             self.own_record = msgspec.structs.replace(own, refutations=record.refutations + 1)
             self._updates.add(self.own_record)
         elif record.precedence < own.precedence and record.state != MemberState.ALIVE:
-            self._updates.add(own)  # of an earlier incarnation: they have to hear that this one is here
+            self._updates.add(own)  # of an earlier incarnation: announces this one
 
-    def _merge(self, record: MemberRecord, now_ms: float) -> None:
+    def _merge_record(self, record: MemberRecord, now_ms: float) -> None:
         member = self.members.get(record.name)
         if member is None:
             if len(self.members) >= MAX_MEMBERS:
                 self.rejected_count += 1
                 return
             if record.state >= MemberState.LOST:
-                return  # a member that was never known need not be remembered, else it would be for good
+                return  # unknown here: adding it would let members re-add lost ones to each other forever
             member = self.members[record.name] = KnownMember(record, now_ms)
             self._prober.schedule(record.name)
             previous_state = MemberState.LEFT
@@ -319,7 +327,7 @@
             self._confirm_suspicion(member, record, now_ms)
 
     def _confirm_suspicion(self, member: KnownMember, record: MemberRecord, now_ms: float) -> None:
-        """Each further accuser shortens a suspicion (Lifeguard), and is spread while it does."""
+        """Adds an accuser, which shortens the suspicion (Lifeguard), and disseminates it if it had an effect."""
         if not member.add_accuser(record.suspected_by, self.active_count, self.period_ms):
             return
         heappush(self._suspicion_deadlines, (max(now_ms, member.suspicion_ends_at_ms), record.name))
@@ -327,6 +335,6 @@
             self._updates.add(record)
 
 
-def _is_out_of_bounds(record: MemberRecord) -> bool:
-    longest = max(len(record.name), len(record.host), len(record.suspected_by))
-    return longest > MAX_NAME_CHARACTERS or not MemberState.ALIVE <= record.state <= MemberState.LEFT
+def _is_invalid(record: MemberRecord) -> bool:
+    max_length = max(len(record.name), len(record.host), len(record.suspected_by))
+    return max_length > MAX_NAME_CHARACTERS or not MemberState.ALIVE <= record.state <= MemberState.LEFT
--- a/dewpin/peers/membership_messages.py
+++ b/dewpin/peers/membership_messages.py
@@ -1,6 +1,7 @@
-"""The messages between members, and a member's record as it is sent. Free of I/O.
+"""Messages between members, and the member record that they contain. Does no I/O.
 
-The attributes have the terms of SWIM and Lifeguard, the datagrams keep the names given here.
+The attributes use the terms of SWIM and Lifeguard. The names passed to `tag` and `field` are the wire format and must
+not change with the attribute names.
 """
 
 from typing import NamedTuple
@@ -11,15 +12,15 @@
 """Host and port."""
 
 MAX_NAME_CHARACTERS = 64
-"""Of a member's name or host."""
+"""Maximum length of a member's name or host."""
 MAX_UPDATE_BYTES = 1100
-"""Of updates in one datagram."""
+"""Maximum estimated size of the updates in one datagram."""
 
 
 class MemberState:
-    """A member's state; of the same incarnation and refutations the greater one holds.
+    """States of a member. Of records with equal incarnation and refutations the greater state takes precedence.
 
-    Plain integers, since they stand in datagrams and in the digest that members compare."""
+    Plain integers, because they are part of datagrams and of the digest that members compare."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,10 +29,10 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one member.
+    """State of one member.
 
-    `incarnation`: drawn at its start, a later start has a greater one. `refutations`: how often it has refuted a
-    suspicion since. `suspected_by`: the member that made the suspicion."""
+    `incarnation`: chosen at its start, greater after each restart. `refutations`: number of suspicions that it has
+    refuted since. `suspected_by`: the member that raised the suspicion."""
 
     name: str
     host: str
@@ -43,31 +44,31 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Of two records of a member the one with the greater precedence holds."""
+        """Sort key: of two records of a member the greater one replaces the other."""
         return self.incarnation, self.refutations, self.state
 
     @property
     def address(self) -> Address:
-        """Where the member receives datagrams."""
+        """The address at which the member receives datagrams."""
         return self.host, self.port
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping"):
-    """A probe, with updates."""
+    """A direct probe, with piggybacked updates."""
 
     sequence: int = msgspec.field(name="seq")
     updates: tuple[MemberRecord, ...] = msgspec.field(name="news")
 
 
 class Ack(msgspec.Struct, frozen=True, tag="ack"):
-    """The answer to a ping, with updates."""
+    """The response to a ping, with piggybacked updates."""
 
     sequence: int = msgspec.field(name="seq")
     updates: tuple[MemberRecord, ...] = msgspec.field(name="news")
 
 
 class PingRequest(msgspec.Struct, frozen=True, tag="try"):
-    """Asks a member for an indirect probe: to ping `name` and to pass the ack on, or to send a nack if none comes."""
+    """Requests an indirect probe: the recipient pings `name` and forwards the ack, or sends a nack if there is none."""
 
     sequence: int = msgspec.field(name="seq")
     name: str
@@ -77,14 +78,15 @@
 
 
 class Nack(msgspec.Struct, frozen=True, tag="nack"):
-    """An indirect probe got no ack in time."""
+    """An indirect probe received no ack in time."""
 
     sequence: int = msgspec.field(name="seq")
 
 
 class SyncRequest(msgspec.Struct, frozen=True, tag="pull"):
-    """Asks for the member list from behind a name on. A member whose list has the same digest answers with an empty
-    page."""
+    """Requests the part of the member list that follows the name `after`.
+
+    A member whose list has the same digest responds with an empty page."""
 
     after: str
     digest: int
@@ -92,7 +94,7 @@
 
 
 class SyncPage(msgspec.Struct, frozen=True, tag="page"):
-    """A part of the member list, in order of names."""
+    """A page of the member list, sorted by name."""
 
     records: tuple[MemberRecord, ...] = msgspec.field(name="entries")
     has_more: bool = msgspec.field(name="more")
@@ -102,7 +104,7 @@
 
 
 class MembershipEnvelope(NamedTuple):
-    """A message and where it goes; `peer` is empty where the member's name is not known yet."""
+    """A message and its destination; `peer` is empty if the member's name is not known yet."""
 
     peer: str
     address: Address
@@ -110,5 +112,5 @@
 
 
 def estimated_bytes(record: MemberRecord) -> int:
-    """About how many bytes a record takes in a datagram."""
+    """Returns the approximate size of a record in a datagram."""
     return len((record.name + record.host + record.suspected_by).encode()) + 32
--- a/dewpin/peers/node.py
+++ b/dewpin/peers/node.py
@@ -1,6 +1,6 @@
-"""One peer on a datagram socket, with a voter's file: the I/O around the lease and membership protocols.
+"""I/O for the lease and membership protocols: a peer's datagram socket and a voter's file.
 
-No message leaves before what it rests on is on disk. The node decides nothing.
+A message is sent only after the votes that it depends on are on disk. The node makes no protocol decisions.
 """
 
 import asyncio
@@ -20,20 +20,20 @@
 
 TICK_SECONDS = 0.02
 RECOVERY_REQUEST_TICKS = 25
-"""Between two requests of a recovering voter."""
+"""Ticks between two requests of a recovering voter."""
 VOTES_FILE = "votes"
 
 
 def boot_time_ms() -> float:
-    """ms on a clock that never steps and goes on while the machine sleeps."""
+    """Returns ms of a clock that never steps and continues while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 def is_reachable(address: Address) -> bool:
-    """Whether an address may be sent to as it is.
+    """Returns whether an address can be sent to without resolving it.
 
-    Guards against what a datagram says of another member: a host name would be looked up while all wait, and a port out
-    of range raises."""
+    Addresses of members come from datagrams: a host name would block the event loop in a lookup, and a port out of
+    range would raise an exception."""
     try:
         return bool(ipaddress.ip_address(address[0])) and 0 < address[1] < 65536
     except ValueError:
@@ -41,13 +41,13 @@
 
 
 class VotesFile:
-    """A voter's file: {role: [fencing token, holder]}, replaced in one step and synced."""
+    """A voter's file: {role: [fencing token, holder]}, synced and replaced atomically."""
 
     def __init__(self, folder: str) -> None:
         self.path = os.path.join(folder, VOTES_FILE)
 
     def read(self) -> Votes | None:
-        """The stored votes; None where there are none that can be read: then it is not known what was granted."""
+        """Returns the stored votes; None if they are missing or unreadable, so that earlier grants are unknown."""
         try:
             with open(self.path, "rb") as file:
                 return msgspec.json.decode(file.read(), type=Votes)
@@ -66,9 +66,9 @@
 class PeerNode(asyncio.DatagramProtocol):
     """One peer.
 
-    `peers`: {name: address} where it is fixed how to reach them, which goes before what members report. `membership`
-    and `candidates` are set by the owner before messages come. `voter`: None where this peer is no voter.
-    `bad_datagrams`: datagrams that were no message, came from nobody known or could not be sent."""
+    `peers`: {name: address} of peers with fixed addresses, which take precedence over those reported by members.
+    `membership` and `candidates` are set by the owner before the socket is opened. `voter`: None if this peer is not a
+    voter. `dropped_datagrams`: datagrams that were malformed, came from an unknown peer or could not be sent."""
 
     def __init__(
         self,
@@ -79,13 +79,13 @@
         term_ms: float,
         is_new_installation: bool = False,
     ) -> None:
-        """`is_new_installation`: the installation never ran, so a folder without votes has lost nothing."""
+        """`is_new_installation`: the installation has never run, so that a folder without votes has lost none."""
         self.name = name
         self.peers = dict(peers)
         self.membership: Membership | None = None
         self.candidates: list[LeaseCandidate] = []
         self.voter: LeaseVoter | None = None
-        self.bad_datagrams = 0
+        self.dropped_datagrams = 0
         self._transport: asyncio.DatagramTransport | None = None
         if name in voters:
             os.makedirs(folder, exist_ok=True)
@@ -96,7 +96,7 @@
             self.voter = LeaseVoter(name, voters, term_ms, boot_time_ms(), votes)
 
     async def open(self, host: str, port: int) -> Address:
-        """Opens the socket and starts the timer; the address that it is bound to."""
+        """Opens the socket and starts the timer; returns the bound address."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, (host, port))
         self._transport = transport
@@ -111,22 +111,22 @@
             self._transport.close()
 
     def release(self, candidate: LeaseCandidate) -> None:
-        """Gives a lease up."""
+        """Releases a lease."""
         self._send_lease_messages(candidate.release(boot_time_ms()))
 
     def leave(self) -> None:
-        """Leaves the membership by intent."""
+        """Leaves the membership voluntarily."""
         if self.membership:
             self._send_membership_messages(self.membership.leave())
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Handles a datagram; one that is no message of a known peer is counted."""
+        """Handles a datagram; counts one that is malformed or not from a known peer."""
         datagram = decode_datagram(data)
         if datagram is None or not self._handle_datagram(datagram, address):
-            self.bad_datagrams += 1
+            self.dropped_datagrams += 1
 
     def error_received(self, error: Exception) -> None:
-        """A peer's port is closed: that says nothing of what it granted."""
+        """Ignores a peer's closed port, which implies nothing about the grants that it made."""
 
     async def _tick_forever(self) -> None:
         ticks = 0
@@ -158,7 +158,7 @@
         if self.voter:
             envelopes = self.voter.receive(peer, message, now_ms)
             if self.voter.has_unsaved_votes:
-                self._votes_file.write(self.voter.votes)  # an error here ends the call: nothing was sent yet
+                self._votes_file.write(self.voter.votes)  # if this raises, no message is sent
                 self.voter.has_unsaved_votes = False
         for candidate in self.candidates:
             envelopes += candidate.receive(peer, message, now_ms)
@@ -173,7 +173,7 @@
             if self._transport and is_reachable(address):
                 self._transport.sendto(encode_datagram(self.name, envelope.message), address)
             else:
-                self.bad_datagrams += 1
+                self.dropped_datagrams += 1
 
     def _send_lease_messages(self, envelopes: Iterable[LeaseEnvelope]) -> None:
         for envelope in envelopes:
--- a/dewpin/peers/probing.py
+++ b/dewpin/peers/probing.py
@@ -1,4 +1,4 @@
-"""Failure detection after SWIM: each period one member is pinged, by itself and then through others. Free of I/O."""
+"""SWIM failure detection: each period one member is probed directly, then indirectly through others. Does no I/O."""
 
 from heapq import heappop, heappush
 from random import Random
@@ -17,29 +17,30 @@
 from .suspicion import KnownMember, LocalHealth
 
 INDIRECT_PROBE_MEMBERS = 3
-"""Members that are asked to ping one that did not answer."""
+"""Number of members that are asked for an indirect probe."""
 MAX_INDIRECT_PROBES = 64
-"""Indirect probes for others at a time."""
+"""Maximum number of concurrent indirect probes for others."""
 NACK_SHARE = 0.8
-"""Of the time-out: when a nack is sent for an indirect probe without an ack."""
+"""Share of the ack timeout after which an indirect probe without an ack is answered with a nack."""
 
 
 class Probe:
-    """The probe of this period. `helpers`: members asked for an indirect probe; `nacks`: those that got no ack
-    either."""
+    """The probe of the current period.
+
+    `helpers`: number of members asked for an indirect probe; `nacks`: number of them that responded with a nack."""
 
     def __init__(self, sequence: int, name: str, now_ms: float) -> None:
         self.sequence = sequence
         self.name = name
         self.sent_at_ms = now_ms
         self.is_acknowledged = False
-        self.has_asked_helpers = False
+        self.has_requested_indirect_probes = False
         self.helpers = 0
         self.nacks = 0
 
 
 class IndirectProbe(NamedTuple):
-    """A probe for another member: who asked for it, and under which sequence number."""
+    """A probe on behalf of another member: the requester, its address and its sequence number."""
 
     requester: str
     address: Address
@@ -47,7 +48,7 @@
 
 
 class ProbingMember(Protocol):
-    """What the probes need of the member that makes them: see `Membership`."""
+    """The part of `Membership` that the prober uses."""
 
     random: Random
     period_ms: float
@@ -56,23 +57,23 @@
     members: dict[str, KnownMember]
 
     def updates_for(self, name: str) -> tuple[MemberRecord, ...]:
-        """The updates that a message to a member takes along."""
+        """Returns the updates to piggyback on a message to a member."""
 
     def envelope_to(self, name: str, message: MembershipMessage) -> MembershipEnvelope:
-        """A message with a member's address."""
+        """Addresses a message to a member."""
 
     def random_members(self, count: int, excluding: str = "") -> list[str]:
-        """Some active members."""
+        """Returns up to `count` randomly chosen active members."""
 
     def suspect(self, name: str, now_ms: float) -> None:
-        """Takes a member for suspect."""
+        """Marks a member as suspected."""
 
 
 class Prober:
-    """The probes of one member.
+    """Sends and tracks the probes of one member.
 
-    `probe`: the one that is out. `next_probe_at_ms`: when the next period begins. `indirect_probes`: those that others
-    asked for, by our sequence number."""
+    `probe`: the probe of the current period, if any. `next_probe_at_ms`: start of the next period. `indirect_probes`:
+    probes on behalf of others, by the local sequence number."""
 
     def __init__(self, membership: ProbingMember, now_ms: float) -> None:
         self._membership = membership
@@ -80,40 +81,40 @@
         self.next_probe_at_ms = now_ms + membership.random.uniform(0.0, membership.period_ms)
         self.indirect_probes: dict[int, IndirectProbe] = {}
         self._indirect_deadlines: list[tuple[float, int]] = []
-        self._probe_order: list[str] = []  # drawn anew for each round over all members
+        self._probe_order: list[str] = []  # shuffled for each round over all members
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """A new sequence number for a ping."""
+        """Returns a new sequence number for a ping."""
         self._sequence += 1
         return self._sequence
 
     def schedule(self, name: str) -> None:
-        """Inserts a new member into this round at a place drawn by chance."""
+        """Inserts a new member at a random position of the current round."""
         self._probe_order.insert(self._membership.random.randint(0, len(self._probe_order)), name)
 
     def postpone(self, delay_ms: float) -> None:
-        """Moves all deadlines: the process itself stood still for so long."""
+        """Extends all deadlines by the length of a pause of this process."""
         self.next_probe_at_ms += delay_ms
         if self.probe:
             self.probe.sent_at_ms += delay_ms
         self._indirect_deadlines = [(at_ms + delay_ms, sequence) for at_ms, sequence in self._indirect_deadlines]
 
     def tick(self, now_ms: float) -> list[MembershipEnvelope]:
-        """What is due: nacks for others, the end of a period and the next one's ping, requests for indirect probes."""
+        """Returns the messages that are due: nacks, the ping of a new period, or requests for indirect probes."""
         membership = self._membership
         envelopes = self._expire_indirect_probes(now_ms)
         if now_ms >= self.next_probe_at_ms:
             self._finish_probe(now_ms)
             return envelopes + self._start_probe(now_ms)
         probe = self.probe
-        if probe and not probe.is_acknowledged and not probe.has_asked_helpers:
+        if probe and not probe.is_acknowledged and not probe.has_requested_indirect_probes:
             if now_ms >= probe.sent_at_ms + membership.timeout_ms * membership.local_health.multiplier:
                 envelopes += self._request_indirect_probes(probe)
         return envelopes
 
     def handle_ack(self, sequence: int) -> list[MembershipEnvelope]:
-        """An ack for our probe, or for one that another member asked for, which it is passed on to."""
+        """Handles an ack of the current probe, or of an indirect probe, which is forwarded to its requester."""
         membership = self._membership
         if self.probe and sequence == self.probe.sequence:
             if not self.probe.is_acknowledged:
@@ -127,14 +128,14 @@
         return [MembershipEnvelope(indirect.requester, indirect.address, ack)]
 
     def handle_nack(self, sequence: int) -> None:
-        """A member that was asked for an indirect probe got no ack."""
+        """Counts a nack: a member that was asked for an indirect probe received no ack."""
         if self.probe and sequence == self.probe.sequence:
             self.probe.nacks += 1
 
     def handle_ping_request(
         self, requester: str, address: Address, request: PingRequest, now_ms: float
     ) -> list[MembershipEnvelope]:
-        """Pings a member for another one."""
+        """Pings a member on behalf of another one."""
         if len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return [MembershipEnvelope(requester, address, Nack(request.sequence))]
         sequence = self.next_sequence()
@@ -157,16 +158,17 @@
         if probe is None or probe.is_acknowledged:
             return
         local_health = self._membership.local_health
-        if not probe.has_asked_helpers:  # the loop was late and never came to ask others: it can't say
+        # The event loop was too late to request indirect probes: the result is inconclusive.
+        if not probe.has_requested_indirect_probes:
             local_health.adjust(1)
             return
-        # helpers that are not heard either: it may be this member that is cut off
+        # Helpers that sent no nack either: this member itself may be disconnected.
         local_health.adjust(max(1, probe.helpers - probe.nacks))
         self._membership.suspect(probe.name, now_ms)
 
     def _request_indirect_probes(self, probe: Probe) -> list[MembershipEnvelope]:
         membership = self._membership
-        probe.has_asked_helpers = True
+        probe.has_requested_indirect_probes = True
         target = membership.members.get(probe.name)
         if target is None:
             return []
@@ -190,7 +192,7 @@
         return envelopes
 
     def _next_member(self) -> str | None:
-        """Round robin in an order that is drawn anew for each round: each member is pinged in bounded time."""
+        """Returns the next member in a round robin that is shuffled each round: each one is probed in bounded time."""
         members = self._membership.members
         for _ in range(2):
             while self._probe_order:
--- a/dewpin/peers/suspicion.py
+++ b/dewpin/peers/suspicion.py
@@ -1,20 +1,20 @@
-"""Suspicion of members, after SWIM and Lifeguard: how long a suspicion lasts, and how much a member trusts itself."""
+"""Suspicion timeouts and local health, after SWIM and Lifeguard."""
 
 from math import log, log10
 
 from .membership_messages import MemberRecord, MemberState
 
 MAX_CONFIRMATIONS = 3
-"""Further accusers that make a suspicion as short as it gets."""
+"""Number of accusers beyond the first at which the suspicion timeout reaches its minimum."""
 MAX_LOCAL_HEALTH_SCORE = 8
 MIN_TIMEOUT_FACTOR = 4.0
-"""Lifeguard's alpha: a suspicion's shortest time, in periods times log10 of the members."""
+"""Lifeguard's alpha: the minimum suspicion timeout, in periods times log10 of the number of members."""
 MAX_TIMEOUT_FACTOR = 6.0
-"""Lifeguard's beta: its longest time, in shortest ones."""
+"""Lifeguard's beta: the maximum suspicion timeout, as a multiple of the minimum."""
 
 
 class KnownMember:
-    """Another member: its record, since when it holds, and the suspicion of it if there is one."""
+    """Another member: its latest record, the time of its last change, and the suspicion if there is one."""
 
     def __init__(self, record: MemberRecord, now_ms: float) -> None:
         self.record = record
@@ -25,18 +25,18 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it is alive as far as is known; a suspected member is."""
+        """Whether it is considered alive, which includes a suspected member."""
         return self.record.state <= MemberState.SUSPECT
 
     def start_suspicion(self, now_ms: float) -> None:
-        """Begins a suspicion without accusers."""
+        """Starts a suspicion without accusers."""
         self.accusers = set()
         self.suspected_at_ms = now_ms
 
     def add_accuser(self, name: str, active_count: int, period_ms: float) -> bool:
-        """Counts an accuser, which shortens the suspicion; False for one that changes nothing.
+        """Adds an accuser, which shortens the suspicion; returns False if it has no effect.
 
-        `active_count`: other members that are active."""
+        `active_count`: number of other active members."""
         if name in self.accusers or len(self.accusers) > MAX_CONFIRMATIONS:
             return False
         self.accusers.add(name)
@@ -46,7 +46,7 @@
 
 
 def suspicion_timeout_ms(accusers: int, active_count: int, period_ms: float) -> float:
-    """How long a suspicion lasts before the member counts as lost."""
+    """Returns the time in ms after which a suspected member is declared lost."""
     shortest_ms = MIN_TIMEOUT_FACTOR * max(1.0, log10(max(1, active_count))) * period_ms
     confirmations_needed = min(MAX_CONFIRMATIONS, max(0, active_count - 2))
     share = log(accusers) / log(confirmations_needed + 1) if confirmations_needed else 1.0
@@ -54,16 +54,16 @@
 
 
 class LocalHealth:
-    """Lifeguard's local health: how much a member doubts its own view. `score` 0: healthy."""
+    """Lifeguard's local health score: 0 is healthy, higher scores slow down this member's own probes."""
 
     def __init__(self) -> None:
         self.score = 0
 
     @property
     def multiplier(self) -> int:
-        """Factor of period and time-out of the own probes."""
+        """Factor applied to the period and the ack timeout of this member's probes."""
         return 1 + self.score
 
     def adjust(self, change: int) -> None:
-        """Moves the score, within its bounds."""
+        """Adds to the score, within its bounds."""
         self.score = min(MAX_LOCAL_HEALTH_SCORE, max(0, self.score + change))
--- a/dewpin/peers/wire.py
+++ b/dewpin/peers/wire.py
@@ -1,6 +1,6 @@
-"""Messages between peers as datagrams: a version, the sender's name, the message.
+"""Encoding of messages between peers as datagrams: a version, the sender's name, the message.
 
-Datagrams are bounded. They are for a trusted network: nothing is signed or encrypted.
+Datagrams are bounded in size. They require a trusted network: nothing is signed or encrypted.
 """
 
 import msgspec
@@ -10,13 +10,13 @@
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1400
-"""A message of ours that needs more is a fault."""
+"""An outgoing message that exceeds this limit is a programming error."""
 
 PeerMessage = LeaseMessage | MembershipMessage
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
-    """What a datagram holds; `name` is the sender's."""
+    """Content of a datagram; `name` is the sender's."""
 
     version: int
     name: str
@@ -28,15 +28,15 @@
 
 
 def encode_datagram(name: str, message: PeerMessage) -> bytes:
-    """The bytes of a datagram. Raises ValueError if it is too large."""
+    """Returns the bytes of a datagram. Raises ValueError if it is too large."""
     content = _encoder.encode(Datagram(VERSION, name, message))
     if len(content) > MAX_DATAGRAM_BYTES:
-        raise ValueError(f"a message of {len(content)} bytes, {MAX_DATAGRAM_BYTES} at most")
+        raise ValueError(f"datagram of {len(content)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES} bytes")
     return content
 
 
 def decode_datagram(content: bytes) -> Datagram | None:
-    """The datagram, or None for what is no message of this version."""
+    """Returns the datagram, or None if it is malformed or of another version."""
     if len(content) > MAX_DATAGRAM_BYTES:
         return None
     try:
--- a/tests/peers/holder.py
+++ b/tests/peers/holder.py
@@ -1,7 +1,7 @@
-"""A peer as a process of its own, a candidate for the lease on the role `d`.
+"""Runs one peer as a process, a candidate for the lease on the role `d`.
 
-While it holds the lease it acts: it sends its fencing token to the resource. Its one argument is JSON: name, peers,
-voters, folder, term_ms, is_new_installation, resource (an address). SIGTERM: it releases the lease and ends.
+While it holds the lease it sends its fencing token to the resource. Its only argument is JSON: name, peers, voters,
+folder, term_ms, is_new_installation, resource (an address). On SIGTERM it releases the lease and exits.
 """
 
 import asyncio
@@ -14,7 +14,9 @@
 from dewpin.peers.lease_candidate import LeaseCandidate
 from dewpin.peers.node import PeerNode, boot_time_ms
 
-REPORT_TICKS = 50  # between two reports of the own address: the resource may lose one when it stands still
+REPORT_TICKS = (
+    50  # ticks between two reports of the address, repeated because the resource may miss one while it is stalled
+)
 
 
 async def main(settings):
@@ -28,8 +30,8 @@
     candidate.wants_lease = True
     node.candidates.append(candidate)
 
-    def report(**facts):
-        resource.sendto(json.dumps(facts | {"name": name}).encode(), tuple(settings["resource"]))
+    def report(**fields):
+        resource.sendto(json.dumps(fields | {"name": name}).encode(), tuple(settings["resource"]))
 
     address, ticks = await node.open("127.0.0.1", 0), 0
     stop = asyncio.Event()
@@ -42,7 +44,7 @@
             report(token=token)
         await asyncio.sleep(0.01)
     node.release(candidate)
-    await asyncio.sleep(0.05)  # what was sent to itself goes first
+    await asyncio.sleep(0.05)  # lets messages to this peer itself be handled first
     node.close()
 
 
--- a/tests/peers/test_lease.py
+++ b/tests/peers/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease protocol: messages lost, doubled and late in any order, with restarts, in a small world."""
+"""Lease protocol: lost, duplicated, delayed and reordered messages, with restarts, in a small state space."""
 
 import copy
 import random
@@ -15,7 +15,7 @@
 
 
 class World:
-    """Three voters, two candidates. Sent messages stay for good: each may be received at any time, again or never."""
+    """Three voters and two candidates. A sent message is kept: it may be delivered at any time, repeatedly or never."""
 
     def __init__(self, voter, candidate):
         self.now_ms = 0.0
@@ -32,20 +32,20 @@
             self.held_tokens,
             self.restarts,
             tuple(
-                (tuple(one.votes.items()), tuple(one.granted_until_ms.items()), one.grants_nothing_until_ms)
-                for one in self.voters.values()
+                (tuple(voter.votes.items()), tuple(voter.granted_until_ms.items()), voter.no_grants_until_ms)
+                for voter in self.voters.values()
             ),
             tuple(
                 (
-                    one.fencing_token,
-                    one.highest_token,
-                    one.round,
-                    one.holds_until_ms,
-                    frozenset(one.grants),
-                    one.wants_lease,
-                    tuple(one.granted_tokens.items()),
+                    candidate.fencing_token,
+                    candidate.highest_token,
+                    candidate.round,
+                    candidate.lease_expires_at_ms,
+                    frozenset(candidate.grants),
+                    candidate.wants_lease,
+                    tuple(candidate.granted_tokens.items()),
                 )
-                for one in self.candidates.values()
+                for candidate in self.candidates.values()
             ),
         )
 
@@ -54,13 +54,13 @@
         other.voters, other.candidates = dict(self.voters), dict(self.candidates)
         return other
 
-    def own(self, parties, name):
-        """A copy of one party, to be changed."""
-        one = parties[name] = copy.copy(parties[name])
+    def copy_participant(self, participants, name):
+        """Replaces one participant by a copy, which may be changed, and returns it."""
+        participant = participants[name] = copy.copy(participants[name])
         for attribute in COPIED_ATTRIBUTES:
-            if isinstance(getattr(one, attribute, None), (dict, set)):
-                setattr(one, attribute, copy.copy(getattr(one, attribute)))
-        return one
+            if isinstance(getattr(participant, attribute, None), (dict, set)):
+                setattr(participant, attribute, copy.copy(getattr(participant, attribute)))
+        return participant
 
     def send(self, name, envelopes):
         self.sent = self.sent | {
@@ -68,51 +68,51 @@
         }
 
     def check(self):
-        """Notes who holds the lease at this moment; None once two do, or a fencing token did not grow."""
-        holding = {one.held_token(self.now_ms) for one in self.candidates.values()} - {None}
-        for token in sorted(holding - set(self.held_tokens)):
+        """Records the tokens held now; returns None on two holders or a token lower than an earlier one."""
+        current_tokens = {candidate.held_token(self.now_ms) for candidate in self.candidates.values()} - {None}
+        for token in sorted(current_tokens - set(self.held_tokens)):
             if self.held_tokens and token < max(self.held_tokens):
                 return None
             self.held_tokens += (token,)
-        holders = [1 for one in self.candidates.values() if one.held_token(self.now_ms) is not None]
+        holders = [1 for candidate in self.candidates.values() if candidate.held_token(self.now_ms) is not None]
         return None if len(holders) > 1 else self
 
     def steps(self, rounds, end_ms, restarts, voter):
-        """What may happen next, each as a function and its arguments, which gives the world after it."""
+        """Yields the possible next steps, each as a function that returns the resulting world, and its arguments."""
         if self.now_ms < end_ms:
-            yield (self.after_a_while,)
-        for name, one in self.candidates.items():
-            if one.round < rounds:
+            yield (self.after_time_step,)
+        for name, candidate in self.candidates.items():
+            if candidate.round < rounds:
                 yield self.after_request, name
         if self.restarts < restarts:
             yield self.after_restart, voter
-        for one in self.sent:
-            yield self.after_receipt, one
+        for sent_message in self.sent:
+            yield self.after_delivery, sent_message
 
-    def after_a_while(self):
+    def after_time_step(self):
         other = self.fork()
         other.now_ms += 1.0
         return other
 
     def after_request(self, name):
         other = self.fork()
-        mine = other.own(other.candidates, name)
-        mine.wants_lease, mine.next_request_at_ms = True, NEVER_MS
-        other.send(name, mine.tick(self.now_ms))
+        candidate = other.copy_participant(other.candidates, name)
+        candidate.wants_lease, candidate.next_request_at_ms = True, NEVER_MS
+        other.send(name, candidate.tick(self.now_ms))
         return other
 
     def after_restart(self, voter):
-        """Of the first voter: all are alike. What it granted is on disk."""
+        """Restarts the first voter, which stands for any of them; its votes are stored on disk."""
         other = self.fork()
         other.voters["x"] = voter("x", VOTERS, TERM_MS, self.now_ms, self.voters["x"].votes)
         other.restarts += 1
         return other
 
-    def after_receipt(self, one):
-        sender, to, message = one
+    def after_delivery(self, sent_message):
+        sender, to, message = sent_message
         other = self.fork()
-        mine = other.own(other.voters if to in other.voters else other.candidates, to)
-        other.send(to, mine.receive(sender, message, self.now_ms))
+        recipient = other.copy_participant(other.voters if to in other.voters else other.candidates, to)
+        other.send(to, recipient.receive(sender, message, self.now_ms))
         return other
 
 
@@ -123,7 +123,7 @@
 
 
 def explore(voter=LeaseVoter, candidate=LeaseCandidate, rounds=1, end_ms=2.0, restarts=1, max_states=6000):
-    """The nearest state that breaks a rule; None if the first `max_states` have none."""
+    """Breadth-first search; returns the first state that violates an invariant, None if `max_states` have none."""
     first = World(voter, candidate)
     seen, queue = {first.key()}, [first]
     for world in queue:
@@ -140,7 +140,7 @@
 
 
 def walk(voter=LeaseVoter, candidate=LeaseCandidate, walks=2000, length=60, rounds=4, end_ms=8.0, restarts=2, seed=1):
-    """The same on long random walks, with how many leases were held on them all."""
+    """Checks the same on long random walks; also returns the total number of leases held."""
     random_source, leases = random.Random(seed), 0
     for _ in range(walks):
         world = World(voter, candidate)
@@ -155,21 +155,21 @@
 
 
 class ForgetsVotes(LeaseVoter):
-    """Its votes don't outlive it."""
+    """Does not keep its votes over a restart."""
 
     def __init__(self, name, voters, term_ms, now_ms, votes):
         super().__init__(name, voters, term_ms, -1e9, {})
 
 
 class GrantsAtOnceAfterRestart(LeaseVoter):
-    """Restarted, it takes what it granted for over."""
+    """Assumes after a restart that its earlier grants have expired."""
 
     def __init__(self, name, voters, term_ms, now_ms, votes):
         super().__init__(name, voters, term_ms, -1e9, votes)
 
 
 class GrantsTokenTwice(LeaseVoter):
-    """Grants a token again that another candidate had."""
+    """Grants a token that another candidate was already granted."""
 
     def _handle_request(self, peer, request, now_ms):
         granted_token = self.votes.get(request.role, NO_VOTE)[0]
@@ -179,14 +179,14 @@
 
 
 class ReadsClockAtEventsOnly(LeaseCandidate):
-    """Reads its clock only when it receives something."""
+    """Checks the expiry of its lease only when it receives a message."""
 
     def held_token(self, now_ms):
-        return self.fencing_token if self.fencing_token and self.holds_until_ms > 0.0 else None
+        return self.fencing_token if self.fencing_token and self.lease_expires_at_ms > 0.0 else None
 
 
 class CountsTermFromReply(LeaseCandidate):
-    """Counts the lease from when it received the reply."""
+    """Counts the lease from the receipt of the reply instead of the sending of the request."""
 
     def receive(self, peer, message, now_ms):
         self.sent_at_ms = now_ms
@@ -194,7 +194,7 @@
 
 
 class CountsAbandonedRequest(LeaseCandidate):
-    """Counts grants of a request that it gave up."""
+    """Counts grants of a request that it abandoned."""
 
     def receive(self, peer, message, now_ms):
         token, round_, grants = self.fencing_token, self.round, set(self.grants)
@@ -205,16 +205,16 @@
 
 
 class HoldsWithMinority(LeaseCandidate):
-    """One grant is enough for it."""
+    """Takes the lease with a single grant."""
 
     def receive(self, peer, message, now_ms):
         envelopes = super().receive(peer, message, now_ms)
         if self.grants:
-            self.holds_until_ms = max(self.holds_until_ms, self.sent_at_ms + self.holds_for_ms)
+            self.lease_expires_at_ms = max(self.lease_expires_at_ms, self.sent_at_ms + self.lease_duration_ms)
         return envelopes
 
 
-def test_never_two_holders_and_tokens_only_grow_in_near_states_and_on_long_walks():
+def test_never_two_holders_and_tokens_only_grow_in_breadth_first_search_and_on_random_walks():
     assert explore() is None
     broken, leases = walk()
     assert broken is None and leases > 300
@@ -236,8 +236,8 @@
     assert walk(**kinds, walks=20000)[0] is not None
 
 
-def test_lease_is_held_soon_once_a_majority_talks_and_a_release_hands_it_over_in_a_round():
-    """Time goes on by 10 ms, a message takes one step; the third voter is silent all the time."""
+def test_lease_is_acquired_soon_with_a_majority_and_reacquired_soon_after_a_release():
+    """Each step takes 10 ms, a message is delivered in the next step; the third voter never responds."""
     voters = {name: LeaseVoter(name, VOTERS, 1000.0, -1000.0, {}) for name in VOTERS}
     candidates = [LeaseCandidate(name, at, 4, "d", VOTERS, 1000.0, at) for at, name in enumerate("abcd")]
     in_flight, now_ms, holders = [], 0.0, []
@@ -247,42 +247,46 @@
         now_ms += 10.0
         arriving, in_flight = in_flight, []
         for sender, to, message in arriving:
-            recipients = [voters[to]] if to in voters and to != "z" else [one for one in candidates if one.name == to]
-            in_flight += [(to, *one) for each in recipients for one in each.receive(sender, message, now_ms)]
-        for one in candidates:
-            in_flight += [(one.name, *each) for each in one.tick(now_ms)]
-        holding = [one for one in candidates if one.held_token(now_ms) is not None]
-        assert len(holding) <= 1
-        if holding and (not holders or holders[-1] != (holding[0].name, holding[0].fencing_token)):
-            holders.append((holding[0].name, holding[0].fencing_token))
-        return holding[0] if holding else None
-
-    for one in candidates:
-        one.wants_lease = True
+            recipients = (
+                [voters[to]] if to in voters and to != "z" else [each for each in candidates if each.name == to]
+            )
+            in_flight += [(to, *reply) for each in recipients for reply in each.receive(sender, message, now_ms)]
+        for candidate in candidates:
+            in_flight += [(candidate.name, *envelope) for envelope in candidate.tick(now_ms)]
+        current_holders = [candidate for candidate in candidates if candidate.held_token(now_ms) is not None]
+        assert len(current_holders) <= 1
+        if current_holders and (
+            not holders or holders[-1] != (current_holders[0].name, current_holders[0].fencing_token)
+        ):
+            holders.append((current_holders[0].name, current_holders[0].fencing_token))
+        return current_holders[0] if current_holders else None
+
+    for candidate in candidates:
+        candidate.wants_lease = True
     while not (first := step()):
         assert now_ms < 2500.0
-    for _ in range(500):  # five terms: the same one keeps it
+    for _ in range(500):  # five terms, in which the holder must not change
         assert step() is first
-    in_flight += [(first.name, *each) for each in first.release(now_ms)]
+    in_flight += [(first.name, *envelope) for envelope in first.release(now_ms)]
     assert first.held_token(now_ms) is None
-    began_ms = now_ms
+    start_ms = now_ms
     while step() is None:
-        assert now_ms < began_ms + 100.0
-    silent = next(one for one in candidates if one.held_token(now_ms) is not None)
-    candidates.remove(silent)  # it is lost: the next one holds once its lease is over
-    began_ms = now_ms
+        assert now_ms < start_ms + 100.0
+    crashed = next(candidate for candidate in candidates if candidate.held_token(now_ms) is not None)
+    candidates.remove(crashed)  # another candidate acquires the lease after it has expired
+    start_ms = now_ms
     while step() is None:
-        assert now_ms < began_ms + 2500.0
+        assert now_ms < start_ms + 2500.0
     assert [token for _, token in holders] == sorted({token for _, token in holders}) and len(holders) == 3
 
 
-def test_candidate_that_is_heard_and_hears_nobody_keeps_the_lease_from_nobody():
+def test_candidate_that_sends_but_receives_nothing_does_not_block_the_lease():
     voter = LeaseVoter("x", VOTERS, 1000.0, -1000.0, {})
-    deaf = LeaseCandidate("a", 0, 2, "d", ["x"], 1000.0, 1)
-    deaf.wants_lease, now_ms, requests = True, 0.0, 0
+    isolated = LeaseCandidate("a", 0, 2, "d", ["x"], 1000.0, 1)
+    isolated.wants_lease, now_ms, requests = True, 0.0, 0
     while not voter.receive("b", LeaseRequest("d", 1001, 1, 2), now_ms)[0].message.is_granted:
         now_ms += 10.0
-        for _, request in deaf.tick(now_ms):
+        for _, request in isolated.tick(now_ms):
             requests += 1
             voter.receive("a", request, now_ms)
         assert now_ms < 5000.0
@@ -295,7 +299,7 @@
     assert [peer for peer, _ in recovering.start_recovery()] == ["y", "z"]
     assert not recovering.receive("a", request, 5000.0)[0].message.is_granted
     recovering.receive("y", RecoveryReply(0, {"d": 7}), 5000.0)
-    recovering.receive("a", RecoveryReply(0, {"d": 1}), 5000.0)  # no voter
+    recovering.receive("a", RecoveryReply(0, {"d": 1}), 5000.0)  # not a voter
     assert recovering.is_recovering and not recovering.receive("a", request, 5000.0)[0].message.is_granted
     recovering.receive("z", RecoveryReply(0, {"d": 12}), 5000.0)
     assert not recovering.is_recovering and not recovering.start_recovery()
@@ -304,14 +308,14 @@
     assert not recovering.receive("a", LeaseRequest("d", 11, 2, 0), 6000.0)[0].message.is_granted
     assert recovering.receive("a", LeaseRequest("d", 14, 2, 0), 6000.0)[0].message.is_granted
     assert recovering.has_unsaved_votes
-    # it can't report either
+    # a recovering voter does not report grants either
     assert not LeaseVoter("x", VOTERS, 1000.0, 0.0, None).receive("y", RecoveryRequest(0), 0.0)
 
 
 def test_restarted_candidate_is_another_holder_and_older_tokens_are_rejected():
     voter = LeaseVoter("x", VOTERS, 1000.0, -1000.0, {})
     assert voter.receive("a", LeaseRequest("d", 4, 1, 77), 0.0)[0].message.is_granted
-    # the one before may only have been stopped
+    # the earlier process may only be suspended
     assert not voter.receive("a", LeaseRequest("d", 8, 1, 78), 500.0)[0].message.is_granted
     assert voter.receive("a", LeaseRequest("d", 8, 1, 78), 1000.0)[0].message.is_granted
     guard = FencingGuard()
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -1,4 +1,4 @@
-"""Five real processes, three of them voters, with faults between them, and the resource that they act on."""
+"""Leases of five processes, three of them voters, with network and process faults, and a fenced resource."""
 
 import asyncio
 import json
@@ -17,8 +17,8 @@
 HOLDER = Path(__file__).with_name("holder.py")
 
 
-class Act(NamedTuple):
-    """An act of a lease holder as it arrived."""
+class Operation(NamedTuple):
+    """An operation of a lease holder, as received by the resource."""
 
     at_seconds: float
     name: str
@@ -27,10 +27,10 @@
 
 
 class Resource(asyncio.DatagramProtocol):
-    """What only the lease holder may act on, behind a fencing guard. `acts`: all acts, in the order of arrival."""
+    """A resource reserved to the lease holder, behind a fencing guard. `operations`: all, in order of arrival."""
 
     def __init__(self, proxies):
-        self.proxies, self.guard, self.acts = proxies, FencingGuard(), []
+        self.proxies, self.guard, self.operations = proxies, FencingGuard(), []
 
     def connection_made(self, transport):
         self.address = transport.get_extra_info("sockname")
@@ -42,7 +42,7 @@
             return self.proxies.set_address(report["name"], tuple(report["address"]))
         is_accepted = self.guard.accepts(report["token"])
         now_seconds = asyncio.get_running_loop().time()
-        self.acts.append(Act(now_seconds, report["name"], report["token"], is_accepted))
+        self.operations.append(Operation(now_seconds, report["name"], report["token"], is_accepted))
 
 
 class Peers:
@@ -77,63 +77,69 @@
             self.running[name].wait()
 
     def holder(self):
-        return self.resource.acts[-1].name if self.resource.acts else None
+        return self.resource.operations[-1].name if self.resource.operations else None
 
     async def next_holder(self, other_than=(), count=5):
-        """Waits until one that is not among these has acted so many times in a row from now on; its name."""
-        seen = len(self.resource.acts)
-
-        def has_acted():
-            last = self.resource.acts[seen:][-count:]
-            return len(last) == count and len({act.name for act in last}) == 1 and last[0].name not in other_than
-
-        await until(has_acted, 30.0)
+        """Waits until the last `count` new operations are by one peer not in `other_than`; returns its name."""
+        seen = len(self.resource.operations)
+
+        def has_operated():
+            last = self.resource.operations[seen:][-count:]
+            return (
+                len(last) == count
+                and len({operation.name for operation in last}) == 1
+                and last[0].name not in other_than
+            )
+
+        await until(has_operated, 30.0)
         return self.holder()
 
-    async def until_silent(self, ms):
-        await until(lambda: asyncio.get_running_loop().time() - self.resource.acts[-1].at_seconds > ms / 1000.0, 30.0)
+    async def wait_until_idle(self, ms):
+        await until(
+            lambda: asyncio.get_running_loop().time() - self.resource.operations[-1].at_seconds > ms / 1000.0, 30.0
+        )
 
     def close(self):
-        for one in self.running.values():
-            one.kill()
-            one.wait()
+        for process in self.running.values():
+            process.kill()
+            process.wait()
         self.proxies.close()
         self.resource.transport.close()
 
 
-def test_one_holder_at_a_time_while_processes_stop_die_and_lose_contact(tmp_path):
-    async def scene():
+def test_one_holder_at_a_time_while_processes_stop_crash_and_are_partitioned(tmp_path):
+    async def run():
         peers = Peers(tmp_path)
         await peers.open()
         try:
-            await faults(peers)
+            await inject_faults(peers)
         finally:
             peers.close()
-        accepted = [act for act in peers.resource.acts if act.is_accepted]
-        tokens = [act.token for act in accepted]
+        accepted = [operation for operation in peers.resource.operations if operation.is_accepted]
+        tokens = [operation.token for operation in accepted]
         assert tokens == sorted(tokens)
-        assert len(set(tokens)) == len({(act.name, act.token) for act in accepted}) >= 6
+        assert len(set(tokens)) == len({(operation.name, operation.token) for operation in accepted}) >= 6
         rejected = [
-            act for act in peers.resource.acts if not act.is_accepted
-        ]  # of one that was stopped between check and act
-        assert {act.name for act in rejected} <= peers.stopped and len(rejected) <= 2 * len(peers.stopped)
+            operation for operation in peers.resource.operations if not operation.is_accepted
+        ]  # from a process suspended between check and operation
+        assert {operation.name for operation in rejected} <= peers.stopped and len(rejected) <= 2 * len(peers.stopped)
 
-    async def faults(peers):
+    async def inject_faults(peers):
         first = await peers.next_holder()
-        peers.running[first].send_signal(signal.SIGSTOP)  # in mid-act or not: another goes on
+        peers.running[first].send_signal(signal.SIGSTOP)  # at any point of an operation: another peer takes over
         peers.stopped = {first}
         second = await peers.next_holder({first})
         peers.running[first].send_signal(signal.SIGCONT)
-        assert await peers.next_holder({first}, 20) == second  # and keeps it
-        peers.proxies.cut(NAMES, [second])  # it hears nobody and is heard: it stops by itself
+        assert await peers.next_holder({first}, 20) == second  # and remains the holder
+        peers.proxies.cut(NAMES, [second])  # it can send but not receive, and stops by itself
         third = await peers.next_holder({second})
         peers.proxies.heal()
-        peers.proxies.cut([third], NAMES)  # the other way round
+        peers.proxies.cut([third], NAMES)  # it can receive but not send
         fourth = await peers.next_holder({third})
         peers.proxies.heal()
         for link in peers.proxies.links.values():
             link.loss_share, link.duplicate_share, link.max_lag_ms = 0.2, 0.3, 60.0
-        peers.running[fourth].send_signal(signal.SIGTERM)  # by intent
+        peers.running[fourth].send_signal(signal.SIGTERM)  # releases the lease
         fifth = await peers.next_holder({fourth})
         peers.proxies.heal()
         peers.kill(fourth)  # both may be voters: two of three must run
@@ -141,16 +147,16 @@
         peers.kill(fifth)
         sixth = await peers.next_holder({fifth})
         peers.start(fifth)
-        gone = [name for name in VOTERS if name != sixth][:2]
-        peers.kill(*gone)  # the majority is gone: nobody may act
-        await peers.until_silent(2.0 * TERM_MS)
-        peers.start(gone[0])
-        back = await peers.next_holder()
-        shutil.rmtree(peers.folder / gone[1])  # a voter without its folder learns from the others
-        peers.start(gone[1])
-        peers.kill(back)
-        if back in VOTERS:
-            peers.start(back)
-        await peers.next_holder({back} if back not in VOTERS else ())
-
-    asyncio.run(scene())
+        killed_voters = [name for name in VOTERS if name != sixth][:2]
+        peers.kill(*killed_voters)  # without a majority no peer may act on the resource
+        await peers.wait_until_idle(2.0 * TERM_MS)
+        peers.start(killed_voters[0])
+        recovered_holder = await peers.next_holder()
+        shutil.rmtree(peers.folder / killed_voters[1])  # a voter without its votes recovers from the others
+        peers.start(killed_voters[1])
+        peers.kill(recovered_holder)
+        if recovered_holder in VOTERS:
+            peers.start(recovered_holder)
+        await peers.next_holder({recovered_holder} if recovered_holder not in VOTERS else ())
+
+    asyncio.run(run())
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams between peers, byte for byte as the text at c8a68c2 sent them."""
+"""Datagrams between peers, byte for byte as recorded at commit c8a68c2."""
 
 import random
 
@@ -26,7 +26,7 @@
 
 SUSPECTED = MemberRecord("m1", "10.0.0.1", 7001, 1764690000000, 2, MemberState.SUSPECT, "m2")
 ALIVE = MemberRecord("m3", "::1", 7003, 5, 0, MemberState.ALIVE)
-# each made on c8a68c2 with `dewpin.peers.wire.pack("sender-1", message)`, the message with all fields in their order
+# recorded at commit c8a68c2 with `dewpin.peers.wire.pack("sender-1", message)`, all fields in declaration order
 DATAGRAMS = [
     (
         LeaseRequest("list-keeper", 12, 3, 4000000000, 9),
@@ -89,13 +89,13 @@
     assert datagram.name == "sender-1" and datagram.message == message
 
 
-def test_bytes_that_are_no_message_decode_to_none():
+def test_malformed_datagrams_decode_to_none():
     content = encode_datagram("a", LeaseReply("d", 3, True, 9, 0.0))
-    random_source = random.Random(3)
+    rng = random.Random(3)
     for _ in range(300):
-        spoilt = bytearray(content)
-        spoilt[random_source.randrange(len(spoilt))] = random_source.randrange(256)
-        decode_datagram(bytes(spoilt[: random_source.randrange(len(spoilt) + 1)]))
+        corrupted = bytearray(content)
+        corrupted[rng.randrange(len(corrupted))] = rng.randrange(256)
+        decode_datagram(bytes(corrupted[: rng.randrange(len(corrupted) + 1)]))
     assert decode_datagram(b"") is None and decode_datagram(content[:-1]) is None
     assert decode_datagram(b"x" * (MAX_DATAGRAM_BYTES + 1)) is None
     assert decode_datagram(content.replace(b"\x01", b"\x02", 1)) is None  # another version
