--- a/dewpin/log/event_log.py
+++ b/dewpin/log/event_log.py
@@ -1,4 +1,4 @@
-"""A log of events: its level, its format, the rate of each event, and the counts of the lines left out."""
+"""Event log with a level, a format, a rate limit per event, and counts of suppressed lines."""
 
 import time
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 
 
 class EventLog:
-    """One log, which never raises, waits or changes what it is told about.
+    """Event log that never raises, blocks or modifies the values it is passed.
 
     Attributes:
-        writer: where lines go.
-        log_format: "lines" for people, or "json".
-        level: events below it are not logged.
-        rate: lines of one event in a second at most, from level info on; 0 for no limit.
-        debug_rate: the same for level debug.
-        clock: gives seconds.
+        writer: destination of the lines.
+        log_format: "lines" for text, or "json".
+        level: minimum level of logged events.
+        rate: maximum lines per event and second at level info and above; 0 for no limit.
+        debug_rate: the same at level debug.
+        clock: returns the time in seconds.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
         self.debug_rate = debug_rate
         self.clock = clock
         self._second = 0
-        self._line_counts: dict[str, int] = {}  # by event, in this second
-        self._suppressed_counts: dict[str, int] = {}  # by event, not reported yet
+        self._line_counts: dict[str, int] = {}  # by event name, in the current second
+        self._suppressed_counts: dict[str, int] = {}  # by event name, not reported yet
         self._render: Callable[[Event, dict[str, Any]], bytes] | None = None
 
     def log(self, event: Event, fields: dict[str, Any]) -> None:
-        """Log an event, unless it is below the level or over its rate."""
+        """Log an event unless it is below the level or exceeds its rate limit."""
         if event.level < self.level:
             return
         second = int(self.clock())
@@ -58,26 +58,26 @@
         self._write(event, fields)
 
     def set_format(self, log_format: str) -> None:
-        """Use another format from the next line on."""
+        """Set the format of subsequent lines."""
         if log_format != self.log_format:
             self.log_format, self._render = log_format, None
 
     def report_losses(self) -> None:
-        """Log how many lines were suppressed, and how many were lost once there is room for lines again."""
+        """Log how many lines were suppressed and, once the buffer is empty again, how many were lost."""
         suppressed, self._suppressed_counts = self._suppressed_counts, {}
         for name, lines in suppressed.items():
             self._write(events.LINES_SUPPRESSED, {"event": name, "lines": lines})
         self.writer.flush()
-        if self.writer.lost_lines and not self.writer.waiting:
+        if self.writer.lost_lines and not self.writer.buffered_lines:
             lost, self.writer.lost_lines = self.writer.lost_lines, 0
             self._write(events.LINES_LOST, {"lines": lost})
 
     def _write(self, event: Event, fields: dict[str, Any]) -> None:
         if self._render is None:
-            from .rendering import make_renderer  # at the first line: it loads what renders
+            from .rendering import make_renderer  # deferred to the first line: loads structlog
 
             self._render = make_renderer(self.log_format)
         try:
             self.writer.write(self._render(event, fields))
-        except Exception as error:  # a field that can't be rendered must not disturb what is logged
+        except Exception as error:  # a field that can't be rendered must not fail the caller
             self.writer.write(f"dewpin: {event.name}: can't be logged: {type(error).__name__}\n".encode())
--- a/dewpin/log/event_page.py
+++ b/dewpin/log/event_page.py
@@ -1,10 +1,10 @@
-"""docs/events.md, made of the events and of the names that they had in earlier releases."""
+"""Generates docs/events.md from the events and their names in earlier releases."""
 
 from collections.abc import Iterator, Mapping
 
 from .events import EVENTS, FIELDS
 
-RENAMED_EVENTS = {  # the name in earlier releases: the name now
+RENAMED_EVENTS = {  # name in earlier releases: current name
     "start": "sender.started",
     "stop": "sender.stopping",
     "end": "sender.ended",
@@ -60,22 +60,22 @@
     lines = [
         "# Events",
         "",
-        "Made of `dewpin/log/events.py` by `dewpin config events`; a test holds it current. Each line on standard",
-        "error is one of these. `log.format` writes them for people or as JSON, `log.level` sets the least level.",
+        "Generated from `dewpin/log/events.py` by `dewpin config events`; a test checks that it is current. Each line",
+        "on standard error is one of these events. `log.format` selects text or JSON, `log.level` the minimum level.",
         "",
-        "| event | level | sentence | fields | what it means |",
+        "| event | level | text | fields | meaning |",
         "| --- | --- | --- | --- | --- |",
     ]
     for event in EVENTS.values():
         fields = ", ".join(f"`{field}`" for field in event.fields)
-        lines.append(f"| `{event.name}` | {event.level.label} | {event.sentence} | {fields} | {event.meaning} |")
-    lines += ["", "| field | what it is |", "| --- | --- |"]
+        lines.append(f"| `{event.name}` | {event.level.label} | {event.template} | {fields} | {event.meaning} |")
+    lines += ["", "| field | description |", "| --- | --- |"]
     lines += [f"| `{name}` | {description} |" for name, description in FIELDS.items()]
     lines += [
         "",
         "## Names of earlier releases",
         "",
-        "For those who filter logs; what is not listed has kept its name. Levels and values are as they were.",
+        "For log filters written for earlier releases. Names that are not listed, levels and values have not changed.",
         "",
         *_rename_table("event", RENAMED_EVENTS),
         "",
--- a/dewpin/log/levels.py
+++ b/dewpin/log/levels.py
@@ -1,10 +1,10 @@
-"""Levels of events."""
+"""Log levels."""
 
 from enum import IntEnum
 
 
 class Level(IntEnum):
-    """How much attention an event needs; the values are those of the standard library's logging."""
+    """Severity of an event; the values equal those of the standard library's logging module."""
 
     DEBUG = 10
     INFO = 20
--- a/dewpin/log/nonblocking_writer.py
+++ b/dewpin/log/nonblocking_writer.py
@@ -1,4 +1,4 @@
-"""The end of the log: standard error, written without ever waiting for its reader."""
+"""Non-blocking output of log lines to a file descriptor, by default standard error."""
 
 import os
 import socket
@@ -6,75 +6,77 @@
 from collections import deque
 from collections.abc import Callable
 
-DEFAULT_MAX_WAITING_BYTES = 65536
+DEFAULT_MAX_BUFFERED_BYTES = 65536
 
 
 class NonBlockingWriter:
-    """Writes lines to a descriptor without waiting, raising or blocking.
+    """Writes lines to a descriptor without raising or blocking.
 
-    A line is written complete or lost, never in part. What finds no room waits, up to a bound; beyond it lines are
-    lost and counted.
+    A line is written completely or lost, never in part. Lines that the descriptor does not accept are buffered up to a
+    limit; beyond it they are dropped and counted.
 
     Attributes:
-        max_waiting_bytes: that may wait.
-        lost_lines: lines lost and not reported yet.
-        waiting: lines, the first one perhaps begun, for which there was no room.
-        waiting_bytes: their size.
+        max_buffered_bytes: limit of the buffer.
+        lost_lines: number of lines lost and not reported yet.
+        buffered_lines: lines not written yet; the first one may be the rest of a partially written line.
+        buffered_bytes: their total size.
     """
 
-    def __init__(self, descriptor: int = 2, max_waiting_bytes: int = DEFAULT_MAX_WAITING_BYTES) -> None:
-        self.max_waiting_bytes = max_waiting_bytes
+    def __init__(self, descriptor: int = 2, max_buffered_bytes: int = DEFAULT_MAX_BUFFERED_BYTES) -> None:
+        self.max_buffered_bytes = max_buffered_bytes
         self.lost_lines = 0
-        self.waiting: deque[bytes] = deque()
-        self.waiting_bytes = 0
-        self._write_some = _open_without_waiting(descriptor)
+        self.buffered_lines: deque[bytes] = deque()
+        self.buffered_bytes = 0
+        self._write_nonblocking = _open_nonblocking(descriptor)
 
     def write(self, line: bytes) -> None:
-        """Write a line, keep it until there is room, or lose it."""
+        """Write a line, buffer it, or drop it if the buffer is full."""
         self.flush()
-        if self.waiting:
-            if self.waiting_bytes + len(line) > self.max_waiting_bytes:
+        if self.buffered_lines:
+            if self.buffered_bytes + len(line) > self.max_buffered_bytes:
                 self.lost_lines += 1
             else:
-                self._keep(line)
-        elif rest := self._write_as_possible(line):
-            if len(rest) == len(line) > self.max_waiting_bytes:
+                self._buffer(line)
+        elif rest := self._write_available(line):
+            if len(rest) == len(line) > self.max_buffered_bytes:
                 self.lost_lines += 1
             else:
-                # The rest of a line that was begun is kept whatever its size: without it the next line is unreadable.
-                self._keep(rest)
+                # The rest of a partially written line is buffered regardless of the limit: without it the next line
+                # would be unreadable.
+                self._buffer(rest)
 
     def flush(self) -> None:
-        """Write what waits, as far as there is room."""
-        while self.waiting:
-            line = self.waiting.popleft()
-            self.waiting_bytes -= len(line)
-            if rest := self._write_as_possible(line):
-                self.waiting.appendleft(rest)
-                self.waiting_bytes += len(rest)
+        """Write buffered lines until the descriptor would block."""
+        while self.buffered_lines:
+            line = self.buffered_lines.popleft()
+            self.buffered_bytes -= len(line)
+            if rest := self._write_available(line):
+                self.buffered_lines.appendleft(rest)
+                self.buffered_bytes += len(rest)
                 return
 
-    def _keep(self, line: bytes) -> None:
-        self.waiting.append(line)
-        self.waiting_bytes += len(line)
+    def _buffer(self, line: bytes) -> None:
+        self.buffered_lines.append(line)
+        self.buffered_bytes += len(line)
 
-    def _write_as_possible(self, line: bytes) -> bytes:
-        """Write as much of the line as there is room for; return the rest."""
+    def _write_available(self, line: bytes) -> bytes:
+        """Write as much of the line as possible without blocking; return the rest."""
         try:
             while line:
-                line = line[self._write_some(line) :]
+                line = line[self._write_nonblocking(line) :]
         except BlockingIOError:
             return line
-        except (OSError, ValueError):  # closed, or a full disk: nobody will read it
+        except (OSError, ValueError):  # closed descriptor or full disk: the line is lost
             self.lost_lines += 1
         return b""
 
 
-def _open_without_waiting(descriptor: int) -> Callable[[bytes], int]:
-    """Return a function that writes to the descriptor without waiting and returns how many bytes it wrote.
+def _open_nonblocking(descriptor: int) -> Callable[[bytes], int]:
+    """Return a function that writes to the descriptor without blocking and returns the number of bytes written.
 
-    Others who hold the same pipe notice nothing: a pipe or terminal is opened anew in non-blocking mode, which would
-    else be shared with whoever passed it to this process; a socket is asked not to wait at each write.
+    Non-blocking mode is a property of the open file description, which is shared with the process that passed the
+    descriptor on. To leave that process unaffected, a pipe or terminal is reopened in non-blocking mode, and each write
+    to a socket uses MSG_DONTWAIT.
     """
     try:
         mode = os.fstat(descriptor).st_mode
@@ -88,5 +90,5 @@
             except OSError:
                 os.set_blocking(descriptor, False)
     except OSError:
-        pass  # it is closed: each write is lost
+        pass  # closed descriptor: every line will be lost
     return lambda data: os.write(descriptor, data)
--- a/dewpin/log/rendering.py
+++ b/dewpin/log/rendering.py
@@ -1,4 +1,4 @@
-"""How an event becomes the bytes of its line, for people or as JSON."""
+"""Rendering of events as text or JSON lines."""
 
 import sys
 from collections.abc import Callable
@@ -19,11 +19,11 @@
 
 
 def make_renderer(log_format: str) -> Render:
-    """Return the function from an event and its fields to its line; `log_format`: "lines" or "json"."""
+    """Return a function that renders an event and its fields as a line; `log_format`: "lines" or "json"."""
     structlog = _import_structlog()
     time_stamp = structlog.processors.TimeStamper(fmt="iso", utc=True, key="time")
     if log_format != JSON_FORMAT:
-        return lambda event, fields: _line_for_people(event, time_stamp(None, event.name, _values(event, fields)))
+        return lambda event, fields: _render_text_line(event, time_stamp(None, event.name, _log_record(event, fields)))
     import msgspec
 
     render_json = structlog.processors.JSONRenderer(
@@ -31,8 +31,8 @@
     )
 
     def render(event: Event, fields: dict[str, Any]) -> bytes:
-        values = _values(event, fields)
-        values["words"] = _sentence(event, values)
+        values = _log_record(event, fields)
+        values["words"] = _format_template(event, values)
         line: bytes = render_json(None, event.name, time_stamp(None, event.name, values))
         return line + b"\n"
 
@@ -40,29 +40,29 @@
 
 
 def _import_structlog() -> "ModuleType":
-    """Import structlog without `rich`, which its console renderer, unused here, would load where it is installed.
+    """Import structlog without `rich`, which the unused console renderer would load if it is installed.
 
-    A starting sender would be out of service 60 ms longer and hold 3.5 MB more.
+    Loading it would lengthen a sender's start by 60 ms and take 3.5 MB of memory.
     """
-    hides_rich = "rich" not in sys.modules
-    if hides_rich:
+    is_rich_hidden = "rich" not in sys.modules
+    if is_rich_hidden:
         sys.modules["rich"] = None  # type: ignore[assignment]
     try:
         import structlog
     finally:
-        if hides_rich:
+        if is_rich_hidden:
             del sys.modules["rich"]
     return structlog
 
 
-def _values(event: Event, fields: dict[str, Any]) -> dict[str, Any]:
+def _log_record(event: Event, fields: dict[str, Any]) -> dict[str, Any]:
     values: dict[str, Any] = {"level": event.level.label, "event": event.name}
-    values |= {name: _plain(value) for name, value in fields.items()}
+    values |= {name: _sanitize(value) for name, value in fields.items()}
     return values
 
 
-def _plain(value: Any) -> Any:
-    """Return a field's value as text, number or truth value, with nothing in it that could break a line."""
+def _sanitize(value: Any) -> Any:
+    """Return a field's value as text, number or bool, shortened and with control characters escaped."""
     if isinstance(value, bytes):
         value = value.decode("latin-1")
     if isinstance(value, float):
@@ -75,22 +75,22 @@
     return text.translate(_CONTROL_CHARACTERS)
 
 
-def _sentence(event: Event, values: dict[str, Any]) -> str:
-    return FIELD_PATTERN.sub(lambda found: str(values.get(found[1], "")), event.sentence)
+def _format_template(event: Event, values: dict[str, Any]) -> str:
+    return FIELD_PATTERN.sub(lambda match: str(values.get(match[1], "")), event.template)
 
 
-def _line_for_people(event: Event, values: dict[str, Any]) -> bytes:
-    """Return time, program, level above info, event, sentence, and the fields that the sentence does not use."""
-    shown_fields = {"time", "level", "event", *FIELD_PATTERN.findall(event.sentence)}
+def _render_text_line(event: Event, values: dict[str, Any]) -> bytes:
+    """Return time, program, level unless info, event, text, and the fields that the text does not contain."""
+    rendered_fields = {"time", "level", "event", *FIELD_PATTERN.findall(event.template)}
     other_fields = "".join(
-        f" {name}={_quoted(value)}"
+        f" {name}={_quote(value)}"
         for name, value in values.items()
-        if name not in shown_fields and value not in ("", None)
+        if name not in rendered_fields and value not in ("", None)
     )
     level = "" if event.level == Level.INFO else f" {event.level.label}:"
-    return f"{values['time']} dewpin:{level} {event.name}: {_sentence(event, values)}{other_fields}\n".encode()
+    return f"{values['time']} dewpin:{level} {event.name}: {_format_template(event, values)}{other_fields}\n".encode()
 
 
-def _quoted(value: Any) -> str:
+def _quote(value: Any) -> str:
     text = str(value)
     return text if text and not set(text) & set(' "=') else '"' + text.replace('"', '\\"') + '"'
--- a/tests/log/test_log.py
+++ b/tests/log/test_log.py
@@ -1,4 +1,4 @@
-"""The log: its lines, what it suppresses, and that it never waits."""
+"""The log: formats, rate limits and non-blocking output."""
 
 import ast
 import json
@@ -19,10 +19,10 @@
 
 
 class RecordingWriter:
-    """Stands for the non-blocking writer: keeps the lines."""
+    """Stub of the non-blocking writer that records the lines."""
 
     def __init__(self):
-        self.lines, self.waiting, self.lost_lines = [], (), 0
+        self.lines, self.buffered_lines, self.lost_lines = [], (), 0
 
     def write(self, line):
         self.lines.append(line.decode())
@@ -31,7 +31,7 @@
         pass
 
 
-def test_line_for_people_and_json_line_of_one_event_say_the_same():
+def test_text_and_json_lines_of_an_event_contain_the_same_values():
     for log_format in ("lines", "json"):
         writer = RecordingWriter()
         log = EventLog(writer, log_format, level=Level.DEBUG)
@@ -68,8 +68,8 @@
     now[0] = 6.0
     log.log(events.SENDER_STOPPING, {"name": "n"})
     assert [line.split("dewpin: ")[1] for line in writer.lines[6:]] == [
-        "warning: log.suppressed: 7 lines of endpoint_list.watch_failed were left out\n",
-        "warning: log.suppressed: 7 lines of sender.stopping were left out\n",
+        "warning: log.suppressed: 7 lines of endpoint_list.watch_failed were suppressed\n",
+        "warning: log.suppressed: 7 lines of sender.stopping were suppressed\n",
         "sender.stopping: n accepts no new messages\n",
     ]
     log.log(events.MESSAGE_ACCEPTED, {"message": b"m"})
@@ -77,50 +77,50 @@
     log.level = Level.DEBUG
     for _ in range(100):
         log.log(events.MESSAGE_ACCEPTED, {"message": b"m"})
-    assert len(writer.lines) == 109  # the events of a message have no gaps
+    assert len(writer.lines) == 109  # debug events have no rate limit by default
     log.debug_rate, now[0] = 5, 7.0
     for _ in range(100):
         log.log(events.MESSAGE_ACCEPTED, {"message": b"m"})
     assert len(writer.lines) == 114
 
 
-def test_field_that_cannot_be_rendered_costs_only_its_line():
-    class Bad:
+def test_field_that_cannot_be_rendered_affects_only_its_own_line():
+    class Unprintable:
         def __str__(self):
             raise RuntimeError("no")
 
     writer = RecordingWriter()
     log = EventLog(writer)
-    log.log(events.CONFIGURATION_WARNING, {"why": Bad()})
+    log.log(events.CONFIGURATION_WARNING, {"why": Unprintable()})
     log.log(events.CONFIGURATION_WARNING, {"why": "y" * 100_000})
     assert "can't be logged: RuntimeError" in writer.lines[0] and len(writer.lines[1]) < 1200
 
 
 @pytest.mark.parametrize("kind", ["pipe", "socket"])
 @pytest.mark.parametrize("seed", range(5))
-def test_lines_arrive_complete_or_are_counted_as_lost_while_nobody_reads(kind, seed):
-    dice = random.Random(seed)
+def test_lines_arrive_complete_or_are_counted_as_lost_while_the_reader_is_blocked(kind, seed):
+    rng = random.Random(seed)
     if kind == "pipe":
-        end, start = os.pipe()
+        reader, writer_descriptor = os.pipe()
     else:
-        ours, theirs = socket.socketpair()
-        end, start = ours.detach(), theirs.detach()
-    os.set_blocking(end, False)
-    writer, sent, received = NonBlockingWriter(start, max_waiting_bytes=20_000), [], bytearray()
+        reading_socket, writing_socket = socket.socketpair()
+        reader, writer_descriptor = reading_socket.detach(), writing_socket.detach()
+    os.set_blocking(reader, False)
+    writer, sent, received = NonBlockingWriter(writer_descriptor, max_buffered_bytes=20_000), [], bytearray()
 
     def drain():
         try:
-            while part := os.read(end, 65536):
-                received.extend(part)
+            while chunk := os.read(reader, 65536):
+                received.extend(chunk)
         except BlockingIOError:
             pass
 
-    for at in range(3000):
-        line = b"%d " % at + b"x" * dice.choice((10, 200, 3000, 9000)) + b"\n"
+    for number in range(3000):
+        line = b"%d " % number + b"x" * rng.choice((10, 200, 3000, 9000)) + b"\n"
         sent.append(line)
-        writer.write(line)  # a blocking write would hang here: nobody reads
-        assert writer.waiting_bytes <= 20_000 + 9010
-        if dice.random() < 0.01:
+        writer.write(line)  # a blocking write would hang here, because nothing is read
+        assert writer.buffered_bytes <= 20_000 + 9010
+        if rng.random() < 0.01:
             drain()
     for _ in range(50):
         drain()
@@ -128,34 +128,34 @@
     drain()
     lines = bytes(received).splitlines(keepends=True)
     assert (
-        not writer.waiting
+        not writer.buffered_lines
         and set(lines) <= set(sent)
         and len(lines) + writer.lost_lines == len(sent)
         and writer.lost_lines > 100
     )
     assert [int(line.split()[0]) for line in lines] == sorted(int(line.split()[0]) for line in lines)
     if kind == "pipe":
-        assert os.get_blocking(start)  # the mark of whoever gave us the pipe is as it was
-    os.close(end)
-    writer.write(b"nobody is there\n")  # neither an exception nor a signal
-    writer.write(b"nobody is there\n")
-    os.close(start)
+        assert os.get_blocking(writer_descriptor)  # the mode of the inherited descriptor is unchanged
+    os.close(reader)
+    writer.write(b"no reader\n")  # neither an exception nor SIGPIPE
+    writer.write(b"no reader\n")
+    os.close(writer_descriptor)
 
 
-def test_lost_lines_are_reported_once_there_is_room_again():
-    end, start = os.pipe()
-    log, now = EventLog(NonBlockingWriter(start, max_waiting_bytes=100), rate=0), 0
+def test_lost_lines_are_reported_once_the_buffer_is_empty_again():
+    reader, writer_descriptor = os.pipe()
+    log, now = EventLog(NonBlockingWriter(writer_descriptor, max_buffered_bytes=100), rate=0), 0
     log.clock = lambda: now
     for _ in range(3000):
         log.log(events.CONFIGURATION_WARNING, {"why": "x" * 100})
     lost = log.writer.lost_lines
-    os.read(end, 1_000_000)
+    os.read(reader, 1_000_000)
     now = 1
     log.log(events.SENDER_STOPPING, {"name": "n"})
-    text = os.read(end, 1_000_000).decode()
+    text = os.read(reader, 1_000_000).decode()
     assert lost > 1000 and f"log.lost: {lost} lines were lost" in text and text.endswith("n accepts no new messages\n")
-    os.close(end)
-    os.close(start)
+    os.close(reader)
+    os.close(writer_descriptor)
 
 
 def test_event_page_is_current_and_on_call_page_names_only_existing_events():
@@ -166,14 +166,14 @@
     assert named and named <= set(events.EVENTS)
 
 
-def test_rename_tables_lead_from_names_no_longer_used_to_existing_names():
+def test_rename_tables_map_unused_names_to_existing_names():
     assert not set(RENAMED_EVENTS) & set(events.EVENTS) and set(RENAMED_EVENTS.values()) <= set(events.EVENTS)
     assert not set(RENAMED_FIELDS) & set(events.FIELDS) and set(RENAMED_FIELDS.values()) <= set(events.FIELDS)
     unchanged = {"log.lost", "receiver.detached", "receiver.attached"}
     assert set(events.EVENTS) == set(RENAMED_EVENTS.values()) | unchanged
 
 
-def test_each_field_that_the_program_logs_is_one_of_its_event():
+def test_log_calls_use_only_fields_of_their_event():
     checked = 0
     for path in (ROOT / "dewpin").rglob("*.py"):
         for call in ast.walk(ast.parse(path.read_text())):
