--- a/dewpin/console/__init__.py
+++ b/dewpin/console/__init__.py
@@ -1,5 +1,5 @@
-"""The operators' console: HTTP/1.1 at an address of its own, one call to a connection.
+"""The operators' console: HTTP/1.1 on a separate address, one request per connection.
 
-`calls` defines the calls and their responses, without I/O; `server` has the listener and its connections. What a call
-asks for is read off, or passed on to, the components that own it.
+`calls` defines the requests and their responses, without I/O; `server` contains the listener and its connections.
+Requests are delegated to the components that own the state concerned.
 """
--- a/dewpin/console/calls.py
+++ b/dewpin/console/calls.py
@@ -1,7 +1,7 @@
-"""The calls at the console, without I/O: from a request's first line to a response.
+"""Request handling of the console, without I/O: from a request line to a response.
 
-The names of calls and metrics on the wire are those of the operators' page; the program's own names are in
-`SenderMetrics`. Whatever is asked, there is a response: a call that makes no sense is rejected, never an error.
+Paths and metric names on the wire are those documented for operators; the internal names are in `SenderMetrics`. Every
+request gets a response: an invalid one is rejected and never raises an exception.
 """
 
 import re
@@ -13,7 +13,7 @@
 import msgspec
 
 ENDINGS = {"success": "relayed", "overload": "deferred", "error": "bounced"}
-"""Names of the operators' page, and the values of `core.model.Decision` that they stand for."""
+"""Names on the wire: the corresponding values of `core.model.Decision`."""
 
 MAX_RECEIVER_ID_BYTES = 256
 INVALID_ESCAPE_PATTERN = re.compile(rb"%(?![0-9A-Fa-f]{2})")
@@ -26,7 +26,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A response: status, further header lines, body."""
+    """An HTTP response: status, additional header lines, body."""
 
     status: int
     header_lines: bytes = b""
@@ -34,11 +34,11 @@
 
 
 class ReceiverChange(Enum):
-    """What came of a wish to detach or attach a receiver; the value is the status of the response."""
+    """Result of detaching or attaching a receiver; the value is the HTTP status of the response."""
 
     DONE = 200
     UNKNOWN_RECEIVER = 404
-    UNAVAILABLE = 503  # the journal can't record it, or the process still starts
+    UNAVAILABLE = 503  # the journal can't record it, or the process is still starting
 
 
 class SenderMetrics(msgspec.Struct, frozen=True):
@@ -48,8 +48,8 @@
         endings: counts of relayed, deferred and bounced messages, by queue class.
         sent: messages written completely to receivers, retries included.
         pending: messages accepted and not ended.
-        listed_receivers: receivers that the list names.
-        avoided_receivers: of those, the ones that get no messages or a trickle.
+        listed_receivers: receivers in the endpoint list.
+        avoided_receivers: of those, the ones that get no messages or only a reduced rate.
     """
 
     endings: Mapping[bytes, Mapping[Any, int]]
@@ -60,24 +60,24 @@
 
 
 class SenderOperations(Protocol):
-    """What the console asks of a sender."""
+    """Operations of a sender that the console uses."""
 
     def is_ready(self) -> bool:
         """Return whether this process accepts messages."""
 
     def metrics(self) -> SenderMetrics | None:
-        """Return the metrics, or None while the process starts."""
+        """Return the metrics, or None while the process is starting."""
 
     def detach(self, receiver_id: bytes) -> ReceiverChange:
-        """Send nothing more to a receiver."""
+        """Stop sending messages to a receiver."""
 
     def attach(self, receiver_id: bytes) -> ReceiverChange:
-        """Send to a receiver again."""
+        """Resume sending messages to a receiver."""
 
 
-def respond(first_line: tuple[bytes, ...], sender: SenderOperations) -> Response:
-    """Return the response to a request with this first line: (method, target, version)."""
-    method, target = first_line[:2]
+def respond(request_line: tuple[bytes, ...], sender: SenderOperations) -> Response:
+    """Return the response to a request with this request line: (method, target, version)."""
+    method, target = request_line[:2]
     path, _, query = target.partition(b"?")
     if path not in METHODS:
         return Response(404)
@@ -102,13 +102,13 @@
 
 
 def encode_metrics(metrics: SenderMetrics) -> dict[str, Any]:
-    """Return the metrics under the names of the operators' page."""
-    replies = {
+    """Return the metrics under their names on the wire."""
+    counts_by_queue_class = {
         queue_class.decode("latin-1"): {name: counts[ending] for name, ending in ENDINGS.items()}
         for queue_class, counts in metrics.endings.items()
     }
     return {
-        "replies": replies,
+        "replies": counts_by_queue_class,
         "concurrent": metrics.pending,
         "dispatches": metrics.sent,
         "targets": metrics.listed_receivers,
@@ -117,9 +117,9 @@
 
 
 def parse_receiver_id(query: bytes) -> bytes:
-    """Return the receiver's id that a query names; b"" where it names none, two, or one that can't be decoded."""
-    fields = [field.partition(b"=") for field in query.split(b"&")]
-    hosts = [value for name, _, value in fields if name == b"host"]
+    """Return the receiver id in a query; b"" if there is none, more than one, or one that can't be decoded."""
+    parameters = [parameter.partition(b"=") for parameter in query.split(b"&")]
+    hosts = [value for name, _, value in parameters if name == b"host"]
     if len(hosts) != 1 or INVALID_ESCAPE_PATTERN.search(hosts[0]):
         return b""
     return unquote_to_bytes(hosts[0].replace(b"+", b" "))
--- a/dewpin/daemon/__init__.py
+++ b/dewpin/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""One sender as a process: start, readiness, signals, shutdown, and its status on the control socket.
+"""The process of a sender: start, readiness, signals, shutdown, and status on the control socket.
 
-This is the only package that puts the other packages together. It makes no decision about a message.
+This is the only package that assembles the other packages. It makes no decisions about messages.
 """
--- a/dewpin/daemon/application.py
+++ b/dewpin/daemon/application.py
@@ -1,8 +1,8 @@
-"""One running sender: its parts, and the order of its start, service and shutdown.
+"""The running sender: its components, and the order of start, service and shutdown.
 
-The sender is ready only once the journal is replayed. Signals are handled in `SenderApplication.run`: SIGTERM and
-SIGINT stop the process gracefully, SIGHUP reloads the configuration, and another process that claims the state folder
-takes over from this one (`handover`).
+The sender is ready once the journal has been replayed. `SenderApplication.run` handles signals: SIGTERM and SIGINT stop
+the process gracefully, SIGHUP reloads the configuration. Another process that claims the state folder takes over from
+this one (`handover`).
 """
 
 import asyncio
@@ -40,8 +40,8 @@
 from .status import collect_status
 from .upgrade import HandedOverState, TakeoverClaim
 
-if TYPE_CHECKING:  # the parts put together here fit the protocols at which they meet
-    _FITS: tuple[type[Frontend], type[MessageIntake], type[Transport], type[NoticePublisher]] = (
+if TYPE_CHECKING:  # checks that the components implement their protocols
+    _PROTOCOL_IMPLEMENTATIONS: tuple[type[Frontend], type[MessageIntake], type[Transport], type[NoticePublisher]] = (
         HttpServer,
         Relay,
         ConnectionPool,
@@ -52,10 +52,10 @@
 
 
 class SenderApplication(SenderParts):
-    """One sender's process.
+    """The process of one sender.
 
-    `run` makes the parts in the order below, each once, and closes them. Parts may use each other from the end of the
-    start on.
+    `run` creates each component once, in the order below, and closes them. Components may use each other only after the
+    start is complete.
     """
 
     def __init__(self, configuration: Configuration, source: ConfigurationSource) -> None:
@@ -67,8 +67,8 @@
     async def run(self) -> None:
         """Run the sender until it is stopped or has handed over to the next process.
 
-        Raises OSError where the state folder or an address can't be used. The process ends then, and the system takes
-        back what was opened.
+        Raises OSError if the state folder or an address can't be used. Nothing is closed in this case: the caller ends
+        the process, which releases all resources.
         """
         self._handle_signals()
         await self._start()
@@ -81,19 +81,19 @@
         self.loop.set_exception_handler(_log_unhandled)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.stop_requested.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)  # an early one waits for the start
+        self.loop.add_signal_handler(signal.SIGHUP, self.reload_requested.set)  # takes effect after the start
 
     async def _start(self) -> None:
-        """Make and open all parts, from the console, which reports "not ready" meanwhile, to the control socket."""
+        """Create and open all components: the console first, which reports "not ready", the control socket last."""
         deployment = self.configuration.deployment
         self.operator_actions = OperatorActions()
         self.console = ConsoleServer(self.operator_actions)
         if deployment.console.address:
             await self.console.open(*parse_address(deployment.console.address))
-        self._make_dispatching()
+        self._create_dispatching()
         self.claim = TakeoverClaim(self.folder)
         self.folder_lock, handed_over = await self.claim.enter()
-        self._make_message_parts()
+        self._create_message_components()
         if handed_over:
             self.handover_reader.descriptors = handed_over["descriptors"]
         apply_limits(self)
@@ -107,8 +107,8 @@
             self.claim.mark_ready()
         self.control_socket = ControlSocket(lambda lines: collect_status(self, lines, lambda: asyncio.sleep(0)))
         await self._move_control_socket()
-        # Frozen objects are not scanned by full collections, which are then cheap and soon due: closed transports are
-        # reference cycles that only these free.
+        # Full collections do not scan frozen objects, and are therefore cheap and frequent. They have to be, because
+        # only a full collection frees the reference cycles of closed transports.
         gc.collect()
         gc.freeze()
         log_event(
@@ -119,13 +119,13 @@
             version=__version__,
         )
 
-    def _make_dispatching(self) -> None:
+    def _create_dispatching(self) -> None:
         allowed = self.configuration.module["Allowed"]
         connect_timeout_ms = allowed.get("ConnectTimeout", DEFAULT_CONNECT_TIMEOUT_MS)
         self.pool = ConnectionPool(self.loop, connect_timeout_ms, allowed.get("IdleClose", 0.0))
         self.facade = Facade(self.configuration.module, dispatcher_seed(self.configuration.deployment.sender))
 
-    def _make_message_parts(self) -> None:
+    def _create_message_components(self) -> None:
         deployment = self.configuration.deployment
         self.journal = Journal(self.folder, deployment.limits.disk_bytes)
         self.handover_reader = HandoverLogReader(self.folder, self.journal)
@@ -135,10 +135,11 @@
         self.started_ms = self.relay.clock.now_ms()
 
     def _load_endpoints(self, handed_over: HandedOverState | None) -> None:
-        """Load the list of receivers from the best source there is, and watch the agent for updates.
+        """Load the endpoint list from the most recent source, and watch the agent for updates.
 
-        The previous process's list is the latest. Else the cached list counts if the agent counted it later than the
-        platform's file, which may be a day old. Receivers that another agent reported as draining or gone stay so.
+        The list handed over by a previous process is the most recent one. Otherwise the cached list is used if its
+        revision is newer than that of the platform's file, which may be a day old. Receivers that another agent has
+        reported as draining or gone remain so.
         """
         configuration = self.configuration
         deployment = configuration.deployment
@@ -151,25 +152,25 @@
             configuration.module.get("RegistryMode") != "on_request",
         )
         cache = self.endpoint_cache = EndpointCache(self.folder, deployment.agent.address, deployment.limits.disk_bytes)
-        is_first_process = cache.revision is None and not handed_over
+        is_first_start = cache.revision is None and not handed_over
         known_revision = configuration.known.get("revision", 0)
         if handed_over:
             revision = None
-            self._learn_endpoints(learned_state.endpoint_entries(handed_over), True)
+            self._update_endpoints(learned_state.endpoint_entries(handed_over), True)
         elif cache.is_newer_than(known_revision):
             revision = cache.revision
-            self._learn_endpoints(cache.entries(), True)
+            self._update_endpoints(cache.entries(), True)
         else:
-            revision, ended = known_revision, cache.unavailable_at_other_agent()
-            self._learn_endpoints(parse_endpoints(configuration.known.get("members", ())), True, revision)
-            self._learn_endpoints(ended, False)
+            revision, unavailable_entries = known_revision, cache.unavailable_at_other_agent()
+            self._update_endpoints(parse_endpoints(configuration.known.get("members", ())), True, revision)
+            self._update_endpoints(unavailable_entries, False)
         agent_address = parse_address(deployment.agent.address)
-        self.watch = EndpointWatch(agent_address, revision, self._learn_endpoints, schedule, is_first_process)
+        self.watch = EndpointWatch(agent_address, revision, self._update_endpoints, schedule, is_first_start)
 
-    def _learn_endpoints(
+    def _update_endpoints(
         self, entries: Sequence[EndpointEntry], is_complete: bool, revision: int | None = None
     ) -> None:
-        """Put an update of the list of receivers in force; with a `revision` it is cached on disk as well."""
+        """Apply an update of the endpoint list; with a `revision` it is also cached on disk."""
         for address in self.facade.endpoints.update(entries, is_complete):
             self.pool.cancel_unsent(address)
             self.pool.close_idle(address)
@@ -178,7 +179,7 @@
         self.relay.wake()
 
     def _resume_messages(self, handed_over: HandedOverState | None) -> None:
-        """Take up the journal's messages, before the server opens: earlier messages come first in their key's order."""
+        """Resume the messages in the journal before the server opens, so that they keep their order within a key."""
         if handed_over:
             self.relay.resume(self.handover_reader, set(handed_over["out"]))
             learned_state.import_learned_state(self.facade, handed_over)
@@ -186,7 +187,7 @@
             log_event(events.TAKEN_OVER, name=name, messages=len(self.journal.pending))
         else:
             self.relay.resume(self.handover_reader if self.handover_reader.exists() else None, None)
-            # A hand-over log that exists was left by an upgrade during which both processes were killed.
+            # An existing hand-over log was left by an upgrade during which both processes were killed.
             self.relay.consume_handover_log(is_writer_gone=True)
             self.claim.drop()
 
@@ -194,23 +195,23 @@
 
     async def _serve(self) -> None:
         """Serve until a stop is requested or the next process has taken over, then drain."""
-        reloading = self.loop.create_task(reload_at_signals(self, self.reload_requested, self.apply))
-        claimed = self.loop.create_task(wait_for_next_process(self))
-        stopping = self.loop.create_task(self.stop_requested.wait())
+        reload_task = self.loop.create_task(reload_at_signals(self, self.reload_requested, self.apply))
+        wait_for_claim = self.loop.create_task(wait_for_next_process(self))
+        wait_for_stop = self.loop.create_task(self.stop_requested.wait())
         is_handed_over = False
-        while not (is_handed_over or stopping.done()):
-            await asyncio.wait((stopping, claimed), return_when=asyncio.FIRST_COMPLETED)
-            if not stopping.done():
+        while not (is_handed_over or wait_for_stop.done()):
+            await asyncio.wait((wait_for_stop, wait_for_claim), return_when=asyncio.FIRST_COMPLETED)
+            if not wait_for_stop.done():
                 is_handed_over = await hand_over(self)
-                claimed = self.loop.create_task(wait_for_next_process(self))
-        claimed.cancel()
-        reloading.cancel()
+                wait_for_claim = self.loop.create_task(wait_for_next_process(self))
+        wait_for_claim.cancel()
+        reload_task.cancel()
         if not is_handed_over:
             await stop_gracefully(self.relay, self.server, self.notices, self.configuration.deployment)
-        stopping.cancel()
+        wait_for_stop.cancel()
 
     async def apply(self, configuration: Configuration) -> None:
-        """Put a reloaded configuration in force; keys that wait for the next start must be as before."""
+        """Apply a reloaded configuration, whose keys that take effect at the next start must be unchanged."""
         deployment = configuration.deployment
         self.configuration = configuration
         apply_limits(self)
@@ -222,7 +223,7 @@
         await self._move_control_socket()
 
     def _apply_log_settings(self) -> None:
-        """Put `[log]` in force, and log what the configuration allows but most likely does not mean."""
+        """Apply the `[log]` section, and log warnings about probably unintended settings."""
         settings = self.configuration.deployment.log
         log.configure(
             settings.log_format,
@@ -241,14 +242,14 @@
     # -- shutdown -----------------------------------------------------------------------------------------------------
 
     def _close(self) -> None:
-        """Close all parts: first what brings in work, then what does it, last what records it."""
+        """Close all components: the sources of work first, then those that process it, last the journal."""
         self.watch.stop()
         self.notices.stop()
         self.control_socket.close()
         self.console.close()
         self.server.close()
         self.pool.close()
-        record_store = self.relay.record_store  # the journal; after a hand-over the log for the next process
+        record_store = self.relay.record_store  # the journal, or the hand-over log after a hand-over
         name = self.configuration.deployment.sender.name
         log_event(events.SENDER_ENDED, name=name, messages=len(record_store.pending))
         record_store.close()
--- a/dewpin/daemon/configuration_source.py
+++ b/dewpin/daemon/configuration_source.py
@@ -1,4 +1,4 @@
-"""Where a sender reads its configuration from, at its start and at each SIGHUP."""
+"""Reading of a sender's configuration, at the start and at each SIGHUP."""
 
 import asyncio
 import hashlib
@@ -10,26 +10,26 @@
 from ..config.sections import Sender
 from ..relay.facade import Facade
 
-STABLE_READ_INTERVAL_SECONDS = 0.05  # between two readings of a configuration, which must agree
+STABLE_READ_INTERVAL_SECONDS = 0.05  # between two reads of a configuration, which must be equal
 STABLE_READ_ATTEMPTS = 20
 
 
 def dispatcher_seed(sender: Sender) -> int:
-    """Return the decision module's 64-bit seed, made of the configured seed and the sender's name.
+    """Return the decision module's 64-bit seed, derived from the configured seed and the sender's name.
 
-    With the name in it, senders that share one configured seed do not make the same random choices.
+    The name makes senders with the same configured seed draw different random numbers.
     """
     name_hash = hashlib.blake2b(sender.name.encode(), digest_size=8).digest()
     return (int(sender.seed, 16) & 0xFFFFFFFFFFFFFFFF) ^ int.from_bytes(name_hash, "little")
 
 
 class ConfigurationSource:
-    """The layers of one process's configuration.
+    """The sources of one process's configuration.
 
     Attributes:
         environment: environment variables.
-        flags: `KEY=VALUE` texts of the command line.
-        operator_path: path of the operator's TOML file, or None for the one that the environment names.
+        flags: `KEY=VALUE` strings from the command line.
+        operator_path: path of the operator's TOML file, or None for the path in the environment.
     """
 
     def __init__(
@@ -40,10 +40,9 @@
         self.operator_path = operator_path
 
     def read(self, must_end: bool = False) -> Configuration:
-        """Read and check the whole configuration, including what the decision module needs.
+        """Read and validate the whole configuration, including the settings of the decision module.
 
-        `must_end`: the operator's file must be closed by an `[end]` table. Raises ConfigurationError with every issue
-        that was found.
+        `must_end`: the operator's file must end with an `[end]` table. Raises ConfigurationError with all issues found.
         """
         configuration = load_configuration(self.environment, self.flags, self.operator_path, must_end)
         try:
@@ -55,10 +54,11 @@
         return configuration
 
     async def read_stable(self, must_end: bool) -> Configuration:
-        """Read until two readings a moment apart agree, so that no file is taken while it is being written.
+        """Read repeatedly until two consecutive reads are equal, so that a partially written file is not applied.
 
-        With `must_end`, an operator's file without its end is read again for as long as one that changes: its writer
-        may have paused. Raises ConfigurationError where the configuration is invalid or keeps changing.
+        With `must_end`, an operator's file without an `[end]` table is also read again, up to the same number of
+        attempts, as its writer may have paused. Raises ConfigurationError if the configuration is invalid or keeps
+        changing.
         """
         previous: Configuration | list[ConfigurationIssue] | None = None
         current = self._read_or_issues(must_end)
@@ -68,7 +68,7 @@
             await asyncio.sleep(STABLE_READ_INTERVAL_SECONDS)
             previous, current = current, self._read_or_issues(must_end)
         if current != previous:
-            message = "it still changes while it is read; send SIGHUP once it is whole"
+            message = "it still changes while it is read; send SIGHUP when it is complete"
             raise ConfigurationError([ConfigurationIssue("configuration", "", message)])
         if isinstance(current, list):
             raise ConfigurationError(current)
@@ -78,7 +78,9 @@
         path = self.operator_path or self.environment.get(OPERATOR_FILE_VARIABLE)
         if not path:
             return False
-        from ..config.operator_file import is_unfinished  # loads the TOML parser, which most senders do not need
+        from ..config.operator_file import (
+            is_unfinished,
+        )  # imported here because most senders do not need the TOML parser
 
         return is_unfinished(path)
 
--- a/dewpin/daemon/control_socket.py
+++ b/dewpin/daemon/control_socket.py
@@ -1,7 +1,7 @@
-"""The control socket: one question and one answer, as JSON lines, for people on the same machine.
+"""The control socket: one JSON line as request and one as response, for operators on the same machine.
 
-The socket must never delay messages: a caller that sends nothing, sends too much or does not read is disconnected, and
-a fault here costs only its own answer.
+The socket must never delay messages: a client that sends nothing, sends too much or does not read is disconnected, and
+an error affects only the request that caused it.
 """
 
 import asyncio
@@ -16,18 +16,18 @@
 
 from ..log import events, log_event
 
-MAX_CALLERS = 4
-MAX_QUESTION_BYTES = 1024
+MAX_CONNECTIONS = 4
+MAX_REQUEST_BYTES = 1024
 MAX_LINES = 10_000
-CALL_TIMEOUT_SECONDS = 2.0  # for a question to come and its answer to be read
+CALL_TIMEOUT_SECONDS = 2.0  # from connect until the response is read
 LIVENESS_TIMEOUT_SECONDS = 0.2
 
 
-class Question(msgspec.Struct, forbid_unknown_fields=True):
-    """A caller's question.
+class ControlRequest(msgspec.Struct, forbid_unknown_fields=True):
+    """A client's request.
 
-    `ask` is "status"; `token` is the configured one, if any; `lines` is how many destinations are listed, 0 for as many
-    as configured.
+    `ask`: must be "status". `token`: the configured token, if any. `lines`: maximum number of destinations to list, 0
+    for the configured number.
     """
 
     ask: str
@@ -35,30 +35,30 @@
     lines: int = 0
 
 
-class Caller(asyncio.BufferedProtocol):
+class ControlConnection(asyncio.BufferedProtocol):
     """One connection to the control socket.
 
     Attributes:
-        transport: set as long as the connection is open.
-        answering: the task that makes the answer, once the question is complete.
-        timeout: aborts the connection when the call takes too long.
-        buffer: the question's bytes, of which `size` have come.
+        transport: the transport, set when the connection is made.
+        response_task: the task that sends the response, once the request is complete.
+        timeout: timer that aborts the connection if the call takes too long.
+        buffer: receive buffer, of which the first `size` bytes are filled.
     """
 
     def __init__(self, control: "ControlSocket") -> None:
         self.control = control
         self.transport: Any = None
-        self.answering: asyncio.Task[None] | None = None
+        self.response_task: asyncio.Task[None] | None = None
         self.timeout: asyncio.TimerHandle | None = None
-        self.buffer = bytearray(MAX_QUESTION_BYTES)
+        self.buffer = bytearray(MAX_REQUEST_BYTES)
         self.size = 0
 
     def connection_made(self, transport: Any) -> None:
-        """Start the time-out; reject the caller where there are too many."""
+        """Start the time-out; abort the connection if there are too many."""
         self.transport = transport
-        self.control.callers.add(self)
+        self.control.connections.add(self)
         self.timeout = asyncio.get_running_loop().call_later(CALL_TIMEOUT_SECONDS, transport.abort)
-        if len(self.control.callers) > MAX_CALLERS:
+        if len(self.control.connections) > MAX_CONNECTIONS:
             transport.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -66,56 +66,56 @@
         return memoryview(self.buffer)[self.size :]
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Answer once the question is complete; disconnect a caller that sends more than one line or one too long."""
+        """Respond once the request is complete; disconnect a client that sends several lines or too long a line."""
         self.size += nbytes
-        if self.answering:
+        if self.response_task:
             self.transport.abort()
             return
         end = self.buffer.find(b"\n", 0, self.size)
         if end >= 0:
             line = bytes(self.buffer[:end])
-            self.answering = asyncio.get_running_loop().create_task(self._answer(line))
-        elif self.size == MAX_QUESTION_BYTES:
+            self.response_task = asyncio.get_running_loop().create_task(self._respond(line))
+        elif self.size == MAX_REQUEST_BYTES:
             self.transport.abort()
 
-    async def _answer(self, line: bytes) -> None:
+    async def _respond(self, line: bytes) -> None:
         try:
-            answer = await self.control.answer(line)
+            response = await self.control.respond(line)
         except Exception as error:
             log_event(events.CONTROL_FAILED, why=f"{type(error).__name__}: {error}")
-            answer = {"fault": "the sender could not answer; its log says why"}
-        self.transport.write(msgspec.json.encode(answer) + b"\n")
+            response = {"fault": "the sender could not answer; its log says why"}
+        self.transport.write(msgspec.json.encode(response) + b"\n")
         self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Give back what the connection holds."""
-        self.control.callers.discard(self)
+        """Unregister the connection; cancel the time-out and the response task."""
+        self.control.connections.discard(self)
         if self.timeout:
             self.timeout.cancel()
-        if self.answering:
-            self.answering.cancel()
+        if self.response_task:
+            self.response_task.cancel()
 
 
 class ControlSocket:
-    """The listening socket and its callers.
+    """The listening socket and its connections.
 
     Attributes:
-        collect_status: a coroutine function from the number of destinations to list to the status.
-        callers: open connections.
-        path: of the socket; empty while it is closed.
-        token: what a caller must send; empty for nothing.
-        lines: destinations listed where a caller names no number.
+        collect_status: coroutine function that takes the maximum number of destinations to list and returns the status.
+        connections: open connections.
+        path: path of the socket; empty while it is closed.
+        token: token that clients must send; empty if none is required.
+        lines: number of destinations listed if a request does not specify it.
     """
 
     def __init__(self, collect_status: Callable[[int], Awaitable[dict[str, Any]]]) -> None:
         self.collect_status = collect_status
-        self.callers: set[Caller] = set()
+        self.connections: set[ControlConnection] = set()
         self.server: asyncio.Server | None = None
         self.path = self.token = ""
         self.lines = 50
 
     async def move(self, path: str, token: str, lines: int) -> None:
-        """Put the `[control]` section in force; a path that can't be opened is logged and has no other effect."""
+        """Apply the `[control]` section; a path that can't be opened is logged, and the socket stays closed."""
         self.token, self.lines = token, lines
         if path == self.path:
             return
@@ -124,29 +124,29 @@
             return
         try:
             self.server = await asyncio.get_running_loop().create_unix_server(
-                lambda: Caller(self), sock=_listening_socket(path), backlog=4 * MAX_CALLERS
+                lambda: ControlConnection(self), sock=_listening_socket(path), backlog=4 * MAX_CONNECTIONS
             )
         except OSError as error:
             return log_event(events.CONTROL_FAILED, at=path, why=str(error))
         self.path = path
         log_event(events.CONTROL_LISTENING, at=path)
 
-    async def answer(self, line: bytes) -> dict[str, Any]:
-        """Return the answer to a question, or a map with `fault` where it can't be answered."""
+    async def respond(self, line: bytes) -> dict[str, Any]:
+        """Return the response to a request, or a map with `fault` if the request is invalid."""
         try:
-            question = msgspec.json.decode(line, type=Question)
+            request = msgspec.json.decode(line, type=ControlRequest)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return {"fault": f"the question can't be read: {error}"}
-        if self.token and not hmac.compare_digest(question.token.encode(), self.token.encode()):
+        if self.token and not hmac.compare_digest(request.token.encode(), self.token.encode()):
             return {"fault": "the token is not the one in control.token"}
-        if question.ask != "status":
-            return {"fault": f"{question.ask!r} can't be asked; status can"}
-        return await self.collect_status(max(0, min(question.lines, MAX_LINES)) or self.lines)
+        if request.ask != "status":
+            return {"fault": f"{request.ask!r} can't be asked; status can"}
+        return await self.collect_status(max(0, min(request.lines, MAX_LINES)) or self.lines)
 
     def close(self) -> None:
-        """Disconnect all callers and remove the socket."""
-        for caller in list(self.callers):
-            caller.transport.abort()
+        """Close all connections and remove the socket."""
+        for connection in list(self.connections):
+            connection.transport.abort()
         if self.server:
             self.server.close()
             try:
@@ -157,22 +157,22 @@
 
 
 def _listening_socket(path: str) -> socket.socket:
-    """Return a socket bound to the path, for its owner alone.
+    """Return a socket bound to the path, accessible to its owner only.
 
-    A socket file that a killed process left is replaced. Raises OSError where a live process listens there.
+    A socket file left by a killed process is replaced. Raises OSError if another process is listening there.
     """
     _remove_stale_socket(path)
-    listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         previous_umask = os.umask(0o177)
         try:
-            listening.bind(path)
+            listener.bind(path)
         finally:
             os.umask(previous_umask)
     except OSError:
-        listening.close()
+        listener.close()
         raise
-    return listening
+    return listener
 
 
 def _remove_stale_socket(path: str) -> None:
--- a/dewpin/daemon/graceful_stop.py
+++ b/dewpin/daemon/graceful_stop.py
@@ -11,13 +11,13 @@
     from ..net.server import HttpServer
     from ..relay.message_lifecycle import Relay
 
-CHECK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 async def stop_gracefully(
     relay: "Relay", server: "HttpServer", notices: "AgentNoticePublisher", deployment: "Deployment"
 ) -> None:
-    """Reject new messages and finish what is in flight, within the times of `[stop]`; the rest stays in the journal."""
+    """Reject new messages and finish attempts in flight within the times of `[stop]`; the rest stays in the journal."""
     loop = asyncio.get_running_loop()
     stopped_at = loop.time()
     stop = deployment.stop
@@ -29,4 +29,4 @@
         is_relay_busy = relay.may_start_attempts or relay.attempts_in_flight
         if not (is_relay_busy or notices.unacknowledged or server.clients or server.has_queued_connections()):
             break
-        await asyncio.sleep(CHECK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -1,4 +1,4 @@
-"""Both sides of an upgrade within a running process: following the previous process, handing over to the next one."""
+"""Both sides of an upgrade in a running process: taking over from the previous one, handing over to the next one."""
 
 import asyncio
 import os
@@ -10,27 +10,27 @@
 from .resource_limits import apply_limits
 from .sender_parts import SenderParts
 
-RETRY_SECONDS = 1.0  # after a fault of the state folder
-ACCEPT_QUEUE_SECONDS = 0.1  # for which the listener stays open once new connections go to the next process
-DRAIN_CHECK_SECONDS = 0.05
+RETRY_SECONDS = 1.0  # after an error of the state folder
+ACCEPT_QUEUE_SECONDS = 0.1  # the listener stays open to accept connections queued before the hand-over
+DRAIN_POLL_SECONDS = 0.05
 
 
 async def wait_for_next_process(application: SenderParts) -> None:
-    """Wait until the previous process has ended, if there is one; then until the next one claims the folder.
+    """Wait until the previous process, if any, has ended, and then until the next one claims the folder.
 
-    A fault of the folder must neither pass for a claim nor end the process: the wait begins anew.
+    An error of the folder is neither a claim nor a reason to end the process: the wait is retried.
     """
     while True:
         try:
-            await _follow_previous_process(application)
+            await _consume_reports_of_previous_process(application)
             return await upgrade.wait_until_claimed(application.folder)
         except Exception:
             log_internal_error("upgrade")
             await asyncio.sleep(RETRY_SECONDS)
 
 
-async def _follow_previous_process(application: SenderParts) -> None:
-    """Take in what the previous process still reports until it has ended and the folder's lock is ours."""
+async def _consume_reports_of_previous_process(application: SenderParts) -> None:
+    """Apply the reports of the previous process until it has ended and this process holds the folder's lock."""
     relay, reader, claim = application.relay, application.handover_reader, application.claim
     descriptors = reader.descriptors
     while application.folder_lock is None:
@@ -51,9 +51,9 @@
 async def hand_over(application: SenderParts) -> bool:
     """Hand journal and decisions over to the next process, then drain.
 
-    The hand-over itself happens in one turn of the loop. After it calls in flight are finished here, and messages on
-    connections that are open here are accepted for the next process. Returns False where the folder refuses; nothing
-    has changed then.
+    The hand-over itself takes place within one event loop iteration. Afterwards this process finishes its calls in
+    flight, and accepts messages on its open connections on behalf of the next process. Returns False, with nothing
+    changed, if writing to the folder fails.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + application.configuration.deployment.stop.end_ms / 1000.0
@@ -73,12 +73,12 @@
     server.stop_listening()
     while loop.time() < deadline and (application.relay.attempts_in_flight or server.clients):
         handover_log.report_descriptors(count_descriptors())
-        await asyncio.sleep(DRAIN_CHECK_SECONDS)
+        await asyncio.sleep(DRAIN_POLL_SECONDS)
     return True
 
 
 def _write_handed_over_state(application: SenderParts) -> HandoverLogWriter | None:
-    """Write the state for the next process; return the hand-over log, or None where the folder refuses."""
+    """Write the state for the next process; return the hand-over log, or None if writing to the folder fails."""
     handover_log = None
     try:
         application.journal.mark_handover_consumed(0)
@@ -92,13 +92,13 @@
         log_internal_error("upgrade")
         if handover_log:
             handover_log.close()
-            application.handover_reader.close()  # removes the file too: no other process is to read it
+            application.handover_reader.close()  # also removes the file, so that no other process reads it
         return None
     return handover_log
 
 
 def _stop_deciding(application: SenderParts, handover_log: HandoverLogWriter) -> None:
-    """Leave journal, endpoint list, notices and idle connections to the next process."""
+    """Stop using the journal, endpoint list, notices and idle connections, which now belong to the next process."""
     application.relay.hand_over(handover_log)
     application.endpoint_cache.stop_writing()
     application.journal.close()
@@ -110,5 +110,5 @@
 
 
 def count_descriptors() -> int:
-    """Return how many descriptors this process holds."""
+    """Return the number of open descriptors of this process."""
     return len(os.listdir("/proc/self/fd"))
--- a/dewpin/daemon/operator_actions.py
+++ b/dewpin/daemon/operator_actions.py
@@ -1,6 +1,6 @@
-"""What operators ask of a running sender through the console: readiness, metrics, detaching of receivers.
+"""Operations of a running sender for the console: readiness, metrics, detaching and attaching of receivers.
 
-Each call is passed on to the component that owns the state. The calls themselves are described in `console.calls`.
+Each call is delegated to the component that owns the state. The HTTP requests are defined in `console.calls`.
 """
 
 from ..console.calls import ReceiverChange, SenderMetrics
@@ -15,11 +15,11 @@
 
 
 class OperatorActions:
-    """Answers to the console, unavailable until `serve` is called.
+    """Operations for the console, unavailable until `serve` is called.
 
     Attributes:
-        relay: life of the messages; None while the process starts.
-        pool: connections to receivers; None while the process starts.
+        relay: life cycle of messages; None while the process is starting.
+        pool: connections to receivers; None while the process is starting.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self.pool: ConnectionPool | None = None
 
     def serve(self, relay: Relay, pool: ConnectionPool) -> None:
-        """Answer from these components: clients are accepted from now on."""
+        """Use these components from now on; called when clients are accepted."""
         self.relay = relay
         self.pool = pool
 
@@ -36,7 +36,7 @@
         return self.relay is not None and not self.relay.is_draining and not self.relay.handover_log
 
     def metrics(self) -> SenderMetrics | None:
-        """Return the metrics, or None while the process starts."""
+        """Return the metrics, or None while the process is starting."""
         if self.relay is None or self.pool is None:
             return None
         facade = self.relay.facade
@@ -49,9 +49,9 @@
         )
 
     def detach(self, receiver_id: bytes) -> ReceiverChange:
-        """Send nothing more to a receiver."""
+        """Stop sending messages to a receiver."""
         return RECEIVER_CHANGES[self.relay.detach(receiver_id)] if self.relay else ReceiverChange.UNAVAILABLE
 
     def attach(self, receiver_id: bytes) -> ReceiverChange:
-        """Send to a receiver again."""
+        """Resume sending messages to a receiver."""
         return RECEIVER_CHANGES[self.relay.attach(receiver_id)] if self.relay else ReceiverChange.UNAVAILABLE
--- a/dewpin/daemon/process.py
+++ b/dewpin/daemon/process.py
@@ -1,4 +1,4 @@
-"""The entry point of a sender's process: reads the configuration, runs the sender, gives the exit code."""
+"""Entry point of a sender's process: reads the configuration, runs the sender, returns the exit code."""
 
 import asyncio
 import os
@@ -25,7 +25,8 @@
 ) -> int:
     """Run a sender until it is stopped; return the exit code.
 
-    `flags`: `KEY=VALUE` texts; `operator_path`: of the operator's TOML file; `environment`: `os.environ` by default.
+    `flags`: `KEY=VALUE` strings; `operator_path`: path of the operator's TOML file; `environment`: `os.environ` by
+    default.
     """
     source = ConfigurationSource(os.environ if environment is None else environment, flags, operator_path)
     try:
@@ -47,5 +48,5 @@
 
 
 async def run_sender(configuration: Configuration, source: ConfigurationSource) -> None:
-    """Run a sender in the running loop. Raises OSError where an address or the state folder can't be used."""
+    """Run a sender in the running event loop. Raises OSError if an address or the state folder can't be used."""
     await SenderApplication(configuration, source).run()
--- a/dewpin/daemon/reload.py
+++ b/dewpin/daemon/reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: the configuration is read anew, checked whole, and swapped in one turn of the loop."""
+"""Reload at SIGHUP: the configuration is read and validated as a whole, then replaced in one event loop iteration."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,9 @@
 from ..log import events, log_event, log_internal_error
 from .sender_parts import SenderParts
 
-MODULE_SETTINGS = "settings"  # the platform's settings of the decision module, which are no key
+MODULE_SETTINGS = (
+    "settings"  # stands for the platform's settings of the decision module, which have no configuration key
+)
 
 
 async def reload_at_signals(
@@ -17,7 +19,7 @@
 ) -> None:
     """Reload whenever `requested` is set, until cancelled; `apply` puts a configuration in force.
 
-    An invalid configuration changes nothing.
+    An invalid configuration is logged and ignored.
     """
     while await requested.wait():
         requested.clear()
@@ -28,10 +30,10 @@
             for issue in error.issues:
                 log_event(events.CONFIGURATION_REJECTED, why=issue)
             continue
-        except Exception:  # whatever a file may hold, the old configuration stays in force
+        except Exception:  # no file content may end the task: the old configuration stays in force
             log_internal_error("reload")
             continue
-        if application.relay.handover_log:  # meanwhile the folder was handed over, and so were watch and notices
+        if application.relay.handover_log:  # the folder, the watch and the notices were handed over meanwhile
             continue
         pending_keys = keys_pending_restart(running, new)
         keep_running_values(running, new, pending_keys)
@@ -41,7 +43,7 @@
 
 
 def keys_pending_restart(running: Configuration, new: Configuration) -> list[str]:
-    """Return the keys that differ and take effect only at the next start, with "settings" for the platform's own."""
+    """Return the changed keys that take effect only at the next start; "settings" for the platform's settings."""
     changed = [
         key.path
         for key in KEYS.values()
@@ -51,7 +53,7 @@
 
 
 def keep_running_values(running: Configuration, new: Configuration, pending_keys: list[str]) -> None:
-    """Set the keys that wait for the next start back to the values in force."""
+    """Reset the keys that take effect at the next start to the values in force."""
     new.module = running.module
     for path in pending_keys:
         if path != MODULE_SETTINGS:
--- a/dewpin/daemon/resource_limits.py
+++ b/dewpin/daemon/resource_limits.py
@@ -1,18 +1,18 @@
-"""How a process's limits on descriptors, memory and disk are shared out among its parts."""
+"""Distribution of a process's limits on descriptors, memory and disk among its components."""
 
 from ..console.server import MAX_DESCRIPTORS as CONSOLE_DESCRIPTORS
 from ..net.connection_table import MAX_ACCEPTED_AT_ONCE, MAX_REJECTED_CONNECTIONS, ServerLimits
 from .sender_parts import SenderParts
 
-OTHER_DESCRIPTORS = 16  # beside connections of clients and to receivers
+OTHER_DESCRIPTORS = 16  # descriptors other than connections of clients and to receivers
 MIN_CLIENT_CONNECTIONS = 8
 MIN_IDLE_CONNECTIONS = 8
 MAX_DEFAULT_IDLE_CONNECTIONS = 128
-REQUEST_MEMORY_SHARE = 4.0  # one part in so many of the memory is for requests that are not complete
+REQUEST_MEMORY_DIVISOR = 4.0  # one fourth of the memory may hold incomplete requests
 
 
 def apply_limits(application: SenderParts) -> None:
-    """Put the limits and the time-outs of clients' connections in force, at the start and at a reload."""
+    """Apply the resource limits and the time-outs of client connections, at the start and at a reload."""
     deployment = application.configuration.deployment
     pool, server = application.pool, application.server
     previous_process_descriptors = application.handover_reader.descriptors
@@ -37,7 +37,7 @@
     server.set_limits(
         ServerLimits(
             max_connections=min(max_clients, door.max_connections) if door.max_connections else max_clients,
-            max_buffered_bytes=limits.memory_bytes / REQUEST_MEMORY_SHARE,
+            max_buffered_bytes=limits.memory_bytes / REQUEST_MEMORY_DIVISOR,
             read_timeout_seconds=door.request_timeout_ms / 1000.0,
             min_idle_seconds=door.min_idle_ms / 1000.0,
             keep_alive_timeout_seconds=door.max_idle_ms / 1000.0,
--- a/dewpin/daemon/sender_parts.py
+++ b/dewpin/daemon/sender_parts.py
@@ -1,4 +1,4 @@
-"""The parts of one sender's process, as the modules see them that work on several of them."""
+"""The components of one sender's process, for modules that work on several of them."""
 
 from ..config.loading import Configuration
 from ..console.server import ConsoleServer
@@ -19,26 +19,27 @@
 
 
 class SenderParts:
-    """All parts of one sender's process; `SenderApplication` makes them, each once.
+    """All components of one sender's process; `SenderApplication` creates each of them once.
 
     Attributes:
-        configuration: what is in force; a reload replaces it whole.
-        source: where the configuration is read from.
-        folder: the state folder.
-        console: the server for operators' calls, and `operator_actions` that answers them.
+        configuration: the configuration in force; a reload replaces it as a whole.
+        source: the sources that the configuration is read from.
+        folder: path of the state folder.
+        operator_actions: operations for the console.
+        console: the HTTP server for operators.
         pool: connections to receivers.
         facade: the decision module.
         claim: this process's claim on a folder that a previous process still holds.
-        folder_lock: the lock of the state folder; None while the previous process has it.
+        folder_lock: the lock of the state folder; None while the previous process holds it.
         journal: messages on disk.
-        handover_reader: reads what the previous process reports during an upgrade.
-        notices: notices to the platform's agent of messages that were given up.
-        relay: the life of messages.
+        handover_reader: reads the reports of the previous process during an upgrade.
+        notices: sends notices of messages that were given up to the platform's agent.
+        relay: life cycle of messages.
         server: the HTTP server for clients.
-        started_ms: Unix time of the start.
-        endpoint_cache: the list of receivers on disk.
-        watch: the watch on the agent's list of receivers.
-        control_socket: answers `dewpin status`.
+        started_ms: Unix time of the start in ms.
+        endpoint_cache: the endpoint list on disk.
+        watch: the watch on the agent's endpoint list.
+        control_socket: serves `dewpin status`.
     """
 
     operator_actions: OperatorActions
@@ -58,7 +59,7 @@
     control_socket: ControlSocket
 
     def __init__(self, configuration: Configuration, source: ConfigurationSource) -> None:
-        """Start without the parts that a start makes."""
+        """Set the configuration; the other components are created at the start."""
         self.configuration = configuration
         self.source = source
         self.folder = configuration.deployment.sender.state_folder
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -1,7 +1,7 @@
-"""The status of a running sender, in plain values, read off the parts that own them.
+"""The status of a running sender as plain values, collected from its components without changing them.
 
-Nothing is changed. As thousands of destinations may be known, the status is collected in slices with a pause after
-each, and lists only the destinations with most messages. The keys of the result are those of `dewpin status --json`.
+There may be thousands of destinations: the status is collected in slices with a pause after each, and lists only the
+destinations with the most messages. The keys of the result are those of `dewpin status --json`.
 """
 
 import os
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from ..relay.facade import Facade
 
-SLICE_SIZE = 200  # queues or receivers that are read before others have their turn
+SLICE_SIZE = 200  # queues or receivers that are read between two pauses
 
 Pause = Callable[[], Awaitable[None]]
 
@@ -24,14 +24,14 @@
 async def collect_status(application: SenderParts, max_queues: int, pause: Pause) -> dict[str, Any]:
     """Return the whole status.
 
-    `max_queues`: destinations listed at most; `pause`: gives other tasks their turn.
+    `max_queues`: maximum number of destinations listed; `pause`: yields to other tasks.
     """
     relay, facade = application.relay, application.relay.facade
     now_ms = relay.clock.now_ms()
     queues = list(facade.dispatcher.queues)
     listed_queues = await _largest_queues(facade, queues, max_queues, now_ms, pause)
     receivers = list(facade.endpoints.receivers.values())
-    healths = await _count_healths(receivers, pause)
+    health_counts = await _count_by_health(receivers, pause)
     return {
         "name": application.configuration.deployment.sender.name,
         "version": __version__,
@@ -43,7 +43,7 @@
         "clients": _client_counts(application),
         "spool": _journal_sizes(application),
         "process": _process_resources(application),
-        "receivers": healths | {"known": len(receivers)},
+        "receivers": health_counts | {"known": len(receivers)},
         "lines_known": len(queues),
         "lines": listed_queues,
     }
@@ -52,21 +52,21 @@
 async def _largest_queues(
     facade: "Facade", queues: Sequence[Any], max_queues: int, now_ms: float, pause: Pause
 ) -> list[dict[str, Any]]:
-    """Describe the queues with most messages; of equals the one with the older first message comes first."""
-    weights = []
+    """Describe the queues with the most messages; of equal ones, the one with the older first message first."""
+    sizes_and_positions = []
     for position, queue in enumerate(queues):
-        weights.append((queue_size(queue), -position))
+        sizes_and_positions.append((queue_size(queue), -position))
         if position % SLICE_SIZE == SLICE_SIZE - 1:
             await pause()
     described: list[dict[str, Any]] = []
-    for _, negative_position in nlargest(max_queues, weights):
+    for _, negative_position in nlargest(max_queues, sizes_and_positions):
         described.append(describe_queue(queues[-negative_position], now_ms))
         if len(described) % SLICE_SIZE == 0:
             await pause()
     return described
 
 
-async def _count_healths(receivers: Sequence[Any], pause: Pause) -> dict[str, int]:
+async def _count_by_health(receivers: Sequence[Any], pause: Pause) -> dict[str, int]:
     counts = {"set aside": 0, "failing": 0, "well": 0, "unknown": 0}
     for position, receiver in enumerate(receivers):
         counts[_health_name(receiver.health)] += 1
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' console: the response to each call, without I/O and against the program itself."""
+"""The operators' console: responses of the request handler without I/O, and of a running sender."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 class StubSender:
-    """Knows one receiver."""
+    """Sender with a single receiver, `a b`."""
 
     def is_ready(self):
         return True
@@ -48,11 +48,11 @@
         (b"POST /_receivers/attach?host=" + b"x" * 300, 400),
     ],
 )
-def test_call_has_its_status(line, status):
+def test_each_request_gets_its_status(line, status):
     assert calls.respond((*line.split(b" "), b"HTTP/1.1"), StubSender()).status == status
 
 
-def test_metrics_have_the_names_of_the_operators_page():
+def test_metrics_have_the_documented_names():
     assert json.loads(calls.respond((b"GET", b"/_vars", b"HTTP/1.1"), StubSender()).body) == {
         "replies": {"notice": {"success": 3, "overload": 2, "error": 1}},
         "concurrent": 5,
@@ -63,11 +63,11 @@
 
 
 async def call(sender, line):
-    """(status, body) of one call at the console."""
+    """Sends one request to the console; returns (status, body)."""
     reader, writer = await asyncio.open_connection(*sender.console)
     writer.write(line + b" HTTP/1.1\r\n\r\n")
     message = await asyncio.wait_for(read_message(reader), 5.0)
-    assert await reader.read() == b""  # one call to a connection
+    assert await reader.read() == b""  # one request per connection
     writer.close()
     return int(message[0].split()[1]), message[2]
 
@@ -76,9 +76,9 @@
     return json.loads((await call(sender, b"GET /_vars"))[1])
 
 
-def test_metrics_count_endings_of_messages_while_silent_callers_are_connected(tmp_path):
-    async def scene(outside, sender):
-        silent = [await asyncio.open_connection(*sender.console) for _ in range(30)]
+def test_metrics_count_endings_of_messages_while_idle_connections_are_open(tmp_path):
+    async def scenario(outside, sender):
+        idle = [await asyncio.open_connection(*sender.console) for _ in range(30)]
         assert (await call(sender, b"GET /_ready"))[0] == 200
         await sender.hand_in("good")
         await until(lambda: outside.calls)
@@ -88,56 +88,56 @@
         outside.script = lambda call: reply(429, b"Retry-After: 5")
         await sender.hand_in("told", kind="status", left=0.4)
         await until(lambda: len(outside.notices) == 2)
-        assert (await sender.hand_in("good"))[0] == 409  # an id that was taken on
-        found = await read_metrics(sender)
-        assert found["replies"]["notice"] == {"success": 1, "overload": 0, "error": 1}
-        assert found["replies"]["charge"] == {"success": 0, "overload": 0, "error": 1}
-        assert found["replies"]["status"] == {"success": 0, "overload": 1, "error": 0}
-        assert found["dispatches"] == len(outside.calls) and found["targets"] == 2
+        assert (await sender.hand_in("good"))[0] == 409  # an id that was already accepted
+        metrics = await read_metrics(sender)
+        assert metrics["replies"]["notice"] == {"success": 1, "overload": 0, "error": 1}
+        assert metrics["replies"]["charge"] == {"success": 0, "overload": 0, "error": 1}
+        assert metrics["replies"]["status"] == {"success": 0, "overload": 1, "error": 0}
+        assert metrics["dispatches"] == len(outside.calls) and metrics["targets"] == 2
         outside.script = lambda call: None
         await sender.hand_in("held", kind="status")
         assert (await read_metrics(sender))["concurrent"] == 1
-        for _, writer in silent:
+        for _, writer in idle:
             writer.close()
 
-    play(tmp_path, scene, receivers=2)
+    play(tmp_path, scenario, receivers=2)
 
 
 def test_detached_receiver_gets_nothing_until_attached_despite_list_changes_and_a_kill(tmp_path):
-    async def scene(outside, sender):
-        def reached():
+    async def scenario(outside, sender):
+        def used_receivers():
             return {call[3] for call in outside.calls}
 
         async def hand_in(count):
             outside.calls.clear()
             for number in range(count):
-                ident = f"m{len(outside.watching)}-{id(reached)}-{number}-{outside.revision}-{count}"
-                await sender.hand_in(ident)  # its own call: one of before a kill may come again beside it
+                ident = f"m{len(outside.watching)}-{id(used_receivers)}-{number}-{outside.revision}-{count}"
+                await sender.hand_in(ident)  # wait for this id: an earlier call may be repeated after a kill
                 await until(lambda ident=ident: ident.encode() in outside.idents())
 
         assert (await call(sender, b"POST /_receivers/detach?host=r9"))[0] == 404
-        for _ in range(2):  # calls out may be repeated
+        for _ in range(2):  # the request is idempotent
             assert (await call(sender, b"POST /_receivers/detach?host=r0"))[0] == 200
         assert (await read_metrics(sender))["targets_disabled"] == 1
         await hand_in(6)
-        assert reached() == {1}
+        assert used_receivers() == {1}
         await until(lambda: outside.watching)
         outside.change(0, "leaving")
         await until(lambda: outside.watching)
-        outside.change(0, "active")  # the list has no say
+        outside.change(0, "active")  # a list update does not attach it
         await until(lambda: outside.watching)
         await hand_in(7)
-        assert reached() == {1}
+        assert used_receivers() == {1}
         await sender.end(signal.SIGKILL)
         await sender.start()
         await hand_in(8)
-        assert reached() == {1}
+        assert used_receivers() == {1}
         assert (await call(sender, b"POST /_receivers/attach?host=r0"))[0] == 200
         assert (await call(sender, b"POST /_receivers/attach?host=r0"))[0] == 200
         assert (await call(sender, b"POST /_receivers/detach?host=r1"))[0] == 200
         await hand_in(9)
-        assert reached() == {0}
+        assert used_receivers() == {0}
         assert (await call(sender, b"POST /_receivers/attach?host=r1"))[0] == 200
         assert (await read_metrics(sender))["targets_disabled"] == 0
 
-    play(tmp_path, scene, receivers=2)
+    play(tmp_path, scenario, receivers=2)
