--- a/tests/daemon/test_bounds.py
+++ b/tests/daemon/test_bounds.py
@@ -1,4 +1,4 @@
-"""Limits of a sender: messages, connections, memory, and clients that retry too soon."""
+"""Resource limits of a sender: messages, connections, memory, and clients that retry too soon."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 
 
 def test_accepted_id_is_rejected_as_duplicate_even_after_its_end_or_a_kill(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         assert (await sender.hand_in("m"))[0] == 202
         assert (await sender.hand_in("m"))[0] == 409
         await until(lambda: outside.idents() and sender.owed() == 0)
@@ -20,24 +20,24 @@
         assert (await sender.hand_in("n"))[0] == 202
         await until(lambda: outside.idents() == [b"m", b"n"])
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_client_that_retries_at_once_after_rejections_is_slowed_down(tmp_path):
-    async def scene(outside, sender):
-        kept, began, heard = await sender.connect(), time.monotonic(), 0
-        while time.monotonic() < began + 1.0:
-            assert (await sender.hand_in("m", kind="unheard-of", connection=kept))[0] == 400
-            heard += 1
-        assert 3 < heard < 10
+    async def scenario(outside, sender):
+        connection, started_at, responses = await sender.connect(), time.monotonic(), 0
+        while time.monotonic() < started_at + 1.0:
+            assert (await sender.hand_in("m", kind="unheard-of", connection=connection))[0] == 400
+            responses += 1
+        assert 3 < responses < 10
         for at in range(20):
             assert (await sender.hand_in(f"n{at}"))[0] == 202
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_full_sender_rejects_messages_with_retry_after(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.told["settings"]["Allowed"]["MaxOpen"] = 3
         sender.told["settings"]["FamilyInfo"]["CallSlots"] = 1
         await sender.start()
@@ -46,25 +46,25 @@
         assert [answer[0] for answer in answers] == [202, 202, 202, 503]
         assert 0.0 < float(answers[3][1][b"retry-after"]) <= 2.0
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
 def test_connections_over_the_limit_replace_idle_ones_or_get_503(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         first = await sender.connect()
         await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", first)
         busy, tasks = [], []
-        while not any(task.done() for task in tasks):  # requests that do not come whole
+        while not any(task.done() for task in tasks):  # incomplete requests
             busy.append(await sender.connect())
             busy[-1][1].write(b"POST /api HTTP/1.1\r\n")
             tasks.append(asyncio.create_task(busy[-1][0].read()))
             await asyncio.sleep(0.01)
         assert b" 503 " in tasks[-1].result() and 4 < len(tasks) < 128
-        busy[0][1].write(b"\r\n")  # those inside go on
+        busy[0][1].write(b"\r\n")  # accepted connections continue
         assert b" 400 " in await asyncio.wait_for(tasks[0], 5.0)
-        assert await asyncio.wait_for(first[0].read(), 5.0) == b""  # between requests: closed for another
+        assert await asyncio.wait_for(first[0].read(), 5.0) == b""  # idle, closed to make room
         flood = [await sender.connect() for _ in range(500)]
-        for reader, writer in flood:  # they say nothing, and are closed in time
+        for reader, writer in flood:  # idle connections are closed in time
             assert not (await asyncio.wait_for(reader.read(), 5.0)).startswith(b"HTTP/1.1 2")
             writer.close()
         assert (await sender.hand_in("m"))[0] == 202
@@ -73,37 +73,37 @@
         log = (await sender.log).decode()
         assert not any(name in log for name in ("fault", "internal_error", "request.failed", "control.failed"))
 
-    play(tmp_path, scene, sockets=128)
+    play(tmp_path, scenario, sockets=128)
 
 
-def test_silent_connections_do_not_keep_clients_out(tmp_path):
-    async def scene(outside, sender):
-        silent = [await sender.connect() for _ in range(300)]  # more than there are places
-        last = time.monotonic()
-        await until(lambda: time.monotonic() > last + 0.6)
+def test_idle_connections_do_not_block_clients(tmp_path):
+    async def scenario(outside, sender):
+        idle = [await sender.connect() for _ in range(300)]  # more than the limit
+        connected_at = time.monotonic()
+        await until(lambda: time.monotonic() > connected_at + 0.6)
         for at in range(20):
             assert (await sender.hand_in(f"m{at}"))[0] == 202
-        for _, writer in silent:
+        for _, writer in idle:
             writer.close()
 
-    play(tmp_path, scene, sockets=256)
+    play(tmp_path, scenario, sockets=256)
 
 
 def test_responses_close_their_connections_while_many_are_open(tmp_path):
-    async def scene(outside, sender):
-        held, ended = [], 0
-        for at in range(60):  # each asks once and holds on
-            held.append(await sender.connect())
-            status, fields = await sender.hand_in(f"m{at}", connection=held[-1])
+    async def scenario(outside, sender):
+        connections, closed = [], 0
+        for at in range(60):  # each sends one request and stays connected
+            connections.append(await sender.connect())
+            status, fields = await sender.hand_in(f"m{at}", connection=connections[-1])
             assert status == 202
-            ended += fields.get(b"connection") == b"close"
-        assert 30 < ended < 60 and (await sender.hand_in("first", connection=held[0]))[0] == 202
+            closed += fields.get(b"connection") == b"close"
+        assert 30 < closed < 60 and (await sender.hand_in("first", connection=connections[0]))[0] == 202
 
-    play(tmp_path, scene, sockets=128)
+    play(tmp_path, scenario, sockets=128)
 
 
 def test_message_is_not_accepted_after_its_client_gave_up_during_a_stall(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.process.send_signal(signal.SIGSTOP)
         reader, writer = await sender.connect()
         writer.write(
@@ -116,11 +116,11 @@
         await until(lambda: b"n" in outside.idents())
         assert outside.idents() == [b"n"] and sender.owed() <= 1
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_many_concurrent_messages_are_delivered_within_the_limits(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         async def client(number):
             connection = await sender.connect()
             for at in range(10):
@@ -132,38 +132,38 @@
         await until(lambda: len(set(outside.idents())) == 120, 30.0)
         assert len(outside.calls) == 120 and len(outside.connections) <= 8
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_memory_stays_constant_while_messages_and_connections_come_and_go(tmp_path):
-    async def scene(outside, sender):
-        def resident():
+def test_memory_stays_constant_over_many_messages(tmp_path):
+    async def scenario(outside, sender):
+        def resident_kb():
             return int(re.search(r"RssAnon:\s+(\d+)", open(f"/proc/{sender.process.pid}/status").read())[1])
 
-        held = []
-        for part in range(4):
+        samples = []
+        for batch in range(4):
             for at in range(700):
-                assert (await sender.hand_in(f"m{part}-{at}", left=0.8, body=b"x" * 2000))[0] == 202
-            held.append(resident())
-        assert held[3] - held[1] < 1500, held
+                assert (await sender.hand_in(f"m{batch}-{at}", left=0.8, body=b"x" * 2000))[0] == 202
+            samples.append(resident_kb())
+        assert samples[3] - samples[1] < 1500, samples
 
-    play(tmp_path, scene, memory_mb=64)
+    play(tmp_path, scenario, memory_mb=64)
 
 
-def test_incomplete_bodies_are_held_within_a_limit(tmp_path):
-    async def scene(outside, sender):
+def test_incomplete_bodies_are_buffered_within_a_limit(tmp_path):
+    async def scenario(outside, sender):
         plain = b"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n"
         chunked = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nea60\r\n"
-        busy, heard = [], []
+        busy, responses = [], []
         for at in range(400):
             busy.append(await sender.connect())
             busy[-1][1].write((plain, chunked)[at % 2] + b"x" * 60000 + b"\r\n")
-            heard.append(asyncio.create_task(busy[-1][0].read()))
-        await until(lambda: sum(task.done() for task in heard) > 50)
-        assert all(b" 503 " in task.result() for task in heard if task.done())
+            responses.append(asyncio.create_task(busy[-1][0].read()))
+        await until(lambda: sum(task.done() for task in responses) > 50)
+        assert all(b" 503 " in task.result() for task in responses if task.done())
         assert (await sender.hand_in("m"))[0] == 202
         await until(lambda: b"m" in outside.idents())
         status = open(f"/proc/{sender.process.pid}/status").read()
         assert int(re.search(r"VmHWM:\s+(\d+)", status)[1]) < 64000
 
-    play(tmp_path, scene, memory_mb=64)
+    play(tmp_path, scenario, memory_mb=64)
--- a/tests/daemon/test_late_connections.py
+++ b/tests/daemon/test_late_connections.py
@@ -1,5 +1,8 @@
-"""Connections to receivers that come up late, and what happens in the meantime: the receiver's queue is full, so that
-the sender's first SYN is lost and its connection comes up with the second one, a second later."""
+"""Connections to receivers that are established late, with a kill, stop or upgrade in the meantime.
+
+The receiver's accept queue is full: the sender's first SYN is dropped, and its connection is established with the
+second SYN, one second later.
+"""
 
 import asyncio
 import signal
@@ -10,26 +13,26 @@
 SYN_SENT = "02"
 
 
-class Full:
-    """A receiver that accepts by hand, and whose queue of connections can be filled."""
+class FullReceiver:
+    """A receiver that accepts connections only on demand, and whose accept queue can be filled."""
 
     def __init__(self):
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=0)
         self.socket.setblocking(False)
         self.port = self.socket.getsockname()[1]
-        self.filling, self.calls, self.serving = [], [], None
+        self.fillers, self.calls, self.serving = [], [], None
 
     async def accept(self):
         return (await asyncio.get_running_loop().sock_accept(self.socket))[0]
 
     def fill(self):
         for _ in range(4):
-            self.filling.append(socket.socket())
-            self.filling[-1].setblocking(False)
-            self.filling[-1].connect_ex(("127.0.0.1", self.port))
+            self.fillers.append(socket.socket())
+            self.fillers[-1].setblocking(False)
+            self.fillers[-1].connect_ex(("127.0.0.1", self.port))
 
     def serve(self):
-        """Empties the queue, and answers whatever call comes from then on."""
+        """Empties the accept queue, and responds to all calls from then on."""
         self.serving = asyncio.get_running_loop().create_task(self._serve())
 
     async def _serve(self):
@@ -42,9 +45,9 @@
             self.calls.append(message[1][b"req-id"])
             writer.write(reply(200))
 
-    def waited_for(self):
-        """Whether a connection to it, beside those that fill it, is on its way."""
-        own = {one.getsockname()[1] for one in self.filling}
+    def has_pending_connection(self):
+        """Returns whether a connection other than those that fill the queue is being established."""
+        own = {filler.getsockname()[1] for filler in self.fillers}
         with open("/proc/net/tcp") as file:
             rows = [line.split() for line in file.readlines()[1:]]
         return any(
@@ -56,69 +59,69 @@
 
     def close(self):
         self.serving.cancel()
-        for one in (self.socket, *self.filling):
-            one.close()
+        for each in (self.socket, *self.fillers):
+            each.close()
 
 
-def member(outside):
-    full = Full()
-    outside.members[0]["host_port"] = f"127.0.0.1:{full.port}"
-    return full
+def replace_receiver(outside):
+    receiver = FullReceiver()
+    outside.members[0]["host_port"] = f"127.0.0.1:{receiver.port}"
+    return receiver
 
 
-async def on_its_way(outside, sender):
-    """A once-only mail was picked, and its connection has not come up."""
-    full = member(outside)
+async def start_pending_attempt(outside, sender):
+    """Starts an attempt of a non-idempotent message whose connection is not established yet."""
+    receiver = replace_receiver(outside)
     await sender.start()
-    full.fill()
+    receiver.fill()
     await sender.hand_in("once", kind="charge")
-    await until(full.waited_for)
-    return full
+    await until(receiver.has_pending_connection)
+    return receiver
 
 
-def test_message_was_not_executed_if_killed_while_its_connection_was_made(tmp_path):
-    async def scene(outside, sender):
-        full = await on_its_way(outside, sender)
+def test_message_counts_as_not_executed_after_a_kill_while_connecting(tmp_path):
+    async def scenario(outside, sender):
+        receiver = await start_pending_attempt(outside, sender)
         await sender.end()
-        full.serve()
+        receiver.serve()
         await sender.start()
-        await until(lambda: outside.notices or full.calls)
-        assert full.calls == [b"once"] and not outside.notices
-        full.close()
+        await until(lambda: outside.notices or receiver.calls)
+        assert receiver.calls == [b"once"] and not outside.notices
+        receiver.close()
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
-def test_connection_made_after_the_last_attempt_may_start_is_left_to_the_next_start(tmp_path):
-    async def scene(outside, sender):
+def test_message_whose_connection_is_established_too_late_in_a_stop_is_sent_after_the_next_start(tmp_path):
+    async def scenario(outside, sender):
         sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 10000.0}
-        full = await on_its_way(outside, sender)
+        receiver = await start_pending_attempt(outside, sender)
         sender.process.send_signal(signal.SIGTERM)
-        while (await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200:  # until the signal is taken in
+        while (await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200:  # until the signal is handled
             pass
-        full.serve()
+        receiver.serve()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
-        assert not full.calls and not outside.notices
+        assert not receiver.calls and not outside.notices
         await sender.start()
-        await until(lambda: full.calls)
-        assert full.calls == [b"once"] and not outside.notices
-        full.close()
+        await until(lambda: receiver.calls)
+        assert receiver.calls == [b"once"] and not outside.notices
+        receiver.close()
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
-def test_connection_made_after_the_hand_over_is_left_to_the_next_process(tmp_path):
-    async def scene(outside, sender):
-        full = await on_its_way(outside, sender)
+def test_message_whose_connection_is_established_after_the_hand_over_is_sent_by_the_next_process(tmp_path):
+    async def scenario(outside, sender):
+        receiver = await start_pending_attempt(outside, sender)
         sender.told["listen"] = "%s:%d" % sender.address
-        again = Sender(outside, tmp_path)
-        again.told = sender.told
-        await again.start()
-        full.serve()
-        await until(lambda: full.calls and not again.owed())
+        next_sender = Sender(outside, tmp_path)
+        next_sender.told = sender.told
+        await next_sender.start()
+        receiver.serve()
+        await until(lambda: receiver.calls and not next_sender.owed())
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
-        assert full.calls == [b"once"] and not outside.notices
-        await again.end()
-        full.close()
+        assert receiver.calls == [b"once"] and not outside.notices
+        await next_sender.end()
+        receiver.close()
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
--- a/tests/daemon/test_malformed_messages.py
+++ b/tests/daemon/test_malformed_messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers that are malformed, cut off or too long: what the sender answers, and what it makes of them."""
+"""Malformed, truncated and oversized requests and responses, and the sender's reactions."""
 
 import time
 
@@ -23,32 +23,32 @@
     ],
 )
 def test_malformed_request_is_rejected_and_its_connection_closed(tmp_path, raw, status):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         reader, writer = await sender.connect()
         writer.write(raw)
         message = await read_message(reader)
         assert int(message[0].split()[1]) == status and message[1][b"connection"] == b"close"
         assert await reader.read() == b""
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_well_formed_but_invalid_requests_are_answered_and_the_connection_stays_open(tmp_path):
-    async def scene(outside, sender):
-        kept = await sender.connect()
-        assert (await sender.ask(b"GET /nowhere HTTP/1.1\r\n\r\n", kept))[0] == 404
-        assert (await sender.ask(b"GET /api HTTP/1.1\r\n\r\n", kept))[0] == 405
-        assert (await sender.ask(b"POST /api HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n", kept))[0] == 400
-        assert (await sender.hand_in("a", kind="unheard-of", connection=kept))[0] == 400
-        assert (await sender.hand_in("a", left=-1, connection=kept))[0] == 400
-        assert (await sender.hand_in("good", connection=kept))[0] == 202
+    async def scenario(outside, sender):
+        connection = await sender.connect()
+        assert (await sender.ask(b"GET /nowhere HTTP/1.1\r\n\r\n", connection))[0] == 404
+        assert (await sender.ask(b"GET /api HTTP/1.1\r\n\r\n", connection))[0] == 405
+        assert (await sender.ask(b"POST /api HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n", connection))[0] == 400
+        assert (await sender.hand_in("a", kind="unheard-of", connection=connection))[0] == 400
+        assert (await sender.hand_in("a", left=-1, connection=connection))[0] == 400
+        assert (await sender.hand_in("good", connection=connection))[0] == 202
         await until(lambda: outside.idents() == [b"good"])
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 OK = reply(200)
-BAD = [
+MALFORMED_ERRORS = [
     b"\x00\xff noise",
     b"HTTP/1.1 99\r\n\r\n",
     b"HTTP/1.1 500 x\r\nno header\r\n\r\n",
@@ -58,7 +58,7 @@
     b"HTTP/1.1 429 x\r\nContent-Length: 9\r\n\r\nhalf",
     b"HTTP/1.1 503 x\r\nx: " + b"y" * 99999,
 ]
-TRUE = [
+MALFORMED_SUCCESSES = [
     b"HTTP/1.1 200 x\r\n",
     b"HTTP/1.1 200 x\r\nno header\r\n\r\n",
     b"HTTP/1.1 200 x\r\nx: " + b"y" * 99999,
@@ -73,18 +73,20 @@
 
 
 def test_malformed_response_may_have_executed_and_a_200_status_line_counts_as_delivered(tmp_path):
-    async def scene(outside, sender):
-        outside.script = lambda call: (BAD + TRUE)[int(call[0][1:])] if call[0][:1] == b"m" else OK
-        for at in range(len(BAD + TRUE)):
+    async def scenario(outside, sender):
+        outside.script = lambda call: (
+            (MALFORMED_ERRORS + MALFORMED_SUCCESSES)[int(call[0][1:])] if call[0][:1] == b"m" else OK
+        )
+        for at in range(len(MALFORMED_ERRORS + MALFORMED_SUCCESSES)):
             for ident in (f"good{at}", f"m{at}"):
-                began = time.monotonic()
+                started_at = time.monotonic()
                 assert (await sender.hand_in(ident, kind="charge"))[0] == 202
                 await until(lambda: ident.encode() in outside.idents() and sender.owed() == 0)
-                assert time.monotonic() - began < 1.4  # none is waited for until its time-out
-        assert {one["message"] for one in outside.notices} == {f"m{at}" for at in range(len(BAD))}
-        assert {one["outcome"] for one in outside.notices} == {"given_up"}
+                assert time.monotonic() - started_at < 1.4  # none takes until its time-out
+        assert {notice["message"] for notice in outside.notices} == {f"m{at}" for at in range(len(MALFORMED_ERRORS))}
+        assert {notice["outcome"] for notice in outside.notices} == {"given_up"}
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 HEAD = (
@@ -96,7 +98,7 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        HEAD + b"Content-Length: 1\r\n\r\nxGET / HTTP/1.1\r\n\r\n",  # more than it says
+        HEAD + b"Content-Length: 1\r\n\r\nxGET / HTTP/1.1\r\n\r\n",  # longer than its Content-Length
         (HEAD + b"\r\n") * 300,
         HEAD + b"Content-Length: 2\r\n\r\nx",
         b"",
@@ -116,19 +118,19 @@
     ],
 )
 def test_misbehaving_client_gets_an_error_or_close_in_time_and_nothing_is_forwarded(tmp_path, raw):
-    async def scene(outside, sender):
-        began, (reader, writer) = time.monotonic(), await sender.connect()
-        usual = await sender.connect()
-        assert (await sender.hand_in("a", connection=usual))[0] == 202
+    async def scenario(outside, sender):
+        started_at, (reader, writer) = time.monotonic(), await sender.connect()
+        other_connection = await sender.connect()
+        assert (await sender.hand_in("a", connection=other_connection))[0] == 202
         writer.write(raw)
         try:
-            heard = await reader.read(1000)
+            received = await reader.read(1000)
         except ConnectionError:
-            heard = b""
-        assert heard == b"" or heard.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
-        assert time.monotonic() - began < 2.9
-        assert (await sender.hand_in("b", connection=usual))[0] == 202
-        # without a key nothing orders them: on two new connections one may come before the other
+            received = b""
+        assert received == b"" or received.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
+        assert time.monotonic() - started_at < 2.9
+        assert (await sender.hand_in("b", connection=other_connection))[0] == 202
+        # messages without a key are unordered: on two connections they may arrive in either order
         await until(lambda: sorted(outside.idents()) == [b"a", b"b"] and sender.owed() == 0)
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
--- a/tests/daemon/test_reload.py
+++ b/tests/daemon/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP with an operator's file, stops, and a log that nobody reads."""
+"""Reload at SIGHUP with an operator's file, stops, and a blocked reader of the log."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 
 def collect_log_lines(sender):
-    """Reads the sender's log as it comes; gives the growing list of lines."""
+    """Reads the sender's log in the background; returns the list to which lines are appended."""
     lines = []
 
     async def read():
@@ -26,47 +26,47 @@
     return lines
 
 
-def test_file_is_swapped_completely_or_not_at_all_when_sighup_comes_while_it_is_written(tmp_path):
+def test_file_is_applied_completely_or_not_at_all_when_sighup_arrives_while_it_is_written(tmp_path):
     file = tmp_path / "dewpin.toml"
-    whole = example_file().replace("rate = 5", "rate = 50").replace('level = "info"', 'level = "debug"')
+    complete = example_file().replace("rate = 5", "rate = 50").replace('level = "info"', 'level = "debug"')
 
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         file.write_text(example_file())
         sender.arguments = ["--config", str(file)]
         await sender.start()
         lines = collect_log_lines(sender)
 
-        def kept():
+        def rejections():
             return [line for line in lines if " configuration.rejected: " in line]
 
-        half = whole[: whole.index("[log]") + 60]
-        file.write_text(half[: half.rindex("\n") + 1])  # a good file by itself, but not to its end
+        truncated = complete[: complete.index("[log]") + 60]
+        file.write_text(truncated[: truncated.rindex("\n") + 1])  # valid but incomplete
         sender.process.send_signal(signal.SIGHUP)
-        await until(lambda: kept())
-        assert "it is taken for half written" in kept()[0]
-        file.write_text(whole.replace('disk = "3MB"', "disk = 3").replace("sockets = 1024", "sokets = 3"))
+        await until(lambda: rejections())
+        assert "it is taken for half written" in rejections()[0]
+        file.write_text(complete.replace('disk = "3MB"', "disk = 3").replace("sockets = 1024", "sokets = 3"))
         sender.process.send_signal(signal.SIGHUP)
-        await until(lambda: len(kept()) == 3)  # each fault a line
-        assert any("limits.disk: expected a size" in line for line in kept())
-        assert any("did you mean limits.sockets?" in line for line in kept())
+        await until(lambda: len(rejections()) == 3)  # one line per error
+        assert any("limits.disk: expected a size" in line for line in rejections())
+        assert any("did you mean limits.sockets?" in line for line in rejections())
         assert (await sender.hand_in("before"))[0] == 202
         with open(file, "w") as slow:  # written in pieces while it is read
             sender.process.send_signal(signal.SIGHUP)
-            for at in range(0, len(whole), 400):
-                slow.write(whole[at : at + 400])
+            for at in range(0, len(complete), 400):
+                slow.write(complete[at : at + 400])
                 slow.flush()
                 await asyncio.sleep(0.01)
         await until(lambda: any(" configuration.reloaded: agent at" in line for line in lines))
-        assert len(kept()) == 3
+        assert len(rejections()) == 3
         assert (await sender.hand_in("after"))[0] == 202
         await until(lambda: any("message.ended: relayed message=after" in line for line in lines))
         assert not any("message=before" in line for line in lines)
 
-    play(tmp_path, scene, start=False, log=False)
+    play(tmp_path, scenario, start=False, log=False)
 
 
-def test_reload_keeps_and_logs_keys_pending_restart_and_swaps_limits_at_once(tmp_path):
-    async def scene(outside, sender):
+def test_reload_logs_keys_pending_restart_and_applies_limits_at_once(tmp_path):
+    async def scenario(outside, sender):
         lines = collect_log_lines(sender)
         sender.told["name"], sender.told["settings"]["Allowed"]["MaxOpen"] = "other", 1
         sender.told["limits"]["disk_mb"] = 0.5
@@ -75,58 +75,58 @@
         assert 'pending="sender.name, settings"' in [line for line in lines if " configuration.reloaded: " in line][0]
         sender.reload()
         await until(lambda: sum(" configuration.reloaded: " in line for line in lines) == 2)
-        assert 'pending="sender.name, settings"' in lines[-1]  # still: against what is in force
+        assert 'pending="sender.name, settings"' in lines[-1]  # unchanged: compared with the values in force
         outside.script = lambda call: None
         answers = [(await sender.hand_in(f"m{at}", body=b"x" * 60000))[0] for at in range(6)]
-        assert answers[:2] == [202, 202] and answers[-1] == 503  # the smaller disk, and more mails than one
+        assert answers[:2] == [202, 202] and answers[-1] == 503  # from the new disk limit, not from MaxOpen = 1
         await until(lambda: any(" journal.full: " in line for line in lines))
 
-    play(tmp_path, scene, log=False)
+    play(tmp_path, scenario, log=False)
 
 
 def test_blocked_log_reader_affects_neither_responses_nor_memory(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.arguments = ["--set", "log.level=debug", "--set", "log.format=json"]
         sender.pipe = 0
-        await sender.start()  # from now on nobody reads
+        await sender.start()  # from now on the pipe is not read
 
-        def resident():
+        def resident_kb():
             return int(re.search(r"RssAnon:\s+(\d+)", open(f"/proc/{sender.process.pid}/status").read())[1])
 
-        connection, held = await sender.connect(), []
-        for part in range(4):
-            for at in range(300):  # each mail is told of by four lines of 200 bytes and more
-                assert (await sender.hand_in(f"m{part}-{at}", left=0.8, connection=connection))[0] == 202
-            held.append(resident())
+        connection, samples = await sender.connect(), []
+        for batch in range(4):
+            for at in range(300):  # each message logs four lines of at least 200 bytes
+                assert (await sender.hand_in(f"m{batch}-{at}", left=0.8, connection=connection))[0] == 202
+            samples.append(resident_kb())
         await until(lambda: sender.owed() == 0, 30.0)
-        assert held[3] - held[1] < 1500, held
+        assert samples[3] - samples[1] < 1500, samples
         os.set_blocking(sender.pipe, False)
         text, count = bytearray(), 0
         while b'"log.lost"' not in text or not text.endswith(b"\n"):
             try:
                 text += os.read(sender.pipe, 65536)
-            except BlockingIOError:  # the pipe is free again: what is told next tells of the loss
+            except BlockingIOError:  # the pipe is empty: the next log line reports the loss
                 count += 1
                 await sender.hand_in(f"x{count}", connection=connection)
                 await asyncio.sleep(0.01)
             assert count < 1000
         os.close(sender.pipe)
         lines = bytes(text[: text.rindex(b"\n")]).splitlines()
-        events = [json.loads(line) for line in lines]  # every line is whole
-        lost = next(one["lines"] for one in events if one["event"] == "log.lost")
+        events = [json.loads(line) for line in lines]  # every line is complete
+        lost = next(event["lines"] for event in events if event["event"] == "log.lost")
         assert lost > 1000
-        assert {one["event"] for one in events if one.get("message") == "m0-0"} == {
+        assert {event["event"] for event in events if event.get("message") == "m0-0"} == {
             "message.accepted",
             "attempt.started",
             "attempt.finished",
             "message.ended",
         }
 
-    play(tmp_path, scene, start=False, log=False)
+    play(tmp_path, scenario, start=False, log=False)
 
 
 def test_all_events_of_a_message_can_be_followed_by_its_id(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.arguments = ["--set", "log.level=debug", "--set", "log.format=json"]
         await sender.start()
         lines = collect_log_lines(sender)
@@ -134,11 +134,13 @@
         outside.script = lambda call: answers[outside.idents().count(call[0]) - 1]
         await sender.hand_in("m", left=15.0, key="", tag=b"t")
 
-        def course():
-            return [one for one in map(json.loads, lines) if one.get("message") == "m"]
+        def history():
+            return [event for event in map(json.loads, lines) if event.get("message") == "m"]
 
-        await until(lambda: course()[-1:] and course()[-1]["event"] == "message.ended", 30.0)
-        assert [(one["event"], one.get("outcome") or one.get("ending"), one.get("attempt")) for one in course()] == [
+        await until(lambda: history()[-1:] and history()[-1]["event"] == "message.ended", 30.0)
+        assert [
+            (event["event"], event.get("outcome") or event.get("ending"), event.get("attempt")) for event in history()
+        ] == [
             ("message.accepted", None, None),
             ("attempt.started", None, 1),
             ("attempt.finished", "full", 1),
@@ -150,7 +152,7 @@
             ("attempt.finished", "delivered", 3),
             ("message.ended", "relayed", 3),
         ]
-        assert [one["may_have_executed"] for one in course() if one["event"] == "attempt.finished"] == [
+        assert [event["may_have_executed"] for event in history() if event["event"] == "attempt.finished"] == [
             False,
             True,
             True,
@@ -161,14 +163,14 @@
         await until(lambda: any('"notice.acknowledged"' in line for line in lines), 30.0)
         assert any('"message.ended"' in line and '"bounced"' in line for line in lines)
 
-    play(tmp_path, scene, start=False, log=False)
+    play(tmp_path, scenario, start=False, log=False)
 
 
 def test_senders_with_the_same_configured_seed_get_different_dispatcher_seeds():
-    def made(name):
+    def seed_of(name):
         return dispatcher_seed(SimpleNamespace(name=name, seed="1f"))
 
-    assert made("n0") == made("n0") != made("n1") and made("n1") < 1 << 64
+    assert seed_of("n0") == seed_of("n0") != seed_of("n1") and seed_of("n1") < 1 << 64
 
 
 @pytest.mark.parametrize(
@@ -180,7 +182,7 @@
     ],
 )
 def test_simultaneous_stop_and_reload_end_the_process_and_lose_nothing(tmp_path, order):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 300.0}
         await sender.start()
         outside.script = lambda call: None
@@ -188,7 +190,7 @@
         await until(lambda: outside.calls)
         await sender.hand_in("next", kind="charge", key="k")
         await until(lambda: len(outside.calls) == 2)
-        await sender.hand_in("last", kind="charge", key="k")  # waits for its turn
+        await sender.hand_in("last", kind="charge", key="k")  # queued behind the message before it
         sender.process.send_signal(signal.SIGSTOP)
         (tmp_path / "config.json").write_text(json.dumps(sender.told | {"seed": "2e"}))
         for number in order:
@@ -199,40 +201,40 @@
         await sender.start()
         await until(lambda: not sender.owed())
         assert outside.idents() == [b"once", b"next", b"last"]
-        assert {one["message"] for one in outside.notices} == {"once", "next"}
+        assert {notice["message"] for notice in outside.notices} == {"once", "next"}
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
 def open_file_names(pid):
-    """The names of the files that a process holds open."""
-    found = []
+    """Returns the names of a process's open files."""
+    names = []
     for name in os.listdir(f"/proc/{pid}/fd"):
         try:
-            found.append(os.path.basename(os.readlink(f"/proc/{pid}/fd/{name}")))
+            names.append(os.path.basename(os.readlink(f"/proc/{pid}/fd/{name}")))
         except FileNotFoundError:
             pass
-    return found
+    return names
 
 
 def test_stop_before_readiness_leaves_all_messages_to_the_next_start(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         outside.script = lambda call: None
-        taken = [f"m{at}" for at in range(40)]
-        for ident in taken:
+        accepted = [f"m{at}" for at in range(40)]
+        for ident in accepted:
             assert (await sender.hand_in(ident, kind="status"))[0] == 202
         await sender.end()
         outside.calls.clear()
         outside.script = lambda call: reply(200)
-        for opened in ("", "journal"):  # in its first moment, in its replay
-            early = asyncio.create_task(sender.start())
+        for opened in ("", "journal"):  # immediately after the start, during the replay
+            starting = asyncio.create_task(sender.start())
             await until(lambda: sender.process.returncode is None)
             await until(lambda: opened in " ".join(open_file_names(sender.process.pid)))
             sender.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(sender.process.wait(), 10.0) in (0, -signal.SIGTERM)
-            await asyncio.gather(early, return_exceptions=True)
+            await asyncio.gather(starting, return_exceptions=True)
         await sender.start()
         await until(lambda: not sender.owed())
-        assert sorted(set(outside.idents())) == sorted(one.encode() for one in taken) and not outside.notices
+        assert sorted(set(outside.idents())) == sorted(ident.encode() for ident in accepted) and not outside.notices
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
--- a/tests/daemon/test_sender.py
+++ b/tests/daemon/test_sender.py
@@ -1,4 +1,4 @@
-"""The program as a whole, over sockets: each case starts it and plays the clients, the receivers and the agent."""
+"""End-to-end tests of a sender process, with clients, receivers and the platform agent simulated over sockets."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 
 
 def test_message_is_forwarded_byte_for_byte_and_the_connection_is_reused(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         body = bytes(range(256)) * 8 + b"\r\n\r\nPOST"
         for ident in ("a1", "a2"):
             assert (await sender.hand_in(ident, body=body, tag=b"K%41=/x"))[0] == 202
@@ -23,11 +23,11 @@
         assert first == b"a1" and outside.calls[0][4] is second[4]
         assert not outside.notices
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_non_idempotent_message_is_given_up_when_its_effect_is_unknown_and_a_keyed_one_retried(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         outside.script = lambda call: "reset"
         await sender.hand_in("once", kind="charge")
         await until(lambda: outside.notices)
@@ -40,27 +40,27 @@
         await until(lambda: outside.idents().count(b"tagged") == 2)
         assert outside.idents().count(b"once") == 1 and outside.idents().count(b"silent") <= 1
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_message_that_was_never_executed_is_deferred_with_retry_after(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         outside.script = lambda call: reply(429, b"Retry-After: 0.9")
-        began = time.monotonic()
+        started_at = time.monotonic()
         await sender.hand_in("m", kind="charge", left=0.6)
         await until(lambda: outside.notices)
         assert outside.notices[0]["outcome"] == "handed_back" and outside.notices[0]["retry_in_ms"] > 100.0
-        assert time.monotonic() - began < 0.6
-        await sender.hand_in("n", kind="status")  # the wait holds for the whole destination
+        assert time.monotonic() - started_at < 0.6
+        await sender.hand_in("n", kind="status")  # Retry-After applies to the whole destination
         outside.script = lambda call: reply(200)
         await until(lambda: b"n" in outside.idents())
         assert outside.calls[-1][5] - outside.calls[0][5] >= 0.9
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_failed_connect_proves_that_nothing_was_executed(tmp_path):
-    async def scene(outside, sender):
+def test_message_counts_as_not_executed_after_a_failed_connect(tmp_path):
+    async def scenario(outside, sender):
         outside.servers[0].close()
         await sender.hand_in("m", kind="charge")
         host, _, port = outside.members[0]["host_port"].rpartition(":")
@@ -68,11 +68,11 @@
         await until(lambda: b"m" in outside.idents())
         assert not outside.notices
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_connection_closed_while_idle_is_not_reused(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         await sender.hand_in("a", kind="charge")
         await until(lambda: outside.connections and outside.calls)
         for writer in list(outside.connections):
@@ -82,11 +82,11 @@
         await until(lambda: b"b" in outside.idents())
         assert not outside.notices
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
-def test_attempt_in_flight_at_a_kill_may_have_been_executed(tmp_path):
-    async def scene(outside, sender):
+def test_attempt_in_flight_at_a_kill_counts_as_possibly_executed(tmp_path):
+    async def scenario(outside, sender):
         outside.script = lambda call: None
         await sender.hand_in("once", kind="charge", key="k")
         await sender.hand_in("tagged")
@@ -105,33 +105,33 @@
         await until(lambda: sender.owed() == 0)
         await sender.end()
         calls = len(outside.calls)
-        await sender.start()  # nothing is owed any more
+        await sender.start()  # nothing is pending any more
         assert " 0 messages resumed" in sender.first_line and len(outside.calls) == calls
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_attempt_counts_and_deadlines_survive_a_kill(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.told["settings"]["Allowed"]["MaxAttempts"] = 2
         await sender.start()
         outside.script = lambda call: reply(503)
         await sender.hand_in("m", kind="status")
         await sender.hand_in("short", kind="status", left=0.8)
-        late = time.monotonic() + 0.8
+        expires_at = time.monotonic() + 0.8
         await until(lambda: b"m" in outside.idents())
         await sender.end()
-        await until(lambda: time.monotonic() > late)  # its time passes while nobody runs
+        await until(lambda: time.monotonic() > expires_at)  # the message expires while no process runs
         await sender.start()
         await until(lambda: len(outside.notices) == 2)
         assert outside.idents().count(b"m") <= 2
         assert {notice["outcome"] for notice in outside.notices} == {"handed_back"}
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
 def test_notice_is_resent_until_acknowledged_and_blocks_the_next_message_of_its_key(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         outside.script = lambda call: "reset"
         outside.notice_status = None
         await sender.hand_in("a", kind="charge", key="k")
@@ -148,18 +148,18 @@
         await until(lambda: b"b" in outside.idents())
         assert {notice["message"] for notice in outside.notices} == {"a"} and outside.idents().count(b"a") == 1
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_stop_rejects_new_messages_finishes_attempts_in_flight_and_keeps_the_rest_in_the_journal(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 5000.0}
         sender.told["settings"]["FamilyInfo"]["CallSlots"] = 1
         await sender.start()
-        free, idle, used = asyncio.Event(), await sender.connect(), await sender.connect()
+        finish, idle, used = asyncio.Event(), await sender.connect(), await sender.connect()
 
         async def slow(call):
-            await free.wait()
+            await finish.wait()
             return reply(200)
 
         outside.script = slow
@@ -167,7 +167,7 @@
         await until(lambda: outside.calls)
         await sender.hand_in("held", kind="charge")
         await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n", idle)
-        used[1].write(b"POST /api HTTP/1.1\r\n")  # a request on its way is answered
+        used[1].write(b"POST /api HTTP/1.1\r\n")  # a partially received request is answered
         await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n")
         sender.process.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(idle[0].read(), 5.0) == b""
@@ -176,96 +176,97 @@
         assert answer[0] == 503 and answer[1][b"connection"] == b"close"
         assert (await sender.hand_in("new"))[0] == 503
         assert (await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
-        free.set()
+        finish.set()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         assert outside.idents() == [b"out"] and not outside.notices
         await sender.start()
         await until(lambda: b"held" in outside.idents())
         assert outside.idents().count(b"out") == 1 and not outside.notices
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
 def test_sender_starts_with_limits_below_the_minimum(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         for at in range(20):
             assert (await sender.hand_in(f"m{at}"))[0] == 202
         await until(lambda: len(set(outside.idents())) == 20)
 
-    play(tmp_path, scene, memory_mb=24, sockets=80, disk_mb=0.2)
+    play(tmp_path, scenario, memory_mb=24, sockets=80, disk_mb=0.2)
 
 
 def test_start_with_an_invalid_configuration_names_the_key(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         for part, value, key in (
             ("discovery", "nowhere", "json: discovery"),
             ("settings", {}, "settings.Services"),
             ("limits", {"memory_mb": "x"}, "limits.memory_mb"),
         ):
             before, sender.told[part] = sender.told[part], value
-            with pytest.raises(TypeError):  # no line says that it listens
+            with pytest.raises(TypeError):  # raised by the driver: no line with the listening address
                 await sender.start()
             assert re.search(re.escape(key), sender.first_line) and await sender.process.wait() == 2
             sender.told[part] = before
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_delivery_rules_hold_over_kills_and_faults(tmp_path, seed):
-    dice, taken, kills = random.Random(seed), {}, []
+    rng, accepted, kills = random.Random(seed), {}, []
 
-    async def scene(outside, sender):
-        ran, over, told = {}, {}, []  # ident: its call may have run; when it was over; waits: from, until
+    async def scenario(outside, sender):
+        # by id: time of a possible execution; time of the end. Waits requested by Retry-After: (start, end)
+        executed, ended, waits = {}, {}, []
 
         async def script(call):
             ident, now = call[0].decode(), time.monotonic()
-            kind, key, _ = taken.get(ident) or (None, None, None)  # None: its answer is still on its way
-            over.update(outside.noted_at)
+            kind, key, _ = accepted.get(ident) or (None, None, None)  # None: the client has no response yet
+            ended.update(outside.noted_at)
             assert ident not in outside.noted_at, "sent after its notice"
-            assert not (kind == "charge" and ident in ran), "a once-only mail went again"
-            for since, until in told:
-                assert now < since + 0.1 or now > until or any(kill > since for kill in kills), "a wait was not heeded"
-            for other, (_, its_key, _) in list(taken.items()):
-                if key and its_key == key and other != ident:
-                    assert list(taken).index(other) > list(taken).index(ident) or other in over, "out of turn"
-            what = dice.choice(("fine", "fine", "fine", "fine", "slow", "full", "told", "fault", "reset", "silent"))
-            if what == "told":
-                told.append((now, now + 0.3))
-            if what in ("full", "told"):
-                return reply(429, b"Retry-After: 0.3") if what == "told" else reply(503)
-            ran[ident] = now
-            await asyncio.sleep(0.3 if what == "slow" else 0.01)
-            if what in ("fine", "slow"):
-                over.setdefault(ident, now)
+            assert not (kind == "charge" and ident in executed), "a non-idempotent message was sent again"
+            for start, end in waits:
+                assert now < start + 0.1 or now > end or any(kill > start for kill in kills), "Retry-After was ignored"
+            for other, (_, other_key, _) in list(accepted.items()):
+                if key and other_key == key and other != ident:
+                    assert list(accepted).index(other) > list(accepted).index(ident) or other in ended, "out of order"
+            behavior = rng.choice(("ok", "ok", "ok", "ok", "slow", "full", "wait", "error", "reset", "silent"))
+            if behavior == "wait":
+                waits.append((now, now + 0.3))
+            if behavior in ("full", "wait"):
+                return reply(429, b"Retry-After: 0.3") if behavior == "wait" else reply(503)
+            executed[ident] = now
+            await asyncio.sleep(0.3 if behavior == "slow" else 0.01)
+            if behavior in ("ok", "slow"):
+                ended.setdefault(ident, now)
                 return reply(200)
-            return {"fault": reply(500), "reset": "reset", "silent": None}[what]
+            return {"error": reply(500), "reset": "reset", "silent": None}[behavior]
 
-        faults = []
+        violations = []
 
-        async def watched(call):
+        async def checked_script(call):
             try:
                 return await script(call)
-            except AssertionError as fault:
-                faults.append(fault)
+            except AssertionError as violation:
+                violations.append(violation)
 
-        outside.script = watched
+        outside.script = checked_script
         for at in range(70):
-            kind = dice.choice(("notice", "status", "charge", "charge"))
-            key = f"k{dice.randrange(3)}" if kind == "charge" else ""
+            kind = rng.choice(("notice", "status", "charge", "charge"))
+            key = f"k{rng.randrange(3)}" if kind == "charge" else ""
             if (await sender.hand_in(f"m{at}", kind, left=3.0, key=key))[0] == 202:
-                taken[f"m{at}"] = kind, key, time.monotonic()
-            if dice.random() < 0.06:
+                accepted[f"m{at}"] = kind, key, time.monotonic()
+            if rng.random() < 0.06:
                 kills.append(time.monotonic())
                 await sender.end()
                 await sender.start()
-            await asyncio.sleep(dice.choice((0.0, 0.02, 0.1)))
+            await asyncio.sleep(rng.choice((0.0, 0.02, 0.1)))
         await until(lambda: sender.owed() == 0)
-        over.update(outside.noted_at)
-        assert not faults, faults
-        assert len(taken) == 70 and set(taken) <= set(over)
-        for ident, (_, _, since) in taken.items():
-            assert ident not in outside.noted_at or outside.noted_at[ident] < since + 3.3 or kills
-        assert kills and len(set(over)) == 70
-
-    play(tmp_path, scene, receivers=3)
+        ended.update(outside.noted_at)
+        assert not violations, violations
+        assert len(accepted) == 70 and set(accepted) <= set(ended)
+        for ident, (_, _, accepted_at) in accepted.items():
+            assert ident not in outside.noted_at or outside.noted_at[ident] < accepted_at + 3.3 or kills
+        assert kills and len(set(ended)) == 70
+
+    play(tmp_path, scenario, receivers=3)
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrade: a process takes over from another that still serves, over sockets."""
+"""Upgrade: a process takes over from another one that is still serving; end-to-end over sockets."""
 
 import asyncio
 import fcntl
@@ -14,121 +14,121 @@
 
 
 async def start_next_process(outside, sender):
-    """Starts the next process of the same sender."""
+    """Starts the next process of a sender."""
     sender.told["listen"] = "%s:%d" % sender.address
-    again = Sender(outside, sender.folder)
-    again.told = sender.told
-    return await again.start()
+    next_sender = Sender(outside, sender.folder)
+    next_sender.told = sender.told
+    return await next_sender.start()
 
 
 def hold_responses(outside, started):
-    """Receivers that answer once they are told to."""
-    go = asyncio.Event()
+    """Makes receivers respond only after the returned event is set."""
+    respond = asyncio.Event()
 
     async def script(call):
         started.append(call[0])
-        await go.wait()
+        await respond.wait()
         return reply(200)
 
     outside.script = script
-    return go
+    return respond
 
 
 def test_next_process_takes_over_pending_and_in_flight_messages_and_the_old_one_ends(tmp_path):
-    async def scene(outside, sender):
-        started, held = [], await sender.connect()
-        go = hold_responses(outside, started)
-        await sender.hand_in("a1", kind="charge", key="k", connection=held)
-        await sender.hand_in("a2", kind="charge", key="k", connection=held)
+    async def scenario(outside, sender):
+        started, open_connection = [], await sender.connect()
+        respond = hold_responses(outside, started)
+        await sender.hand_in("a1", kind="charge", key="k", connection=open_connection)
+        await sender.hand_in("a2", kind="charge", key="k", connection=open_connection)
         await until(lambda: started == [b"a1"])
-        again = await start_next_process(outside, sender)
-        # on a connection that stood open at the old process: taken on there, for the next one
-        status, fields = await sender.hand_in("a3", kind="charge", key="k", connection=held)
+        next_sender = await start_next_process(outside, sender)
+        # on a connection still open at the old process, which accepts the message for the next one
+        status, fields = await sender.hand_in("a3", kind="charge", key="k", connection=open_connection)
         assert status == 202 and fields[b"connection"] == b"close"
-        await again.hand_in("a4", kind="charge", key="k")
-        assert started == [b"a1"]  # its outcome is not told yet
-        go.set()
+        await next_sender.hand_in("a4", kind="charge", key="k")
+        assert started == [b"a1"]  # its outcome is not reported yet
+        respond.set()
         await until(lambda: len(outside.calls) == 4)
         assert outside.idents() == [b"a1", b"a2", b"a3", b"a4"] and not outside.notices
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
-        await until(lambda: not again.owed())
+        await until(lambda: not next_sender.owed())
         assert sorted(path.name for path in (tmp_path / "state").iterdir()) == ["journal", "list"]
-        third = await start_next_process(outside, again)  # and once more
+        third = await start_next_process(outside, next_sender)  # a second upgrade
         await third.hand_in("a5")
         await until(lambda: b"a5" in outside.idents())
-        assert await asyncio.wait_for(again.process.wait(), 10.0) == 0
+        assert await asyncio.wait_for(next_sender.process.wait(), 10.0) == 0
         await third.end()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_attempt_that_ended_with_an_error_is_not_taken_over_as_in_flight(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         outside.script = lambda call: reply(500)
         for at in range(4):
             await sender.hand_in(f"e{at}", kind="status")
         await until(lambda: len(outside.calls) > 1)
-        again = await start_next_process(outside, sender)
+        next_sender = await start_next_process(outside, sender)
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         outside.script = lambda call: reply(200)
-        await until(lambda: not again.owed(), 20.0)
-        await again.end()
-        assert "the previous process has ended messages=0" in (await again.log).decode()
+        await until(lambda: not next_sender.owed(), 20.0)
+        await next_sender.end()
+        assert "the previous process has ended messages=0" in (await next_sender.log).decode()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_retry_after_and_detached_receivers_hold_over_an_upgrade(tmp_path):
-    async def scene(outside, sender):
+    async def scenario(outside, sender):
         outside.script = lambda call: reply(429, b"Retry-After: 2.5")
         await sender.hand_in("w", kind="status")
         await until(lambda: outside.calls)
-        told_at = time.monotonic()
+        replied_at = time.monotonic()
         reader, writer = await asyncio.open_connection(*sender.console)
         writer.write(b"POST /_receivers/detach?host=r%d HTTP/1.1\r\n\r\n" % (1 - outside.calls[0][3]))
         assert b" 200 " in await reader.read()
         outside.script = lambda call: reply(200)
-        again = await start_next_process(outside, sender)
-        await again.hand_in("x", kind="status")
+        next_sender = await start_next_process(outside, sender)
+        await next_sender.hand_in("x", kind="status")
         await until(lambda: len(outside.calls) == 3)
-        assert min(call[5] for call in outside.calls[1:]) - told_at >= 2.5
+        assert min(call[5] for call in outside.calls[1:]) - replied_at >= 2.5
         assert len({call[3] for call in outside.calls}) == 1
-        await again.end()
+        await next_sender.end()
 
-    play(tmp_path, scene, receivers=2)
+    play(tmp_path, scenario, receivers=2)
 
 
 @pytest.mark.parametrize("both", [False, True])
-def test_attempts_of_a_killed_old_process_may_have_been_executed(tmp_path, both):
-    async def scene(outside, sender):
+def test_attempts_of_a_killed_old_process_count_as_possibly_executed(tmp_path, both):
+    async def scenario(outside, sender):
         started = []
         hold_responses(outside, started)
         await sender.hand_in("once", kind="charge")
         await sender.hand_in("safe", kind="status")
         await until(lambda: len(started) == 2)
-        held = await sender.connect()
-        again = await start_next_process(outside, sender)
-        assert (await sender.hand_in("late", connection=held))[0] == 202
+        open_connection = await sender.connect()
+        next_sender = await start_next_process(outside, sender)
+        assert (await sender.hand_in("late", connection=open_connection))[0] == 202
         outside.script = lambda call: reply(200)
         await sender.end(signal.SIGKILL)
         if both:
-            await again.end(signal.SIGKILL)
-            await again.start()
+            await next_sender.end(signal.SIGKILL)
+            await next_sender.start()
         await until(lambda: outside.notices and {b"safe", b"late"} <= set(outside.idents()[2:]))
-        assert {(one["message"], one["outcome"]) for one in outside.notices} == {("once", "given_up")}
+        assert {(notice["message"], notice["outcome"]) for notice in outside.notices} == {("once", "given_up")}
         assert outside.idents().count(b"once") == 1
-        await until(lambda: not again.owed())
-        await again.end()
+        await until(lambda: not next_sender.owed())
+        await next_sender.end()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_upgrade_under_load_loses_no_message_and_no_connection(tmp_path):
-    async def scene(outside, sender):
-        taken, came, stop = [], set(), asyncio.Event()
+    async def scenario(outside, sender):
+        accepted, received, stop = [], set(), asyncio.Event()
 
         async def script(call):
-            came.add(call[0].decode())
+            received.add(call[0].decode())
             await asyncio.sleep(0.02)
             return reply(200)
 
@@ -137,52 +137,52 @@
         async def client(number):
             connection = None
             while not stop.is_set():
-                ident = f"c{number}-{len(taken)}"
+                ident = f"c{number}-{len(accepted)}"
                 connection = connection or await sender.connect()
                 status, fields = await sender.hand_in(ident, connection=connection)
                 assert status == 202
-                taken.append(ident.encode())
-                await until(lambda: ident in came)
+                accepted.append(ident.encode())
+                await until(lambda: ident in received)
                 if fields.get(b"connection") == b"close":
                     connection[1].close()
                     connection = None
 
         clients = [asyncio.create_task(client(number)) for number in range(6)]
-        await until(lambda: len(taken) > 50)
-        again = await start_next_process(outside, sender)
+        await until(lambda: len(accepted) > 50)
+        next_sender = await start_next_process(outside, sender)
         sender.process.send_signal(signal.SIGTERM)
         await sender.process.wait()
-        count = len(taken)
-        await until(lambda: len(taken) > count + 50)
+        count = len(accepted)
+        await until(lambda: len(accepted) > count + 50)
         stop.set()
-        await asyncio.gather(*clients)  # none was refused or reset
-        await until(lambda: not again.owed(), 20.0)
-        assert sorted(outside.idents()) == sorted(taken) and not outside.notices
-        await again.end()
+        await asyncio.gather(*clients)  # no connection was refused or reset
+        await until(lambda: not next_sender.owed(), 20.0)
+        assert sorted(outside.idents()) == sorted(accepted) and not outside.notices
+        await next_sender.end()
 
-    play(tmp_path, scene, receivers=3)
+    play(tmp_path, scenario, receivers=3)
 
 
 def test_old_process_is_unaffected_when_the_next_one_dies_waiting_for_the_folder(tmp_path):
-    async def scene(outside, sender):
-        (tmp_path / "state" / "next").write_bytes(b"")  # what a killed one leaves
+    async def scenario(outside, sender):
+        (tmp_path / "state" / "next").write_bytes(b"")  # left by a killed process
         for at in range(3):
             await sender.hand_in(f"m{at}")
             await until(lambda: len(outside.calls) > at)
         assert sender.process.returncode is None
         assert json.loads((tmp_path / "config.json").read_text())["name"] == "n0"
-        again = await start_next_process(outside, sender)
-        await again.end()
+        next_sender = await start_next_process(outside, sender)
+        await next_sender.end()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_checking_for_a_claim_does_not_make_it_fail(tmp_path):
-    async def scene():
-        mark = FolderLock.acquire(tmp_path)
+    async def scenario():
+        folder_lock = FolderLock.acquire(tmp_path)
         (tmp_path / "next").touch()
-        with open(tmp_path / "next") as looking:
-            fcntl.flock(looking, fcntl.LOCK_SH)
+        with open(tmp_path / "next") as checked_file:
+            fcntl.flock(checked_file, fcntl.LOCK_SH)
             claim = upgrade.TakeoverClaim(str(tmp_path))
             entering = asyncio.create_task(claim.enter())
             await until(lambda: claim.file >= 0)
@@ -190,37 +190,39 @@
         upgrade.hand_over_folder(str(tmp_path), {"out": [1]})
         assert await entering == (None, {"out": [1]})
         claim.drop()
-        mark.release()
+        folder_lock.release()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_old_process_is_unaffected_when_the_folder_refuses_the_hand_over(tmp_path):
-    async def scene(outside, sender):
+def test_old_process_is_unaffected_when_writing_the_hand_over_fails(tmp_path):
+    async def scenario(outside, sender):
         (tmp_path / "state" / "handed.new").mkdir()
         with open(tmp_path / "state" / "next", "w") as claim:
             before = (tmp_path / "state").stat().st_mtime_ns
             fcntl.flock(claim, fcntl.LOCK_EX)
-            await until(lambda: (tmp_path / "state").stat().st_mtime_ns > before)  # a tail came and went
+            await until(
+                lambda: (tmp_path / "state").stat().st_mtime_ns > before
+            )  # a hand-over log was created and removed
             await sender.hand_in("m")
             await until(lambda: outside.calls)
         assert sender.process.returncode is None
         assert await sender.end(signal.SIGTERM) == 0
         assert "internal_error: upgrade" in (await sender.log).decode()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
 
 
 def test_reload_after_the_hand_over_restarts_nothing(tmp_path):
-    async def scene(outside, sender):
-        outside.script = lambda call: None  # a call that stays out keeps the old process
+    async def scenario(outside, sender):
+        outside.script = lambda call: None  # a call in flight keeps the old process running
         await sender.hand_in("m")
         await until(lambda: outside.calls)
-        again = await start_next_process(outside, sender)
+        next_sender = await start_next_process(outside, sender)
         sender.reload()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
         log = (await sender.log).decode()
         assert "takeover.handed_over" in log and "configuration.reloaded" not in log
-        await again.end()
+        await next_sender.end()
 
-    play(tmp_path, scene)
+    play(tmp_path, scenario)
