--- a/dewpin/daemon/configuration_source.py
+++ b/dewpin/daemon/configuration_source.py
@@ -78,9 +78,8 @@
         path = self.operator_path or self.environment.get(OPERATOR_FILE_VARIABLE)
         if not path:
             return False
-        from ..config.operator_file import (
-            is_unfinished,
-        )  # imported here because most senders do not need the TOML parser
+        # Imported here because it loads the TOML parser, which most senders do not need.
+        from ..config.operator_file import is_unfinished
 
         return is_unfinished(path)
 
--- a/tests/daemon/test_upgrade.py
+++ b/tests/daemon/test_upgrade.py
@@ -201,9 +201,8 @@
         with open(tmp_path / "state" / "next", "w") as claim:
             before = (tmp_path / "state").stat().st_mtime_ns
             fcntl.flock(claim, fcntl.LOCK_EX)
-            await until(
-                lambda: (tmp_path / "state").stat().st_mtime_ns > before
-            )  # a hand-over log was created and removed
+            # a hand-over log was created and removed
+            await until(lambda: (tmp_path / "state").stat().st_mtime_ns > before)
             await sender.hand_in("m")
             await until(lambda: outside.calls)
         assert sender.process.returncode is None
--- a/tests/peers/holder.py
+++ b/tests/peers/holder.py
@@ -14,9 +14,7 @@
 from dewpin.peers.lease_candidate import LeaseCandidate
 from dewpin.peers.node import PeerNode, boot_time_ms
 
-REPORT_TICKS = (
-    50  # ticks between two reports of the address, repeated because the resource may miss one while it is stalled
-)
+REPORT_TICKS = 50  # ticks between two reports of the address; a stalled resource may miss some
 
 
 async def main(settings):
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -119,9 +119,8 @@
         tokens = [operation.token for operation in accepted]
         assert tokens == sorted(tokens)
         assert len(set(tokens)) == len({(operation.name, operation.token) for operation in accepted}) >= 6
-        rejected = [
-            operation for operation in peers.resource.operations if not operation.is_accepted
-        ]  # from a process suspended between check and operation
+        # from a process suspended between check and operation
+        rejected = [operation for operation in peers.resource.operations if not operation.is_accepted]
         assert {operation.name for operation in rejected} <= peers.stopped and len(rejected) <= 2 * len(peers.stopped)
 
     async def inject_faults(peers):
