--- a/dewpin/consensus/__init__.py
+++ b/dewpin/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""A replicated compare-and-swap register: ballots, replicas and proposals, free of I/O."""
+"""A replicated compare-and-swap register (CASPaxos): ballots, replicas and proposals as state machines without I/O."""
 
 from .proposal import Accept, Outcome, Prepare, Proposal, Request, Result, majority_of
 from .replica import Accepted, Ballot, Conflict, Promise, Replica, Reply
--- a/dewpin/consensus/messages.py
+++ b/dewpin/consensus/messages.py
@@ -1,4 +1,4 @@
-"""The replies of a replica as JSON objects, and back."""
+"""Encodes replica replies as JSON objects and decodes them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def ballot_from_json(pair: Sequence[Any]) -> Ballot:
-    """The ballot in a JSON pair of its counter and proposer. TypeError or ValueError if it is none."""
+    """Decodes a ballot from a JSON pair of counter and proposer. Raises TypeError or ValueError if it is malformed."""
     counter, proposer = pair
     return Ballot(int(counter), str(proposer))
 
 
 def encode_reply(reply: Reply) -> dict[str, Any]:
-    """The message for a replica's reply."""
+    """Encodes a replica's reply as a message."""
     if isinstance(reply, Promise):
         return {"type": PROMISE, "accepted": list(reply.accepted), "value": reply.value, "copied": reply.copied}
     if isinstance(reply, Accepted):
@@ -28,11 +28,11 @@
 
 
 def decode_reply(message: dict[str, Any]) -> Reply:
-    """The reply in a message. KeyError, TypeError or ValueError if it is none."""
+    """Decodes a replica's reply. Raises KeyError, TypeError or ValueError if it is malformed."""
     if message["type"] == PROMISE:
         return Promise(ballot_from_json(message["accepted"]), message["value"], bool(message.get("copied", False)))
     if message["type"] == ACCEPTED:
         return Accepted(ballot_from_json(message["ballot"]))
     if message["type"] == CONFLICT:
         return Conflict(ballot_from_json(message["promised"]))
-    raise ValueError(f"not a replica's reply: {message['type']}")
+    raise ValueError(f"unknown type of replica reply: {message['type']}")
--- a/dewpin/consensus/proposal.py
+++ b/dewpin/consensus/proposal.py
@@ -1,12 +1,12 @@
 """One proposal to a replicated register: the proposer of CASPaxos as a state machine without I/O.
 
-`Proposal` returns which requests to send to which members and processes their replies. It never waits: its driver sends
-the requests and owns the time-out. The quorum rule is the function `quorum_sets`, which reads from a value the sets of
-members that must each give a majority: for a register that carries its own members these are its members and the
-members of the value before it.
+`Proposal` returns the requests to send to members and processes their replies. It never blocks: the caller sends the
+requests and enforces the timeout. The quorum rule is the function `quorum_sets`, which derives from a value the member
+sets that must each provide a majority. For a register whose value contains its own members, these are the current
+members and the members of the previous value.
 
-A value whose sets differ (a change of members) is confirmed unchanged before anything is built on it; the proposal
-then ends with `Outcome.CONFIRMED` and the change is to be proposed again.
+A value whose sets differ (a membership change in progress) is confirmed unchanged before a new value is based on it.
+The proposal then ends with `Outcome.CONFIRMED`, and the caller has to propose its change again.
 """
 
 from __future__ import annotations
@@ -21,26 +21,26 @@
 JsonValue = Any
 MemberSet = frozenset[str]
 ChangeFunction = Callable[[JsonValue], JsonValue]
-"""The next value for the present one, as in CASPaxos; the same object for a read."""
+"""Maps the current value to the next one, as in CASPaxos; a read returns the same object."""
 QuorumSets = Callable[[JsonValue], Sequence[MemberSet]]
 
 
 def majority_of(members: Collection[str]) -> int:
-    """The least number of members that makes a majority."""
+    """Returns the smallest number of members that forms a majority."""
     return len(members) // 2 + 1
 
 
 def has_majorities(sets: Iterable[MemberSet], voters: Collection[str]) -> bool:
-    """Whether `voters` hold a majority of every one of `sets`."""
+    """Returns whether `voters` include a majority of each of `sets`."""
     return all(len(members.intersection(voters)) >= majority_of(members) for members in sets)
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """First round of a ballot.
+    """Request of the first round of a ballot.
 
-    `known`: the ballot of the proposer's value. A promise needs to contain a value only if it was accepted above that,
-    since `Proposal` uses no other.
+    `known`: the ballot of the value that the proposer has. A promise needs to include a value only if it was accepted
+    under a greater ballot, since `Proposal` ignores all others.
     """
 
     ballot: Ballot
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Second round of a ballot. `next_ballot`: to be promised as well, for the proposer's next change."""
+    """Request of the second round of a ballot. `next_ballot` is promised too, for the proposer's next change."""
 
     ballot: Ballot
     value: JsonValue
@@ -58,24 +58,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request to be sent to one member."""
+    """A request to send to one member."""
 
     member: str
     body: Prepare | Accept
 
 
 class Outcome(enum.Enum):
-    """How a proposal has ended."""
+    """The outcome of a proposal."""
 
-    CHOSEN = "chosen"  # the result of the change is the register's value
-    UNCHANGED = "unchanged"  # the change left the value as it was, and that value is chosen
-    CONFIRMED = "confirmed"  # an unfinished change of members was finished; propose again
-    CONFLICT = "conflict"  # a greater ballot is under way; propose again above `Result.ballot`
+    CHOSEN = "chosen"  # the changed value was chosen
+    UNCHANGED = "unchanged"  # the change returned the same value, and that value is chosen
+    CONFIRMED = "confirmed"  # completed an unfinished membership change; propose again
+    CONFLICT = "conflict"  # a replica promised a greater ballot; propose again above `Result.ballot`
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The end of a proposal: the register's value, None after a conflict, and the greatest ballot that was seen."""
+    """The result of a proposal: the register's value (None after a conflict) and the greatest ballot seen."""
 
     outcome: Outcome
     value: JsonValue
@@ -83,17 +83,17 @@
 
 
 class Proposal:
-    """One change of a register under one ballot.
+    """One change to a register under one ballot.
 
     Args:
-        ballot: greater than all that this proposer has used.
-        initial: the newest value known beforehand; its members are asked first.
-        quorum_sets: the sets of members of a value that must each give a majority.
-        change: what it raises is raised by `start` or `receive`, and ends the proposal.
+        ballot: greater than every ballot this proposer has used.
+        initial: the newest value known to the proposer; its members receive the first requests.
+        quorum_sets: derives from a value the member sets that must each provide a majority.
+        change: its exceptions propagate from `start` or `receive` and end the proposal.
         initial_ballot: the ballot of `initial`.
-        prepared: the members promised this ballot with the proposer's last accept, and `initial` is what was chosen
-            there: the first round is left out.
-        next_ballot: asks for such a promise in the second round.
+        prepared: members promised this ballot when they accepted `initial`, the proposer's previous chosen value, so
+            the first round is skipped.
+        next_ballot: a ballot to be promised in the second round, for a later prepared proposal.
 
     `result` is None until the proposal has ended.
     """
@@ -116,7 +116,7 @@
         self._highest = initial
         self._highest_ballot = initial_ballot
         self._promised: dict[str, Ballot] = {}
-        self._asked: set[str] = set()
+        self._requested: set[str] = set()
         self._accept: Accept | None = None
         self._accept_sets: list[MemberSet] = []
         self._accepted: set[str] = set()
@@ -125,11 +125,11 @@
         self._next_ballot = next_ballot
 
     def start(self) -> list[Request]:
-        """The first requests. Empty where a prepared read needs none: `result` is set then."""
-        return self._begin_accept() if self._prepared else self._ask_members()
+        """Returns the first requests. They are empty for a prepared read, which sets `result` immediately."""
+        return self._begin_accept() if self._prepared else self._prepare_members()
 
     def receive(self, member: str, reply: Reply) -> list[Request]:
-        """Processes a member's reply; returns what to send next. Sets `result` at the end."""
+        """Processes a member's reply and returns the next requests. Sets `result` when the proposal ends."""
         if self.result is not None:
             return []
         if isinstance(reply, Conflict):
@@ -139,10 +139,10 @@
             return self._on_promise(member, reply)
         return self._on_accepted(member, reply)
 
-    def _ask_members(self) -> list[Request]:
-        wanted = frozenset().union(*self._quorum_sets(self._highest)) - self._asked
-        self._asked |= wanted
-        return [Request(member, Prepare(self.ballot, self._highest_ballot)) for member in sorted(wanted)]
+    def _prepare_members(self) -> list[Request]:
+        targets = frozenset().union(*self._quorum_sets(self._highest)) - self._requested
+        self._requested |= targets
+        return [Request(member, Prepare(self.ballot, self._highest_ballot)) for member in sorted(targets)]
 
     def _on_promise(self, member: str, promise: Promise) -> list[Request]:
         if self._accept is not None:
@@ -151,10 +151,10 @@
         if promise.value is not None and promise.accepted > self._highest_ballot:
             self._highest = promise.value
             self._highest_ballot = promise.accepted
-        more = self._ask_members()
+        requests = self._prepare_members()
         if not has_majorities(self._quorum_sets(self._highest), self._promised):
-            return more
-        return more + self._begin_accept()
+            return requests
+        return requests + self._begin_accept()
 
     def _begin_accept(self) -> list[Request]:
         sets = list(self._quorum_sets(self._highest))
@@ -169,14 +169,14 @@
         return self._send_accept(value, [*sets, *self._quorum_sets(value)])
 
     def _is_chosen(self, sets: Sequence[MemberSet]) -> bool:
-        """Whether the highest value is known to be accepted by majorities, so that nothing has to be finished.
+        """Returns whether majorities are known to have accepted the highest value, so it needs no second round.
 
-        A copied value is no vote: its holder may have promised a greater ballot before.
+        A copied value is not a vote: the replica that holds it may have promised a greater ballot before the copy.
         """
         if self._prepared or self._highest_ballot == ZERO_BALLOT:
             return True
-        holders = [member for member, accepted in self._promised.items() if accepted == self._highest_ballot]
-        return has_majorities(sets, holders)
+        voters = [member for member, accepted in self._promised.items() if accepted == self._highest_ballot]
+        return has_majorities(sets, voters)
 
     def _send_accept(self, value: JsonValue, sets: list[MemberSet]) -> list[Request]:
         self._accept = Accept(self.ballot, value, self._next_ballot)
--- a/dewpin/consensus/replica.py
+++ b/dewpin/consensus/replica.py
@@ -1,7 +1,7 @@
 """One replica of a compare-and-swap register: the acceptor of CASPaxos as a state machine without I/O.
 
-A replica promises to take part in no older ballot and stores the value that it accepted last. Its user must make the
-state after each call durable before the reply is sent: a replica that forgets a promise breaks the register.
+A replica promises to reject older ballots and stores the value it accepted last. The caller must make the state durable
+after each call, before it sends the reply: a replica that forgets a promise can let two different values be chosen.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a proposal: the greater one wins, the id of the proposer makes it unique."""
+    """A ballot number. The greater ballot wins; the proposer's id makes ballots unique."""
 
     counter: int
     proposer: str
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """The replica takes part in no older ballot from now on.
+    """The replica promises to reject all older ballots.
 
     Attributes:
-        accepted: the ballot of the value that it accepted last.
-        value: that value; None where the proposer knows one that is as new.
-        copied: it copied the value from another replica and never voted for it: no vote for a majority.
+        accepted: the ballot of the value the replica accepted last.
+        value: that value; None if the proposer already has a value at least as new.
+        copied: the replica copied the value from another one without voting for it, so it does not count as a vote.
     """
 
     accepted: Ballot
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The replica has accepted the value of this ballot."""
+    """The replica accepted the value of this ballot."""
 
     ballot: Ballot
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The replica has promised a greater ballot."""
+    """The replica rejects the request because it promised the ballot `promised`."""
 
     promised: Ballot
 
@@ -59,10 +59,10 @@
     """The state of one replica.
 
     Attributes:
-        promised: the greatest ballot that it has promised or accepted.
+        promised: the greatest ballot promised or accepted.
         accepted: the ballot of `value`.
-        value: the value that was accepted last, None before the first.
-        copied: `value` was accepted by another replica, and copied from there.
+        value: the value accepted last; None before the first.
+        copied: `value` was copied from another replica that accepted it.
     """
 
     promised: Ballot = ZERO_BALLOT
@@ -71,9 +71,9 @@
     copied: bool = False
 
     def prepare(self, ballot: Ballot, known: Ballot | None = None) -> Promise | Conflict:
-        """First round: promises `ballot` if none as great was promised before.
+        """First round: promises `ballot` unless an equal or greater one was promised before.
 
-        `known`: the ballot of the newest value that the proposer has; it needs none that isn't above it.
+        `known`: the ballot of the newest value that the proposer has. The promise omits a value that is not newer.
         """
         if ballot <= self.promised:
             return Conflict(self.promised)
@@ -84,7 +84,7 @@
     def accept(self, ballot: Ballot, value: JsonValue, next_ballot: Ballot | None = None) -> Accepted | Conflict:
         """Second round: accepts `value` unless a greater ballot was promised.
 
-        `next_ballot` is promised as well, so that the proposer may skip its next first round.
+        `next_ballot` is promised too, which lets the proposer skip the first round of its next proposal.
         """
         if ballot < self.promised:
             return Conflict(self.promised)
