--- a/dewpin/controlplane/register/recovery.py
+++ b/dewpin/controlplane/register/recovery.py
@@ -38,11 +38,11 @@
 
 
 class RecoveryRefusedError(DewpinError):
-    """The request is not valid; `faults` has a line for each reason, with the expected value."""
+    """The request is not valid; `errors` has a line for each reason, with the expected value."""
 
-    def __init__(self, faults: Sequence[str]) -> None:
-        super().__init__("; ".join(faults))
-        self.faults = tuple(faults)
+    def __init__(self, errors: Sequence[str]) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = tuple(errors)
 
 
 @dataclass(frozen=True, slots=True)
@@ -172,9 +172,9 @@
 
 
 def _plan(member: str, state: SystemState, lost: Collection[str]) -> RecoveryPlan:
-    faults = [*_faults_of_member(member, state), *_faults_of_lost(member, state, lost)]
-    if faults:
-        raise RecoveryRefusedError(faults)
+    errors = [*_faults_of_member(member, state), *_faults_of_lost(member, state, lost)]
+    if errors:
+        raise RecoveryRefusedError(errors)
     return RecoveryPlan(
         member=member,
         lost=tuple(sorted(lost)),
@@ -186,24 +186,24 @@
 
 
 def _faults_of_member(member: str, state: SystemState) -> list[str]:
-    faults = []
+    errors = []
     if member not in state["members"]:
-        faults.append(f"this disk, {member}: expected a member, one of {_listed(_member_ids(state))}")
+        errors.append(f"this disk, {member}: expected a member, one of {_listed(_member_ids(state))}")
     if member not in state["stores"]["stable"]:
-        faults.append(f"this disk, {member}: expected a store that holds records")
-    return faults
+        errors.append(f"this disk, {member}: expected a store that holds records")
+    return errors
 
 
 def _faults_of_lost(member: str, state: SystemState, lost: Collection[str]) -> list[str]:
     known = {*_member_ids(state), *state["stores"]["stable"]}
-    faults = [f"--lost {one}: expected one of {_listed(sorted(known - {member}))}" for one in sorted(set(lost) - known)]
+    errors = [f"--lost {one}: expected one of {_listed(sorted(known - {member}))}" for one in sorted(set(lost) - known)]
     if member in lost:
-        faults.append(f"--lost {member}: expected another member than this disk's own")
+        errors.append(f"--lost {member}: expected another member than this disk's own")
     has_majority = all(len(members - set(lost)) >= majority_of(members) for members in quorum_sets(state))
     if has_majority:
         remaining = [one for one in _member_ids(state) if one not in lost]
-        faults.append(f"--lost: expected so many that no majority remains; start {_listed(remaining)} instead")
-    return faults
+        errors.append(f"--lost: expected so many that no majority remains; start {_listed(remaining)} instead")
+    return errors
 
 
 def _recovered_state(state: SystemState, plan: RecoveryPlan, member: str) -> SystemState:
--- a/dewpin/tier_cli/register_commands.py
+++ b/dewpin/tier_cli/register_commands.py
@@ -34,7 +34,7 @@
     except RecoveryFileError as error:
         fail(ExitCode.FILE_ERROR, [str(error)], as_json)
     except RecoveryRefusedError as refusal:
-        fail(ExitCode.INVALID, refusal.faults, as_json)
+        fail(ExitCode.INVALID, refusal.errors, as_json)
     role = "a member" if found.is_member else "no member"
     lines = [f"{data_dir}: {found.member}, {role}, version {found.version}, configuration {found.generation}"]
     lines += [f"member {one} {name}" for one, name in found.members.items()]
@@ -57,7 +57,7 @@
     except RecoveryFileError as error:
         fail(ExitCode.FILE_ERROR, [str(error)], as_json)
     except RecoveryRefusedError as refusal:
-        fail(ExitCode.INVALID, refusal.faults, as_json)
+        fail(ExitCode.INVALID, refusal.errors, as_json)
     text = f"{'recovered' if apply else 'would recover'}: version {plan.version_before} becomes {plan.version_after}"
     text += f", configuration {plan.generation}, member {plan.member} alone, stores {', '.join(plan.remaining_stores)}"
     finish(as_json, text if apply else f"{text}; nothing is written without --apply", applied=apply, **asdict(plan))
