--- a/dewpin/controlplane/register/__init__.py
+++ b/dewpin/controlplane/register/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated register that holds the system state, and its reconfiguration."""
+"""The replicated register that holds the system state."""
--- a/dewpin/controlplane/register/acceptor.py
+++ b/dewpin/controlplane/register/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of the register: this member's replica, on disk, and the messages that other proposers send to it."""
+"""The register's acceptor: this member's durable replica and the handlers of proposers' requests."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 
 
 class RegisterAcceptor:
-    """The replica of one member. A reply leaves only after the state behind it is synced.
+    """The replica of one member. It replies only after its new state has been synced to disk.
 
     Attributes:
         member: the id of this member.
-        replica: the promise and the value that were accepted last.
-        is_loaded: whether the disk has been read. Before that the replica answers nothing: it would forget promises.
+        replica: the newest promise and the value accepted last.
+        is_loaded: whether the replica has been read from disk. Until then it rejects all requests, because an empty
+            replica would disregard the promises on disk.
     """
 
     def __init__(self, member: str, storage: RegisterDatabase, learner: RegisterLearner) -> None:
@@ -35,11 +36,11 @@
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of a proposer's messages, by type."""
+        """The handlers of proposers' requests by message type."""
         return {PREPARE: self.handle_prepare, ACCEPT: self.handle_accept}
 
     async def load(self) -> None:
-        """Reads the replica from disk. The caller sets `is_loaded` once the rest of the register is loaded too."""
+        """Loads the replica from disk. The caller sets `is_loaded` once the rest of the register is loaded as well."""
         await self._storage.load()
         if self.replica.value is not None:
             self._learner.learn_addresses(self.replica.value)
@@ -47,32 +48,32 @@
 
     @property
     def durable_version(self) -> int:
-        """The version of the newest value that was accepted and is on disk; -1 without one."""
+        """The version of the newest accepted value that is on disk; -1 if there is none."""
         return self._storage.durable_version
 
     @property
     def has_unfinished_value(self) -> bool:
-        """Whether a version was accepted above the newest that is known to be chosen."""
+        """Whether the accepted value is newer than the newest state known to be chosen."""
         if self.replica.value is None:
             return False
         chosen = self._learner.chosen
         return chosen is None or bool(self.replica.value["version"] > chosen["version"])
 
     async def bootstrap(self, state: SystemState) -> None:
-        """Accepts the initial state, which needs no ballot since it is the same at all first members."""
+        """Accepts the initial state. It needs no ballot, since it is identical on all initial members."""
         if self.replica.value is None and self.replica.accepted == ZERO_BALLOT:
             self.replica.value = state
             await _synced(self._storage.persist())
 
     async def prepare(self, ballot: Ballot, known_ballot: Ballot | None) -> Promise | Conflict:
-        """First round of a ballot. Raises RpcError if the promise can't be synced."""
+        """Handles the first round of a ballot. Raises RpcError if the promise cannot be synced to disk."""
         reply = self.replica.prepare(ballot, known_ballot)
         if isinstance(reply, Promise):
             await _synced(self._storage.persist_promise())
         return reply
 
     async def accept(self, ballot: Ballot, state: SystemState) -> Accepted | Conflict:
-        """Second round of a ballot. Raises RpcError if the value can't be synced."""
+        """Handles the second round of a ballot. Raises RpcError if the value cannot be synced to disk."""
         reply = self.replica.accept(ballot, state)
         if isinstance(reply, Accepted):
             self._learner.learn_addresses(state)
@@ -80,7 +81,7 @@
         return reply
 
     async def handle_prepare(self, message: Message) -> Message:
-        """Answers the first round of another process."""
+        """Replies to a prepare request from another process."""
         request = PrepareRequest.decode(message)
         self._check_addressee(request.member)
         reply = await self.prepare(request.ballot, request.known_ballot)
@@ -89,7 +90,7 @@
         return encode_reply(reply)
 
     async def handle_accept(self, message: Message) -> Message:
-        """Answers the second round of another process."""
+        """Replies to an accept request from another process."""
         request = AcceptRequest.decode(message)
         self._check_addressee(request.member)
         if request.ballot < self.replica.promised:
@@ -98,7 +99,7 @@
         return encode_reply(await self.accept(request.ballot, state))
 
     def _check_addressee(self, member: str) -> None:
-        """Raises RpcError where this process isn't ready, or isn't the incarnation that the proposer means."""
+        """Raises RpcError if this process is not ready or is not the incarnation that the request addresses."""
         if not self.is_loaded:
             raise RpcError("starting", self.member)
         if member != self.member:
--- a/dewpin/controlplane/register/change_history.py
+++ b/dewpin/controlplane/register/change_history.py
@@ -1,9 +1,9 @@
-"""The operator's changes that were accepted, further back than the register's value lists them: rows on this disk.
+"""The history of accepted operator changes on the local disk, which extends beyond the list in the system state.
 
-Every row comes from a state that was chosen, here or at a peer, so it never changes and needs no majority. A process
-that was away for more changes than the state lists has a gap, which it fills by pages from its peers.
+Every row originates from a chosen state, so it is immutable and can be copied from a single peer without a quorum. A
+process that missed more changes than the state lists has a gap, which it fills page by page from its peers.
 
-Messages and the database call a change an *order*, and its table `orders`.
+Messages and the database call a change an *order*; the table is `orders`.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 from dewpin.controlplane.register.system_state import SystemState, accepted_change_count
 
 MAX_CHANGES_IN_HISTORY = 32_768
-"""38 days of 850 changes."""
+"""Enough for 38 days of 850 changes each."""
 CHANGES_PER_PAGE = 500
 CHANGE_HISTORY = "register.orders"
-"""The type of both messages."""
+"""The message type of both the request and the reply."""
 
 PeerQuery = Callable[["ChangeHistoryRequest"], Awaitable["ChangeHistoryPage | None"]]
-"""The reply of the peer that knows most of what is asked for; None where no peer answers."""
+"""Returns the reply of the peer with the most of the requested changes; None if no peer replies."""
 
 
 class HistoryDatabase(Protocol):
-    """The part of the storage that the history needs."""
+    """The storage interface that the history requires."""
 
     async def write(self, statements: list[tuple[str, tuple[Any, ...]]]) -> None:
-        """Writes in one transaction; returns once it is synced."""
+        """Executes the statements in one transaction and returns once it is synced to disk."""
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """The rows that a statement selects."""
+        """Returns the rows selected by a statement."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedChange:
-    """A change that was accepted. Numbers run from 1 without a gap, generations rise with them.
+    """An accepted change. Numbers are consecutive from 1, and generations increase with them.
 
-    `digest` is that of the request's body and base generation.
+    `digest` covers the request's body and base generation.
     """
 
     number: int
@@ -50,56 +50,56 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeHistoryRequest:
-    """Asks a peer for changes with numbers above `after` and below `before`."""
+    """Requests the changes with numbers greater than `after` and less than `before`."""
 
     after: int
     before: int
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the message for the wire."""
         return {"type": CHANGE_HISTORY, "after": self.after, "before": self.before}
 
     @classmethod
     def decode(cls, message: Message) -> ChangeHistoryRequest:
-        """The request in a message. KeyError, TypeError or ValueError if it is none."""
+        """Decodes a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
         return cls(int(message["after"]), int(message["before"]))
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeHistoryPage:
-    """Changes, ascending by number."""
+    """A page of changes in ascending order of number."""
 
     changes: tuple[AcceptedChange, ...]
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the message for the wire."""
         rows = [[change.number, change.generation, change.digest] for change in self.changes]
         return {"type": CHANGE_HISTORY, "orders": rows}
 
     @classmethod
     def decode(cls, message: Message) -> ChangeHistoryPage:
-        """The page in a message. KeyError, TypeError or ValueError if it is none."""
+        """Decodes a page. Raises KeyError, TypeError or ValueError if the message is malformed."""
         return cls(tuple(AcceptedChange(int(row[0]), int(row[1]), str(row[2])) for row in message["orders"]))
 
     def starts_before(self, other: ChangeHistoryPage) -> bool:
-        """Whether the page has changes, and older ones than another page or any where that has none."""
+        """Returns whether this page starts with an older change than `other`. An empty page counts as the newest."""
         if not self.changes:
             return False
         return not other.changes or self.changes[0].number < other.changes[0].number
 
 
 def changes_in_state(state: SystemState) -> list[AcceptedChange]:
-    """The changes that a state lists, ascending by number."""
+    """Returns the changes listed in a state in ascending order of number."""
     entries = state["accepted"]
     first_number = accepted_change_count(state) - len(entries) + 1
     return [
-        AcceptedChange(number, int(entry[0]), str(entry[1]))  # an entry: generation, digest
+        AcceptedChange(number, int(entry[0]), str(entry[1]))  # entry: [generation, digest]
         for number, entry in enumerate(entries, first_number)
     ]
 
 
 class ChangeHistory:
-    """The history on one process's disk."""
+    """The change history of one process, stored on its disk."""
 
     def __init__(self, storage: HistoryDatabase, query_peers: PeerQuery) -> None:
         self._storage = storage
@@ -109,12 +109,12 @@
         self._filling = asyncio.Lock()
 
     async def load(self) -> None:
-        """Reads from disk how far the history reaches."""
+        """Loads the number of the newest recorded change from disk."""
         rows = await self._storage.query("SELECT coalesce(max(number), 0) FROM orders")
         self._newest_number = int(rows[0][0])
 
     async def record(self, state: SystemState) -> None:
-        """Writes the changes that a chosen state lists, and fetches those before them that are missing."""
+        """Records the changes listed in a chosen state and fetches missing earlier ones from peers."""
         changes = [change for change in changes_in_state(state) if change.number > self._newest_number]
         if not changes:
             return
@@ -125,15 +125,15 @@
             await self.fill_gaps()
 
     async def was_accepted(self, generation: int, digest: str) -> bool | None:
-        """Whether a change was accepted; None where neither this disk nor a peer can tell."""
-        known = await self._look_up(generation, digest)
-        if known is None:
+        """Returns whether a change was accepted; None if neither the local history nor a peer can determine it."""
+        was_accepted = await self._look_up(generation, digest)
+        if was_accepted is None:
             await self.fill_gaps()
-            known = await self._look_up(generation, digest)
-        return known
+            was_accepted = await self._look_up(generation, digest)
+        return was_accepted
 
     async def fill_gaps(self) -> None:
-        """Asks peers for the changes that are missing here; the pages received stay if a later one fails."""
+        """Fetches missing changes from peers. Pages already received are kept if a later request fails."""
         async with self._filling:
             for gap in await self._gaps():
                 if not await self._fill(gap):
@@ -141,7 +141,7 @@
             self._may_have_gaps = False
 
     async def _fill(self, gap: ChangeHistoryRequest) -> bool:
-        """Fetches a gap page by page. Whether peers answered to the end, be it that they know no more either."""
+        """Fetches a gap page by page. Returns False if no peer replied, True even if the peers lack part of the gap."""
         after = gap.after
         while after + 1 < gap.before:
             page = await self._query_peers(ChangeHistoryRequest(after, gap.before))
@@ -154,7 +154,7 @@
         return True
 
     async def page(self, request: ChangeHistoryRequest) -> ChangeHistoryPage:
-        """The oldest of the changes that a peer asks for."""
+        """Returns the first page of the changes requested by a peer, oldest first."""
         rows = await self._storage.query(
             "SELECT number, generation, digest FROM orders WHERE number > ? AND number < ? ORDER BY number LIMIT ?",
             (request.after, request.before, CHANGES_PER_PAGE),
@@ -162,9 +162,10 @@
         return ChangeHistoryPage(tuple(AcceptedChange(*row) for row in rows))
 
     async def _look_up(self, generation: int, digest: str) -> bool | None:
-        """Whether a change was accepted, by the rows on this disk; None where they can't tell.
+        """Returns whether a change was accepted according to the local rows; None if they cannot determine it.
 
-        The row of that generation decides; so do two rows with consecutive numbers around it: nothing is between them.
+        A row with that generation is conclusive. So are two rows with consecutive numbers and generations below and
+        above it, since no change was accepted between them.
         """
         below = await self._nearest("generation <= ? ORDER BY generation DESC", generation)
         if below is not None and below.generation == generation:
@@ -181,7 +182,7 @@
         return AcceptedChange(*rows[0]) if rows else None
 
     async def _gaps(self) -> list[ChangeHistoryRequest]:
-        """The ranges of numbers that are missing below the newest, as far back as the history reaches."""
+        """Returns the ranges of missing numbers below the newest one, within the maximum length of the history."""
         oldest = max(0, self._newest_number - MAX_CHANGES_IN_HISTORY)
         rows = await self._storage.query(
             "SELECT number, (SELECT coalesce(max(number), 0) FROM orders AS lower WHERE lower.number < upper.number)"
--- a/dewpin/controlplane/register/configuration_bodies.py
+++ b/dewpin/controlplane/register/configuration_bodies.py
@@ -1,7 +1,8 @@
-"""The bodies of the operator's configurations, by digest: a state is sent without a body that the receiver has.
+"""A cache of configuration bodies by digest, so that a state can be sent without a body the recipient already has.
 
-A body of more than a page is never sent along. Whoever lacks it fetches it by pages, so that no message occupies a slow
-link for longer than heartbeats can bear, and the pages received before a failure are kept for the next attempt.
+A body longer than a page is never sent with a state. A process that lacks it fetches it page by page, so that no
+message occupies a slow link for long enough to make heartbeats time out. Pages received before a failure are kept for
+the next attempt.
 """
 
 from __future__ import annotations
@@ -21,39 +22,39 @@
 
 PAGE_CHARACTERS = 128 * 1024
 PAGE_TIMEOUT_S = 1.0
-"""One page at 2 Mbit/s with half the link taken."""
+"""Sufficient for one page over a 2 Mbit/s link with half of its capacity in use."""
 MAX_BODIES = 4
 MAX_CHARACTERS = 16 * 1024 * 1024
-"""Of all bodies together; the newest always stays. Peers may still be fetching one that was replaced since."""
+"""Limit for all bodies together; the newest is always kept. Peers may still be fetching a body that was replaced."""
 
 
 class BodyUnavailableError(RpcError):
-    """A body that could not be fetched completely, or that is not the one of its digest."""
+    """A body could not be fetched completely or does not match its digest."""
 
     def __init__(self, detail: str) -> None:
         super().__init__("body_unavailable", detail)
 
 
 class ConfigurationBodies:
-    """The bodies that this process has, the one used last at the end."""
+    """The configuration bodies known to this process, in order of last use."""
 
     def __init__(self, client: RpcClient) -> None:
         self._client = client
         self._bodies: OrderedDict[str, str] = OrderedDict()
-        self._fetching = asyncio.Lock()
+        self._fetch_lock = asyncio.Lock()
         self._partial_digest = ""
         self._partial_pages: list[str] = []
 
     def digests(self) -> tuple[str, ...]:
-        """The digests of the bodies."""
+        """Returns the digests of the known bodies."""
         return tuple(self._bodies)
 
     def body(self, digest: str) -> str | None:
-        """The body with that digest, None if it is unknown here."""
+        """Returns the body with a digest; None if it is unknown."""
         return self._bodies.get(digest)
 
     def add(self, state: SystemState) -> None:
-        """Stores the body of a state's configuration; drops the ones used least recently above the limits."""
+        """Stores the body of a state's configuration and evicts the least recently used bodies above the limits."""
         configuration = state["configuration"]
         if configuration is None:
             return
@@ -66,7 +67,7 @@
         return len(self._bodies) > MAX_BODIES or sum(map(len, self._bodies.values())) > MAX_CHARACTERS
 
     def to_wire(self, state: SystemState, known_digests: Collection[str]) -> WireState:
-        """The state for a process that has these bodies; without its body if that is one of them, or long."""
+        """Returns the state to send to a process with these bodies. Omits a body that it has or that is too long."""
         self.add(state)
         configuration = state["configuration"]
         if configuration is None:
@@ -76,19 +77,19 @@
         return {**state, "configuration": {name: field for name, field in configuration.items() if name != "body"}}
 
     async def from_wire(self, state: WireState, source: str) -> SystemState:
-        """The complete state. A missing body is fetched from the process at `source`; RpcError if it can't be."""
+        """Returns the complete state, fetching a missing body from the address `source`. Raises RpcError on failure."""
         configuration = state["configuration"]
         if configuration is not None and "body" not in configuration:
             body = await self._get_or_fetch(
                 str(configuration["digest"]), base_generation_of(cast(SystemState, state)), source
             )
             state = {**state, "configuration": {**configuration, "body": body}}
-        complete = cast(SystemState, state)
-        self.add(complete)
-        return complete
+        complete_state = cast(SystemState, state)
+        self.add(complete_state)
+        return complete_state
 
     async def handle_request(self, message: Message) -> Message:
-        """Replies with a page of a body. Raises BodyUnavailableError where the body is unknown."""
+        """Replies with one page of a body. Raises BodyUnavailableError if the body is unknown."""
         request = BodyRequest.decode(message)
         body = self._bodies.get(request.digest)
         if body is None:
@@ -96,16 +97,18 @@
         return BodyPage(body[request.offset : request.offset + PAGE_CHARACTERS], len(body)).encode()
 
     async def _get_or_fetch(self, digest: str, base_generation: int, source: str) -> str:
-        """A body from here or from `source`. One is fetched at a time: side by side they would share the link and the
-        time-out, and none would be completed."""
+        """Returns a body from the cache or fetches it from `source`.
+
+        Only one body is fetched at a time: concurrent fetches would share the link, and each would exceed its timeout.
+        """
         if digest in self._bodies:
             return self._bodies[digest]
-        async with self._fetching:
+        async with self._fetch_lock:
             if digest in self._bodies:
                 return self._bodies[digest]
             body = await self._fetch(digest, source)
             if configuration_digest(body.encode(), base_generation) != digest:
-                raise BodyUnavailableError(f"{digest}: other bytes")
+                raise BodyUnavailableError(f"{digest}: the received body does not match the digest")
             self._bodies[digest] = body
             return body
 
--- a/dewpin/controlplane/register/learner.py
+++ b/dewpin/controlplane/register/learner.py
@@ -1,4 +1,4 @@
-"""The learner of the register: the newest state that this process knows to be chosen, and what follows from it."""
+"""The register's learner: the newest state known to be chosen and the member addresses derived from it."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class RegisterLearner:
-    """Keeps the newest chosen state of one process.
+    """Keeps the newest chosen state known to one process.
 
     Attributes:
-        chosen: the newest state known to be chosen, None before the first.
-        chosen_ballot: a ballot under which `chosen` was chosen, or one below it.
-        bodies: the bodies of the configurations in these states.
+        chosen: the newest state known to be chosen; None before the first.
+        chosen_ballot: a ballot under which `chosen` was chosen, or a smaller one.
+        bodies: the configuration bodies of these states.
 
-    Invariant: the addresses kept are those of members that `chosen` names, and that values name which may still become
-    the next state.
+    Invariant: addresses are kept only for members named in `chosen` or in a value that may still become the next chosen
+    state.
     """
 
     def __init__(self, bodies: ConfigurationBodies, on_chosen: Callable[[SystemState], None]) -> None:
@@ -32,10 +32,10 @@
         self._chosen_addresses: dict[str, str] = {}
         self._proposed_addresses: dict[str, _ProposedAddress] = {}
         self._on_chosen = on_chosen
-        self._adopting = asyncio.Lock()
+        self._adopt_lock = asyncio.Lock()
 
     def record_chosen(self, ballot: Ballot, state: SystemState) -> None:
-        """Records a state that is known to be chosen. `on_chosen` is called if it is newer than the one known."""
+        """Records a state known to be chosen. Calls `on_chosen` if it is newer than the current one."""
         if self.chosen is not None and state["version"] <= self.chosen["version"]:
             if state["version"] == self.chosen["version"]:
                 self.chosen_ballot = max(ballot, self.chosen_ballot)
@@ -48,16 +48,16 @@
         self._on_chosen(state)
 
     async def adopt_chosen(self, ballot: Ballot, state: WireState, source: str) -> None:
-        """Records a state that the process at `source` knows to be chosen, once its body has been fetched.
+        """Records a chosen state received from the process at `source`, after fetching its body.
 
-        Raises RpcError if the body can't be fetched now; the pages received so far are kept for the next attempt.
+        Raises RpcError if the body cannot be fetched; pages received so far are kept for the next attempt.
         """
-        async with self._adopting:
+        async with self._adopt_lock:
             if self.chosen is None or state["version"] > self.chosen["version"]:
                 self.record_chosen(ballot, await self.bodies.from_wire(state, source))
 
     def learn_addresses(self, state: SystemState) -> None:
-        """Records the addresses of the members of a state that may still be chosen."""
+        """Records the member addresses in a state that may still be chosen."""
         version = state["version"]
         if self.chosen is not None and version <= self.chosen["version"]:
             return
@@ -67,17 +67,17 @@
                 self._proposed_addresses[member] = _ProposedAddress(address, version)
 
     def address_of(self, member: str) -> str | None:
-        """The address of a member; None where no state that is chosen, or may be, names it."""
+        """Returns the address of a member; None if no chosen or possibly chosen state names it."""
         proposed = self._proposed_addresses.get(member)
         return proposed.address if proposed is not None else self._chosen_addresses.get(member)
 
     def addresses(self) -> set[str]:
-        """The addresses of all members that such a state names."""
+        """Returns the addresses of all members named in chosen or possibly chosen states."""
         proposed = {known.address for known in self._proposed_addresses.values()}
         return proposed | set(self._chosen_addresses.values())
 
     def _forget_superseded_addresses(self, chosen_version: int) -> None:
-        """Drops what only values have named that can't be chosen any more."""
+        """Removes addresses that are named only in values that can no longer be chosen."""
         self._proposed_addresses = {
             member: known for member, known in self._proposed_addresses.items() if known.version > chosen_version
         }
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ProposedAddress:
-    """The address that a value names for a member; `version`: that of the newest such value."""
+    """A member's address in a proposed value. `version` is that of the newest value naming the member."""
 
     address: str
     version: int
--- a/dewpin/controlplane/register/messages.py
+++ b/dewpin/controlplane/register/messages.py
@@ -1,6 +1,6 @@
-"""Requests of the register between control servers. The replies of its rounds are those of `dewpin.consensus`.
+"""The register's requests between control servers. Replies to both rounds are those of `dewpin.consensus`.
 
-`encode` and `decode` map the names here to the fields on the wire, which earlier releases read as well.
+`encode` and `decode` map attributes to wire fields, which are compatible with earlier releases.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 BODY = "register.body"
 
 WireState = dict[str, Any]
-"""A system state on the wire: a configuration without a body is one that the other side has, or fetches."""
+"""A system state on the wire. If its configuration has no body, the recipient already has the body or fetches it."""
 
 
 @dataclass(frozen=True, slots=True)
 class PrepareRequest:
-    """First round of a ballot.
+    """Request of the first round of a ballot.
 
     Attributes:
-        member: the member that is asked; another incarnation at its address refuses.
+        member: the id of the addressed member; another incarnation at its address rejects the request.
         ballot: the ballot to promise.
-        known_ballot: the ballot of the proposer's value; the promise tells no value that is not above it.
-        body_digests: the bodies that the proposer has; the promise leaves them out.
+        known_ballot: the ballot of the proposer's value; the promise omits a value that is not newer.
+        body_digests: digests of the bodies that the proposer has; the promise omits these bodies.
     """
 
     member: str
@@ -38,7 +38,7 @@
     body_digests: tuple[str, ...] = ()
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "type": PREPARE,
             "to": self.member,
@@ -49,7 +49,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> PrepareRequest:
-        """The request in a message. KeyError, TypeError or ValueError if it is none."""
+        """Decodes a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
         known = message.get("known")
         return cls(
             member=str(message["to"]),
@@ -61,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptRequest:
-    """Second round of a ballot.
+    """Request of the second round of a ballot.
 
     Attributes:
-        member: the member that is asked; another incarnation at its address refuses.
+        member: the id of the addressed member; another incarnation at its address rejects the request.
         ballot: the ballot of the value.
-        value: the state to accept, perhaps without the body of its configuration.
+        value: the state to accept, possibly without the body of its configuration.
         body_source: the address of a process that has this body.
     """
 
@@ -76,7 +76,7 @@
     body_source: str = ""
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "type": ACCEPT,
             "to": self.member,
@@ -87,13 +87,13 @@
 
     @classmethod
     def decode(cls, message: Message) -> AcceptRequest:
-        """The request in a message. KeyError, TypeError or ValueError if it is none."""
+        """Decodes a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
         value = message["value"]
         if not isinstance(value, dict):
-            raise ValueError("the value is no state")
+            raise ValueError("the field value is not an object")
         return cls(str(message["to"]), ballot_from_json(message["ballot"]), value, str(message.get("source", "")))
 
 
 def digests_from_json(values: Iterable[object]) -> tuple[str, ...]:
-    """The digests in a message's field."""
+    """Decodes a list of digests from a message field."""
     return tuple(str(value) for value in values)
--- a/dewpin/controlplane/register/proposer.py
+++ b/dewpin/controlplane/register/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of the register: makes changes of the system state by ballots over the members' replicas."""
+"""The register's proposer: changes the system state by running ballots on the members' replicas."""
 
 from __future__ import annotations
 
@@ -26,22 +26,22 @@
 log = logging.getLogger(__name__)
 
 MEMBER_TIMEOUT_S = 0.6
-"""For one member's reply to one request."""
+"""Timeout of one request to one member."""
 INITIAL_BACKOFF_S = 0.01
 MAX_BACKOFF_S = 0.2
 
 _Replies = asyncio.Queue[tuple[str, Reply | None]]
-"""Each member's reply, None where it failed to give one."""
+"""Pairs of a member and its reply; None if the request failed."""
 
 
 class RegisterUnavailableError(DewpinError):
-    """No majority answered in time; the change may or may not have been made."""
+    """No majority replied before the timeout; the change may or may not have been made."""
 
 
 class RegisterProposer:
     """Proposes changes on behalf of one process, one at a time.
 
-    `background` owns the requests of each ballot: those of a chosen value go on after their ballot has ended.
+    `background` owns the requests of each ballot; accept requests of a chosen value continue after the ballot ends.
     """
 
     def __init__(
@@ -60,18 +60,18 @@
         self._learner = learner
         self._background = background
         self._counter = 0
-        self._proposing = asyncio.Lock()
+        self._proposal_lock = asyncio.Lock()
 
     def resume(self) -> None:
-        """Goes on above the ballots that the replica has promised on disk."""
+        """Continues above the ballots that the replica on disk has promised."""
         self._counter = self._acceptor.replica.promised.counter
 
     async def propose(self, change: ChangeFunction, timeout_s: float) -> SystemState:
-        """Makes `change`, in as many ballots as it takes; returns the chosen state.
+        """Makes a change, retrying with new ballots until one succeeds, and returns the chosen state.
 
-        Raises RegisterUnavailableError after the time-out, and what `change` raises: a ChangeRejectedError only for a
-        state that is chosen. Proposals of one process take turns: side by side they would overtake each other's
-        ballots.
+        Raises RegisterUnavailableError on timeout and propagates exceptions of `change`; a ChangeRejectedError is
+        raised only on the basis of a chosen state. Proposals of one process run one at a time: concurrent ones would
+        preempt each other's ballots.
         """
         try:
             return await asyncio.wait_for(self.propose_in_turn(change), timeout_s)
@@ -79,8 +79,8 @@
             raise RegisterUnavailableError("no majority in time") from None
 
     async def propose_in_turn(self, change: ChangeFunction) -> SystemState:
-        """As `propose`, without a time-out."""
-        async with self._proposing:
+        """Same as `propose`, but without a timeout."""
+        async with self._proposal_lock:
             return await self._propose(change)
 
     async def _propose(self, change: ChangeFunction) -> SystemState:
@@ -95,9 +95,9 @@
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _run_ballot(self, change: ChangeFunction) -> SystemState | None:
-        """Proposes the change under one ballot; None where it has to be proposed again."""
-        guarded = _GuardedChange(change)
-        initial, proposal = self._new_proposal(guarded)
+        """Proposes the change under one ballot. Returns None if it has to be proposed again."""
+        guarded_change = _GuardedChange(change)
+        initial, proposal = self._new_proposal(guarded_change)
         await self._drive(proposal, _body_digests_of(initial))
         result = proposal.result
         if result is None:
@@ -108,13 +108,13 @@
         self._learner.record_chosen(result.ballot, result.value)
         if result.outcome is Outcome.CONFIRMED:
             return None
-        if guarded.rejection is not None:
-            raise guarded.rejection
+        if guarded_change.rejection is not None:
+            raise guarded_change.rejection
         state: SystemState = result.value
         return state
 
-    def _new_proposal(self, guarded: _GuardedChange) -> tuple[SystemState, Proposal]:
-        """The newest state known here and a proposal that starts from it, under a ballot above all seen."""
+    def _new_proposal(self, guarded_change: _GuardedChange) -> tuple[SystemState, Proposal]:
+        """Returns the newest known state and a proposal based on it, with a ballot greater than all seen."""
         replica, learner = self._acceptor.replica, self._learner
         initial = learner.chosen or replica.value
         if initial is None:
@@ -122,12 +122,12 @@
         self._counter = max(self._counter, replica.promised.counter) + 1
         ballot = Ballot(self._counter, self._acceptor.member)
         initial_ballot = learner.chosen_ballot if initial is learner.chosen else replica.accepted
-        return initial, Proposal(ballot, initial, quorum_sets, guarded.apply, initial_ballot)
+        return initial, Proposal(ballot, initial, quorum_sets, guarded_change.apply, initial_ballot)
 
     async def _drive(self, proposal: Proposal, body_digests: tuple[str, ...]) -> None:
-        """Sends the proposal's requests and feeds it the replies, until it ends or no reply is pending.
+        """Sends the proposal's requests and passes it the replies until it ends or no reply is pending.
 
-        `body_digests`: the bodies that members are assumed to hold; one that doesn't fetches them.
+        `body_digests`: the bodies that members are assumed to have; a member that lacks one fetches it.
         """
         replies: _Replies = asyncio.Queue()
         tasks: set[asyncio.Task[None]] = set()
@@ -148,7 +148,7 @@
                     self._learner.learn_addresses(reply.value)
                 pending += send(proposal.receive(member, reply))
         finally:
-            # Accept requests of a chosen value go on: they bring the slower members up to date.
+            # Accept requests of a chosen value continue, since they bring slower members up to date.
             if proposal.result is None or proposal.result.outcome is not Outcome.CHOSEN:
                 for task in tasks:
                     task.cancel()
@@ -156,14 +156,14 @@
     async def _request_reply(self, request: Request, body_digests: tuple[str, ...], replies: _Replies) -> None:
         reply: Reply | None = None
         try:
-            reply = await self._deliver(request, body_digests)
-        except Exception as error:  # an unreachable member, an invalid reply, a failed disk: no vote from there
+            reply = await self._send(request, body_digests)
+        except Exception as error:  # an unreachable member, an invalid reply or a failed disk gives no vote
             log.debug("register.no_reply", extra={"member": request.member, "why": repr(error)})
         finally:
             replies.put_nowait((request.member, reply))
 
-    async def _deliver(self, request: Request, body_digests: tuple[str, ...]) -> Reply:
-        """The reply of a member, of the own replica without a message."""
+    async def _send(self, request: Request, body_digests: tuple[str, ...]) -> Reply:
+        """Returns a member's reply; calls the local replica directly, without a message."""
         body = request.body
         if request.member == self._acceptor.member:
             if isinstance(body, Prepare):
@@ -193,10 +193,10 @@
 
 
 class _GuardedChange:
-    """A change function under one ballot that keeps a rejection back until the ballot has ended.
+    """Wraps a change function for one ballot and defers a rejection until the ballot has ended.
 
-    The state that was rejected may never have been chosen, and the caller is to hear only of chosen ones. So the ballot
-    reads instead, and the rejection counts if the state that it has read is chosen.
+    The state that led to the rejection may never have been chosen, and callers may only be rejected on the basis of a
+    chosen state. So the ballot performs a read instead, and the rejection is raised if the state it read is chosen.
     """
 
     def __init__(self, change: ChangeFunction) -> None:
@@ -204,7 +204,7 @@
         self._change = change
 
     def apply(self, state: SystemState) -> SystemState:
-        """The changed state, or the same one where the change is rejected."""
+        """Returns the changed state, or the same state if the change is rejected."""
         try:
             return self._change(state)
         except ChangeRejectedError as rejection:
--- a/dewpin/controlplane/register/recovery.py
+++ b/dewpin/controlplane/register/recovery.py
@@ -1,12 +1,12 @@
-"""Recovery of a register that has lost a majority of its members for good: the operator's last resort.
+"""Disaster recovery of a register that has permanently lost a majority of its members.
 
-The survivor with the newest version is told, while its process is stopped, which members and stores never come back. It
-becomes the only member, under a new id, and its replica holds a state without them, under a ballot and a version far
-above all that they may have used. So a lost member that does come back is overruled: the survivor no longer answers to
-the id that the former majority knows. The other survivors stay stores, and join the register as any newcomer does.
-Changes, turns and settlements that only the lost members held are gone.
+The operator stops the survivor with the newest version and names the members and stores that are permanently lost. The
+survivor becomes the only member, under a new id. Its replica then contains a state without the lost ones, with a ballot
+and a version far above any they may have used. A lost member that does come back is superseded, because the survivor no
+longer replies under the id that the former majority knows. The other survivors remain stores and rejoin the register
+like new processes. Changes, turns and settlements that only the lost members stored are lost.
 
-Nothing is written unless all of the request is valid; see `plan_recovery`.
+Nothing is written unless the complete request is valid; see `plan_recovery`.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 from dewpin.controlplane.storage.schema import INCARNATION_BYTES, incarnation_of
 
 VERSION_STEP = 1_000_000
-"""Added to version, ballot and epoch: more than lost members can have used without this one, at 850 changes a day."""
+"""Added to version, ballot and epoch. Exceeds what the lost members can have used meanwhile, at 850 changes a day."""
 
 
 class RecoveryFileError(DewpinError):
-    """The database can't be opened: there is none, its process still runs, or it can't be read."""
+    """The database cannot be opened: it is missing or unreadable, or its process is still running."""
 
 
 class RecoveryRefusedError(DewpinError):
-    """The request is not valid; `errors` has a line for each reason, with the expected value."""
+    """The request is invalid; `errors` has one line per reason, with the expected value."""
 
     def __init__(self, errors: Sequence[str]) -> None:
         super().__init__("; ".join(errors))
@@ -47,15 +47,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaDescription:
-    """What a replica on disk holds.
+    """The contents of a replica on disk.
 
     Attributes:
-        member: the id of this disk.
+        member: the id of this disk's incarnation.
         is_member: whether the state names it as a member.
-        version: of the newest value that was accepted here.
-        generation: of the operator's configuration in it; 0 without one.
-        members: the machine's name of each member, by id; empty where it is not known.
-        stores: the same of the stores that hold records.
+        version: the version of the newest accepted value.
+        generation: the generation of the operator's configuration; 0 if there is none.
+        members: machine names of the members by id; empty if unknown.
+        stores: machine names of the stable stores by id; empty if unknown.
     """
 
     member: str
@@ -68,9 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryPlan:
-    """What a recovery changes: the ids that leave and stay, and the version before and after it.
+    """The changes made by a recovery: the ids removed and kept, and the version before and after.
 
-    `member`: the id of this disk, which gets a new one as the only member; `remaining_stores` has it by the old one.
+    `member`: the old id of this disk, which becomes the only member under a new id. `remaining_stores` contains the old
+    id.
     """
 
     member: str
@@ -82,8 +83,8 @@
 
 
 def describe_replica(data_dir: Path) -> ReplicaDescription:
-    """Returns what the replica in a data directory holds. Raises RecoveryFileError and RecoveryRefusedError."""
-    with _opened(data_dir) as connection:
+    """Describes the replica in a data directory. Raises RecoveryFileError or RecoveryRefusedError."""
+    with _open_database(data_dir) as connection:
         replica = _load(connection)
         member, state = incarnation_of(connection), _state_of(replica)
     names = state["names"]
@@ -92,25 +93,26 @@
         is_member=member in state["members"],
         version=state["version"],
         generation=_generation_of(state),
-        members={one: names.get(one, "") for one in _member_ids(state)},
-        stores={one: names.get(one, "") for one in sorted(state["stores"]["stable"])},
+        members={peer_id: names.get(peer_id, "") for peer_id in _member_ids(state)},
+        stores={peer_id: names.get(peer_id, "") for peer_id in sorted(state["stores"]["stable"])},
     )
 
 
 def plan_recovery(data_dir: Path, lost: Collection[str]) -> RecoveryPlan:
-    """Returns what `recover` would change, and changes nothing.
+    """Returns the changes that `recover` would make, without writing anything.
 
-    `lost`: ids of the members and stores that never come back. Raises RecoveryFileError, and RecoveryRefusedError with
-    every fault: the disk is no member, an id is unknown, is this member's own, or is missing, or a majority remains.
+    `lost`: ids of the permanently lost members and stores. Raises RecoveryFileError, or RecoveryRefusedError with all
+    errors: the disk does not belong to a member with a stable store, an id is unknown or is this member's own, or a
+    majority remains.
     """
-    with _opened(data_dir) as connection:
+    with _open_database(data_dir) as connection:
         replica = _load(connection)
         return _plan(incarnation_of(connection), _state_of(replica), lost)
 
 
 def recover(data_dir: Path, lost: Collection[str]) -> RecoveryPlan:
-    """Leaves the lost members and stores out of the state on disk, in one transaction. Raises as `plan_recovery`."""
-    with _opened(data_dir) as connection:
+    """Removes the lost members and stores from the state on disk, in one transaction. Raises as `plan_recovery`."""
+    with _open_database(data_dir) as connection:
         replica = _load(connection)
         state = _state_of(replica)
         plan = _plan(incarnation_of(connection), state, lost)
@@ -121,31 +123,31 @@
         connection.execute("BEGIN IMMEDIATE")
         connection.execute("UPDATE meta SET value = ? WHERE name = 'incarnation'", (member,))
         asyncio.run(ReplicaStorage(_OpenDatabase(connection), replica).persist())
-        told = json.dumps(asdict(plan))
-        connection.execute("INSERT OR REPLACE INTO meta (name, value) VALUES (?, ?)", (RECOVERY_KEY, told))
+        plan_json = json.dumps(asdict(plan))
+        connection.execute("INSERT OR REPLACE INTO meta (name, value) VALUES (?, ?)", (RECOVERY_KEY, plan_json))
         connection.execute("COMMIT")
         return plan
 
 
 class _OpenDatabase:
-    """A connection as the database of a `ReplicaStorage`: what it writes joins the transaction that is open."""
+    """Adapts a connection for `ReplicaStorage`. Its writes become part of the connection's open transaction."""
 
     def __init__(self, connection: sqlite3.Connection) -> None:
         self._connection = connection
 
     async def write(self, statements: list[Statement]) -> None:
-        """Runs the statements."""
+        """Executes the statements in the open transaction."""
         for sql, values in statements:
             self._connection.execute(sql, values)
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """The rows that a statement selects."""
+        """Returns the rows selected by a statement."""
         return self._connection.execute(sql, arguments).fetchall()
 
 
 @contextmanager
-def _opened(data_dir: Path) -> Iterator[sqlite3.Connection]:
-    """The database of a stopped control server. Raises RecoveryFileError."""
+def _open_database(data_dir: Path) -> Iterator[sqlite3.Connection]:
+    """Opens the database of a stopped control server. Raises RecoveryFileError."""
     try:
         connection = open_intact_database(data_dir)
     except (StorageError, SchemaTooNewError) as error:
@@ -172,60 +174,63 @@
 
 
 def _plan(member: str, state: SystemState, lost: Collection[str]) -> RecoveryPlan:
-    errors = [*_faults_of_member(member, state), *_faults_of_lost(member, state, lost)]
+    errors = [*_member_errors(member, state), *_lost_errors(member, state, lost)]
     if errors:
         raise RecoveryRefusedError(errors)
     return RecoveryPlan(
         member=member,
         lost=tuple(sorted(lost)),
-        remaining_stores=tuple(one for one in sorted(state["stores"]["stable"]) if one not in lost),
+        remaining_stores=tuple(peer_id for peer_id in sorted(state["stores"]["stable"]) if peer_id not in lost),
         version_before=state["version"],
         version_after=state["version"] + VERSION_STEP,
         generation=_generation_of(state),
     )
 
 
-def _faults_of_member(member: str, state: SystemState) -> list[str]:
+def _member_errors(member: str, state: SystemState) -> list[str]:
     errors = []
     if member not in state["members"]:
-        errors.append(f"this disk, {member}: expected a member, one of {_listed(_member_ids(state))}")
+        errors.append(f"this disk, {member}: expected a member, one of {_join_ids(_member_ids(state))}")
     if member not in state["stores"]["stable"]:
         errors.append(f"this disk, {member}: expected a store that holds records")
     return errors
 
 
-def _faults_of_lost(member: str, state: SystemState, lost: Collection[str]) -> list[str]:
+def _lost_errors(member: str, state: SystemState, lost: Collection[str]) -> list[str]:
     known = {*_member_ids(state), *state["stores"]["stable"]}
-    errors = [f"--lost {one}: expected one of {_listed(sorted(known - {member}))}" for one in sorted(set(lost) - known)]
+    errors = [
+        f"--lost {peer_id}: expected one of {_join_ids(sorted(known - {member}))}"
+        for peer_id in sorted(set(lost) - known)
+    ]
     if member in lost:
         errors.append(f"--lost {member}: expected another member than this disk's own")
     has_majority = all(len(members - set(lost)) >= majority_of(members) for members in quorum_sets(state))
     if has_majority:
-        remaining = [one for one in _member_ids(state) if one not in lost]
-        errors.append(f"--lost: expected so many that no majority remains; start {_listed(remaining)} instead")
+        remaining = [peer_id for peer_id in _member_ids(state) if peer_id not in lost]
+        errors.append(f"--lost: expected so many that no majority remains; start {_join_ids(remaining)} instead")
     return errors
 
 
 def _recovered_state(state: SystemState, plan: RecoveryPlan, member: str) -> SystemState:
-    """The state in which the survivor is the only member, by its new id `member`."""
+    """Returns the state in which the survivor is the only member, under its new id `member`."""
 
-    def renamed(by_id: Mapping[str, str]) -> dict[str, str]:
-        kept = {one: value for one, value in by_id.items() if one in plan.remaining_stores}
-        return {member if one == plan.member else one: value for one, value in kept.items()}
+    def with_new_id(entries: Mapping[str, str]) -> dict[str, str]:
+        remaining_entries = {peer_id: value for peer_id, value in entries.items() if peer_id in plan.remaining_stores}
+        return {member if peer_id == plan.member else peer_id: value for peer_id, value in remaining_entries.items()}
 
     stores = state["stores"]
-    following = state.copy()
-    following["version"] = plan.version_after
-    following["members"] = following["former_members"] = {member: state["members"][plan.member]}
-    following["stores"] = StoreViewState(
+    next_state = state.copy()
+    next_state["version"] = plan.version_after
+    next_state["members"] = next_state["former_members"] = {member: state["members"][plan.member]}
+    next_state["stores"] = StoreViewState(
         epoch=stores["epoch"] + VERSION_STEP,
-        stable=renamed(stores["stable"]),
+        stable=with_new_id(stores["stable"]),
         next=None,
-        locations=renamed(stores.get("locations", {})),
+        locations=with_new_id(stores.get("locations", {})),
     )
-    following["names"] = renamed(state["names"])
-    following["retiring"] = []
-    return following
+    next_state["names"] = with_new_id(state["names"])
+    next_state["retiring"] = []
+    return next_state
 
 
 def _member_ids(state: SystemState) -> list[str]:
@@ -237,5 +242,5 @@
     return configuration["generation"] if configuration is not None else 0
 
 
-def _listed(ids: Sequence[str]) -> str:
+def _join_ids(ids: Sequence[str]) -> str:
     return ", ".join(ids) or "none"
--- a/dewpin/controlplane/register/register.py
+++ b/dewpin/controlplane/register/register.py
@@ -1,4 +1,4 @@
-"""One process's part in the register that holds the system state: acceptor, proposer, learner and change history."""
+"""The register of the system state in one process: acceptor, proposer, learner and change history."""
 
 from __future__ import annotations
 
@@ -30,14 +30,15 @@
 log = logging.getLogger(__name__)
 
 
-def _ignore(state: SystemState) -> None:
+def _ignore_chosen(state: SystemState) -> None:
     pass
 
 
 class SystemRegister:
-    """The register as one process sees it. `member` is its id, `address` the one that peers reach it at.
+    """The local interface to the replicated register.
 
-    `on_chosen` is called with each state that is newly known to be chosen.
+    `member` is the id of this process and `address` its address for peers. `on_chosen` is called with each state newly
+    known to be chosen.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         storage: RegisterDatabase,
         client: RpcClient,
         rng: random.Random,
-        on_chosen: Callable[[SystemState], None] = _ignore,
+        on_chosen: Callable[[SystemState], None] = _ignore_chosen,
     ) -> None:
         self.member = member
         self.address = address
@@ -63,7 +64,7 @@
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of the register's messages, by type."""
+        """The handlers of the register's requests by message type."""
         return {
             **self.acceptor.handlers,
             BODY: self._bodies.handle_request,
@@ -71,7 +72,7 @@
         }
 
     async def load(self) -> None:
-        """Reads what the disk holds. The replica takes part in no ballot before that."""
+        """Loads the register from disk. Until then the replica rejects all ballots."""
         await self.acceptor.load()
         self._proposer.resume()
         await self._history.load()
@@ -79,11 +80,11 @@
         self.acceptor.is_loaded = True
 
     async def stop(self) -> None:
-        """Ends requests of ballots and writes of the change history: the next state tells of these changes too."""
+        """Cancels ballot requests and change history writes. The next chosen state lists these changes again."""
         await self._background.stop()
 
     async def _log_recovery(self) -> None:
-        """Tells of a recovery that an operator has made on this disk (`recovery.py`)."""
+        """Logs a recovery that an operator performed on this disk (`recovery.py`)."""
         for (plan,) in await self._storage.query("SELECT value FROM meta WHERE name = ?", (RECOVERY_KEY,)):
             log.warning("register.recovered", extra={"plan": json.loads(plan)})
 
@@ -94,55 +95,55 @@
 
     @property
     def chosen_ballot(self) -> Ballot:
-        """A ballot under which `chosen` was chosen, or one below it."""
+        """A ballot under which `chosen` was chosen, or a smaller one."""
         return self._learner.chosen_ballot
 
     @property
     def newest(self) -> SystemState | None:
-        """The newest state seen here, chosen or not: it names the members to ask."""
+        """The newest state known here, whether chosen or not. It names the members to contact."""
         return self.chosen or self.acceptor.replica.value
 
     @property
     def durable_version(self) -> int:
-        """The version of the newest value that the replica has accepted and that is on disk; -1 without one."""
+        """The version of the newest accepted value that is on disk; -1 if there is none."""
         return self.acceptor.durable_version
 
     @property
     def has_unfinished_value(self) -> bool:
-        """Whether the replica accepted a version above the newest that is known to be chosen."""
+        """Whether the accepted value is newer than the newest state known to be chosen."""
         return self.acceptor.has_unfinished_value
 
     async def bootstrap(self, state: SystemState) -> None:
-        """Takes the initial state, the same at all first members, as chosen."""
+        """Records the initial state, identical on all initial members, as chosen."""
         await self.acceptor.bootstrap(state)
         self.record_chosen(ZERO_BALLOT, state)
 
     def record_chosen(self, ballot: Ballot, state: SystemState) -> None:
-        """Records a state that is known to be chosen."""
+        """Records a state known to be chosen."""
         self._learner.record_chosen(ballot, state)
 
     async def adopt_chosen(self, ballot: Ballot, state: WireState, source: str) -> None:
-        """Records a state that the process at `source` knows to be chosen. RpcError if its body can't be fetched."""
+        """Records a chosen state received from the address `source`. Raises RpcError if its body cannot be fetched."""
         await self._learner.adopt_chosen(ballot, state, source)
 
     async def propose(self, change: ChangeFunction, timeout_s: float) -> SystemState:
-        """Makes a change; see `RegisterProposer.propose`."""
+        """Proposes a change; see `RegisterProposer.propose`."""
         return await self._proposer.propose(change, timeout_s)
 
     def body(self, digest: str) -> str | None:
-        """The body of a configuration by its digest, if it is known here."""
+        """Returns a configuration body by its digest; None if it is unknown."""
         return self._bodies.body(digest)
 
     def body_digests(self) -> tuple[str, ...]:
-        """The digests of the configurations' bodies that are known here."""
+        """Returns the digests of the known configuration bodies."""
         return self._bodies.digests()
 
     def to_wire(self, state: SystemState, body_digests: tuple[str, ...]) -> WireState:
-        """A state for a process that has these bodies."""
+        """Returns the state to send to a process that has these bodies."""
         return self._bodies.to_wire(state, body_digests)
 
     async def was_accepted(self, generation: int, digest: str, timeout_s: float) -> bool | None:
-        """Whether a change that the newest state no longer tells of was accepted; None if unknown in time."""
+        """Returns whether a change no longer listed in the newest state was accepted; None if unknown on timeout."""
         if self.chosen is None:
             return None
         try:
@@ -159,15 +160,15 @@
     async def _record_changes(self, state: SystemState) -> None:
         try:
             await self._history.record(state)
-        except StorageError as error:  # the next state tells of these changes too
+        except StorageError as error:  # the next chosen state lists these changes again
             log.warning("register.orders_not_noted", extra={"why": repr(error)})
 
     async def _handle_history_request(self, message: Message) -> Message:
         return (await self._history.page(ChangeHistoryRequest.decode(message))).encode()
 
     async def _query_peers(self, request: ChangeHistoryRequest) -> ChangeHistoryPage | None:
-        """The page of the peer that knows the oldest changes asked for; None where no peer answers."""
-        best: ChangeHistoryPage | None = None
+        """Returns the page that starts with the oldest of the requested changes; None if no peer replies."""
+        oldest_page: ChangeHistoryPage | None = None
         for address in sorted(self._learner.addresses() - {self.address}):
             try:
                 reply = await self._client.call(address, request.encode(), MEMBER_TIMEOUT_S)
@@ -175,8 +176,8 @@
             except (RpcError, LookupError, TypeError, ValueError) as error:
                 log.debug("register.no_orders", extra={"address": address, "why": repr(error)})
                 continue
-            if best is None or page.starts_before(best):
-                best = page
-            if best.changes and best.changes[0].number == request.after + 1:
-                return best
-        return best
+            if oldest_page is None or page.starts_before(oldest_page):
+                oldest_page = page
+            if oldest_page.changes and oldest_page.changes[0].number == request.after + 1:
+                return oldest_page
+        return oldest_page
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -1,4 +1,4 @@
-"""The register's replica on disk: the value without its configuration's body, which has a row of its own."""
+"""Stores the register's replica on disk. The configuration body is stored in a row separate from the value."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 REGISTER_KEY = "system"
 PROMISE_KEY = "system/promise"
-"""A row of its own for the newest promise: reads make promises, and must not write the whole state each time."""
+"""Separate row for the newest promise: reads make promises, which must not rewrite the complete state."""
 
 RECOVERY_KEY = "register_recovery"
-"""Row of `meta` that tells of an operator's recovery of this disk (`recovery.py`); each start logs it."""
+"""Row of `meta` that records an operator's recovery of this disk (`recovery.py`). It is logged at each start."""
 
 Statement = tuple[str, tuple[Any, ...]]
-_REPLACE = "INSERT OR REPLACE INTO register_replica(key, promised, accepted_ballot, value) VALUES (?,?,?,?)"
+_REPLACE_REPLICA = "INSERT OR REPLACE INTO register_replica(key, promised, accepted_ballot, value) VALUES (?,?,?,?)"
 
 
 class RegisterDatabase(Protocol):
-    """The part of the storage that the register needs."""
+    """The storage interface that the register requires."""
 
     async def write(self, statements: list[Statement]) -> None:
-        """Writes in one transaction; returns once it is synced. StorageError if it may not be."""
+        """Writes in one transaction; returns once synced. Raises StorageError if that may have failed."""
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """The rows that a statement selects."""
+        """Returns the rows selected by a statement."""
 
 
 class ReplicaStorage:
-    """Reads and writes one replica. `durable_version`: of the newest value that was accepted and is on disk."""
+    """Loads and stores one replica. `durable_version` is the version of the newest accepted value on disk."""
 
     def __init__(self, storage: RegisterDatabase, replica: Replica) -> None:
         self._storage = storage
@@ -43,7 +43,7 @@
         self._durable_ballot = ZERO_BALLOT
 
     async def load(self) -> None:
-        """Reads the replica from disk. StorageDamagedError if the body of its configuration is missing."""
+        """Loads the replica from disk. Raises StorageDamagedError if the body of its configuration is missing."""
         rows = await self._storage.query(
             "SELECT promised, accepted_ballot, value FROM register_replica WHERE key IN (?, ?)",
             (REGISTER_KEY, PROMISE_KEY),
@@ -57,39 +57,40 @@
         self._durable_ballot = self._replica.accepted
 
     async def persist(self) -> None:
-        """Writes the complete replica as it is now; returns once it is synced. StorageError if it may not be."""
+        """Writes the complete current replica and returns once it is synced. Raises StorageError if it may not be."""
         replica, accepted = self._replica, self._replica.accepted
         value, bodies = _without_body(replica.value)
         row = (REGISTER_KEY, json.dumps(replica.promised), json.dumps(accepted), json.dumps(value))
-        await self._storage.write([*bodies, (_REPLACE, row)])
+        await self._storage.write([*bodies, (_REPLACE_REPLICA, row)])
         if accepted >= self._durable_ballot and value is not None:
             self._durable_ballot = accepted
             self.durable_version = value["version"]
 
     async def persist_promise(self) -> None:
-        """Writes the promise alone, unless the accepted value is not on disk yet: the reply contains it as well."""
+        """Writes only the promise, or the whole replica if its accepted value, part of the reply, is not on disk."""
         if self._replica.accepted > self._durable_ballot:
             await self.persist()
             return
-        await self._storage.write([(_REPLACE, (PROMISE_KEY, json.dumps(self._replica.promised), None, None))])
+        await self._storage.write([(_REPLACE_REPLICA, (PROMISE_KEY, json.dumps(self._replica.promised), None, None))])
 
     async def _with_body(self, value: dict[str, Any]) -> SystemState:
-        """The value with its body; earlier releases wrote the body into the value."""
+        """Returns the value with its configuration body. Earlier releases stored the body inside the value."""
         configuration = value["configuration"]
         if configuration is not None and "body" not in configuration:
             digest = configuration["digest"]
             rows = await self._storage.query("SELECT body FROM register_bodies WHERE digest = ?", (digest,))
             if not rows:
-                raise StorageDamagedError(f"no body {digest}")
+                raise StorageDamagedError(f"the configuration body {digest} is missing")
             configuration["body"] = rows[0][0]
         state: SystemState = value  # type: ignore[assignment]
         return state
 
 
 def _without_body(state: SystemState | None) -> tuple[WireState | None, list[Statement]]:
-    """The value for the replica's row, and the statements that keep its body, and no other, in the same transaction.
+    """Returns the value for the replica's row and the statements that store its body and delete all others.
 
-    The statement checks whether the body is there already: an earlier write may yet turn out to have failed.
+    All are executed in one transaction. The INSERT statement itself checks whether the body is already stored, because
+    an earlier write of it may still fail.
     """
     if state is None or state["configuration"] is None:
         return cast("WireState | None", state), []
--- a/dewpin/controlplane/register/system_state.py
+++ b/dewpin/controlplane/register/system_state.py
@@ -1,7 +1,7 @@
-"""The system state: the value of the register, and every change that is made to it, as pure functions.
+"""The system state, which is the register's value, and all changes to it as pure functions.
 
-A change takes the present state and returns the next one, or the same object where nothing is to be done. All states
-are plain JSON objects, treated as immutable.
+A change maps the current state to the next one, or returns the same object if nothing has to change. States are plain
+JSON objects and are treated as immutable.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from dewpin.cluster.errors import DewpinError
 
 MAX_CHANGES_IN_STATE = 128
-"""Changes by the operator that the state itself lists; older ones are in each process's `ChangeHistory`."""
+"""Operator changes listed in the state itself; older ones are in the `ChangeHistory` of each process."""
 MAX_CHANGES_IN_UNCOUNTED_STATE = 2000
-"""What releases that did not count the changes (`orders_taken`) kept at most."""
+"""Limit of listed changes in earlier releases, which did not count the accepted changes (`orders_taken`)."""
 
 MAX_RETIRED_NAMES = 64
 
 Addresses = dict[str, str]
-"""Addresses by id of the incarnation."""
+"""Addresses by incarnation id."""
 
 
 class StoredConfiguration(TypedDict):
-    """The operator's configuration as it was sent."""
+    """The operator's configuration as received."""
 
     generation: int
     digest: str
@@ -34,7 +34,7 @@
 
 
 class StoreViewState(TypedDict):
-    """The stores by id: `stable` ones hold all records, `next` is the set that a change leads to."""
+    """The stores by id. `stable` stores have all records; `next` is the target of a change in progress."""
 
     epoch: int
     stable: Addresses
@@ -43,22 +43,22 @@
 
 
 class SystemState(TypedDict):
-    """The register's value. Members and stores are incarnations, by id, with the address of each.
+    """The register's value. Members and stores are addresses of process incarnations by id.
 
-    The keys are those of the wire and of stored data.
+    The keys are used as they are on the wire and in stored data.
 
     Attributes:
-        version: rises by one with each change.
-        members: the members of the register; the next value needs a majority of them and of `former_members`.
+        version: increases by one with each change.
+        members: the members of the register; the next value needs a majority of these and of `former_members`.
         former_members: the members before the last change.
-        names: the name of the machine of each member and store.
-        stores: the stores, and the change of them that is under way.
-        retiring: names of the machines that are to be emptied.
-        retired: names of the machines that were emptied, the newest last.
-        configuration: the operator's configuration, None before the first.
-        accepted: the newest changes by the operator that were accepted, generation and digest of each.
-        orders_taken: how many changes by the operator were ever accepted.
-        note: of earlier releases; nothing reads it.
+        names: machine names of the members and stores by id.
+        stores: the stores and the store change in progress.
+        retiring: names of the machines being retired, whose records move to other stores.
+        retired: names of the retired machines, the newest last.
+        configuration: the operator's configuration; None before the first.
+        accepted: the newest accepted operator changes, each as generation and digest.
+        orders_taken: total number of accepted operator changes.
+        note: written by earlier releases; ignored.
     """
 
     version: int
@@ -78,27 +78,27 @@
 
 
 class ChangeRejectedError(DewpinError):
-    """The change may not be made to the state as it is."""
+    """The change is not allowed in the current state."""
 
 
 class VersionMismatchError(ChangeRejectedError):
-    """The operator's change builds on a configuration that is not the present one."""
+    """The operator's change is based on a configuration that is not the current one."""
 
 
 class GenerationTooLowError(ChangeRejectedError):
-    """The generation of the operator's change is not above the present one."""
+    """The generation of the operator's change is not greater than the current one."""
 
 
 class ChangeForgottenError(ChangeRejectedError):
-    """The change is older than all that the state lists: it may have been accepted before."""
+    """The change is older than all changes listed in the state, so it may have been accepted before."""
 
 
 class StateVersionChangedError(ChangeRejectedError):
-    """The state is no longer the version that the change was planned on."""
+    """The state no longer has the version that the change was planned for."""
 
 
 class InvalidPatchError(ChangeRejectedError):
-    """The patch would make an invalid configuration; `errors` has a line for each reason."""
+    """The patched configuration would be invalid; `errors` has one line per reason."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -106,15 +106,15 @@
 
 
 class UnknownMachineError(ChangeRejectedError):
-    """No store machine has that name."""
+    """No machine with a store has the requested name."""
 
 
 class TooFewStoresRemainError(ChangeRejectedError):
-    """Without the machine there would be too few stores for the losses that they have to tolerate."""
+    """Without the machine, too few stores would remain to tolerate the required number of failures."""
 
 
 def initial_state(members: Addresses, names: Mapping[str, str]) -> SystemState:
-    """The state before the first change: the same at every member that makes it."""
+    """Returns the state before the first change. It is identical on every member that creates it."""
     return SystemState(
         version=0,
         members=dict(sorted(members.items())),
@@ -130,62 +130,62 @@
 
 
 def quorum_sets(state: SystemState) -> list[frozenset[str]]:
-    """The sets that must each give a majority."""
+    """Returns the member sets that must each provide a majority."""
     return [frozenset(state["members"]), frozenset(state["former_members"])]
 
 
 def is_membership_stable(state: SystemState) -> bool:
-    """Whether no change of the register's members is under way."""
+    """Returns whether no membership change of the register is in progress."""
     return state["members"] == state["former_members"]
 
 
 def successor(state: SystemState) -> SystemState:
-    """A copy that is the next version, with the present members as the former ones."""
-    following = state.copy()
-    following["version"] = state["version"] + 1
-    following["former_members"] = state["members"]
-    return following
+    """Returns a copy with the next version and the current members as the former ones."""
+    next_state = state.copy()
+    next_state["version"] = state["version"] + 1
+    next_state["former_members"] = state["members"]
+    return next_state
 
 
 def base_generation_of(state: SystemState) -> int:
-    """The generation that the present configuration was built on; 0 for the first one."""
-    remembered = state["accepted"]
-    return int(remembered[-2][0]) if len(remembered) > 1 else 0
+    """Returns the generation that the current configuration is based on; 0 for the first configuration."""
+    listed = state["accepted"]
+    return int(listed[-2][0]) if len(listed) > 1 else 0
 
 
 def accepted_change_count(state: SystemState) -> int:
-    """How many changes by the operator were ever accepted.
+    """Returns the total number of accepted operator changes.
 
-    A state of an earlier release, which did not count, is taken to have dropped some once it was full.
+    States of earlier releases do not have this count. Once their list is full, they are assumed to have dropped some.
     """
-    remembered = len(state["accepted"])
-    return state.get("orders_taken", remembered + (remembered >= MAX_CHANGES_IN_UNCOUNTED_STATE))
+    listed = len(state["accepted"])
+    return state.get("orders_taken", listed + (listed >= MAX_CHANGES_IN_UNCOUNTED_STATE))
 
 
 def is_forgotten(state: SystemState, generation: int, base: int) -> bool:
-    """Whether a change of that generation may have been accepted before all that the state lists.
+    """Returns whether a change with this generation may have been accepted before all changes listed in the state.
 
-    Generations rise from change to change, and an accepted one is above its base.
+    Generations increase from change to change, and an accepted generation is greater than its base.
     """
-    remembered = state["accepted"]
-    if generation <= base or accepted_change_count(state) == len(remembered):
+    listed = state["accepted"]
+    if generation <= base or accepted_change_count(state) == len(listed):
         return False
-    return generation < int(remembered[0][0])
+    return generation < int(listed[0][0])
 
 
 def put_configuration(body: bytes, generation: int, base: int) -> ChangeFunction:
-    """The change that stores a valid configuration. The same request sent again changes nothing."""
+    """Returns the change that stores a valid configuration. A repeated request changes nothing."""
     digest = configuration_digest(body, base)
     return _accept_configuration(generation, base, digest, lambda current: body)
 
 
 def patch_configuration(patch: ConfigurationPatch, request_digest: str, base: int) -> ChangeFunction:
-    """The change that patches the configuration of generation `base`. The same request sent again changes nothing.
+    """Returns the change that patches the configuration of generation `base`. A repeated request changes nothing.
 
-    It raises InvalidPatchError where the patched configuration would be invalid.
+    The change raises InvalidPatchError if the patched configuration would be invalid.
     """
 
-    def patched(current: StoredConfiguration | None) -> bytes:
+    def patched_body(current: StoredConfiguration | None) -> bytes:
         if current is None:
             raise InvalidPatchError(["there is no configuration to patch yet"])
         try:
@@ -193,15 +193,15 @@
         except InvalidConfigurationError as invalid:
             raise InvalidPatchError(invalid.lines()) from None
 
-    return _accept_configuration(patch.generation, base, request_digest, patched)
+    return _accept_configuration(patch.generation, base, request_digest, patched_body)
 
 
 def _accept_configuration(
-    generation: int, base: int, request_digest: str, body_after: Callable[[StoredConfiguration | None], bytes]
+    generation: int, base: int, request_digest: str, new_body: Callable[[StoredConfiguration | None], bytes]
 ) -> ChangeFunction:
-    """The change that stores the body that `body_after` makes. `request_digest` identifies the operator's request.
+    """Returns the change that stores the body returned by `new_body`. `request_digest` identifies the request.
 
-    It raises ChangeForgottenError, VersionMismatchError or GenerationTooLowError.
+    The change raises ChangeForgottenError, VersionMismatchError or GenerationTooLowError.
     """
 
     def change(state: SystemState) -> SystemState:
@@ -215,79 +215,80 @@
             raise VersionMismatchError(f"version {current} is in place, not {base}")
         if generation <= current:
             raise GenerationTooLowError(f"generation {generation} is not above {current}")
-        body = body_after(configuration)
-        following = successor(state)
-        following["configuration"] = StoredConfiguration(
+        body = new_body(configuration)
+        next_state = successor(state)
+        next_state["configuration"] = StoredConfiguration(
             generation=generation, digest=configuration_digest(body, base), body=body.decode("utf-8")
         )
         entry: list[int | str] = [generation, request_digest]
-        following["orders_taken"] = accepted_change_count(state) + 1
-        following["accepted"] = [*state["accepted"], entry][-MAX_CHANGES_IN_STATE:]
-        return following
+        next_state["orders_taken"] = accepted_change_count(state) + 1
+        next_state["accepted"] = [*state["accepted"], entry][-MAX_CHANGES_IN_STATE:]
+        return next_state
 
     return change
 
 
-def on_version(version: int, make: Callable[[SystemState], SystemState]) -> ChangeFunction:
-    """Applies `make` to the state of exactly `version`; StateVersionChangedError for any other."""
+def on_version(version: int, change: Callable[[SystemState], SystemState]) -> ChangeFunction:
+    """Applies `change` only to a state with this version; raises StateVersionChangedError for any other."""
 
-    def change(state: SystemState) -> SystemState:
+    def change_if_version(state: SystemState) -> SystemState:
         if state["version"] != version:
             raise StateVersionChangedError(f"version {state['version']}, planned on {version}")
-        return make(state)
+        return change(state)
 
-    return change
+    return change_if_version
 
 
 def set_members(members: Addresses, names: Mapping[str, str]) -> Callable[[SystemState], SystemState]:
-    """Replaces the register's members."""
+    """Returns the change that replaces the register's members."""
 
-    def make(state: SystemState) -> SystemState:
-        following = successor(state)
-        following["members"] = dict(sorted(members.items()))
-        following["names"] = _names_in_use(following, {**state["names"], **names})
-        return following
+    def change(state: SystemState) -> SystemState:
+        next_state = successor(state)
+        next_state["members"] = dict(sorted(members.items()))
+        next_state["names"] = _names_in_use(next_state, {**state["names"], **names})
+        return next_state
 
-    return make
+    return change
 
 
 def set_initial_stores(
     stores: Addresses, names: Mapping[str, str], locations: Mapping[str, str] = MappingProxyType({})
 ) -> Callable[[SystemState], SystemState]:
-    """Sets the first stores, which have nothing to copy."""
+    """Returns the change that sets the initial stores, which have no records to copy."""
 
-    def make(state: SystemState) -> SystemState:
+    def change(state: SystemState) -> SystemState:
         view = StoreViewState(epoch=state["stores"]["epoch"] + 1, stable=dict(sorted(stores.items())), next=None)
         return _with_view(state, view, names, locations)
 
-    return make
+    return change
 
 
 def start_store_change(
     stores: Addresses, names: Mapping[str, str], locations: Mapping[str, str] = MappingProxyType({})
 ) -> Callable[[SystemState], SystemState]:
-    """Starts a change of the stores to `stores`, or gives the change under way another target."""
+    """Returns the change that starts a store change, or sets a new target for the one in progress."""
 
-    def make(state: SystemState) -> SystemState:
-        present = state["stores"]
-        view = StoreViewState(epoch=present["epoch"] + 1, stable=present["stable"], next=dict(sorted(stores.items())))
+    def change(state: SystemState) -> SystemState:
+        current = state["stores"]
+        view = StoreViewState(epoch=current["epoch"] + 1, stable=current["stable"], next=dict(sorted(stores.items())))
         return _with_view(state, view, names, locations)
 
-    return make
+    return change
 
 
 def finish_store_change(state: SystemState) -> SystemState:
-    """Ends the change of the stores that is under way: all next stores have copied."""
-    present = state["stores"]
-    assert present["next"] is not None
-    view = StoreViewState(epoch=present["epoch"] + 1, stable=present["next"], next=None)
+    """Completes the store change in progress, once all next stores have copied the records."""
+    current = state["stores"]
+    assert current["next"] is not None
+    view = StoreViewState(epoch=current["epoch"] + 1, stable=current["next"], next=None)
     return _with_view(state, view, {}, {})
 
 
-def start_retirement(name: str, least_stores: int) -> ChangeFunction:
-    """Marks a store machine, by its name, to be emptied. `least_stores` have to remain.
+def start_retirement(name: str, min_stores: int) -> ChangeFunction:
+    """Returns the change that starts the retirement of the named machine. At least `min_stores` have to remain.
 
-    It raises UnknownMachineError or TooFewStoresRemainError; a machine that is marked already changes nothing.
+    The change raises UnknownMachineError or TooFewStoresRemainError. It changes nothing if the machine is already
+    retiring or retired.
     """
 
     def change(state: SystemState) -> SystemState:
@@ -299,41 +300,41 @@
             raise UnknownMachineError(name)
         leaving = {*state["retiring"], name}
         remaining = [store for store in view["next"] or view["stable"] if state["names"].get(store) not in leaving]
-        if len(remaining) < least_stores:
-            raise TooFewStoresRemainError(f"{len(remaining)} stores would remain, {least_stores} are needed")
-        following = successor(state)
-        following["retiring"] = [*state["retiring"], name]
-        return following
+        if len(remaining) < min_stores:
+            raise TooFewStoresRemainError(f"{len(remaining)} stores would remain, {min_stores} are needed")
+        next_state = successor(state)
+        next_state["retiring"] = [*state["retiring"], name]
+        return next_state
 
     return change
 
 
 def finish_retirement(name: str) -> Callable[[SystemState], SystemState]:
-    """Records that a machine holds nothing any more."""
+    """Returns the change that marks a machine as retired, once it is neither a store nor a member."""
 
-    def make(state: SystemState) -> SystemState:
-        following = successor(state)
-        following["retiring"] = [one for one in state["retiring"] if one != name]
-        following["retired"] = [*state["retired"], name][-MAX_RETIRED_NAMES:]
-        return following
+    def change(state: SystemState) -> SystemState:
+        next_state = successor(state)
+        next_state["retiring"] = [other for other in state["retiring"] if other != name]
+        next_state["retired"] = [*state["retired"], name][-MAX_RETIRED_NAMES:]
+        return next_state
 
-    return make
+    return change
 
 
 def is_retired(state: SystemState, name: str) -> bool:
-    """Whether a machine has been emptied."""
+    """Returns whether a machine is retired."""
     return name in state["retired"] and name not in state["retiring"]
 
 
 def _with_view(
     state: SystemState, view: StoreViewState, names: Mapping[str, str], locations: Mapping[str, str]
 ) -> SystemState:
-    following = successor(state)
-    known = {**state["stores"].get("locations", {}), **locations}
-    view["locations"] = {store: known[store] for store in _stores_in(view) if store in known}
-    following["stores"] = view
-    following["names"] = _names_in_use(following, {**state["names"], **names})
-    return following
+    next_state = successor(state)
+    all_locations = {**state["stores"].get("locations", {}), **locations}
+    view["locations"] = {store: all_locations[store] for store in _stores_in(view) if store in all_locations}
+    next_state["stores"] = view
+    next_state["names"] = _names_in_use(next_state, {**state["names"], **names})
+    return next_state
 
 
 def _stores_in(view: StoreViewState) -> list[str]:
@@ -341,5 +342,10 @@
 
 
 def _names_in_use(state: SystemState, names: Mapping[str, str]) -> dict[str, str]:
-    used = {*state["members"], *state["former_members"], *state["stores"]["stable"], *(state["stores"]["next"] or {})}
-    return {member: names[member] for member in sorted(used) if member in names}
+    in_use = {
+        *state["members"],
+        *state["former_members"],
+        *state["stores"]["stable"],
+        *(state["stores"]["next"] or {}),
+    }
+    return {member: names[member] for member in sorted(in_use) if member in names}
