--- a/dewpin/controlplane/membership/cluster_observation.py
+++ b/dewpin/controlplane/membership/cluster_observation.py
@@ -36,7 +36,7 @@
     now_s: float
     contact_since_s: float | None
 
-    def everyone(self) -> list[Peer]:
+    def all_peers(self) -> list[Peer]:
         """This process and all that it has heard."""
         return [self.local_peer, *self.peers.peers.values()]
 
@@ -44,7 +44,7 @@
         """For how long nothing has been heard of a process."""
         return 0.0 if peer_id == self.local_peer.id else self.peers.since_last_received_s(peer_id, self.now_s)
 
-    def absent_s(self, peer_id: str) -> float:
+    def observed_silence_s(self, peer_id: str) -> float:
         """For how long nothing has been heard of a process while this one reached a majority."""
         if self.contact_since_s is None:
             return 0.0
@@ -52,14 +52,14 @@
 
     def is_replaced(self, peer_id: str, name: str | None) -> bool:
         """Whether the machine of that name runs as another incarnation by now."""
-        if peer_id == self.local_peer.id or self.absent_s(peer_id) <= ALIVE_WITHIN_S:
+        if peer_id == self.local_peer.id or self.observed_silence_s(peer_id) <= ALIVE_WITHIN_S:
             return False
         return name == self.local_peer.name or self.peers.is_replaced(peer_id, name, self.now_s)
 
     def has_left(self, peer_id: str) -> bool:
         """Whether the process announced its end and has been silent since."""
         peer = self.peers.peers.get(peer_id)
-        return peer is not None and peer.is_leaving and self.absent_s(peer_id) > ALIVE_WITHIN_S
+        return peer is not None and peer.is_leaving and self.observed_silence_s(peer_id) > ALIVE_WITHIN_S
 
     def has_joined_recently(self, peer: Peer) -> bool:
         """Whether the process came while this one was already there, and not long ago."""
--- a/dewpin/controlplane/membership/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -55,7 +55,7 @@
     """Processes that are alive and may become members or stores, ascending by id."""
     found = [
         peer
-        for peer in observation.everyone()
+        for peer in observation.all_peers()
         if observation.is_alive(peer.id)
         and not peer.is_leaving
         and peer.name not in state["retiring"]
@@ -99,7 +99,7 @@
     """Whether a member or store is given up: replaced, to be emptied, or absent for longer than `timeout_s`."""
     if observation.is_replaced(peer_id, name) or name in state["retiring"]:
         return True
-    return observation.absent_s(peer_id) > timeout_s
+    return observation.observed_silence_s(peer_id) > timeout_s
 
 
 def _store_change(state: SystemState, observation: ClusterObservation) -> _Make | None:
@@ -185,7 +185,7 @@
 
 def _have_all_synced(stores: Addresses, epoch: int, observation: ClusterObservation) -> bool:
     """Whether all these stores have copied the records for the epoch of the view."""
-    synced_epochs = {peer.id: peer.synced_epoch for peer in observation.everyone()}
+    synced_epochs = {peer.id: peer.synced_epoch for peer in observation.all_peers()}
     return all(synced_epochs.get(store, -1) >= epoch for store in stores)
 
 
@@ -203,8 +203,8 @@
 
 
 def _peer_locations(observation: ClusterObservation) -> dict[str, str]:
-    return {peer.id: peer.location for peer in observation.everyone()}
+    return {peer.id: peer.location for peer in observation.all_peers()}
 
 
 def _peer_names(observation: ClusterObservation) -> dict[str, str]:
-    return {peer.id: peer.name for peer in observation.everyone()}
+    return {peer.id: peer.name for peer in observation.all_peers()}
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -310,7 +310,7 @@
 
 def let_a_store_go_before_one_has_copied(patch: Patch) -> None:
     def all_but_one(stores: dict[str, str], epoch: int, knowledge: Any) -> bool:
-        synced = {peer.id: peer.synced_epoch for peer in knowledge.everyone()}
+        synced = {peer.id: peer.synced_epoch for peer in knowledge.all_peers()}
         return sum(synced.get(store, -1) >= epoch for store in stores) >= len(stores) - 1
 
     patch.setattr(reconfiguration, "_have_all_synced", all_but_one)
