--- a/dewpin/controlplane/membership/majority_loss.py
+++ b/dewpin/controlplane/membership/majority_loss.py
@@ -10,9 +10,9 @@
 
 log = logging.getLogger(__name__)
 
-LOST_AFTER_S = 5.0
+LOSS_TIMEOUT_S = 5.0
 """Without contact to a majority for so long, a process says so."""
-REPEATED_AFTER_S = 30.0
+LOG_INTERVAL_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
             self._last_contact_s = now_s
             self._logged_at_s = float("-inf")
             return None
-        if now_s - self._last_contact_s < LOST_AFTER_S or now_s - self._logged_at_s < REPEATED_AFTER_S:
+        if now_s - self._last_contact_s < LOSS_TIMEOUT_S or now_s - self._logged_at_s < LOG_INTERVAL_S:
             return None
         self._logged_at_s = now_s
         missing = missing_members(state, own_member, peers, now_s)
--- a/tests/controlplane/test_majority_loss.py
+++ b/tests/controlplane/test_majority_loss.py
@@ -1,8 +1,8 @@
 """The log of a majority that is out of reach: when it is written, and whom it names."""
 
 from dewpin.controlplane.membership.majority_loss import (
-    LOST_AFTER_S,
-    REPEATED_AFTER_S,
+    LOG_INTERVAL_S,
+    LOSS_TIMEOUT_S,
     MajorityLossLog,
     MissingMembers,
     missing_members,
@@ -57,12 +57,12 @@
         for at_s in range(0, 100)
         if log.update(STATE, "a", peers, has_contact=at_s < 20, now_s=float(at_s)) is not None
     ]
-    first_s = 19 + LOST_AFTER_S
-    assert logged == [first_s, first_s + REPEATED_AFTER_S, first_s + 2 * REPEATED_AFTER_S]
+    first_s = 19 + LOSS_TIMEOUT_S
+    assert logged == [first_s, first_s + LOG_INTERVAL_S, first_s + 2 * LOG_INTERVAL_S]
 
 
 def test_loss_is_logged_again_at_once_when_contact_came_back_in_between():
     log, peers = MajorityLossLog(0.0), PeerTable()
     assert log.update(STATE, "a", peers, False, 6.0) is not None
     assert log.update(STATE, "a", peers, True, 7.0) is None
-    assert log.update(STATE, "a", peers, False, 7.0 + LOST_AFTER_S) is not None
+    assert log.update(STATE, "a", peers, False, 7.0 + LOSS_TIMEOUT_S) is not None
