--- a/dewpin/controlplane/membership/__init__.py
+++ b/dewpin/controlplane/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is alive: heartbeats between control servers, quorum contact, leases of senders."""
+"""Membership of the control plane: heartbeats, quorum contact, reconfiguration and sender leases."""
--- a/dewpin/controlplane/membership/heartbeat.py
+++ b/dewpin/controlplane/membership/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats between control servers: who is there, and what one of them knows and another lacks."""
+"""Heartbeats between control servers: liveness and the exchange of newer states and receiver lists."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 HEARTBEAT_PERIOD_S = 0.25
 HEARTBEAT_TIMEOUT_S = 0.6
 FORGET_ADDRESS_AFTER_S = 20.0
-"""A peer that was last heard longer ago gets no heartbeats, unless it is a seed, a member or a store."""
+"""Peers silent for longer than this get no heartbeats, unless they are seeds, members or stores."""
 
 
 class HeartbeatExchange:
-    """Sends this process's heartbeats and replies to those of the others.
+    """Sends this process's heartbeats and replies to those of peers.
 
-    `peers` has everyone who was heard. `on_receivers` is called when a newer list of receivers came with a reply.
+    `peers` contains all peers heard from. `on_receivers` is called when a reply contains a newer receiver list.
     """
 
     def __init__(
@@ -51,20 +51,20 @@
         self._calls: set[asyncio.Task[None]] = set()
 
     def send_to_all(self) -> None:
-        """Sends a heartbeat to all others now; whoever is behind asks for what it lacks."""
+        """Sends a heartbeat to all peers now. A peer that lacks newer data requests it with a heartbeat of its own."""
         self._freshness.update()
         for address in self._addresses():
             self._start_call(address)
 
     async def stop(self) -> None:
-        """Ends the calls in flight."""
+        """Cancels the calls in flight."""
         calls = list(self._calls)
         for call in calls:
             call.cancel()
         await asyncio.gather(*calls, return_exceptions=True)
 
     async def handle(self, message: Message) -> Message:
-        """Replies to another process's heartbeat."""
+        """Replies to a heartbeat from a peer."""
         heartbeat = Heartbeat.decode(message)
         peer = self.peers.record_received(heartbeat.sender, self._clock())
         if self._is_behind(peer, heartbeat.receivers_version):
@@ -75,7 +75,7 @@
         self._calls.add(asyncio.ensure_future(self._call(address)))
 
     def _addresses(self) -> set[str]:
-        """Everyone who is to get a heartbeat: seeds, members, stores, and peers that were heard lately."""
+        """Returns the heartbeat recipients: seeds, members, stores and recently heard peers."""
         addresses = set(self._local_peer.seed_addresses())
         now_s = self._clock()
         peers = self.peers.peers.values()
@@ -92,10 +92,10 @@
         heartbeat = Heartbeat(
             self._local_peer.description(), self._list_reader.directory.version, self._register.body_digests()
         )
-        asked_at_s = self._clock()
+        sent_at_s = self._clock()
         try:
             reply = await self._client.call(address, heartbeat.encode(), HEARTBEAT_TIMEOUT_S)
-            await self._process_reply(HeartbeatReply.decode(reply), asked_at_s, address)
+            await self._process_reply(HeartbeatReply.decode(reply), sent_at_s, address)
         except (RpcError, KeyError, TypeError, ValueError) as error:
             log.debug("heartbeat.failed", extra={"address": address, "why": repr(error)})
         finally:
@@ -118,20 +118,20 @@
         )
 
     def _is_behind(self, peer: Peer, receivers_version: DirectoryVersion) -> bool:
-        """Whether this process lacks something that the peer has."""
+        """Returns whether the peer has a newer state or receiver list than this process."""
         state = self._register.chosen
         version = state["version"] if state is not None else -1
         return peer.version > version or receivers_version > self._list_reader.directory.version
 
-    async def _process_reply(self, reply: HeartbeatReply, asked_at_s: float, address: str) -> None:
-        """Takes over what a reply has that is newer. The state comes last: its body may have to be fetched.
+    async def _process_reply(self, reply: HeartbeatReply, sent_at_s: float, address: str) -> None:
+        """Adopts newer data from a reply. The state is adopted last, since its body may have to be fetched.
 
-        The age of the list counts from when the heartbeat was sent. Counted from the arrival of the reply, two
-        processes that exchange their lists would make them younger by the time of travel, again and again.
+        The age of the receiver list is measured from when the heartbeat was sent. If it were measured from the arrival
+        of the reply, each exchange between two processes would make the list appear younger by the network latency.
         """
         peer = self.peers.record_received(reply.sender, self._clock())
-        self._freshness.record_acknowledgement(peer.id, asked_at_s, reply.accepted_version)
-        version, read_at_s = reply.receivers_version, asked_at_s - reply.list_age_s
+        self._freshness.record_acknowledgement(peer.id, sent_at_s, reply.accepted_version)
+        version, read_at_s = reply.receivers_version, sent_at_s - reply.list_age_s
         if reply.receivers is not None and self._list_reader.apply_update(version, reply.receivers, read_at_s):
             self._on_receivers()
         self._list_reader.record_read_time(version, read_at_s)
--- a/dewpin/controlplane/membership/heartbeat_messages.py
+++ b/dewpin/controlplane/membership/heartbeat_messages.py
@@ -1,6 +1,6 @@
-"""Heartbeats between control servers, and the replies to them.
+"""Heartbeats between control servers and their replies.
 
-`encode` and `decode` map the names here to the fields on the wire, which earlier releases read as well.
+`encode` and `decode` map attributes to wire fields, which are compatible with earlier releases.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from dewpin.controlplane.register.messages import WireState, digests_from_json
 
 HEARTBEAT = "keeper.hello"
-"""The type on the wire, as earlier releases have it."""
+"""The message type on the wire, unchanged from earlier releases."""
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a process tells the others of itself.
+    """The status that a process reports to its peers.
 
     Attributes:
-        sender: its description.
-        receivers_version: the version of its list of receivers.
-        body_digests: the configurations whose bodies it has.
+        sender: the description of the sending process.
+        receivers_version: the version of its receiver list.
+        body_digests: digests of the configuration bodies that it has.
     """
 
     sender: PeerDescription
@@ -34,7 +34,7 @@
     body_digests: tuple[str, ...] = ()
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the message for the wire."""
         return {
             "type": HEARTBEAT,
             "from": self.sender.encode(),
@@ -44,7 +44,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> Heartbeat:
-        """The heartbeat in a message. KeyError, TypeError or ValueError if it is none."""
+        """Decodes a heartbeat. Raises KeyError, TypeError or ValueError if the message is malformed."""
         version = directory_version(message["receivers"])
         digests = digests_from_json(message.get("held", ()))
         return cls(PeerDescription.decode(message["from"]), version, digests)
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChosenState:
-    """A system state that is chosen, and a ballot that it was chosen under or before."""
+    """A chosen system state and a ballot under which it was chosen, or a smaller one."""
 
     state: WireState
     ballot: Ballot
@@ -63,12 +63,13 @@
     """The reply to a heartbeat.
 
     Attributes:
-        sender: the description of the process that replies.
-        receivers_version: the version of its list of receivers.
-        list_age_s: how long ago that list was read.
-        accepted_version: of the newest value on the disk of its replica, chosen or not; earlier releases tell none.
-        chosen: its newest chosen state, if the caller's is older.
-        receivers: its list of receivers, if the caller's is older.
+        sender: the description of the replying process.
+        receivers_version: the version of its receiver list.
+        list_age_s: the time since that list was read.
+        accepted_version: the version of the newest value on its replica's disk, chosen or not; None from earlier
+            releases.
+        chosen: its newest chosen state, if newer than the caller's.
+        receivers: its receiver list, if newer than the caller's.
     """
 
     sender: PeerDescription
@@ -79,7 +80,7 @@
     receivers: tuple[Receiver, ...] | None = None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the message for the wire."""
         message: Message = {
             "type": HEARTBEAT,
             "from": self.sender.encode(),
@@ -96,7 +97,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> HeartbeatReply:
-        """The reply in a message. KeyError, TypeError or ValueError if it is none."""
+        """Decodes a reply. Raises KeyError, TypeError or ValueError if the message is malformed."""
         chosen = None
         if "state" in message:
             chosen = ChosenState(message["state"], ballot_from_json(message["ballot"]))
--- a/dewpin/controlplane/membership/leases.py
+++ b/dewpin/controlplane/membership/leases.py
@@ -1,4 +1,4 @@
-"""Leases of senders: which are alive, and the position of each in the relay tree."""
+"""Sender leases, and the relay tree derived from them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 RELAY_FAN_OUT = 4
 LEASE_PERIODS = 8
 LEASE_CYCLES = 3
-"""A lease lasts for this many cycles of its sender through all processes that grant it, and LEASE_PERIODS at least."""
+"""A lease lasts for this many of its sender's renewal cycles through all grantors, and at least LEASE_PERIODS."""
 RELEASE_MEMORY_S = 60.0
-"""For how long a release is remembered: a renewal that was delayed and comes after it has no effect."""
+"""Retention time of a release, during which delayed renewals are ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The lease of one sender. `expires_at_s`: on the steady clock of the process that granted it."""
+    """The lease of one sender. `expires_at_s` is a time of the grantor's monotonic clock."""
 
     sender: str
     address: str
@@ -26,27 +26,27 @@
 
 
 class LeaseTable:
-    """The leases that this process has granted.
+    """The leases granted by this process.
 
-    `period_s`: the time between two renewals of a sender, which go to all control servers in turn.
+    `period_s`: the interval between a sender's renewals, which it sends to all control servers in turn.
     """
 
     def __init__(self, period_s: float) -> None:
         self._period_s = period_s
         self._leases: dict[str, Lease] = {}
         self._relay_order: list[tuple[bytes, str]] = []
-        """Senders by their positions in the relay tree; kept sorted, since each renewal asks for one."""
+        """Senders sorted by position in the relay tree; kept sorted because each renewal looks up a position."""
         self._expiries: list[tuple[float, str]] = []
-        """A heap of the times at which leases expire unless they were renewed since."""
+        """A heap of expiry times, including outdated ones of leases renewed since."""
         self._released_at_s: dict[str, float] = {}
-        """When senders released their leases, the oldest first. A sender's id is of one incarnation."""
+        """Release times by sender, oldest first. A sender's id identifies one incarnation, so it is never reused."""
 
     def duration_s(self, grantors: int) -> float:
-        """For how long a lease is granted where so many processes grant leases."""
+        """Returns the lease duration for a number of grantors."""
         return self._period_s * max(LEASE_PERIODS, LEASE_CYCLES * grantors)
 
     def renew(self, sender: str, address: str, zone: str, now_s: float, grantors: int = 1) -> Lease:
-        """Grants or renews a sender's lease; one that was released stays so."""
+        """Grants or renews a sender's lease. A released lease stays released."""
         lease = Lease(sender, address, zone, now_s + self.duration_s(grantors))
         if sender in self._released_at_s:
             return lease
@@ -57,12 +57,12 @@
         return lease
 
     def release(self, sender: str, now_s: float) -> None:
-        """Ends a lease that its holder gives up; later renewals have no effect."""
+        """Removes a lease at its holder's request; later renewals have no effect."""
         self._remove(sender)
         self._released_at_s.setdefault(sender, now_s)
-        self._forget_releases(now_s)
+        self._remove_old_releases(now_s)
 
-    def _forget_releases(self, now_s: float) -> None:
+    def _remove_old_releases(self, now_s: float) -> None:
         while self._released_at_s:
             oldest = next(iter(self._released_at_s))
             if now_s - self._released_at_s[oldest] < RELEASE_MEMORY_S:
@@ -74,26 +74,26 @@
             self._relay_order.remove((_relay_position(sender), sender))
 
     def live(self, now_s: float) -> list[Lease]:
-        """The leases in force."""
+        """Returns the unexpired leases."""
         self._remove_expired(now_s)
         return list(self._leases.values())
 
     def count(self, now_s: float) -> int:
-        """How many leases are in force."""
+        """Returns the number of unexpired leases."""
         self._remove_expired(now_s)
         return len(self._leases)
 
     def parents(self, sender: str, now_s: float) -> list[str]:
-        """Addresses of the senders above `sender` in the relay tree, nearest first; none for one at the top."""
+        """Returns the addresses of a sender's ancestors in the relay tree, nearest first; empty for a root."""
         self._remove_expired(now_s)
         if sender not in self._leases:
             return []
         index = bisect_left(self._relay_order, (_relay_position(sender), sender))
-        above: list[str] = []
+        ancestors: list[str] = []
         while index >= RELAY_FAN_OUT:
             index = index // RELAY_FAN_OUT - 1
-            above.append(self._leases[self._relay_order[index][1]].address)
-        return above
+            ancestors.append(self._leases[self._relay_order[index][1]].address)
+        return ancestors
 
     def _remove_expired(self, now_s: float) -> None:
         while self._expiries and self._expiries[0][0] <= now_s:
--- a/dewpin/controlplane/membership/local_peer.py
+++ b/dewpin/controlplane/membership/local_peer.py
@@ -1,4 +1,4 @@
-"""How this process introduces itself to the others."""
+"""The description that this process sends to its peers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class LocalPeer:
-    """This process as a peer of the others; what it describes is read anew for each heartbeat.
+    """This process as a peer. Its description is created anew for each heartbeat.
 
     Attributes:
-        settings: those in force.
+        settings: the current settings.
         synced_epoch: the newest epoch of the store view for which this process has copied all records.
-        is_leaving: whether this process is about to end.
+        is_leaving: whether this process is about to shut down.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         self._is_bootstrap = settings.bootstrap
 
     async def load(self, storage: RegisterDatabase) -> None:
-        """Reads from disk whether the process was first started to found the register, which settings may forget."""
+        """Loads from disk whether the process was first started to bootstrap the register; settings may change."""
         rows = await storage.query("SELECT value FROM meta WHERE name = 'bootstrap'")
         if rows:
             self._is_bootstrap = rows[0][0] == "1"
@@ -50,7 +50,7 @@
         await storage.write([("INSERT OR REPLACE INTO meta(name, value) VALUES ('bootstrap', ?)", (value,))])
 
     def description(self) -> PeerDescription:
-        """What is sent to the others."""
+        """Returns the current description to send to peers."""
         state = self._register.chosen
         return PeerDescription(
             id=self._register.member,
@@ -68,10 +68,10 @@
         )
 
     def as_peer(self) -> Peer:
-        """The same in the form that is stored of the others."""
+        """Returns the same information in the form stored for other peers."""
         return Peer.from_description(self.description(), last_received_s=self._clock())
 
     def seed_addresses(self) -> list[str]:
-        """The addresses of the control servers that the settings name."""
+        """Returns the addresses of the control servers listed in the settings."""
         ports = self.settings.port_range
         return [control_plane_address(seed.rpartition(":")[0], ports) for seed in self.settings.seeds]
--- a/dewpin/controlplane/membership/majority_contact.py
+++ b/dewpin/controlplane/membership/majority_contact.py
@@ -1,13 +1,13 @@
-"""Whether a majority is reached, and as of when it has confirmed this process's knowledge of the system state.
+"""Tracks contact with a majority and the time as of which a majority has confirmed the locally known system state.
 
-A reply to a heartbeat proves two things about the member that sent it, as of the moment when the heartbeat was *sent*:
-that it was there, and up to which version it had accepted values, durably. A chosen value was accepted by a majority of
-the members of the value before it, and a replica never accepts an older value after a chosen one. So once a majority of
-every quorum set of the state known here has acknowledged no version above it, asked at T or later, nothing newer was
-chosen before T: the state is confirmed as of T. A quorum read confirms it as of its own beginning.
+A heartbeat reply proves two facts about the replying member as of the time the heartbeat was *sent*: that it was alive,
+and the newest version it had durably accepted. A chosen value was accepted by a majority of the members of the previous
+value, and a replica never accepts an older value after a chosen one. So once a majority of every quorum set of the
+local state has replied to heartbeats sent at T or later with no newer version, nothing newer was chosen before T, and
+the state is confirmed as of T. A quorum read confirms the state as of the start of the read.
 
-Times are of this process's steady clock, so that a reply that was delayed, or that lay unread in a process that was
-frozen, counts for no more than it proves.
+Times are from the local monotonic clock and refer to when a heartbeat was sent. Thus a reply that was delayed, or left
+unread by a frozen process, proves nothing about later times.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 NEVER_S = float("-inf")
 CONTACT_WITHIN_S = 1.0
-"""A majority counts as reached while it has acknowledged heartbeats that were sent within this time."""
+"""There is contact with a majority while it has acknowledged heartbeats sent within this time."""
 QUORUM_READ_AFTER_S = 0.6
-"""A quorum read is due once a majority has been reached for so much longer than it has confirmed the state."""
+"""A quorum read is due when the last contact is more recent than the last confirmation by more than this time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,7 +32,7 @@
 
     Attributes:
         asked_at_s: when the heartbeat was sent.
-        accepted_version: of the newest value on the member's disk; None if an earlier release, which tells none.
+        accepted_version: the version of the newest value on the member's disk; None from earlier releases.
     """
 
     asked_at_s: float
@@ -40,65 +40,65 @@
 
 
 class MajorityContact:
-    """Draws conclusions from the members' acknowledgements; a state machine without I/O.
+    """Evaluates the members' acknowledgements; a state machine without I/O.
 
-    `confirmed_at_s`: as of when a majority has confirmed the state, NEVER_S before the first time.
+    `confirmed_at_s`: the time as of which a majority has confirmed the state; NEVER_S before the first confirmation.
     """
 
     def __init__(self, member: str) -> None:
         self.confirmed_at_s = NEVER_S
         self._member = member
         self._acknowledgements: dict[str, MemberAcknowledgement] = {}
-        self._reached_at_s = NEVER_S
+        self._contact_at_s = NEVER_S
         self._contact_since_s: float | None = None
 
     def record_acknowledgement(self, member: str, acknowledgement: MemberAcknowledgement) -> None:
-        """Records a member's reply to a heartbeat; replies may come out of order."""
+        """Records a member's reply to a heartbeat. Replies may arrive out of order."""
         known = self._acknowledgements.get(member)
         if known is None or acknowledgement.asked_at_s > known.asked_at_s:
             self._acknowledgements[member] = acknowledgement
 
     def record_quorum_read(self, asked_at_s: float) -> None:
-        """Records that a quorum read that began then has ended with the state known here."""
+        """Records that a quorum read started at `asked_at_s` returned the locally known state."""
         self.confirmed_at_s = max(self.confirmed_at_s, asked_at_s)
 
     def update(self, state: SystemState, own_accepted_version: int, now_s: float) -> None:
-        """Draws the conclusions for the newest chosen state known here."""
+        """Evaluates the acknowledgements for the newest locally known chosen state."""
         version, sets = state["version"], quorum_sets(state)
-        self._forget_other_members(sets)
-        reached_at_s = {member: one.asked_at_s for member, one in self._acknowledgements.items()}
-        reached_at_s[self._member] = now_s
+        self._remove_non_members(sets)
+        contact_at_s = {member: reply.asked_at_s for member, reply in self._acknowledgements.items()}
+        contact_at_s[self._member] = now_s
         confirmed_at_s = {
-            member: one.asked_at_s
-            for member, one in self._acknowledgements.items()
-            if one.accepted_version is not None and one.accepted_version <= version
+            member: acknowledgement.asked_at_s
+            for member, acknowledgement in self._acknowledgements.items()
+            if acknowledgement.accepted_version is not None and acknowledgement.accepted_version <= version
         }
         if own_accepted_version <= version:
             confirmed_at_s[self._member] = now_s
-        if now_s - self._reached_at_s > CONTACT_WITHIN_S:
+        if now_s - self._contact_at_s > CONTACT_WITHIN_S:
             self._contact_since_s = None
-        self._reached_at_s = max(self._reached_at_s, _time_of_majorities(sets, reached_at_s))
+        self._contact_at_s = max(self._contact_at_s, _time_of_majorities(sets, contact_at_s))
         self.confirmed_at_s = max(self.confirmed_at_s, _time_of_majorities(sets, confirmed_at_s))
-        if self._contact_since_s is None and now_s - self._reached_at_s <= CONTACT_WITHIN_S:
+        if self._contact_since_s is None and now_s - self._contact_at_s <= CONTACT_WITHIN_S:
             self._contact_since_s = now_s
 
     def contact_since_s(self, now_s: float) -> float | None:
-        """Since when a majority has been reached without a break; None while none is."""
-        return self._contact_since_s if now_s - self._reached_at_s <= CONTACT_WITHIN_S else None
+        """Returns the start of the current uninterrupted contact with a majority; None if there is none."""
+        return self._contact_since_s if now_s - self._contact_at_s <= CONTACT_WITHIN_S else None
 
     @property
     def unconfirmed_s(self) -> float:
-        """For how long a majority has been reached without confirming the state known here."""
-        return self._reached_at_s - self.confirmed_at_s if self._reached_at_s > self.confirmed_at_s else 0.0
+        """How much more recent the last contact with a majority is than the last confirmed state; at least 0."""
+        return self._contact_at_s - self.confirmed_at_s if self._contact_at_s > self.confirmed_at_s else 0.0
 
-    def _forget_other_members(self, sets: Iterable[frozenset[str]]) -> None:
+    def _remove_non_members(self, sets: Iterable[frozenset[str]]) -> None:
         voters = frozenset[str]().union(*sets)
         for member in [member for member in self._acknowledgements if member not in voters]:
             del self._acknowledgements[member]
 
 
 def _time_of_majorities(sets: Iterable[frozenset[str]], times_s: dict[str, float]) -> float:
-    """The latest time that a majority of each set has reached."""
+    """Returns the latest time that a majority of each set has reached or passed."""
     return min(_time_of_majority(members, times_s) for members in sets)
 
 
@@ -108,9 +108,9 @@
 
 
 class StateFreshness:
-    """How fresh one process's knowledge of the system state is.
+    """The freshness of one process's copy of the system state.
 
-    `max_age_s`: knowledge that was confirmed longer ago is not current, and is not served.
+    `max_age_s`: a state whose last confirmation is older than this is not current and is not served.
     """
 
     def __init__(self, register: SystemRegister, max_age_s: float, clock: Callable[[], float]) -> None:
@@ -125,26 +125,26 @@
         self.update()
 
     def record_quorum_read(self, asked_at_s: float) -> None:
-        """Records that a quorum read that began then has ended."""
+        """Records that a quorum read started at `asked_at_s` has completed."""
         self._contact.record_quorum_read(asked_at_s)
 
     def age_s(self) -> float:
-        """How long ago the state known here was surely the newest; infinite until a majority has confirmed one."""
+        """Returns the time since the local state was last confirmed as the newest; infinite before the first time."""
         return self._clock() - self._contact.confirmed_at_s
 
     def is_current(self) -> bool:
-        """Whether this process may serve what it knows."""
+        """Returns whether the local state is fresh enough to be served."""
         return self.age_s() <= self._max_age_s
 
     def contact_since_s(self) -> float | None:
-        """Since when a majority has acknowledged heartbeats without a break; None while none does."""
+        """Returns the start of the current uninterrupted contact with a majority; None if there is none."""
         return self._contact.contact_since_s(self._clock())
 
     def needs_quorum_read(self) -> bool:
-        """Whether a majority is reached and yet leaves the state known here unconfirmed."""
+        """Returns whether there is contact with a majority that has not confirmed the local state."""
         return self._contact.unconfirmed_s > QUORUM_READ_AFTER_S
 
     def update(self) -> None:
-        """Draws the conclusions from what is known by now; due with each heartbeat and each newly chosen state."""
+        """Reevaluates the acknowledgements. Called for each heartbeat and each newly chosen state."""
         if self._register.chosen is not None:
             self._contact.update(self._register.chosen, self._register.durable_version, self._clock())
--- a/dewpin/controlplane/membership/majority_loss.py
+++ b/dewpin/controlplane/membership/majority_loss.py
@@ -1,4 +1,4 @@
-"""Tells the operator that the register's majority is out of reach, and which members it waits for."""
+"""Logs a loss of contact with the register's majority, including which members are missing."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 log = logging.getLogger(__name__)
 
 LOSS_TIMEOUT_S = 5.0
-"""Without contact to a majority for so long, a process says so."""
+"""Time without contact with a majority after which the loss is logged."""
 LOG_INTERVAL_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class MissingMembers:
-    """The members of the register that do not answer, as `id (machine)`.
+    """Members of the register that do not reply, each as `id (machine)`.
 
     Attributes:
-        silent: nothing is heard of their machines.
-        without_disk: their machines are heard as another incarnation: what they held is lost.
+        silent: members whose machines are silent.
+        without_disk: members whose machines run as another incarnation, so their data is lost.
     """
 
     silent: tuple[str, ...]
@@ -29,20 +29,20 @@
 
 
 def missing_members(state: SystemState, own_member: str, peers: PeerTable, now_s: float) -> MissingMembers:
-    """Returns the members of a state that have not been heard lately."""
+    """Returns the members of a state that are currently silent."""
     silent: list[str] = []
     without_disk: list[str] = []
     for member in sorted({*state["members"], *state["former_members"]} - {own_member}):
         if peers.since_last_received_s(member, now_s) <= ALIVE_WITHIN_S:
             continue
         name = state["names"].get(member)
-        described = f"{member} ({name or 'unknown machine'})"
-        (without_disk if peers.is_replaced(member, name, now_s) else silent).append(described)
+        description = f"{member} ({name or 'unknown machine'})"
+        (without_disk if peers.is_replaced(member, name, now_s) else silent).append(description)
     return MissingMembers(tuple(silent), tuple(without_disk))
 
 
 class MajorityLossLog:
-    """Logs `register.majority_lost` while there is no contact to a majority, not too often."""
+    """Logs `register.majority_lost` at a limited rate while there is no contact with a majority."""
 
     def __init__(self, started_at_s: float) -> None:
         self._last_contact_s = started_at_s
@@ -51,7 +51,7 @@
     def update(
         self, state: SystemState, own_member: str, peers: PeerTable, has_contact: bool, now_s: float
     ) -> MissingMembers | None:
-        """Takes note of the contact; returns what was logged, None if nothing was."""
+        """Records the contact status. Returns the logged members, or None if nothing was logged."""
         if has_contact:
             self._last_contact_s = now_s
             self._logged_at_s = float("-inf")
--- a/dewpin/controlplane/membership/peers.py
+++ b/dewpin/controlplane/membership/peers.py
@@ -1,4 +1,4 @@
-"""What a control server knows of the others: who they are and when each was heard last."""
+"""The peers known to a control server: their descriptions and when each was last heard from."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 FORGET_AFTER_S = 60.0
 ALIVE_WITHIN_S = 1.0
-"""A process whose last heartbeat is no older counts as alive."""
+"""A process counts as alive if its last heartbeat is not older than this."""
 SHORTEST_INTERRUPTION_S = 1.5
 LONGEST_INTERRUPTION_S = 20.0
-"""A process that is heard again after a silence between these was interrupted: frozen, cut off or restarted. After a
-longer one it had been given up."""
+"""Silence of a length between these two bounds counts as an interruption: the process was frozen, partitioned or
+restarted. After a longer silence, the process had already been removed."""
 INTERRUPTION_MEMORY_S = 60.0
-"""For how long an interruption is remembered."""
+"""For how long an interruption counts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerDescription:
-    """How a process introduces itself to the others.
+    """The description that a process sends to its peers.
 
     Attributes:
-        id: of its incarnation, that of its data directory.
-        name: of its machine.
-        address: that of its RPC server.
+        id: the id of its incarnation, which is that of its data directory.
+        name: the name of its machine.
+        address: the address of its RPC server.
         serves_control: whether it may become a member of the register.
         serves_store: whether it may become a store.
-        version: of the newest state that it knows to be chosen; -1 before the first.
+        version: the version of the newest state it knows to be chosen; -1 before the first.
         synced_epoch: the newest epoch of the store view for which it has copied all records.
-        is_leaving: whether it is about to end.
-        is_bootstrap: whether it may found the register.
-        has_list_failed: whether its last reading of the platform's list failed.
-        location: region and zone, empty where it has none; None if an earlier release, which does not tell, sent it.
-        reaches_majority: whether a majority of the register's members answers it; None as for `location`.
+        is_leaving: whether it is about to shut down.
+        is_bootstrap: whether it may bootstrap the register.
+        has_list_failed: whether its last read of the platform's list failed.
+        location: region and zone, empty if it has none; None from earlier releases, which do not send it.
+        reaches_majority: whether it has contact with a majority of the register's members; None as for `location`.
     """
 
     id: str
@@ -50,7 +50,7 @@
     reaches_majority: bool | None = None
 
     def encode(self) -> Message:
-        """The form on the wire."""
+        """Encodes the description for the wire."""
         message: Message = {
             "id": self.id,
             "name": self.name,
@@ -71,7 +71,7 @@
 
     @classmethod
     def decode(cls, record: Message) -> PeerDescription:
-        """The description in a message; earlier releases omit the last two fields. KeyError or TypeError if none."""
+        """Decodes a description. Earlier releases omit the last two fields. Raises KeyError or TypeError on error."""
         return cls(
             id=record["id"],
             name=record["name"],
@@ -90,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Peer(PeerDescription):
-    """Another process of the control plane and when it was heard; times are of the steady clock.
+    """Another process of the control plane and when it was heard from. Times are from the monotonic clock.
 
     Attributes:
-        location: as in the description, empty where it is not told.
-        reaches_majority: as in the description, true where it is not told.
-        last_received_s: when its last heartbeat or reply came.
-        first_received_s: when its first one came.
-        interrupted_at_s: when it came back from each of its interruptions, as far as they count.
+        location: as in the description; empty if not sent.
+        reaches_majority: as in the description; true if not sent.
+        last_received_s: when its last heartbeat or reply arrived.
+        first_received_s: when its first heartbeat or reply arrived.
+        interrupted_at_s: the end of each interruption that still counts.
     """
 
     location: str = ""
@@ -114,7 +114,7 @@
         first_received_s: float = float("-inf"),
         interrupted_at_s: tuple[float, ...] = (),
     ) -> Peer:
-        """The peer that introduces itself so."""
+        """Creates a peer from its description."""
         return cls(
             id=description.id,
             name=description.name,
@@ -134,22 +134,22 @@
         )
 
     def since_last_received_s(self, now_s: float) -> float:
-        """For how long nothing has been heard of it."""
+        """Returns the time since its last message."""
         return now_s - self.last_received_s
 
     def interruptions(self, now_s: float) -> int:
-        """How often it was interrupted lately."""
+        """Returns the number of recent interruptions."""
         return sum(now_s - at_s < INTERRUPTION_MEMORY_S for at_s in self.interrupted_at_s)
 
 
 class PeerTable:
-    """All processes of the control plane that were heard, by the id of their incarnation."""
+    """All peers of the control plane heard from, by incarnation id."""
 
     def __init__(self) -> None:
         self.peers: dict[str, Peer] = {}
 
     def record_received(self, description: PeerDescription, now_s: float) -> Peer:
-        """Records what a peer says of itself. Another incarnation at its address has ended."""
+        """Records a description received from a peer. Any other incarnation at its address is marked as ended."""
         known = self.peers.get(description.id)
         peer = Peer.from_description(
             description,
@@ -161,7 +161,7 @@
             if other.address == peer.address and other.id != peer.id:
                 self._record_ended(other, now_s)
         self.peers[peer.id] = peer
-        self._forget_expired(now_s)
+        self._remove_expired(now_s)
         return peer
 
     def _record_ended(self, peer: Peer, now_s: float) -> None:
@@ -169,14 +169,14 @@
         self.peers[peer.id] = replace(peer, last_received_s=ended_s)
 
     def at_address(self, address: str) -> Peer | None:
-        """The peer heard last at an address."""
-        found = [peer for peer in self.peers.values() if peer.address == address]
-        return max(found, key=lambda peer: peer.last_received_s, default=None)
+        """Returns the peer last heard from at an address."""
+        peers_at_address = [peer for peer in self.peers.values() if peer.address == address]
+        return max(peers_at_address, key=lambda peer: peer.last_received_s, default=None)
 
     def is_replaced(self, peer_id: str, name: str | None, now_s: float) -> bool:
-        """Whether the machine of that name is heard as another incarnation while this one is silent for good.
+        """Returns whether the named machine is alive as another incarnation while this peer is silent.
 
-        Two machines may share a name for a while: then both are heard, and neither is replaced.
+        Two machines may temporarily share a name. Then both are heard from, and neither counts as replaced.
         """
         if self.since_last_received_s(peer_id, now_s) <= ALIVE_WITHIN_S:
             return False
@@ -188,20 +188,20 @@
         )
 
     def since_last_received_s(self, peer_id: str, now_s: float) -> float:
-        """For how long nothing has been heard of a peer; infinite where nothing ever was."""
+        """Returns the time since the last message from a peer; infinite for an unknown peer."""
         peer = self.peers.get(peer_id)
         return peer.since_last_received_s(now_s) if peer is not None else float("inf")
 
-    def _forget_expired(self, now_s: float) -> None:
+    def _remove_expired(self, now_s: float) -> None:
         for peer in list(self.peers.values()):
             if peer.since_last_received_s(now_s) > FORGET_AFTER_S:
                 del self.peers[peer.id]
 
 
 def _interruption_times(known: Peer | None, now_s: float) -> tuple[float, ...]:
-    """When a peer that is heard now came back from its interruptions, as far as they still count."""
+    """Returns the ends of a peer's interruptions that still count, including one that ends with a message now."""
     if known is None:
         return ()
-    counting = tuple(at_s for at_s in known.interrupted_at_s if now_s - at_s < INTERRUPTION_MEMORY_S)
+    recent = tuple(at_s for at_s in known.interrupted_at_s if now_s - at_s < INTERRUPTION_MEMORY_S)
     was_interrupted = SHORTEST_INTERRUPTION_S < known.since_last_received_s(now_s) < LONGEST_INTERRUPTION_S
-    return (*counting, now_s) if was_interrupted else counting
+    return (*recent, now_s) if was_interrupted else recent
--- a/dewpin/controlplane/membership/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -1,9 +1,9 @@
-"""Which change of the register's members or of the stores is due, from the system state and who is heard. Free of I/O.
+"""Plans changes of the register's members and of the stores from the system state and observed liveness; no I/O.
 
-One process at a time, the coordinator, makes these changes: the member with the least id among those that are alive and
-reach a majority. That two do costs a conflict and no more, since every change is made on exactly the version that it
-was planned on. The silence of another counts only while this process reached a majority itself: one that was cut off or
-frozen has heard nobody.
+These changes are made by one process at a time, the coordinator: the member with the smallest id among those that are
+alive and in contact with a majority. Two concurrent coordinators cause at most a conflict, since every change applies
+only to the version it was planned for. The silence of a process counts only while the local process has contact with a
+majority, because a partitioned or frozen process receives no heartbeats at all.
 """
 
 from __future__ import annotations
@@ -28,32 +28,32 @@
 )
 
 INITIAL_STORES_WAIT_S = 3.0
-"""The first stores are set after this time even if fewer than wanted have come."""
+"""The initial stores are set after this time even if fewer than the replica count have joined."""
 
-_Make = Callable[[SystemState], SystemState]
+_StateChange = Callable[[SystemState], SystemState]
 
 
 def is_coordinator(state: SystemState, observation: ClusterObservation) -> bool:
-    """Whether this process is the one that makes reconfigurations now."""
+    """Returns whether this process currently coordinates reconfigurations."""
     candidates = [member for member in state["members"] if observation.may_coordinate(member)]
     return observation.local_peer.id == min(candidates, default=None)
 
 
 def next_change(state: SystemState, observation: ClusterObservation) -> ChangeFunction | None:
-    """The reconfiguration that is due, for exactly the version of `state`; None where none is."""
+    """Returns the next due reconfiguration, which applies only to the version of `state`; None if none is due."""
     if not is_membership_stable(state):
         return on_version(state["version"], successor)
-    make = (
+    change = (
         _member_change(state, observation)
         or _store_change(state, observation)
         or _finish_completed_retirement(state, observation)
     )
-    return on_version(state["version"], make) if make is not None else None
+    return on_version(state["version"], change) if change is not None else None
 
 
 def _join_candidates(state: SystemState, observation: ClusterObservation) -> list[Peer]:
-    """Processes that are alive and may become members or stores, ascending by id."""
-    found = [
+    """Returns the processes that are alive and may become members or stores, in ascending order of id."""
+    candidates = [
         peer
         for peer in observation.all_peers()
         if observation.is_alive(peer.id)
@@ -61,63 +61,63 @@
         and peer.name not in state["retiring"]
         and peer.name not in state["retired"]
     ]
-    return sorted(found, key=lambda peer: peer.id)
+    return sorted(candidates, key=lambda peer: peer.id)
 
 
-def _member_change(state: SystemState, observation: ClusterObservation) -> _Make | None:
-    """Replaces a member that has to be removed, or adds one while there are too few."""
+def _member_change(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
+    """Returns the change that replaces a member to be removed or adds a missing member."""
     members = dict(state["members"])
-    spare = [peer for peer in _join_candidates(state, observation) if peer.serves_control and peer.id not in members]
+    spares = [peer for peer in _join_candidates(state, observation) if peer.serves_control and peer.id not in members]
     for member in list(members):
         name = state["names"].get(member)
         timeout_s = observation.replacement_timeout_s(member)
-        if not spare or not _must_be_removed(state, observation, member, name, timeout_s):
+        if not spares or not _must_be_removed(state, observation, member, name, timeout_s):
             continue
         del members[member]
-        best_placed = _best_placed(spare, members, observation)
-        replacement = next((peer for peer in spare if peer.name == name), best_placed)
+        best_placed = _best_placed_spare(spares, members, observation)
+        replacement = next((peer for peer in spares if peer.name == name), best_placed)
         members[replacement.id] = replacement.address
         return set_members(members, _peer_names(observation))
-    if len(members) < observation.replica_count and spare:
-        added = _best_placed(spare, members, observation)
+    if len(members) < observation.replica_count and spares:
+        added = _best_placed_spare(spares, members, observation)
         members[added.id] = added.address
         return set_members(members, _peer_names(observation))
     return None
 
 
-def _best_placed(spare: list[Peer], members: Addresses, observation: ClusterObservation) -> Peer:
-    """The one of `spare` whose region and zone have the fewest of `members`, and that was interrupted least often."""
+def _best_placed_spare(spares: list[Peer], members: Addresses, observation: ClusterObservation) -> Peer:
+    """Returns the spare whose region and zone have the fewest members, then the one with the fewest interruptions."""
     locations = _peer_locations(observation)
-    counted = LocationCount(locations.get(member, "") for member in members)
+    location_count = LocationCount(locations.get(member, "") for member in members)
     now_s = observation.now_s
-    return min(spare, key=lambda peer: (counted.crowding(peer.location), peer.interruptions(now_s), peer.id))
+    return min(spares, key=lambda peer: (location_count.crowding(peer.location), peer.interruptions(now_s), peer.id))
 
 
 def _must_be_removed(
     state: SystemState, observation: ClusterObservation, peer_id: str, name: str | None, timeout_s: float
 ) -> bool:
-    """Whether a member or store is given up: replaced, to be emptied, or absent for longer than `timeout_s`."""
+    """Returns whether a member or store has to be removed: replaced, retiring, or silent longer than `timeout_s`."""
     if observation.is_replaced(peer_id, name) or name in state["retiring"]:
         return True
     return observation.observed_silence_s(peer_id) > timeout_s
 
 
-def _store_change(state: SystemState, observation: ClusterObservation) -> _Make | None:
-    """Changes the stores towards the wanted ones, or ends the change under way once all have copied."""
+def _store_change(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
+    """Returns the change to the target stores, or the completion of the one in progress once all have synced."""
     view = state["stores"]
     if not view["stable"]:
         return _initial_stores(state, observation)
-    wanted = _wanted_stores(state, observation)
+    target = _target_stores(state, observation)
     current = view["next"] if view["next"] is not None else view["stable"]
-    if wanted != current:
-        return start_store_change(wanted, _peer_names(observation), _peer_locations(observation))
+    if target != current:
+        return start_store_change(target, _peer_names(observation), _peer_locations(observation))
     if view["next"] is not None and _have_all_synced(view["next"], view["epoch"], observation):
         return finish_store_change
     return None
 
 
-def _initial_stores(state: SystemState, observation: ClusterObservation) -> _Make | None:
-    """Sets the first stores once all have come, or those that came in time."""
+def _initial_stores(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
+    """Returns the change that sets the initial stores: once enough have joined, or those present after the wait."""
     stores = {peer.id: peer.address for peer in _join_candidates(state, observation) if peer.serves_store}
     has_waited = observation.now_s - observation.started_at_s > INITIAL_STORES_WAIT_S
     if len(stores) >= observation.replica_count or (stores and has_waited):
@@ -125,25 +125,25 @@
     return None
 
 
-def _wanted_stores(state: SystemState, observation: ClusterObservation) -> Addresses:
-    """The stores that should have the records: those in the view that are not given up, and newcomers."""
+def _target_stores(state: SystemState, observation: ClusterObservation) -> Addresses:
+    """Returns the stores that should have the records: those remaining in the view and those joining."""
     view = state["stores"]
     in_view = {**view["stable"], **(view["next"] or {})}
     joining = {peer.id: peer.address for peer in _join_candidates(state, observation) if peer.serves_store}
     remaining = _remaining_stores(state, observation, in_view, joining)
-    wanted = _sorted_union(remaining, joining)
-    least = min(observation.replica_count, len(view["stable"]))
-    if len(wanted) < least:
-        wanted = _sorted_union(_stores_not_replaced(state, observation, in_view), joining)
-    if len(wanted) < least:  # a machine's next incarnation is there, but may not join yet
-        wanted = _sorted_union(view["stable"], joining)
-    return wanted
+    target = _sorted_union(remaining, joining)
+    min_stores = min(observation.replica_count, len(view["stable"]))
+    if len(target) < min_stores:
+        target = _sorted_union(_stores_not_replaced(state, observation, in_view), joining)
+    if len(target) < min_stores:  # a machine runs as a new incarnation that may not join yet
+        target = _sorted_union(view["stable"], joining)
+    return target
 
 
 def _remaining_stores(
     state: SystemState, observation: ClusterObservation, in_view: Addresses, joining: Addresses
 ) -> Addresses:
-    """The stores in the view that are not given up."""
+    """Returns the stores in the view that do not have to be removed."""
     has_replacement = any(store not in in_view for store in joining) or state["stores"]["next"] is not None
     departed = _departed_stores_with_replacement(state, observation, in_view)
     remaining: Addresses = {}
@@ -158,9 +158,9 @@
 def _departed_stores_with_replacement(
     state: SystemState, observation: ClusterObservation, in_view: Addresses
 ) -> set[str]:
-    """Stores that announced their end and stay away, one for each recently joined machine that is in the view already.
+    """Returns stores that announced their shutdown and are silent, at most one per recently joined store in the view.
 
-    In a planned replacement the replacement comes first.
+    In a planned replacement, the new store joins before the old one leaves.
     """
     replacements = [
         peer
@@ -184,13 +184,13 @@
 
 
 def _have_all_synced(stores: Addresses, epoch: int, observation: ClusterObservation) -> bool:
-    """Whether all these stores have copied the records for the epoch of the view."""
+    """Returns whether all these stores have copied the records for the epoch of the view."""
     synced_epochs = {peer.id: peer.synced_epoch for peer in observation.all_peers()}
     return all(synced_epochs.get(store, -1) >= epoch for store in stores)
 
 
-def _finish_completed_retirement(state: SystemState, observation: ClusterObservation) -> _Make | None:
-    """Ends the retirement of a machine that is neither a store nor a member any more."""
+def _finish_completed_retirement(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
+    """Returns the change that completes the retirement of a machine that is no longer a store or a member."""
     view = state["stores"]
     if view["next"] is not None:
         return None
--- a/dewpin/controlplane/membership/register_maintenance.py
+++ b/dewpin/controlplane/membership/register_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance of the register: its initial state, values that others left unfinished, and due reconfigurations."""
+"""Maintenance of the register: its initial state, unfinished values and due reconfigurations."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 PROPOSE_TIMEOUT_S = 2.0
 MAX_CHANGES_PER_STEP = 8
 UNFINISHED_WAIT_S = 0.3
-"""A value that was accepted here and is not known to be chosen is finished after this time."""
+"""A value accepted locally but not known to be chosen is finished by a quorum read after this time."""
 
 
 class RegisterMaintenance:
-    """This process's share in the maintenance. `replica_count`: how many members and stores there should be."""
+    """Maintains the register from one process. `replica_count`: the configured number of members and stores."""
 
     def __init__(
         self,
@@ -46,13 +46,13 @@
         self._majority_loss = MajorityLossLog(self._started_at_s)
 
     async def step(self) -> None:
-        """Sets the initial state, finishes what others left, and makes the reconfigurations that are due."""
+        """Sets the initial state, finishes unfinished values and makes due reconfigurations."""
         if self._register.newest is None:
-            await self._bootstrap_if_all_seeds_are_here()
+            await self._bootstrap_if_all_seeds_are_present()
             return
         self._log_lost_majority(self._register.newest)
         if self._needs_quorum_read():
-            await self._read_newest()
+            await self._read_by_quorum()
         for _ in range(MAX_CHANGES_PER_STEP):
             if not await self._make_due_change():
                 return
@@ -67,7 +67,7 @@
         return self._freshness.needs_quorum_read()
 
     async def _make_due_change(self) -> bool:
-        """Makes the next reconfiguration, if this process is the coordinator. Whether one was made."""
+        """Makes the next reconfiguration if this process is the coordinator. Returns whether one was made."""
         state, observation = self._register.chosen, self._observation()
         if state is None or not is_coordinator(state, observation):
             return False
@@ -75,11 +75,11 @@
         if change is None:
             return False
         try:
-            following = await self._register.propose(change, PROPOSE_TIMEOUT_S)
+            next_state = await self._register.propose(change, PROPOSE_TIMEOUT_S)
         except (ChangeRejectedError, RegisterUnavailableError) as error:
             log.info("register.change_not_made", extra={"why": repr(error)})
             return False
-        log.warning("register.reconfigured", extra=_reconfiguration_fields(following))
+        log.warning("register.reconfigured", extra=_reconfiguration_fields(next_state))
         return True
 
     def _observation(self) -> ClusterObservation:
@@ -92,8 +92,8 @@
             contact_since_s=self._freshness.contact_since_s(),
         )
 
-    async def _bootstrap_if_all_seeds_are_here(self) -> None:
-        """Sets the initial state once all seeds are heard, each of them new and started to found the register."""
+    async def _bootstrap_if_all_seeds_are_present(self) -> None:
+        """Sets the initial state once all seeds were heard from, each without a state and started for bootstrap."""
         members: dict[str, str] = {}
         names: dict[str, str] = {}
         for address in self._local_peer.seed_addresses():
@@ -113,12 +113,12 @@
             self._unfinished_since_s = self._clock()
         return self._clock() - self._unfinished_since_s > UNFINISHED_WAIT_S
 
-    async def _read_newest(self) -> None:
-        """Reads the register by a quorum, which also finishes a value that was left unfinished."""
-        began_at_s = self._clock()
+    async def _read_by_quorum(self) -> None:
+        """Performs a quorum read, which also finishes an unfinished value."""
+        started_at_s = self._clock()
         try:
             await self._register.propose(lambda state: state, PROPOSE_TIMEOUT_S)
-            self._freshness.record_quorum_read(began_at_s)
+            self._freshness.record_quorum_read(started_at_s)
         except RegisterUnavailableError as error:
             log.info("register.state_unknown", extra={"why": repr(error)})
 
