--- a/tests/controlplane/change_scenes.py
+++ b/tests/controlplane/change_scenes.py
@@ -1,4 +1,4 @@
-"""Orders of the operator at registers of three members, on a fake clock, and what the operator is told."""
+"""Operator changes on a register of three members with a simulated clock, and the resulting HTTP status."""
 
 from scripted.clock import run
 from scripted.registers import Registers
@@ -12,8 +12,8 @@
     put_configuration,
 )
 
-WAIT_S = 3.0
-ANSWER_S = 0.85
+PROPOSE_TIMEOUT_S = 3.0
+OPERATOR_TIMEOUT_S = 0.85
 
 
 def body_of(generation):
@@ -28,17 +28,17 @@
     return state
 
 
-def play(scene, **names):
-    async def whole():
+def run_scenario(scenario, **names):
+    async def start_and_run():
         registers = Registers(**names)
         await registers.begin()
-        return await scene(registers)
+        return await scenario(registers)
 
-    return run(whole())
+    return run(start_and_run())
 
 
-async def answer(register, generation, base, body=None, timeout_s=ANSWER_S):
-    """What the operator is told: 200, 400, 412 or 503."""
+async def operator_status(register, generation, base, body=None, timeout_s=OPERATOR_TIMEOUT_S):
+    """Returns the HTTP status that the operator gets for a change: 200, 400, 412 or 503."""
     body = body or body_of(generation)
     try:
         await register.propose(put(generation, base, body), timeout_s)
@@ -54,7 +54,7 @@
     return 200
 
 
-async def take(register, first, last):
-    """Takes the orders first to last, each on the one before."""
+async def make_changes(register, first, last):
+    """Makes the changes with generations `first` to `last`, each based on the previous one."""
     for generation in range(first, last + 1):
-        await register.propose(put(generation, generation - 1), WAIT_S)
+        await register.propose(put(generation, generation - 1), PROPOSE_TIMEOUT_S)
--- a/tests/controlplane/test_configuration_bodies.py
+++ b/tests/controlplane/test_configuration_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of configurations that are fetched from another process."""
+"""Fetching of configuration bodies from another process."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 from dewpin.controlplane.register.system_state import configuration_digest, initial_state
 
 BODY = '{"services":{}}'
-BASE = 0
+BASE_GENERATION = 0
 SOURCE = "10.0.0.1:1"
 
 
 class Source:
-    """Another process that answers each request for a body with the next of its pages."""
+    """Another process, which replies to each body request with its next body as a single page."""
 
     def __init__(self, *bodies):
         self._bodies = list(bodies)
@@ -25,18 +25,18 @@
 
 
 def state_without_body():
-    digest = configuration_digest(BODY.encode(), BASE)
+    digest = configuration_digest(BODY.encode(), BASE_GENERATION)
     state = initial_state({"a": SOURCE}, {})
     return {**state, "accepted": [[1, digest]], "configuration": {"generation": 1, "digest": digest}}
 
 
 def test_body_with_wrong_digest_is_rejected_and_fetched_again():
-    async def scene():
+    async def scenario():
         bodies = ConfigurationBodies(Source(BODY.replace("{}", "[]"), BODY))
         with pytest.raises(BodyUnavailableError):
             await bodies.from_wire(state_without_body(), SOURCE)
         assert bodies.digests() == ()
-        whole = await bodies.from_wire(state_without_body(), SOURCE)
-        assert whole["configuration"]["body"] == BODY
+        complete = await bodies.from_wire(state_without_body(), SOURCE)
+        assert complete["configuration"]["body"] == BODY
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/controlplane/test_operator_changes.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -3,7 +3,14 @@
 import asyncio
 
 import pytest
-from controlplane.change_scenes import ANSWER_S, WAIT_S, answer, play, read, take
+from controlplane.change_scenes import (
+    OPERATOR_TIMEOUT_S,
+    PROPOSE_TIMEOUT_S,
+    make_changes,
+    operator_status,
+    read,
+    run_scenario,
+)
 
 from dewpin.cluster.rpc import RpcError
 from dewpin.controlplane.register.system_state import (
@@ -26,21 +33,21 @@
 
         async def late():
             await asyncio.sleep(delay_s)
-            return await answer(second, 7, 0, b"two")
+            return await operator_status(second, 7, 0, b"two")
 
-        answers = await asyncio.gather(answer(first, 7, 0, b"one"), late())
+        answers = await asyncio.gather(operator_status(first, 7, 0, b"one"), late())
         again = [
-            (await answer(member, 7, 0, b"one"), await answer(member, 7, 0, b"two"))
+            (await operator_status(member, 7, 0, b"one"), await operator_status(member, 7, 0, b"two"))
             for member in registers.members.values()
         ]
-        await take(first, 8, 8 + MAX_CHANGES_IN_STATE)
+        await make_changes(first, 8, 8 + MAX_CHANGES_IN_STATE)
         later = [
-            (await answer(member, 7, 0, b"one"), await answer(member, 7, 0, b"two"))
+            (await operator_status(member, 7, 0, b"one"), await operator_status(member, 7, 0, b"two"))
             for member in registers.members.values()
         ]
         return answers, again, later
 
-    answers, again, later = play(scene)
+    answers, again, later = run_scenario(scene)
     assert sorted(answers) == [200, 412]
     assert set(again) == set(later) == {tuple(answers)}
 
@@ -50,36 +57,37 @@
     async def scene(registers):
         async def late():
             await asyncio.sleep(delay_s)
-            return await answer(registers.members["b"], 7, 0)
+            return await operator_status(registers.members["b"], 7, 0)
 
-        answers = await asyncio.gather(answer(registers.members["a"], 7, 0), late())
-        state = await registers.members["c"].propose(read, WAIT_S)
+        answers = await asyncio.gather(operator_status(registers.members["a"], 7, 0), late())
+        state = await registers.members["c"].propose(read, PROPOSE_TIMEOUT_S)
         return answers, accepted_change_count(state)
 
-    assert play(scene) == ([200, 200], 1)
+    assert run_scenario(scene) == ([200, 200], 1)
 
 
 def test_same_change_on_both_sides_of_partition_is_acknowledged_by_minority_after_heal():
     async def scene(registers):
         registers.network.cut("c")
-        answers = await asyncio.gather(*(answer(registers.members[name], 7, 0) for name in "ca"))
+        answers = await asyncio.gather(*(operator_status(registers.members[name], 7, 0) for name in "ca"))
         registers.network.join()
-        return answers, await answer(registers.members["c"], 7, 0)
+        return answers, await operator_status(registers.members["c"], 7, 0)
 
-    assert play(scene) == ([503, 200], 200)
+    assert run_scenario(scene) == ([503, 200], 200)
 
 
 def test_two_changes_on_both_sides_of_partition_one_accepted_one_rejected():
     async def scene(registers):
         registers.network.cut("c")
         answers = await asyncio.gather(
-            answer(registers.members["c"], 7, 0, b"small side"), answer(registers.members["a"], 7, 0, b"great side")
+            operator_status(registers.members["c"], 7, 0, b"small side"),
+            operator_status(registers.members["a"], 7, 0, b"great side"),
         )
         registers.network.join()
-        await answer(registers.members["a"], 8, 7)
-        return answers, await answer(registers.members["c"], 7, 0, b"small side")
+        await operator_status(registers.members["a"], 8, 7)
+        return answers, await operator_status(registers.members["c"], 7, 0, b"small side")
 
-    assert play(scene) == ([503, 200], 412)
+    assert run_scenario(scene) == ([503, 200], 412)
 
 
 # A proposer that dies
@@ -109,22 +117,26 @@
     whichever member, and a rival on the same base wins only where the order was in force nowhere."""
 
     async def scene(registers):
-        await lose_proposer(registers, reached, answer(registers.members["a"], 7, 0))
-        return await answer(registers.members[asked_next], 7, 0), accepted_change_count(
+        await lose_proposer(registers, reached, operator_status(registers.members["a"], 7, 0))
+        return await operator_status(registers.members[asked_next], 7, 0), accepted_change_count(
             registers.members[asked_next].chosen
         )
 
-    assert play(scene) == (200, 1)
+    assert run_scenario(scene) == (200, 1)
 
 
 @pytest.mark.parametrize("reached", ["", "b", "c", "bc"])
 def test_rival_change_after_proposer_crash_wins_or_is_rejected_for_good(reached):
     async def scene(registers):
-        await lose_proposer(registers, reached, answer(registers.members["a"], 7, 0))
-        rival = await answer(registers.members["b"], 7, 0, b"rival")
-        return rival, await answer(registers.members["c"], 7, 0), await answer(registers.members["b"], 7, 0)
+        await lose_proposer(registers, reached, operator_status(registers.members["a"], 7, 0))
+        rival = await operator_status(registers.members["b"], 7, 0, b"rival")
+        return (
+            rival,
+            await operator_status(registers.members["c"], 7, 0),
+            await operator_status(registers.members["b"], 7, 0),
+        )
 
-    rival, *again = play(scene)
+    rival, *again = run_scenario(scene)
     assert sorted({rival, *again}) == [200, 412] and len(set(again)) == 1
     if reached == "bc":
         assert rival == 412, "a majority held the order before its rival came"
@@ -141,14 +153,14 @@
                     registers.disks[name].stalls = True
 
         registers.network.on_call = on_call
-        outcome = await answer(registers.members[proposer], 7, 0)
+        outcome = await operator_status(registers.members[proposer], 7, 0)
         for name in "abc":
             registers.disks[name].stalls = False
             await registers.restart(name)
         registers.network.on_call = lambda source, target, message: None
-        return outcome, await answer(registers.members["b"], 7, 0)
+        return outcome, await operator_status(registers.members["b"], 7, 0)
 
-    assert play(scene) == (503, 200)
+    assert run_scenario(scene) == (503, 200)
 
 
 # Many at once
@@ -159,14 +171,14 @@
         clock = asyncio.get_running_loop().time
         began_s = clock()
         answers = await asyncio.gather(
-            *(answer(registers.members["abc"[n % 3]], 7 + n, 0, b"order %d" % n) for n in range(8))
+            *(operator_status(registers.members["abc"[n % 3]], 7 + n, 0, b"order %d" % n) for n in range(8))
         )
         took_s = clock() - began_s
-        return answers, took_s, accepted_change_count(await registers.members["a"].propose(read, WAIT_S))
+        return answers, took_s, accepted_change_count(await registers.members["a"].propose(read, PROPOSE_TIMEOUT_S))
 
-    answers, took_s, taken = play(scene)
+    answers, took_s, taken = run_scenario(scene)
     assert answers.count(200) == 1 and set(answers) == {200, 412}
-    assert taken == 1 and took_s <= ANSWER_S
+    assert taken == 1 and took_s <= OPERATOR_TIMEOUT_S
 
 
 def test_changes_queued_behind_stuck_change_time_out_unproposed():
@@ -177,15 +189,17 @@
         registers.network.cut("a")
         clock = asyncio.get_running_loop().time
         began_s = clock()
-        answers = await asyncio.gather(*(answer(registers.members["a"], 7 + n, 0, b"order %d" % n) for n in range(8)))
+        answers = await asyncio.gather(
+            *(operator_status(registers.members["a"], 7 + n, 0, b"order %d" % n) for n in range(8))
+        )
         took_s = clock() - began_s
         registers.network.join()
         member = registers.members["a"]
-        after = [await answer(member, 7 + n, 0, b"order %d" % n) for n in range(8)]
+        after = [await operator_status(member, 7 + n, 0, b"order %d" % n) for n in range(8)]
         return answers, took_s, after
 
-    answers, took_s, after = play(scene)
-    assert set(answers) == {503} and took_s == pytest.approx(ANSWER_S, abs=0.01)
+    answers, took_s, after = run_scenario(scene)
+    assert set(answers) == {503} and took_s == pytest.approx(OPERATOR_TIMEOUT_S, abs=0.01)
     assert after.count(200) == 1 and set(after) == {200, 412}
 
 
@@ -193,13 +207,17 @@
     async def scene(registers):
         for name in "bc":
             registers.disks[name].delay_s = 0.5
-        first = await answer(registers.members["a"], 7, 0)
+        first = await operator_status(registers.members["a"], 7, 0)
         for name in "bc":
             registers.disks[name].delay_s = 0.0
         await asyncio.sleep(1.0)
-        return first, await answer(registers.members["b"], 7, 0), accepted_change_count(registers.members["b"].chosen)
+        return (
+            first,
+            await operator_status(registers.members["b"], 7, 0),
+            accepted_change_count(registers.members["b"].chosen),
+        )
 
-    assert play(scene) == (503, 200, 1)
+    assert run_scenario(scene) == (503, 200, 1)
 
 
 def test_rejection_for_unchosen_value_is_withheld():
@@ -212,15 +230,15 @@
                 raise RpcError("connect", target)
 
         registers.network.on_call = on_call
-        assert await answer(registers.members["a"], 7, 0, b"rival", 0.1) == 503
+        assert await operator_status(registers.members["a"], 7, 0, b"rival", 0.1) == 503
         registers.network.on_call = lambda source, target, message: None
         registers.network.down = {"c"} if meets else {"a"}
-        first = await answer(registers.members["b"], 7, 0, b"order")
+        first = await operator_status(registers.members["b"], 7, 0, b"order")
         registers.network.down = {"a"}
-        return first, await answer(registers.members["c"], 7, 0, b"order")
+        return first, await operator_status(registers.members["c"], 7, 0, b"order")
 
-    assert play(lambda registers: scene(registers, True)) == (412, 412)
-    assert play(lambda registers: scene(registers, False)) == (200, 200)
+    assert run_scenario(lambda registers: scene(registers, True)) == (412, 412)
+    assert run_scenario(lambda registers: scene(registers, False)) == (200, 200)
 
 
 # Orders to empty a machine
@@ -235,14 +253,14 @@
     async def scene(registers):
         stores = {name: name for name in "abc"}
         names = {name: f"machine-{name}" for name in "abc"}
-        await registers.members["a"].propose(on_version(0, set_initial_stores(stores, names)), WAIT_S)
+        await registers.members["a"].propose(on_version(0, set_initial_stores(stores, names)), PROPOSE_TIMEOUT_S)
 
-        await lose_proposer(registers, reached, registers.members["a"].propose(retire("machine-b"), WAIT_S))
-        states = [await registers.members[name].propose(retire("machine-b"), WAIT_S) for name in "bcb"]
+        await lose_proposer(registers, reached, registers.members["a"].propose(retire("machine-b"), PROPOSE_TIMEOUT_S))
+        states = [await registers.members[name].propose(retire("machine-b"), PROPOSE_TIMEOUT_S) for name in "bcb"]
         with pytest.raises(TooFewStoresRemainError):
-            await registers.members["c"].propose(retire("machine-c"), WAIT_S)
+            await registers.members["c"].propose(retire("machine-c"), PROPOSE_TIMEOUT_S)
         with pytest.raises(UnknownMachineError):
-            await registers.members["c"].propose(retire("machine-x"), WAIT_S)
+            await registers.members["c"].propose(retire("machine-x"), PROPOSE_TIMEOUT_S)
         return [state["retiring"] for state in states]
 
-    assert play(scene) == [["machine-b"]] * 3
+    assert run_scenario(scene) == [["machine-b"]] * 3
