--- a/tests/controlplane/test_heartbeat_cost.py
+++ b/tests/controlplane/test_heartbeat_cost.py
@@ -1,4 +1,4 @@
-"""What contact with a majority costs each machine, whatever the number of fronts."""
+"""The cost of majority contact per machine, which must not depend on the number of fronts."""
 
 import importlib.util
 from pathlib import Path
@@ -15,12 +15,12 @@
 CONTROL_PROCESSES = 3
 SECONDS = 10.0
 FRONTS = (2, 12)
-SPREAD = 0.05
-"""Periods are drawn at random, so that two runs differ a little."""
+TOLERANCE = 0.05
+"""Relative tolerance: periods are random, so two runs differ slightly."""
 
 
-def figures(fronts):
-    """Heartbeats a second and their bytes at a control process, messages a second at a front."""
+def measure_rates(fronts):
+    """Returns heartbeats and heartbeat bytes per second at a control process, and messages per second at a front."""
     network = SimulatedEventLoop(1).run(costs.play(fronts, CONTROL_PROCESSES, SECONDS, 2000.0))
     heartbeats = {costs.HEARTBEAT}
     return (
@@ -31,13 +31,13 @@
 
 
 def test_heartbeat_cost_is_independent_of_sender_count():
-    few, many = figures(FRONTS[0]), figures(FRONTS[1])
-    assert many[0] == pytest.approx(few[0], rel=SPREAD)
-    assert many[1] == pytest.approx(few[1], rel=SPREAD)
-    assert many[2] == pytest.approx(few[2], rel=0.25)
+    with_few_fronts, with_many_fronts = measure_rates(FRONTS[0]), measure_rates(FRONTS[1])
+    assert with_many_fronts[0] == pytest.approx(with_few_fronts[0], rel=TOLERANCE)
+    assert with_many_fronts[1] == pytest.approx(with_few_fronts[1], rel=TOLERANCE)
+    assert with_many_fronts[2] == pytest.approx(with_few_fronts[2], rel=0.25)
 
 
 def test_heartbeats_are_sent_no_more_often_than_period():
-    asked_and_answered, others, both_ways = 2, CONTROL_PROCESSES - 1, 2
-    per_s = asked_and_answered * others * both_ways / 0.25
-    assert figures(FRONTS[0])[0] == pytest.approx(per_s, rel=SPREAD)
+    request_and_reply, peers, directions = 2, CONTROL_PROCESSES - 1, 2
+    per_s = request_and_reply * peers * directions / 0.25
+    assert measure_rates(FRONTS[0])[0] == pytest.approx(per_s, rel=TOLERANCE)
--- a/tests/controlplane/test_majority_loss.py
+++ b/tests/controlplane/test_majority_loss.py
@@ -1,4 +1,4 @@
-"""The log of a majority that is out of reach: when it is written, and whom it names."""
+"""The log of a lost majority: when it is written and which members it names."""
 
 from dewpin.controlplane.membership.majority_loss import (
     LOG_INTERVAL_S,
@@ -31,26 +31,26 @@
     )
 
 
-def peers_heard(now_s, *heard):
+def heard_peers(now_s, *heard):
     peers = PeerTable()
     for member, name in heard:
         peers.record_received(description(member, name), now_s)
     return peers
 
 
-def test_members_are_told_by_whether_their_disk_is_gone():
-    peers = peers_heard(10.0, ("B", "machine-b"))
-    found = missing_members(STATE, "a", peers, 10.0)
-    assert found.without_disk == ("b (machine-b)",)
-    assert found.silent == ("c (machine-c)", "d (unknown machine)")
+def test_missing_members_are_separated_by_whether_their_disk_is_lost():
+    peers = heard_peers(10.0, ("B", "machine-b"))
+    missing = missing_members(STATE, "a", peers, 10.0)
+    assert missing.without_disk == ("b (machine-b)",)
+    assert missing.silent == ("c (machine-c)", "d (unknown machine)")
 
 
-def test_members_that_are_heard_are_not_missing():
-    peers = peers_heard(10.0, ("b", "machine-b"), ("c", "machine-c"), ("d", "machine-d"))
+def test_members_heard_from_are_not_missing():
+    peers = heard_peers(10.0, ("b", "machine-b"), ("c", "machine-c"), ("d", "machine-d"))
     assert missing_members(STATE, "a", peers, 10.0) == MissingMembers((), ())
 
 
-def test_loss_is_logged_after_a_while_and_not_too_often():
+def test_loss_is_logged_after_timeout_at_limited_rate():
     log, peers = MajorityLossLog(0.0), PeerTable()
     logged = [
         at_s
@@ -61,7 +61,7 @@
     assert logged == [first_s, first_s + LOG_INTERVAL_S, first_s + 2 * LOG_INTERVAL_S]
 
 
-def test_loss_is_logged_again_at_once_when_contact_came_back_in_between():
+def test_loss_after_regained_contact_is_logged_without_waiting_for_the_interval():
     log, peers = MajorityLossLog(0.0), PeerTable()
     assert log.update(STATE, "a", peers, False, 6.0) is not None
     assert log.update(STATE, "a", peers, True, 7.0) is None
--- a/tests/controlplane/test_peers.py
+++ b/tests/controlplane/test_peers.py
@@ -1,11 +1,11 @@
-"""What a process knows of the others."""
+"""The table of known peers."""
 
 from dewpin.controlplane.membership.peers import ALIVE_WITHIN_S, FORGET_AFTER_S, PeerDescription, PeerTable
 
 
-def description(one, name="machine", address="10.0.0.1:1"):
+def description(peer_id, name="machine", address="10.0.0.1:1"):
     return PeerDescription(
-        id=one,
+        id=peer_id,
         name=name,
         address=address,
         serves_control=True,
@@ -38,8 +38,8 @@
     assert table.since_last_received_s("a", 10.1) >= FORGET_AFTER_S
     assert table.is_replaced("a", "machine", 10.1)
     assert not table.is_replaced("a2", "machine", 10.1)
-    found = table.at_address("10.0.0.1:1")
-    assert found is not None and found.id == "a2"
+    peer_at_address = table.at_address("10.0.0.1:1")
+    assert peer_at_address is not None and peer_at_address.id == "a2"
 
 
 def test_two_live_machines_with_one_name_are_not_replaced():
--- a/tests/controlplane/test_register_recovery.py
+++ b/tests/controlplane/test_register_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a register whose majority is lost for good: on real data directories, and its command line."""
+"""Recovery of a register that permanently lost its majority, on real data directories, and its command line."""
 
 import asyncio
 import json
@@ -13,15 +13,15 @@
 from dewpin.controlplane.storage import Storage
 from dewpin.tier_cli.commands import app
 
-WAIT_S = 2.0
+PROPOSE_TIMEOUT_S = 2.0
 
 
-class World(Registers):
-    """Registers on data directories. Ids of members are those of the directories; addresses are single letters."""
+class RegistersOnDisk(Registers):
+    """Registers on data directories. Member ids are those of the directories; addresses are single letters."""
 
-    def __init__(self, folder, names="abc"):
-        self.folders = {name: folder / name for name in names}
-        self.storages = {name: Storage(path) for name, path in self.folders.items()}
+    def __init__(self, root_dir, names="abc"):
+        self.data_dirs = {name: root_dir / name for name in names}
+        self.storages = {name: Storage(path) for name, path in self.data_dirs.items()}
         self.ids = {name: storage.incarnation for name, storage in self.storages.items()}
         super().__init__(names, names)
         self.disks = self.storages
@@ -40,20 +40,20 @@
             await member.load()
             await member.bootstrap(self.initial_state)
 
-    async def begin_with_configuration(self):
+    async def start_with_configuration(self):
         await self.begin()
-        stores = {self.ids[name]: name for name in self.folders}
+        stores = {self.ids[name]: name for name in self.data_dirs}
         names = dict(self.initial_state["names"])
-        await self.members["a"].propose(set_initial_stores(stores, names), WAIT_S)
-        await self.members["a"].propose(put_configuration(b"{}", 7, 0), WAIT_S)
-        await asyncio.sleep(0.05)  # the accept of the third member, too, has arrived
+        await self.members["a"].propose(set_initial_stores(stores, names), PROPOSE_TIMEOUT_S)
+        await self.members["a"].propose(put_configuration(b"{}", 7, 0), PROPOSE_TIMEOUT_S)
+        await asyncio.sleep(0.05)  # until the accept request to the third member has arrived as well
 
     def close(self, names=None):
-        for name in names or self.folders:
+        for name in names or self.data_dirs:
             self.storages[name].close()
 
     def restart_storage(self, name):
-        self.storages[name] = Storage(self.folders[name])
+        self.storages[name] = Storage(self.data_dirs[name])
         self.ids[name] = self.storages[name].incarnation
 
 
@@ -66,21 +66,21 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    """Three members that hold generation 7, stopped."""
-    made = World(tmp_path)
-    asyncio.run(made.begin_with_configuration())
-    made.close()
-    return made
+def registers(tmp_path):
+    """Three stopped members with the configuration of generation 7."""
+    registers = RegistersOnDisk(tmp_path)
+    asyncio.run(registers.start_with_configuration())
+    registers.close()
+    return registers
 
 
 def run_command(*arguments):
     return CliRunner().invoke(app, ["register", *map(str, arguments)])
 
 
-def snapshot(folder):
-    """All rows that a recovery may touch."""
-    storage = Storage(folder)
+def snapshot(data_dir):
+    """Returns all rows that a recovery may change."""
+    storage = Storage(data_dir)
 
     async def rows():
         return [await storage.query(f"SELECT * FROM {table}") for table in ("register_replica", "meta")]
@@ -91,166 +91,176 @@
         storage.close()
 
 
-def test_survivor_of_a_lost_majority_serves_what_it_holds(world):
-    lost = [world.ids["b"], world.ids["c"]]
-    plan = recover(world.folders["a"], lost)
-    assert plan.remaining_stores == (world.ids["a"],)
-    world.restart_storage("a")
+def test_recovered_survivor_serves_its_state(registers):
+    lost = [registers.ids["b"], registers.ids["c"]]
+    plan = recover(registers.data_dirs["a"], lost)
+    assert plan.remaining_stores == (registers.ids["a"],)
+    registers.restart_storage("a")
 
-    async def scene():
-        world.network.down |= {"b", "c"}
-        member = await world.restart("a")
-        state = await member.propose(read, WAIT_S)
-        changed = await member.propose(put_configuration(b'{"x":1}', 8, 7), WAIT_S)
+    async def scenario():
+        registers.network.down |= {"b", "c"}
+        member = await registers.restart("a")
+        state = await member.propose(read, PROPOSE_TIMEOUT_S)
+        changed = await member.propose(put_configuration(b'{"x":1}', 8, 7), PROPOSE_TIMEOUT_S)
         return state, changed
 
-    state, changed = asyncio.run(scene())
-    world.close("a")
+    state, changed = asyncio.run(scenario())
+    registers.close("a")
     assert generation_of(state) == 7 and generation_of(changed) == 8
-    assert world.ids["a"] not in lost and state["version"] >= VERSION_STEP
-    assert state["members"] == {world.ids["a"]: "a"}
-    assert state["stores"]["stable"] == {world.ids["a"]: "a"} and state["stores"]["next"] is None
+    assert registers.ids["a"] not in lost and state["version"] >= VERSION_STEP
+    assert state["members"] == {registers.ids["a"]: "a"}
+    assert state["stores"]["stable"] == {registers.ids["a"]: "a"} and state["stores"]["next"] is None
 
 
-def test_without_recovery_the_survivor_serves_nothing(world):
-    world.restart_storage("a")
+def test_survivor_without_recovery_serves_nothing(registers):
+    registers.restart_storage("a")
 
-    async def scene():
-        world.network.down |= {"b", "c"}
-        member = await world.restart("a")
+    async def scenario():
+        registers.network.down |= {"b", "c"}
+        member = await registers.restart("a")
         with pytest.raises(RegisterUnavailableError):
             await member.propose(read, 0.3)
 
-    asyncio.run(scene())
-    world.close("a")
+    asyncio.run(scenario())
+    registers.close("a")
 
 
-def test_other_survivor_stays_a_store_and_follows_the_recovered_member(tmp_path):
-    world = World(tmp_path, "abcde")
-    asyncio.run(world.begin_with_configuration())
-    world.close()
-    recover(world.folders["a"], [world.ids[name] for name in "cde"])
+def test_other_survivor_remains_a_store_and_adopts_the_recovered_state(tmp_path):
+    registers = RegistersOnDisk(tmp_path, "abcde")
+    asyncio.run(registers.start_with_configuration())
+    registers.close()
+    recover(registers.data_dirs["a"], [registers.ids[name] for name in "cde"])
     for name in "ab":
-        world.restart_storage(name)
+        registers.restart_storage(name)
 
-    async def scene():
-        world.network.down |= set("cde")
+    async def scenario():
+        registers.network.down |= set("cde")
         for name in "ab":
-            await world.restart(name)
-        recovered = await world.members["a"].propose(read, WAIT_S)
-        await world.members["b"].adopt_chosen(world.members["a"].chosen_ballot, recovered, "a")
-        return world.members["b"].chosen
+            await registers.restart(name)
+        recovered = await registers.members["a"].propose(read, PROPOSE_TIMEOUT_S)
+        await registers.members["b"].adopt_chosen(registers.members["a"].chosen_ballot, recovered, "a")
+        return registers.members["b"].chosen
 
-    state = asyncio.run(scene())
-    world.close("ab")
-    assert set(state["members"]) == {world.ids["a"]} and generation_of(state) == 7
-    assert set(state["stores"]["stable"]) == {world.ids["a"], world.ids["b"]}
+    state = asyncio.run(scenario())
+    registers.close("ab")
+    assert set(state["members"]) == {registers.ids["a"]} and generation_of(state) == 7
+    assert set(state["stores"]["stable"]) == {registers.ids["a"], registers.ids["b"]}
 
 
-def test_lost_member_that_comes_back_is_overruled(world):
-    lost = [world.ids["b"], world.ids["c"]]
-    recover(world.folders["a"], lost)
+def test_returning_lost_member_is_superseded(registers):
+    lost = [registers.ids["b"], registers.ids["c"]]
+    recover(registers.data_dirs["a"], lost)
     for name in "abc":
-        world.restart_storage(name)
+        registers.restart_storage(name)
 
-    async def scene():
+    async def scenario():
         for name in "abc":
-            await world.restart(name)
-        await world.members["b"].propose(put_configuration(b'{"old":1}', 8, 7), WAIT_S)
-        assert generation_of(world.members["b"].chosen) == 8
-        recovered = await world.members["a"].propose(read, WAIT_S)
-        await world.members["b"].adopt_chosen(world.members["a"].chosen_ballot, recovered, "a")
-        return world.members["b"].chosen
-
-    state = asyncio.run(scene())
-    world.close()
-    assert set(state["members"]) == {world.ids["a"]} and generation_of(state) == 7
-
-
-def test_recovery_without_apply_tells_the_plan_and_writes_nothing(world):
-    before = snapshot(world.folders["a"])
-    done = run_command("recover", world.folders["a"], "--lost", world.ids["b"], "--lost", world.ids["c"], "--json")
-    assert done.exit_code == 0 and snapshot(world.folders["a"]) == before
-    told = json.loads(done.stdout)
-    assert told["applied"] is False and told["remaining_stores"] == [world.ids["a"]] and told["generation"] == 7
-
-
-def test_applied_recovery_is_recorded_for_the_log_of_the_next_start(world, caplog):
-    lost = ["--lost", world.ids["b"], "--lost", world.ids["c"]]
-    done = run_command("recover", world.folders["a"], *lost, "--apply")
-    assert done.exit_code == 0 and done.stdout.startswith("recovered: version 2 becomes 1000002")
-    world.restart_storage("a")
-    asyncio.run(world.restart("a"))
-    world.close("a")
+            await registers.restart(name)
+        await registers.members["b"].propose(put_configuration(b'{"old":1}', 8, 7), PROPOSE_TIMEOUT_S)
+        assert generation_of(registers.members["b"].chosen) == 8
+        recovered = await registers.members["a"].propose(read, PROPOSE_TIMEOUT_S)
+        await registers.members["b"].adopt_chosen(registers.members["a"].chosen_ballot, recovered, "a")
+        return registers.members["b"].chosen
+
+    state = asyncio.run(scenario())
+    registers.close()
+    assert set(state["members"]) == {registers.ids["a"]} and generation_of(state) == 7
+
+
+def test_recovery_without_apply_prints_the_plan_and_writes_nothing(registers):
+    before = snapshot(registers.data_dirs["a"])
+    result = run_command(
+        "recover", registers.data_dirs["a"], "--lost", registers.ids["b"], "--lost", registers.ids["c"], "--json"
+    )
+    assert result.exit_code == 0 and snapshot(registers.data_dirs["a"]) == before
+    printed_plan = json.loads(result.stdout)
+    assert (
+        printed_plan["applied"] is False
+        and printed_plan["remaining_stores"] == [registers.ids["a"]]
+        and printed_plan["generation"] == 7
+    )
+
+
+def test_applied_recovery_is_logged_at_next_start(registers, caplog):
+    lost = ["--lost", registers.ids["b"], "--lost", registers.ids["c"]]
+    result = run_command("recover", registers.data_dirs["a"], *lost, "--apply")
+    assert result.exit_code == 0 and result.stdout.startswith("recovered: version 2 becomes 1000002")
+    registers.restart_storage("a")
+    asyncio.run(registers.restart("a"))
+    registers.close("a")
     (record,) = [record for record in caplog.records if record.message == "register.recovered"]
-    assert record.plan["lost"] == sorted([world.ids["b"], world.ids["c"]])
+    assert record.plan["lost"] == sorted([registers.ids["b"], registers.ids["c"]])
 
 
-def test_every_fault_of_a_request_is_told_at_once_and_nothing_is_written(world):
-    before = snapshot(world.folders["a"])
-    done = run_command("recover", world.folders["a"], "--lost", "nobody", "--lost", world.ids["a"], "--apply")
-    assert done.exit_code == 2 and snapshot(world.folders["a"]) == before
-    lines = done.stderr.splitlines()
+def test_all_errors_of_a_request_are_reported_together_and_nothing_is_written(registers):
+    before = snapshot(registers.data_dirs["a"])
+    result = run_command(
+        "recover", registers.data_dirs["a"], "--lost", "nobody", "--lost", registers.ids["a"], "--apply"
+    )
+    assert result.exit_code == 2 and snapshot(registers.data_dirs["a"]) == before
+    lines = result.stderr.splitlines()
     assert lines[0].startswith("--lost nobody: expected one of ")
-    assert lines[1] == f"--lost {world.ids['a']}: expected another member than this disk's own"
+    assert lines[1] == f"--lost {registers.ids['a']}: expected another member than this disk's own"
     assert lines[2].startswith("--lost: expected so many that no majority remains; start ")
 
 
-def test_recovery_is_refused_while_a_majority_remains(world):
-    done = run_command("recover", world.folders["a"], "--lost", world.ids["b"], "--apply")
-    assert done.exit_code == 2 and "no majority remains" in done.stderr
+def test_recovery_is_rejected_while_a_majority_remains(registers):
+    result = run_command("recover", registers.data_dirs["a"], "--lost", registers.ids["b"], "--apply")
+    assert result.exit_code == 2 and "no majority remains" in result.stderr
 
 
-def test_recovery_is_refused_on_the_disk_of_a_newcomer(world, tmp_path):
-    world.restart_storage("a")
+def test_recovery_is_rejected_on_an_empty_disk(registers, tmp_path):
+    registers.restart_storage("a")
     Storage(tmp_path / "new").close()
-    done = run_command("recover", tmp_path / "new", "--lost", world.ids["b"], "--apply")
-    world.close("a")
-    assert done.exit_code == 2 and "this disk holds no state" in done.stderr
+    result = run_command("recover", tmp_path / "new", "--lost", registers.ids["b"], "--apply")
+    registers.close("a")
+    assert result.exit_code == 2 and "this disk holds no state" in result.stderr
 
 
-def test_recovery_is_refused_while_the_control_server_runs(world):
-    world.restart_storage("a")
-    done = run_command("show", world.folders["a"])
-    world.close("a")
-    assert done.exit_code == 1 and "still runs; stop it first" in done.stderr
+def test_recovery_is_rejected_while_the_control_server_is_running(registers):
+    registers.restart_storage("a")
+    result = run_command("show", registers.data_dirs["a"])
+    registers.close("a")
+    assert result.exit_code == 1 and "still runs; stop it first" in result.stderr
 
 
-def test_recovery_makes_no_database_where_there_is_none(tmp_path):
-    done = run_command("recover", tmp_path / "none", "--lost", "x", "--apply")
-    assert done.exit_code == 1 and not (tmp_path / "none").exists()
+def test_recovery_creates_no_missing_database(tmp_path):
+    result = run_command("recover", tmp_path / "none", "--lost", "x", "--apply")
+    assert result.exit_code == 1 and not (tmp_path / "none").exists()
 
 
 @pytest.mark.parametrize("damage", ["bytes", "marker"])
-def test_damaged_database_is_left_as_it_is(world, damage):
-    folder = world.folders["a"]
+def test_damaged_database_is_left_unchanged(registers, damage):
+    data_dir = registers.data_dirs["a"]
     if damage == "bytes":
-        (folder / "keeper.sqlite3").write_bytes(b"no database at all" * 400)
+        (data_dir / "keeper.sqlite3").write_bytes(b"no database at all" * 400)
     else:
-        (folder / "keeper.damaged").touch()
-    before = {path.name: path.read_bytes() for path in folder.iterdir()}
-    done = run_command("recover", folder, "--lost", world.ids["b"], "--lost", world.ids["c"], "--apply")
-    assert done.exit_code == 1 and str(folder) in done.stderr
-    assert {path.name: path.read_bytes() for path in folder.iterdir()} == before
+        (data_dir / "keeper.damaged").touch()
+    before = {path.name: path.read_bytes() for path in data_dir.iterdir()}
+    result = run_command("recover", data_dir, "--lost", registers.ids["b"], "--lost", registers.ids["c"], "--apply")
+    assert result.exit_code == 1 and str(data_dir) in result.stderr
+    assert {path.name: path.read_bytes() for path in data_dir.iterdir()} == before
 
 
-def test_recovery_is_atomic_when_it_is_interrupted(world, monkeypatch):
-    before = snapshot(world.folders["a"])
+def test_interrupted_recovery_writes_nothing(registers, monkeypatch):
+    before = snapshot(registers.data_dirs["a"])
     monkeypatch.setattr("dewpin.controlplane.register.recovery.json.dumps", _interrupt)
     with pytest.raises(KeyboardInterrupt):
-        recover(world.folders["a"], [world.ids["b"], world.ids["c"]])
+        recover(registers.data_dirs["a"], [registers.ids["b"], registers.ids["c"]])
     monkeypatch.undo()
-    assert snapshot(world.folders["a"]) == before
+    assert snapshot(registers.data_dirs["a"]) == before
 
 
 def _interrupt(*_, **__):
     raise KeyboardInterrupt
 
 
-def test_replica_is_described_with_the_names_of_its_machines(world):
-    found = describe_replica(world.folders["b"])
-    assert found.is_member and found.version == 2 and found.generation == 7
-    assert found.members == {world.ids[name]: f"machine-{name}" for name in "abc"}
-    assert plan_recovery(world.folders["b"], [world.ids["a"], world.ids["c"]]).member == world.ids["b"]
-    done = run_command("show", world.folders["b"])
-    assert done.exit_code == 0 and f"store {world.ids['c']} machine-c" in done.stdout
+def test_replica_description_contains_machine_names(registers):
+    description = describe_replica(registers.data_dirs["b"])
+    assert description.is_member and description.version == 2 and description.generation == 7
+    assert description.members == {registers.ids[name]: f"machine-{name}" for name in "abc"}
+    assert (
+        plan_recovery(registers.data_dirs["b"], [registers.ids["a"], registers.ids["c"]]).member == registers.ids["b"]
+    )
+    result = run_command("show", registers.data_dirs["b"])
+    assert result.exit_code == 0 and f"store {registers.ids['c']} machine-c" in result.stdout
--- a/tests/controlplane/test_system_state.py
+++ b/tests/controlplane/test_system_state.py
@@ -1,4 +1,4 @@
-"""The system state's changes, as pure functions."""
+"""Changes of the system state, which are pure functions."""
 
 import pytest
 
@@ -28,14 +28,16 @@
 NAMES = {"a": "store-1", "b": "store-2", "c": "store-3"}
 
 
-def first():
+def new_state():
     return initial_state(MEMBERS, NAMES)
 
 
 def with_stores(count=4):
     ids = "abcdefgh"[:count]
-    names = {one: f"store-{number}" for number, one in enumerate(ids, 1)}
-    return set_initial_stores({one: f"10.0.0.{number}:1" for number, one in enumerate(ids, 1)}, names)(first())
+    names = {store_id: f"store-{number}" for number, store_id in enumerate(ids, 1)}
+    return set_initial_stores({store_id: f"10.0.0.{number}:1" for number, store_id in enumerate(ids, 1)}, names)(
+        new_state()
+    )
 
 
 def put(state, generation, base, body=b"{}"):
@@ -43,36 +45,36 @@
 
 
 def test_initial_state_is_independent_of_member_order():
-    assert list(first().items()) == list(initial_state(dict(reversed(MEMBERS.items())), NAMES).items())
-    assert quorum_sets(first()) == [frozenset("abc"), frozenset("abc")]
+    assert list(new_state().items()) == list(initial_state(dict(reversed(MEMBERS.items())), NAMES).items())
+    assert quorum_sets(new_state()) == [frozenset("abc"), frozenset("abc")]
 
 
 def test_put_configuration_returns_next_version_and_leaves_old_state_unchanged():
-    before = first()
+    before = new_state()
     after = put(before, 7, 0, b'{"x": 1}')
     assert (after["version"], after["configuration"]["generation"]) == (1, 7)
     assert after["configuration"]["body"] == '{"x": 1}'
-    assert before == first()
+    assert before == new_state()
 
 
 def test_repeated_configuration_changes_nothing():
-    state = put(first(), 7, 0)
+    state = put(new_state(), 7, 0)
     assert put(state, 7, 0) is state
 
 
 def test_repeated_configuration_is_known_after_later_ones():
-    state = put(put(first(), 7, 0, b"one"), 9, 7, b"two")
+    state = put(put(new_state(), 7, 0, b"one"), 9, 7, b"two")
     assert put(state, 7, 0, b"one") is state
 
 
 def test_one_of_two_configurations_of_a_version_is_accepted():
-    state = put(first(), 7, 0, b"one")
+    state = put(new_state(), 7, 0, b"one")
     with pytest.raises(VersionMismatchError):
         put(state, 8, 0, b"two")
 
 
 def test_other_configuration_with_accepted_generation_is_rejected():
-    state = put(first(), 7, 0, b"one")
+    state = put(new_state(), 7, 0, b"one")
     with pytest.raises(VersionMismatchError):
         put(state, 7, 0, b"two")
     with pytest.raises(GenerationTooLowError):
@@ -82,12 +84,12 @@
 @pytest.mark.parametrize("generation", [1, 6, 7])
 def test_generation_not_above_present_is_rejected(generation):
     with pytest.raises(GenerationTooLowError):
-        put(put(first(), 7, 0), generation, 7, b"two")
+        put(put(new_state(), 7, 0), generation, 7, b"two")
 
 
 def test_base_above_present_generation_is_rejected():
     with pytest.raises(VersionMismatchError):
-        put(first(), 9, 5)
+        put(new_state(), 9, 5)
 
 
 def test_digest_differs_for_equivalent_bodies():
@@ -98,48 +100,48 @@
 
 def test_present_configuration_on_itself_is_another_change():
     with pytest.raises(GenerationTooLowError):
-        put(put(first(), 7, 0), 7, 7)
+        put(put(new_state(), 7, 0), 7, 7)
 
 
 def test_planned_change_is_rejected_on_other_version():
     change = on_version(0, successor)
-    assert change(first())["version"] == 1
+    assert change(new_state())["version"] == 1
     with pytest.raises(StateVersionChangedError):
-        change(successor(first()))
+        change(successor(new_state()))
 
 
 def test_member_change_completes_with_next_version():
-    changed = set_members({"a": "x", "b": "y", "d": "z"}, {"d": "store-9"})(first())
+    changed = set_members({"a": "x", "b": "y", "d": "z"}, {"d": "store-9"})(new_state())
     assert not is_membership_stable(changed)
     assert quorum_sets(changed) == [frozenset("abd"), frozenset("abc")]
     assert changed["names"] == {**NAMES, "d": "store-9"}
-    settled = successor(changed)
-    assert is_membership_stable(settled) and quorum_sets(settled) == [frozenset("abd"), frozenset("abd")]
+    completed = successor(changed)
+    assert is_membership_stable(completed) and quorum_sets(completed) == [frozenset("abd"), frozenset("abd")]
 
 
 def test_each_store_change_raises_epoch():
     state = with_stores(3)
-    moving = start_store_change({"a": "1", "b": "2", "d": "4"}, {"d": "store-4"})(state)
-    redirected = start_store_change({"a": "1", "b": "2"}, {})(moving)
-    done = finish_store_change(moving)
-    assert [one["stores"]["epoch"] for one in (state, moving, redirected, done)] == [1, 2, 3, 3]
-    assert moving["stores"]["stable"] == state["stores"]["stable"]
-    assert redirected["stores"]["stable"] == state["stores"]["stable"]
-    assert (done["stores"]["stable"], done["stores"]["next"]) == ({"a": "1", "b": "2", "d": "4"}, None)
+    changing = start_store_change({"a": "1", "b": "2", "d": "4"}, {"d": "store-4"})(state)
+    retargeted = start_store_change({"a": "1", "b": "2"}, {})(changing)
+    completed = finish_store_change(changing)
+    assert [version["stores"]["epoch"] for version in (state, changing, retargeted, completed)] == [1, 2, 3, 3]
+    assert changing["stores"]["stable"] == state["stores"]["stable"]
+    assert retargeted["stores"]["stable"] == state["stores"]["stable"]
+    assert (completed["stores"]["stable"], completed["stores"]["next"]) == ({"a": "1", "b": "2", "d": "4"}, None)
 
 
 def test_machine_is_retired_by_name():
     state = start_retirement("store-2", 3)(with_stores(4))
     assert state["retiring"] == ["store-2"] and not is_retired(state, "store-2")
-    done = finish_retirement("store-2")(state)
-    assert done["retiring"] == [] and is_retired(done, "store-2")
+    completed = finish_retirement("store-2")(state)
+    assert completed["retiring"] == [] and is_retired(completed, "store-2")
 
 
 def test_repeated_retirement_changes_nothing():
     state = start_retirement("store-2", 3)(with_stores(4))
     assert start_retirement("store-2", 3)(state) is state
-    done = finish_retirement("store-2")(state)
-    assert start_retirement("store-2", 3)(done) is done
+    completed = finish_retirement("store-2")(state)
+    assert start_retirement("store-2", 3)(completed) is completed
 
 
 def test_retirement_of_unknown_or_needed_machine_raises():
