--- a/dewpin/controlplane/membership/leases.py
+++ b/dewpin/controlplane/membership/leases.py
@@ -11,7 +11,7 @@
 LEASE_PERIODS = 8
 LEASE_CYCLES = 3
 """A lease lasts for this many of its sender's renewal cycles through all grantors, and at least LEASE_PERIODS."""
-RELEASE_MEMORY_S = 60.0
+RELEASE_RETENTION_S = 60.0
 """Retention time of a release, during which delayed renewals are ignored."""
 
 
@@ -65,7 +65,7 @@
     def _remove_old_releases(self, now_s: float) -> None:
         while self._released_at_s:
             oldest = next(iter(self._released_at_s))
-            if now_s - self._released_at_s[oldest] < RELEASE_MEMORY_S:
+            if now_s - self._released_at_s[oldest] < RELEASE_RETENTION_S:
                 return
             del self._released_at_s[oldest]
 
--- a/dewpin/controlplane/membership/peers.py
+++ b/dewpin/controlplane/membership/peers.py
@@ -13,7 +13,7 @@
 LONGEST_INTERRUPTION_S = 20.0
 """Silence of a length between these two bounds counts as an interruption: the process was frozen, partitioned or
 restarted. After a longer silence, the process had already been removed."""
-INTERRUPTION_MEMORY_S = 60.0
+INTERRUPTION_RETENTION_S = 60.0
 """For how long an interruption counts."""
 
 
@@ -139,7 +139,7 @@
 
     def interruptions(self, now_s: float) -> int:
         """Returns the number of recent interruptions."""
-        return sum(now_s - at_s < INTERRUPTION_MEMORY_S for at_s in self.interrupted_at_s)
+        return sum(now_s - at_s < INTERRUPTION_RETENTION_S for at_s in self.interrupted_at_s)
 
 
 class PeerTable:
@@ -202,6 +202,6 @@
     """Returns the ends of a peer's interruptions that still count, including one that ends with a message now."""
     if known is None:
         return ()
-    recent = tuple(at_s for at_s in known.interrupted_at_s if now_s - at_s < INTERRUPTION_MEMORY_S)
+    recent = tuple(at_s for at_s in known.interrupted_at_s if now_s - at_s < INTERRUPTION_RETENTION_S)
     was_interrupted = SHORTEST_INTERRUPTION_S < known.since_last_received_s(now_s) < LONGEST_INTERRUPTION_S
     return (*recent, now_s) if was_interrupted else recent
--- a/tests/controlplane/test_leases.py
+++ b/tests/controlplane/test_leases.py
@@ -8,7 +8,7 @@
     LEASE_CYCLES,
     LEASE_PERIODS,
     RELAY_FAN_OUT,
-    RELEASE_MEMORY_S,
+    RELEASE_RETENTION_S,
     LeaseTable,
 )
 
@@ -50,9 +50,9 @@
     table.renew("sender-1", "10.0.0.1:1", "east", 1.5)
     assert [lease.sender for lease in table.live(1.5)] == ["sender-0"]
     assert table.parents("sender-1", 1.5) == []
-    table.release("sender-1", 1.0 + RELEASE_MEMORY_S)  # a repeated release does not extend the retention of the first
-    table.renew("sender-1", "10.0.0.1:1", "east", 1.0 + RELEASE_MEMORY_S)
-    assert [lease.sender for lease in table.live(1.0 + RELEASE_MEMORY_S)] == ["sender-1"]  # the release has expired
+    table.release("sender-1", 1.0 + RELEASE_RETENTION_S)  # repeating a release does not extend its retention
+    table.renew("sender-1", "10.0.0.1:1", "east", 1.0 + RELEASE_RETENTION_S)
+    assert [lease.sender for lease in table.live(1.0 + RELEASE_RETENTION_S)] == ["sender-1"]  # the release has expired
 
 
 @pytest.mark.parametrize("count", [1, 2, 4, 5, 20, 21, 85, 200])
