--- a/dewpin/controlplane/membership/majority_contact.py
+++ b/dewpin/controlplane/membership/majority_contact.py
@@ -31,11 +31,11 @@
     """A member's reply to a heartbeat.
 
     Attributes:
-        asked_at_s: when the heartbeat was sent.
+        sent_at_s: when the heartbeat was sent.
         accepted_version: the version of the newest value on the member's disk; None from earlier releases.
     """
 
-    asked_at_s: float
+    sent_at_s: float
     accepted_version: int | None
 
 
@@ -55,21 +55,21 @@
     def record_acknowledgement(self, member: str, acknowledgement: MemberAcknowledgement) -> None:
         """Records a member's reply to a heartbeat. Replies may arrive out of order."""
         known = self._acknowledgements.get(member)
-        if known is None or acknowledgement.asked_at_s > known.asked_at_s:
+        if known is None or acknowledgement.sent_at_s > known.sent_at_s:
             self._acknowledgements[member] = acknowledgement
 
-    def record_quorum_read(self, asked_at_s: float) -> None:
-        """Records that a quorum read started at `asked_at_s` returned the locally known state."""
-        self.confirmed_at_s = max(self.confirmed_at_s, asked_at_s)
+    def record_quorum_read(self, started_at_s: float) -> None:
+        """Records that a quorum read started at `started_at_s` returned the locally known state."""
+        self.confirmed_at_s = max(self.confirmed_at_s, started_at_s)
 
     def update(self, state: SystemState, own_accepted_version: int, now_s: float) -> None:
         """Evaluates the acknowledgements for the newest locally known chosen state."""
         version, sets = state["version"], quorum_sets(state)
         self._remove_non_members(sets)
-        contact_at_s = {member: reply.asked_at_s for member, reply in self._acknowledgements.items()}
+        contact_at_s = {member: reply.sent_at_s for member, reply in self._acknowledgements.items()}
         contact_at_s[self._member] = now_s
         confirmed_at_s = {
-            member: acknowledgement.asked_at_s
+            member: acknowledgement.sent_at_s
             for member, acknowledgement in self._acknowledgements.items()
             if acknowledgement.accepted_version is not None and acknowledgement.accepted_version <= version
         }
@@ -119,14 +119,14 @@
         self._clock = clock
         self._contact = MajorityContact(register.member)
 
-    def record_acknowledgement(self, member: str, asked_at_s: float, accepted_version: int | None) -> None:
+    def record_acknowledgement(self, member: str, sent_at_s: float, accepted_version: int | None) -> None:
         """Records a member's reply to a heartbeat; see `MemberAcknowledgement`."""
-        self._contact.record_acknowledgement(member, MemberAcknowledgement(asked_at_s, accepted_version))
+        self._contact.record_acknowledgement(member, MemberAcknowledgement(sent_at_s, accepted_version))
         self.update()
 
-    def record_quorum_read(self, asked_at_s: float) -> None:
-        """Records that a quorum read started at `asked_at_s` has completed."""
-        self._contact.record_quorum_read(asked_at_s)
+    def record_quorum_read(self, started_at_s: float) -> None:
+        """Records that a quorum read started at `started_at_s` has completed."""
+        self._contact.record_quorum_read(started_at_s)
 
     def age_s(self) -> float:
         """Returns the time since the local state was last confirmed as the newest; infinite before the first time."""
--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -204,7 +204,7 @@
     original = MajorityContact.record_acknowledgement
 
     def record(self: MajorityContact, member: str, acknowledgement: MemberAcknowledgement) -> None:
-        original(self, member, MemberAcknowledgement(acknowledgement.asked_at_s, 0))
+        original(self, member, MemberAcknowledgement(acknowledgement.sent_at_s, 0))
 
     patch.setattr(MajorityContact, "record_acknowledgement", record)
 
