--- a/dewpin/controlplane/membership/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -20,7 +20,7 @@
     finish_retirement,
     finish_store_change,
     is_membership_stable,
-    on_version,
+    require_version,
     set_initial_stores,
     set_members,
     start_store_change,
@@ -42,13 +42,13 @@
 def next_change(state: SystemState, observation: ClusterObservation) -> ChangeFunction | None:
     """Returns the next due reconfiguration, which applies only to the version of `state`; None if none is due."""
     if not is_membership_stable(state):
-        return on_version(state["version"], successor)
+        return require_version(state["version"], successor)
     change = (
         _member_change(state, observation)
         or _store_change(state, observation)
         or _finish_completed_retirement(state, observation)
     )
-    return on_version(state["version"], change) if change is not None else None
+    return require_version(state["version"], change) if change is not None else None
 
 
 def _join_candidates(state: SystemState, observation: ClusterObservation) -> list[Peer]:
--- a/dewpin/controlplane/register/system_state.py
+++ b/dewpin/controlplane/register/system_state.py
@@ -228,7 +228,7 @@
     return change
 
 
-def on_version(version: int, change: Callable[[SystemState], SystemState]) -> ChangeFunction:
+def require_version(version: int, change: Callable[[SystemState], SystemState]) -> ChangeFunction:
     """Applies `change` only to a state with this version; raises StateVersionChangedError for any other."""
 
     def change_if_version(state: SystemState) -> SystemState:
--- a/tests/controlplane/test_operator_changes.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -18,7 +18,7 @@
     TooFewStoresRemainError,
     UnknownMachineError,
     accepted_change_count,
-    on_version,
+    require_version,
     set_initial_stores,
     start_retirement,
 )
@@ -253,7 +253,7 @@
     async def scene(registers):
         stores = {name: name for name in "abc"}
         names = {name: f"machine-{name}" for name in "abc"}
-        await registers.members["a"].propose(on_version(0, set_initial_stores(stores, names)), PROPOSE_TIMEOUT_S)
+        await registers.members["a"].propose(require_version(0, set_initial_stores(stores, names)), PROPOSE_TIMEOUT_S)
 
         await lose_proposer(registers, reached, registers.members["a"].propose(retire("machine-b"), PROPOSE_TIMEOUT_S))
         states = [await registers.members[name].propose(retire("machine-b"), PROPOSE_TIMEOUT_S) for name in "bcb"]
--- a/tests/controlplane/test_system_state.py
+++ b/tests/controlplane/test_system_state.py
@@ -14,9 +14,9 @@
     initial_state,
     is_membership_stable,
     is_retired,
-    on_version,
     put_configuration,
     quorum_sets,
+    require_version,
     set_initial_stores,
     set_members,
     start_retirement,
@@ -104,7 +104,7 @@
 
 
 def test_planned_change_is_rejected_on_other_version():
-    change = on_version(0, successor)
+    change = require_version(0, successor)
     assert change(new_state())["version"] == 1
     with pytest.raises(StateVersionChangedError):
         change(successor(new_state()))
--- a/tests/model/register_parts.py
+++ b/tests/model/register_parts.py
@@ -25,8 +25,8 @@
     ChangeRejectedError,
     SystemState,
     initial_state,
-    on_version,
     put_configuration,
+    require_version,
     set_members,
     successor,
 )
@@ -121,9 +121,9 @@
     if kind == "read" or newest is None:
         return lambda state: state
     if kind == "settle":
-        return on_version(newest["version"], successor)
+        return require_version(newest["version"], successor)
     members = {name: f"{name}:1" for name in rest[0]}
-    return on_version(newest["version"], set_members(members, {}))
+    return require_version(newest["version"], set_members(members, {}))
 
 
 class ProcessPart:
