--- a/dewpin/ports.py
+++ b/dewpin/ports.py
@@ -1,11 +1,12 @@
-"""The interfaces between the relay and what carries messages for it, as types. The module holds no state.
+"""The interfaces between the relay and the components that transport its messages, as stateless types.
 
-A frontend (HTTP today) receives messages from clients and submits them to a `MessageIntake`, the relay. A transport
-carries attempts to receivers and reports the result of each once. A notice publisher reports the end of a message that
-was not relayed. The relay knows these interfaces and no wire; what implements them knows neither journal nor decisions.
+A frontend (currently HTTP) receives messages from clients and submits them to a `MessageIntake`, the relay. A transport
+sends attempts to receivers and reports the result of each once. A notice publisher reports the end of each message that
+was not relayed. The relay depends only on these interfaces and on no protocol; their implementations know neither the
+journal nor the dispatcher.
 
-Requests and results are msgspec structs: they are made for each message, and a dataclass costs a start of the process
-some 1 ms each.
+Requests and results are msgspec structs, as they are created for each message and each dataclass would add about 1 ms
+to the start of a process.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,14 +16,14 @@
 import msgspec
 
 Address = tuple[str, int, bytes]
-"""Host, port and the receiver's id: a connection belongs to one receiver."""
+"""Host, port and receiver id; the id is included because a connection belongs to one receiver."""
 
 
 class SubmitRequest(msgspec.Struct, frozen=True):
-    """A message that a client submits. Texts are the bytes that came.
+    """A message that a client submits. Text fields contain the bytes as received.
 
-    `remaining_ms`: what is left of the message's lifetime, None for that of its queue class. `is_resubmission`: the
-    client has submitted it before, here or elsewhere."""
+    `remaining_ms`: remaining lifetime of the message, None for the lifetime of its queue class. `is_resubmission`:
+    whether the client has submitted it before, to this sender or to another one."""
 
     message_id: bytes
     queue_class: bytes
@@ -36,26 +37,26 @@
 
 
 class RejectionReason(Enum):
-    """Why a message was rejected for good."""
+    """Why a message was rejected permanently."""
 
     UNKNOWN_QUEUE_CLASS = "unknown queue class"
-    """The settings do not name its queue class or its account."""
+    """The settings do not define its queue class or its account."""
     DUPLICATE_MESSAGE_ID = "duplicate message id"
-    """A message with this id was accepted before."""
+    """A message with this id has already been accepted."""
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The message is recorded: it will be relayed, or a notice is published."""
+    """The message is recorded and will either be relayed or end with a published notice."""
 
 
 class Deferred(msgspec.Struct, frozen=True):
-    """The message was not accepted; the client may submit it again after `retry_after_ms` (0: no advice)."""
+    """The message was not accepted; the client may submit it again after `retry_after_ms` (0: not specified)."""
 
     retry_after_ms: float
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """The message was not accepted, and never will be."""
+    """The message was not accepted, and submitting it again will not be accepted either."""
 
     reason: RejectionReason
 
@@ -64,10 +65,10 @@
 
 
 class AttemptResult(msgspec.Struct, frozen=True, array_like=True):
-    """What came of an attempt to deliver a message.
+    """The result of an attempt to deliver a message.
 
-    `outcome`: one of core.model; `retry_after_ms`: how long the receiver asks to wait, 0 for no wait; `load_report`:
-    what the receiver says of its load; `is_withdrawn`: nothing is owed for the message any more."""
+    `outcome`: an `Outcome` of core.model; `retry_after_ms`: wait that the receiver requested, 0 if none; `load_report`:
+    the receiver's load figures by name; `is_withdrawn`: whether the message no longer needs a result."""
 
     outcome: str
     retry_after_ms: float
@@ -77,11 +78,11 @@
 
 
 class AttemptRequest(msgspec.Struct, frozen=True):
-    """An attempt that a transport is to make, once.
+    """An attempt that a transport makes once.
 
-    `timeout_ms`: for the result. `open_send_window`: asked right before the first byte; the ms within which the last
-    one may leave, 0 if the attempt is not to be made any more. `on_finished`: called once with the result, never
-    before `Transport.send` returns."""
+    `timeout_ms`: time until a result is reported at the latest. `open_send_window`: called right before the first byte
+    is sent; returns the ms within which the last byte may be sent, 0 if the attempt must no longer be sent.
+    `on_finished`: called once with the result, never before `Transport.send` returns."""
 
     address: Address
     message_id: bytes
@@ -93,7 +94,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One receiver as an endpoint list has it; `state`: one of core.model, `address`: host and port."""
+    """A receiver in an endpoint list. `state`: a `ReceiverState` of core.model; `address`: host and port."""
 
     receiver_id: bytes
     destination: int
@@ -105,55 +106,57 @@
 
 
 class MessageIntake(Protocol):
-    """Where a frontend submits messages. `is_draining`: no message is accepted any more."""
+    """The interface to which a frontend submits messages. `is_draining`: whether messages are no longer accepted."""
 
     is_draining: bool
 
     def submit(self, request: SubmitRequest) -> SubmitResult:
-        """Accepts the message or not, at once."""
+        """Accepts, defers or rejects the message immediately."""
 
 
 class Frontend(Protocol):
-    """What the process asks of a frontend. `clients`: its open connections, a sized collection."""
+    """The interface of a frontend for the process. `clients`: its open connections, a sized collection."""
 
     clients: Any
 
     async def open(self, host: str, port: int) -> tuple[str, int]:
-        """Listens; the address that it is bound to."""
+        """Starts listening; returns the bound address."""
 
     def stop(self) -> None:
-        """Rejects new messages from now on; requests that have begun are answered."""
+        """Rejects new messages from now on; requests that have started to arrive still get a response."""
 
     def close(self) -> None:
-        """Closes the listener and every connection."""
+        """Closes the listener and all connections."""
 
 
 class Transport(Protocol):
-    """What the relay asks of a transport."""
+    """The interface of a transport for the relay."""
 
     def send(self, request: AttemptRequest) -> None:
-        """Makes an attempt."""
+        """Starts an attempt."""
 
     def cancel_unsent(self, address: Address) -> None:
-        """Attempts to this address of which no byte has left end as not sent."""
+        """Ends attempts to this address of which no byte was sent, with the outcome `NOT_SENT`."""
 
     def close_idle(self, address: Address) -> None:
         """Closes the idle connections to this address."""
 
 
 class NoticePublisher(Protocol):
-    """Where the end of a message that was not relayed is reported. `unacknowledged`: a sized collection."""
+    """The interface that reports the end of messages that were not relayed.
+
+    `unacknowledged`: the notices without an acknowledgement, a sized collection."""
 
     unacknowledged: Any
 
     def publish(
         self, message_id: bytes, is_deferred: bool, retry_after_ms: float, on_acknowledged: Callable[[], None]
     ) -> None:
-        """Reports it until it is acknowledged, then calls `on_acknowledged` once."""
+        """Sends a notice repeatedly until it is acknowledged, then calls `on_acknowledged` once."""
 
 
 class EndpointListener(Protocol):
-    """Where updates of the endpoint list go; `is_complete`: the list names all receivers that there are."""
+    """Receives updates of the endpoint list. `is_complete`: whether the entries are the complete list."""
 
     def __call__(self, entries: Sequence[EndpointEntry | tuple[Any, ...]], is_complete: bool) -> None:
-        """Takes an update."""
+        """Applies an update."""
--- a/dewpin/spool/__init__.py
+++ b/dewpin/spool/__init__.py
@@ -1,5 +1,5 @@
-"""The sender's stored data: the message journal, the endpoint cache, the hand-over log and the lock on their folder.
+"""The sender's persistent data: the message journal, the endpoint cache, the hand-over log and the folder lock.
 
-One process at a time writes to the folder; the inspector reads it without changing anything. The package knows no wire
-format and decides nothing about a message.
+One process at a time writes to the folder; the inspector reads it without modifying it. The package implements no
+network protocol and makes no decisions about messages.
 """
--- a/dewpin/spool/codec.py
+++ b/dewpin/spool/codec.py
@@ -1,8 +1,8 @@
-"""The journal's format on disk: records to bytes and back, without I/O.
+"""Encoder and decoder of the journal's on-disk format, without I/O.
 
-A record is a header (length and checksum of what follows), a kind, a serial number and the fields of its kind. All
-numbers are little-endian. The writer of the journal, that of the hand-over log and every reader use this module, so
-`dewpin spool` shows what a start would read.
+A record consists of a header (length and checksum of the payload) and the payload: a kind, a serial number and the
+fields of that kind. All numbers are little-endian. The writers of the journal and of the hand-over log and all readers
+use this module, so that `dewpin spool` shows what a sender would read at its start.
 """
 
 import struct
@@ -12,51 +12,53 @@
 
 from .records import Attempt, MessageRecord, PendingNotice, RecordKind
 
-HEADER = struct.Struct("<II")
+RECORD_HEADER = struct.Struct("<II")
 """Length and CRC-32 of the payload."""
 KIND_AND_SERIAL = struct.Struct("<cQ")
 MESSAGE_TIMES = struct.Struct("<dd")
 ATTEMPT_SUMMARY = struct.Struct("<Hd")
 SENT_AT = struct.Struct("<d")
-NOTICE = struct.Struct("<?d")
+NOTICE_FIELDS = struct.Struct("<?d")
 TEXT_LENGTH = struct.Struct("<I")
-MESSAGE_TEXTS = 7
+MESSAGE_TEXT_COUNT = 7
 MAX_PAYLOAD_BYTES = 1_048_576
-"""A longer one is no record of this program."""
+"""Maximum payload size; a larger length in a header means that the record is corrupt."""
 NOT_EXECUTED_AT_MS = -1.0
-"""Stands in a summary where no attempt may have been executed."""
+"""Send time in an attempt summary if no attempt may have been executed."""
 
 KNOWN_KIND_CODES: frozenset[bytes] = frozenset(RecordKind)
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """A complete record: what follows its header, and the offset of the next record."""
+    """A complete record: its payload and the offset of the next record."""
 
     payload: bytes
     end_offset: int
 
 
 class DamagedFrame(msgspec.Struct, frozen=True):
-    """An offset at which no complete record stands."""
+    """The result of reading at an offset that has no complete record."""
 
     reason: str
 
 
 class AttemptSummary(msgspec.Struct, frozen=True):
-    """The attempts of a message before a compaction, the one in flight left aside."""
+    """The attempts of a message before a compaction, not counting one in flight.
+
+    `possibly_executed`: the first one that its receiver may have executed; None if there is none."""
 
     attempts: int
     possibly_executed: Attempt | None
 
 
 def encode_record(kind: RecordKind, serial: int, *fields: bytes) -> bytes:
-    """A record with these fields, which are encoded already."""
+    """Returns a record with these fields, which are already encoded."""
     payload = KIND_AND_SERIAL.pack(kind, serial) + b"".join(fields)
-    return HEADER.pack(len(payload), crc32(payload)) + payload
+    return RECORD_HEADER.pack(len(payload), crc32(payload)) + payload
 
 
 def encode_accepted(message: MessageRecord) -> bytes:
-    """The record of a message's acceptance."""
+    """Returns the record that a message was accepted."""
     texts = (
         message.message_id,
         message.queue_class,
@@ -75,17 +77,17 @@
 
 
 def encode_attempt_started(serial: int, attempt: Attempt) -> bytes:
-    """The record of an attempt, written before its first byte leaves."""
+    """Returns the record of an attempt, written before its first byte is sent."""
     return encode_record(RecordKind.ATTEMPT_STARTED, serial, SENT_AT.pack(attempt.sent_at_ms), attempt.receiver)
 
 
 def encode_given_up(serial: int, notice: PendingNotice) -> bytes:
-    """The record of giving a message up, written before the notice leaves."""
-    return encode_record(RecordKind.GIVEN_UP, serial, NOTICE.pack(notice.is_deferred, notice.retry_after_ms))
+    """Returns the record that a message was given up, written before its notice is sent."""
+    return encode_record(RecordKind.GIVEN_UP, serial, NOTICE_FIELDS.pack(notice.is_deferred, notice.retry_after_ms))
 
 
 def encode_pending_message(message: MessageRecord) -> bytes:
-    """All records that a pending message needs in a compacted journal."""
+    """Returns all records of a pending message in a compacted journal."""
     records = [encode_accepted(message)]
     finished_attempts = message.attempts - (message.in_flight is not None)
     if finished_attempts:
@@ -108,37 +110,39 @@
 
 
 def read_frame(content: bytes, offset: int) -> Frame | DamagedFrame:
-    """The record at this offset, or why there is none."""
-    if offset + HEADER.size > len(content):
+    """Returns the record at this offset, or the reason why there is none."""
+    if offset + RECORD_HEADER.size > len(content):
         return DamagedFrame("torn: it ends within a record's head")
-    length, checksum = HEADER.unpack_from(content, offset)
+    length, checksum = RECORD_HEADER.unpack_from(content, offset)
     if not KIND_AND_SERIAL.size <= length <= MAX_PAYLOAD_BYTES:
         return DamagedFrame(f"corrupt: a record of {length} bytes")
-    payload = content[offset + HEADER.size : offset + HEADER.size + length]
+    payload = content[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + length]
     if len(payload) < length:
         return DamagedFrame(f"torn: {len(payload)} of a record's {length} bytes")
     if crc32(payload) != checksum:
         return DamagedFrame("corrupt: the checksum differs")
-    return Frame(payload, offset + HEADER.size + length)
+    return Frame(payload, offset + RECORD_HEADER.size + length)
 
 
 def decode_kind_and_serial(payload: bytes) -> tuple[bytes, int]:
-    """The byte of a record's kind, which a newer program may have made, and its serial number."""
+    """Returns a record's kind, which may be unknown if a newer version wrote it, and its serial number."""
     code, serial = KIND_AND_SERIAL.unpack_from(payload)
     return code, serial
 
 
 def decode_fields(payload: bytes) -> bytes:
-    """What follows kind and serial number: the id in a receiver's record, JSON in a hand-over log's attempt."""
+    """Returns the bytes after the kind and the serial number.
+
+    They are the id in records about receivers, and JSON in an `ATTEMPT_FINISHED` record."""
     return payload[KIND_AND_SERIAL.size :]
 
 
 def decode_message(serial: int, payload: bytes) -> MessageRecord:
-    """The message of an `ACCEPTED` record. Raises struct.error where the fields make no sense."""
+    """Returns the message of an `ACCEPTED` record. Raises struct.error if the fields are invalid."""
     arrived_at_ms, expires_at_ms = MESSAGE_TIMES.unpack_from(payload, KIND_AND_SERIAL.size)
     offset = KIND_AND_SERIAL.size + MESSAGE_TIMES.size
     texts = []
-    for _ in range(MESSAGE_TEXTS):
+    for _ in range(MESSAGE_TEXT_COUNT):
         (length,) = TEXT_LENGTH.unpack_from(payload, offset)
         texts.append(payload[offset + TEXT_LENGTH.size : offset + TEXT_LENGTH.size + length])
         offset += TEXT_LENGTH.size + length
@@ -159,19 +163,19 @@
 
 
 def decode_attempt(payload: bytes) -> Attempt:
-    """The attempt of an `ATTEMPT_STARTED` record. Raises struct.error where the fields make no sense."""
+    """Returns the attempt of an `ATTEMPT_STARTED` record. Raises struct.error if the fields are invalid."""
     (sent_at_ms,) = SENT_AT.unpack_from(payload, KIND_AND_SERIAL.size)
     return Attempt(payload[KIND_AND_SERIAL.size + SENT_AT.size :], sent_at_ms)
 
 
 def decode_summary(payload: bytes) -> AttemptSummary:
-    """The attempts of an `ATTEMPT_SUMMARY` record. Raises struct.error where the fields make no sense."""
+    """Returns the attempts of an `ATTEMPT_SUMMARY` record. Raises struct.error if the fields are invalid."""
     attempts, sent_at_ms = ATTEMPT_SUMMARY.unpack_from(payload, KIND_AND_SERIAL.size)
     receiver = payload[KIND_AND_SERIAL.size + ATTEMPT_SUMMARY.size :]
     return AttemptSummary(attempts, Attempt(receiver, sent_at_ms) if sent_at_ms >= 0.0 else None)
 
 
 def decode_notice(payload: bytes) -> PendingNotice:
-    """The notice of a `GIVEN_UP` record. Raises struct.error where the fields make no sense."""
-    is_deferred, retry_after_ms = NOTICE.unpack_from(payload, KIND_AND_SERIAL.size)
+    """Returns the notice of a `GIVEN_UP` record. Raises struct.error if the fields are invalid."""
+    is_deferred, retry_after_ms = NOTICE_FIELDS.unpack_from(payload, KIND_AND_SERIAL.size)
     return PendingNotice(is_deferred, retry_after_ms)
--- a/dewpin/spool/endpoint_cache.py
+++ b/dewpin/spool/endpoint_cache.py
@@ -1,8 +1,8 @@
-"""The endpoint list as the agent last sent it, kept on disk for the next start.
+"""On-disk cache of the latest endpoint list from the agent, for the next start.
 
-The file `list` holds one complete list (a snapshot) and a line for each later change; it is rewritten when the changes
-outgrow the snapshot. Its size is bounded by a share of the disk limit. The cache does not decide which of two lists
-holds: `is_newer_than` only says which one the same agent numbered later.
+The file `list` contains a complete list (a snapshot) and one line for each later change; it is rewritten when the
+changes outgrow the snapshot. Its size is limited to a share of the disk limit. The cache does not choose between two
+lists: `is_newer_than` only compares their revisions if the same agent assigned both.
 """
 
 import os
@@ -17,39 +17,39 @@
 
 CACHE_FILE = "list"
 DISK_SHARE = 1.0 / 32.0
-"""Share of the disk limit, both files of a rewrite together."""
-SLACK_BYTES = 2048
-"""Bytes of changes that may follow a small snapshot."""
+"""Share of the disk limit for both files of a rewrite together."""
+CHANGE_ALLOWANCE_BYTES = 2048
+"""Bytes of changes that may always follow a snapshot, however small it is."""
 MAX_GONE_RECEIVERS = 200
-"""Receivers that are gone and still remembered."""
+"""Maximum number of receivers that are kept after they are gone."""
 
 Row = list[Any]
-"""An entry as the file has it: id, destination, state, host, port, zone, kind, weight."""
+"""An entry in the file: id, destination, state, host, port, zone, kind, weight."""
 
 
 def encode_row(entry: EndpointEntry | tuple[Any, ...]) -> Row:
-    """An entry as a row for JSON."""
+    """Returns an entry as a row for JSON."""
     receiver_id, destination, state, address, zone, kind, weight = entry
     return [receiver_id.decode("latin-1"), destination, state, *address, zone, kind, weight]
 
 
 def decode_row(row: Sequence[Any]) -> EndpointEntry:
-    """The entry of a row. Raises ValueError for one of another length."""
+    """Returns the entry of a row. Raises ValueError if the row has the wrong length."""
     receiver_id, destination, state, host, port, zone, kind, weight = row
     return EndpointEntry(receiver_id.encode("latin-1"), destination, state, (host, port), zone, kind, weight)
 
 
 def max_cache_bytes(disk_bytes: float) -> float:
-    """The part of a disk limit that is for the cache."""
+    """Returns the part of a disk limit that the cache may use."""
     return disk_bytes * DISK_SHARE
 
 
 class EndpointCache:
     """The cached endpoint list in a sender's folder.
 
-    `agent_address`: host:port of the agent that numbers the revisions. `rows`: the latest state of each receiver, by
-    id. `revision`: None where there is no list. `is_from_other_agent`: another agent sent it, whose revisions can't be
-    compared. `snapshot_bytes`: size of the complete list at the start of the file."""
+    `agent_address`: host:port of the agent that assigns the revisions. `rows`: the latest entry of each receiver, by
+    id. `revision`: None if there is no list. `is_from_other_agent`: whether another agent sent the list, whose
+    revisions can't be compared. `snapshot_bytes`: size of the complete list at the start of the file."""
 
     def __init__(self, folder: Any, agent_address: str, disk_bytes: float) -> None:
         self.path = os.path.join(folder, CACHE_FILE)
@@ -69,17 +69,17 @@
             self._discard(f"{type(error).__name__}: {error}")
 
     def is_newer_than(self, revision: int) -> bool:
-        """Whether the same agent numbered this list later than that revision."""
+        """Returns whether this list is newer than that revision; always False if another agent sent it."""
         return self.revision is not None and not self.is_from_other_agent and self.revision > revision
 
     def entries(self) -> list[EndpointEntry]:
-        """All receivers of the list, those that are gone included."""
+        """Returns all receivers in the list, including those that are gone."""
         return [decode_row(row) for row in self.rows.values()]
 
     def unavailable_at_other_agent(self) -> list[EndpointEntry]:
-        """The receivers that another agent reported as draining or gone.
+        """Returns the receivers that another agent reported as draining or gone.
 
-        They stay so, whatever a list says whose age can't be compared."""
+        A list of the current agent does not override these states, as it may be the older one."""
         return [
             decode_row(row) for row in self.rows.values() if self.is_from_other_agent and row[2] != ReceiverState.READY
         ]
@@ -87,7 +87,7 @@
     def update(
         self, entries: Sequence[EndpointEntry | tuple[Any, ...]], is_complete: bool, revision: int, now_ms: float
     ) -> None:
-        """Stores a complete list or a change to it; `now_ms` is Unix time. A fault is logged and empties the cache."""
+        """Stores a complete list or a change to it; `now_ms` is Unix time. An error is logged and clears the cache."""
         has_no_snapshot = self.revision is None or self.is_from_other_agent
         if not self._is_writable or not is_complete and has_no_snapshot:
             return
@@ -96,7 +96,7 @@
         self.revision, self.is_from_other_agent = revision, False
         line = self._encode_line(rows, is_complete, now_ms)
         try:
-            if is_complete or self.size_bytes + len(line) > 2 * self.snapshot_bytes + SLACK_BYTES:
+            if is_complete or self.size_bytes + len(line) > 2 * self.snapshot_bytes + CHANGE_ALLOWANCE_BYTES:
                 self._rewrite(now_ms)
             else:
                 with open(self.path, "ab", buffering=0) as file:
@@ -106,19 +106,19 @@
             self._discard(str(error))
 
     def reconfigure(self, agent_address: str, disk_bytes: float) -> None:
-        """Takes changed settings. Another agent's list is stored from its first complete one on."""
+        """Applies changed settings. The list of a new agent is cached once it has sent a complete one."""
         self.max_bytes = max_cache_bytes(disk_bytes)
         if agent_address != self.agent_address:
             self.agent_address, self.is_from_other_agent = agent_address, True
 
     def stop_writing(self) -> None:
-        """The folder is another process's from now on."""
+        """Disables writing, as another process owns the folder from now on."""
         self._is_writable = False
 
     def _load(self, content: bytes) -> None:
         for line in content.splitlines(keepends=True):
             if not line.endswith(b"\n"):
-                break  # the process was killed while it wrote
+                break  # the process was killed while writing it
             update = msgspec.json.decode(line)
             self._merge(update["list"], update["whole"])
             if "agent" in update:
@@ -134,9 +134,9 @@
 
     def _rewrite(self, now_ms: float) -> None:
         line = self._encode_line(list(self.rows.values()), True, now_ms)
-        largest_bytes = 2 * len(line) + SLACK_BYTES
-        if largest_bytes + len(line) > self.max_bytes:
-            self._discard(f"it would take over {self.max_bytes / 3.0:.0f} bytes, a larger limits.disk holds more")
+        max_file_bytes = 2 * len(line) + CHANGE_ALLOWANCE_BYTES
+        if max_file_bytes + len(line) > self.max_bytes:
+            self._discard(f"the list exceeds {self.max_bytes / 3.0:.0f} bytes; increase limits.disk to cache it")
             return
         with open(self.path + ".new", "wb") as file:
             file.write(line)
@@ -147,14 +147,14 @@
         if is_complete:
             self.rows = {}
         for row in rows:
-            self.rows.pop(row[0], None)  # the latest change stands last
+            self.rows.pop(row[0], None)  # so that the most recently changed row is the last one
             self.rows[row[0]] = row
         gone_ids = [receiver_id for receiver_id, row in self.rows.items() if row[2] == ReceiverState.GONE]
         for receiver_id in gone_ids[:-MAX_GONE_RECEIVERS]:
             del self.rows[receiver_id]
 
     def _discard(self, reason: str) -> None:
-        """Empties the cache until the next complete list; a start then begins with what the platform says."""
+        """Clears the cache until the next complete list; until then a start uses the list in the platform's file."""
         log_event(events.LIST_NOT_CACHED, why=reason)
         self.rows, self.revision, self.size_bytes, self.snapshot_bytes = {}, None, 0, 0
         for path in (self.path, self.path + ".new"):
--- a/dewpin/spool/folder_lock.py
+++ b/dewpin/spool/folder_lock.py
@@ -1,7 +1,7 @@
-"""A lock on the sender's folder, so that only one sender writes to it.
+"""A lock that lets only one sender write to a folder.
 
-The lock is an advisory one on the folder's own descriptor: the system releases it however the process ends, it leaves
-no file behind and does not change the folder's size.
+It is an advisory lock on a descriptor of the folder itself: the kernel releases it however the process ends, and it
+needs no lock file that would remain or add to the folder's size.
 """
 
 import errno
@@ -10,22 +10,22 @@
 import time
 from typing import Any
 
-ATTEMPTS = 10
-RETRY_SECONDS = 0.05
-"""A process that asks whether the folder is locked holds the lock for an instant itself."""
+LOCK_ATTEMPTS = 10
+RETRY_DELAY_SECONDS = 0.05
+"""Pause between two attempts; `is_locked` in another process also holds the lock for a moment."""
 
 
 class FolderLock:
-    """The lock that this process holds on a folder, until `release` or its end."""
+    """A lock that this process holds on a folder until `release` or the end of the process."""
 
     def __init__(self, descriptor: int | None) -> None:
         self._descriptor = descriptor
 
     @classmethod
-    def acquire(cls, folder: Any, attempts: int = ATTEMPTS) -> "FolderLock":
-        """Locks the folder, which is made if it is not there. Raises OSError (EBUSY) where another sender holds it.
+    def acquire(cls, folder: Any, attempts: int = LOCK_ATTEMPTS) -> "FolderLock":
+        """Locks the folder, which is created if needed. Raises OSError (EBUSY) if another sender holds the lock.
 
-        On a file system without locks it succeeds: there the operator sees to it that one sender uses the folder."""
+        Succeeds on a file system without locks, where the operator must ensure that only one sender uses the folder."""
         os.makedirs(folder, exist_ok=True)
         descriptor = os.open(folder, os.O_RDONLY)
         for attempts_left in reversed(range(attempts)):
@@ -36,20 +36,20 @@
                 if not attempts_left:
                     os.close(descriptor)
                     raise OSError(errno.EBUSY, f"another sender holds the folder {folder}") from None
-                time.sleep(RETRY_SECONDS)
+                time.sleep(RETRY_DELAY_SECONDS)
             except OSError:
-                break  # no locks on this file system
+                break  # the file system does not support locks
         return cls(descriptor)
 
     def release(self) -> None:
-        """Unlocks the folder; a second call does nothing."""
+        """Releases the lock; further calls have no effect."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
 
 
 def is_locked(path: Any) -> bool | None:
-    """Whether a live process holds the lock on a folder or file, or None where it can't be determined."""
+    """Returns whether a live process holds the lock on a folder or file; None if that can't be determined."""
     try:
         descriptor = os.open(path, os.O_RDONLY)
     except OSError:
--- a/dewpin/spool/handover_log.py
+++ b/dewpin/spool/handover_log.py
@@ -1,7 +1,7 @@
-"""The hand-over log: what still happens at a process that has handed its folder to the next one.
+"""The hand-over log: the events of a process after it has handed over its folder to the next one.
 
-The process that leaves writes the file `tail`, the one that has taken over reads it. Either may be killed at any time:
-how much was read is recorded in the journal, the rest is read again. The log decides nothing about a message.
+The old process writes the file `tail`, and the process that has taken over reads it. Either may be killed at any time:
+the read position is recorded in the journal, and the rest is read again. The log makes no decisions about messages.
 """
 
 import os
@@ -18,24 +18,24 @@
 from .records import MessageRecord, RecordKind
 
 HANDOVER_FILE = "tail"
-READ_BYTES = 1 << 20
+READ_CHUNK_BYTES = 1 << 20
 
 
 class AcceptedMessage(msgspec.Struct, frozen=True):
-    """The process that leaves has accepted a message."""
+    """The old process has accepted a message."""
 
     message: MessageRecord
 
 
 class FinishedAttempt(msgspec.Struct, frozen=True):
-    """An attempt of the process that leaves is finished; `serial` is the message's in the journal."""
+    """An attempt of the old process is finished; `serial`: the message's serial number in the journal."""
 
     serial: int
     result: AttemptResult
 
 
 class ReceiverDetachment(msgspec.Struct, frozen=True):
-    """Operators detached or attached a receiver at the process that leaves."""
+    """An operator detached or attached a receiver at the old process."""
 
     receiver: bytes
     is_detached: bool
@@ -45,15 +45,16 @@
 
 
 class HandoverLogWriter:
-    """Takes the journal's place at the process that leaves, for what the relay still needs of one.
+    """Replaces the journal at the old process, with the part of its interface that the relay still needs.
 
-    `pending`: the messages whose attempts are in flight here, by serial number. `accepted_count`: messages accepted
-    since. Raises OSError if the file can't be made."""
+    `pending`: the messages with an attempt of this process in flight, by serial number. `accepted_count`: number of
+    messages accepted since the hand-over. Raises OSError if the file can't be created."""
 
     def __init__(self, folder: Any, journal: Journal) -> None:
         self.pending = {serial: message for serial, message in journal.pending.items() if message.in_flight}
         self.detached_receivers = dict(journal.detached_receivers)
-        # the journal, its compaction and this file share the capacity, and the next process writes all of it once more
+        # The journal, its compaction and this file share the capacity, and the next process writes all of this file to
+        # the journal again.
         free_bytes = journal.capacity_bytes - max(journal.size_bytes, journal.live_bytes) - journal.live_bytes
         self.capacity_bytes = max(0.0, free_bytes) / 4.0
         self.last_serial = journal.last_serial
@@ -63,7 +64,7 @@
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
 
     def accept(self, message: MessageRecord) -> bool:
-        """Records a message before its acceptance is acknowledged; False if there is no capacity for it."""
+        """Records a message before its acceptance is acknowledged. Returns False if it can't be written."""
         self.last_serial += 1
         message.serial = self.last_serial
         if not self._write(codec.encode_accepted(message)):
@@ -72,18 +73,18 @@
         return True
 
     def finish_attempt(self, message: MessageRecord, result: AttemptResult) -> None:
-        """Records an attempt's result, over the limit too: the next process waits for it."""
+        """Records the result of an attempt, even above the capacity, as the next process waits for it."""
         self.pending.pop(message.serial, None)
         fields = msgspec.json.encode(result)
         self._write(codec.encode_record(RecordKind.ATTEMPT_FINISHED, message.serial, fields), over_limit=True)
 
     def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
-        """Records, before it is acknowledged, that operators detached or attached a receiver; False if not possible."""
+        """Records that a receiver was detached or attached, before that is acknowledged. Returns False on failure."""
         kind = RecordKind.RECEIVER_DETACHED if is_detached else RecordKind.RECEIVER_ATTACHED
         return self._write(codec.encode_record(kind, 0, receiver))
 
     def report_descriptors(self, descriptors: int) -> None:
-        """Tells the next process how many descriptors this one still holds: the two share one limit."""
+        """Records how many descriptors this process still holds, as it shares one limit with the next process."""
         self._write(codec.encode_record(RecordKind.DESCRIPTOR_COUNT, descriptors), over_limit=True)
 
     def close(self) -> None:
@@ -104,9 +105,9 @@
 
 
 class HandoverLogReader:
-    """Reads a hand-over log from where the journal says that it was read before.
+    """Reads a hand-over log from the position that is recorded in the journal.
 
-    `descriptors`: how many its writer still holds, as far as is known."""
+    `descriptors`: number of descriptors that the writer still holds, as last reported."""
 
     def __init__(self, folder: Any, journal: Journal) -> None:
         self.path = os.path.join(folder, HANDOVER_FILE)
@@ -115,13 +116,13 @@
         self._descriptor: int | None = None
 
     def exists(self) -> bool:
-        """Whether there is a hand-over log at all."""
+        """Returns whether there is a hand-over log."""
         return os.path.exists(self.path)
 
     def read_events(self) -> Iterator[HandoverEvent]:
-        """What was written since the last call. An event counts as consumed once the next one is asked for.
+        """Yields the events written since the last call. An event is consumed when the next one is requested.
 
-        Reading starts at the first event that is not consumed, so one whose handling raises is read again.
+        Reading starts at the first event that is not consumed, so an event whose handling raises is read again.
         """
         if self._descriptor is None:
             try:
@@ -130,7 +131,7 @@
                 return
         journal = self._journal
         unparsed = b""
-        while content := os.pread(self._descriptor, READ_BYTES, journal.consumed_handover_bytes + len(unparsed)):
+        while content := os.pread(self._descriptor, READ_CHUNK_BYTES, journal.consumed_handover_bytes + len(unparsed)):
             unparsed += content
             offset = 0
             while True:
@@ -144,7 +145,7 @@
             unparsed = unparsed[offset:]
 
     def close(self) -> None:
-        """Removes the file: all of it is consumed, and its writer is gone."""
+        """Removes the file, once all of it is consumed and its writer has ended."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
@@ -154,7 +155,7 @@
             pass
 
     def _decode(self, payload: bytes) -> HandoverEvent | None:
-        """The event of a record; None for a count of descriptors, which is noted here, and for unknown kinds."""
+        """Returns the event of a record; None for unknown kinds and for a descriptor count, which is stored here."""
         code, serial = codec.decode_kind_and_serial(payload)
         if code == RecordKind.ACCEPTED:
             return AcceptedMessage(codec.decode_message(serial, payload))
--- a/dewpin/spool/inspector.py
+++ b/dewpin/spool/inspector.py
@@ -1,7 +1,7 @@
-"""A read-only view of a journal, for `dewpin spool`: offline, or in the folder of a live sender.
+"""A read-only view of a journal for `dewpin spool`, whether or not the sender is running.
 
-The file is read once, as it is at that moment. A live sender may be writing its last record just then, so a damaged
-file is read a second time after a moment before the damage is reported.
+The file is read once. As a running sender may be writing the last record at that moment, a damaged file is read a
+second time after a short pause before the damage is reported.
 """
 
 import os
@@ -15,7 +15,7 @@
 from .records import MessageRecord, RecordKind
 from .replay import JournalReplay
 
-REREAD_SECONDS = 0.05
+REREAD_DELAY_SECONDS = 0.05
 KIND_LABELS: dict[bytes, str] = {
     RecordKind.ACCEPTED: "taken",
     RecordKind.ATTEMPT_STARTED: "connect",
@@ -29,12 +29,13 @@
     RecordKind.DESCRIPTOR_COUNT: "count",
     RecordKind.HANDOVER_CONSUMED: "followed",
 }
-"""The kinds as the command shows them; scripts of operators read these words."""
+"""The kinds as the command prints them; operators' scripts depend on these labels."""
 
 
-class Damage:
-    """A stretch of the file that is not a record: `offset` and `size_bytes`, the reason, and how many complete records
-    follow it (`records_behind`)."""
+class DamagedRange:
+    """A range of the file that is not a valid record.
+
+    `records_behind`: number of complete records that follow it, up to the next damage."""
 
     __slots__ = ("offset", "size_bytes", "reason", "records_behind")
 
@@ -46,63 +47,64 @@
 
 
 class RecordView(NamedTuple):
-    """One record of a message: its offset in the file, its kind as operators know it, and its fields."""
+    """A record of a message: its offset in the file, the label of its kind, and its fields."""
 
     offset: int
     label: str
-    facts: dict[str, Any]
+    fields: dict[str, Any]
 
 
 class JournalInspector:
-    """What a folder's journal holds.
+    """The contents of the journal in a folder.
 
-    `replay`: the state that a start would find. `readable_bytes`: how much of the file it would read. `damages`: the
-    stretches that are not records. `has_compaction_file`: a compaction is under way or was not finished.
-    `is_sender_running`: whether a live sender holds the folder, None where that can't be determined.
+    `replay`: the state that a sender would restore at its start. `readable_bytes`: the part of the file that it would
+    read. `damages`: the ranges that are not valid records. `has_compaction_file`: whether a compaction is in progress
+    or was interrupted. `is_sender_running`: whether a running sender holds the folder's lock, None if that can't be
+    determined.
 
-    Raises OSError where there is no journal to read."""
+    Raises OSError if the journal can't be read."""
 
     def __init__(self, folder: Any) -> None:
         self.path = os.path.join(folder, JOURNAL_FILE)
         self.content = _read_file(self.path)
         self._scan()
         if self.damages:
-            time.sleep(REREAD_SECONDS)
+            time.sleep(REREAD_DELAY_SECONDS)
             self.content = _read_file(self.path)
             self._scan()
         self.has_compaction_file = os.path.exists(os.path.join(folder, COMPACTION_FILE))
         self.is_sender_running = is_locked(folder)
 
     def pending(self) -> list[MessageRecord]:
-        """The messages without an end, in order of acceptance."""
+        """Returns the pending messages, in order of acceptance."""
         return list(self.replay.pending.values())
 
     def find(self, message_id: bytes) -> list[MessageRecord]:
-        """The pending messages with this id: one, unless a client has used the id twice."""
+        """Returns the pending messages with this id: more than one if a client has used the id repeatedly."""
         return [message for message in self.replay.pending.values() if message.message_id == message_id]
 
     def records_of(self, serial: int) -> list[RecordView]:
-        """Every record of one message that the file still has."""
+        """Returns all records of a message that are still in the file."""
         views, offset = [], 0
         while offset < self.readable_bytes:
             frame = codec.read_frame(self.content, offset)
-            assert isinstance(frame, Frame)  # the replay has read all records before `readable_bytes`
+            assert isinstance(frame, Frame)  # the replay has read every record before `readable_bytes`
             code, record_serial = codec.decode_kind_and_serial(frame.payload)
             if record_serial == serial:
                 label = KIND_LABELS.get(code, "unknown")
-                views.append(RecordView(offset, label, _record_facts(code, frame.payload)))
+                views.append(RecordView(offset, label, _record_fields(code, frame.payload)))
             offset = frame.end_offset
         return views
 
     def _scan(self) -> None:
         self.replay = JournalReplay()
-        self.damages: list[Damage] = []
+        self.damages: list[DamagedRange] = []
         self.readable_bytes = offset = self.replay.run(self.content)
         while offset < len(self.content):
             frame = codec.read_frame(self.content, offset)
             reason = frame.reason if isinstance(frame, DamagedFrame) else "corrupt: its fields make no sense"
             next_offset = _find_next_record(self.content, offset + 1)
-            damage = Damage(offset, next_offset - offset, reason)
+            damage = DamagedRange(offset, next_offset - offset, reason)
             self.damages.append(damage)
             offset = next_offset
             while offset < len(self.content):
@@ -114,7 +116,7 @@
 
 
 def describe_state(message: MessageRecord) -> str:
-    """A message's state in the words of `dewpin spool`, as a start would find it."""
+    """Returns the state that a message would have at a start, as `dewpin spool` prints it."""
     if message.pending_notice:
         return "deferred, notice owed" if message.pending_notice.is_deferred else "bounced, notice owed"
     if message.in_flight:
@@ -124,8 +126,8 @@
     return "not run" if message.attempts else "not sent"
 
 
-def _record_facts(code: bytes, payload: bytes) -> dict[str, Any]:
-    """A record's fields, under the names that `dewpin spool show` prints."""
+def _record_fields(code: bytes, payload: bytes) -> dict[str, Any]:
+    """Returns the fields of a record by the names that `dewpin spool show` prints."""
     if code == RecordKind.ATTEMPT_STARTED:
         attempt = codec.decode_attempt(payload)
         return {"sent": attempt.sent_at_ms, "receiver": attempt.receiver}
@@ -143,7 +145,7 @@
 
 
 def _find_next_record(content: bytes, offset: int) -> int:
-    """The offset of the next complete record of a known kind, or the end."""
+    """Returns the offset of the next complete record of a known kind, or the length of the file."""
     while offset < len(content):
         frame = codec.read_frame(content, offset)
         if isinstance(frame, Frame) and frame.payload[:1] in codec.KNOWN_KIND_CODES:
@@ -153,5 +155,5 @@
 
 
 def _read_file(path: str) -> bytes:
-    with open(path, "rb") as file:  # the file that has the name now, even if a compaction replaces it meanwhile
+    with open(path, "rb") as file:  # stays readable if a compaction replaces it in the meantime
         return file.read()
--- a/dewpin/spool/journal.py
+++ b/dewpin/spool/journal.py
@@ -1,7 +1,7 @@
-"""The journal: what was accepted, attempted, given up and finished, in a file that survives the process.
+"""The journal: a persistent record of accepted, attempted, given-up and finished messages.
 
-The journal is append-only, with a compaction that writes the pending messages to a second file and renames it. Its size
-is bounded by a share of the disk limit, both files of a compaction together. It decides nothing about a message.
+The file is append-only; a compaction writes the pending messages to a second file and renames it over the first one.
+The size of both files together is limited to a share of the disk limit. The journal makes no decisions about messages.
 """
 
 import os
@@ -16,28 +16,28 @@
 JOURNAL_FILE = "journal"
 COMPACTION_FILE = "journal.new"
 BLOCK_BYTES = 512
-"""Files count in whole blocks against the disk limit."""
+"""Block size; file sizes are rounded up to whole blocks when counted against the disk limit."""
 RESERVED_BLOCKS = 8
 RESERVED_BYTES_PER_MESSAGE = 512
-"""What a message's records after its acceptance take in a compacted journal, at most."""
-GARBAGE_BYTES = 262_144
-"""So many bytes of obsolete records may stand in the file, beyond twice the live ones, before a compaction."""
+"""Maximum size of a message's records after its acceptance in a compacted journal."""
+MAX_GARBAGE_BYTES = 262_144
+"""A compaction starts once the file exceeds twice the live bytes by more than this."""
 
 
 def write_all(descriptor: int, content: bytes) -> None:
-    """Writes all bytes, however many system calls it takes. Raises OSError."""
+    """Writes all bytes, with as many system calls as needed. Raises OSError."""
     unwritten = memoryview(content)
     while unwritten:
         unwritten = unwritten[os.write(descriptor, unwritten) :]
 
 
 class Journal:
-    """The one writer of a folder's journal. It opens the file, replays it and truncates a torn end.
+    """The only writer of a folder's journal. Opening it replays the file and truncates an incomplete last record.
 
-    `pending`: the messages without an end, by serial number, in order of acceptance. `finished_ids`: those of the
-    messages whose end the journal held at the start. `detached_receivers`: the receivers that operators detached
-    (a dict for its order). `consumed_handover_bytes`: how much of an earlier process's hand-over log was read.
-    `live_bytes`: what a compaction would write, at most. `capacity_bytes`: the limit for both files of a compaction
+    `pending`: the pending messages by serial number, in order of acceptance. `finished_ids`: ids of the messages whose
+    end was in the journal when it was opened. `detached_receivers`: the receivers that operators detached (a dict, as
+    it keeps their order). `consumed_handover_bytes`: how much of the previous process's hand-over log was read.
+    `live_bytes`: maximum size of a compacted journal. `capacity_bytes`: limit for both files of a compaction
     together."""
 
     def __init__(self, folder: Any, disk_bytes: float) -> None:
@@ -48,7 +48,7 @@
         self.pending: dict[int, MessageRecord] = {}
         self.live_bytes = 0
         if os.path.exists(self.compaction_path):
-            os.unlink(self.compaction_path)  # of a compaction that was not finished; the journal holds everything
+            os.unlink(self.compaction_path)  # from an interrupted compaction; the journal is still complete
         self._descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         with open(self.path, "rb") as file:
             content = file.read()
@@ -66,20 +66,20 @@
             os.ftruncate(self._descriptor, self.size_bytes)
 
     def set_disk_limit(self, disk_bytes: float) -> None:
-        """Sets the capacity to what the disk limit leaves beside the endpoint cache."""
+        """Sets the capacity to the part of the disk limit that the endpoint cache may not use."""
         self.capacity_bytes = disk_bytes - RESERVED_BLOCKS * BLOCK_BYTES - max_cache_bytes(disk_bytes)
 
     def assume_attempts_executed(self) -> None:
-        """The attempts that were in flight when the process before ended are lost; they may have been executed."""
+        """Ends the attempts that were in flight when the previous process ended, as possibly executed."""
         for message in self.pending.values():
             message.finish_attempt(may_have_executed=True)
 
     # -- messages -------------------------------------------------------------------------------------------
 
     def accept(self, message: MessageRecord, already_accepted: bool = False) -> bool:
-        """Records a message before its acceptance is acknowledged; False if there is no capacity for it.
+        """Records a message before its acceptance is acknowledged. Returns False if it can't be recorded.
 
-        `already_accepted`: the process before has acknowledged it, so it is recorded over the limit too."""
+        `already_accepted`: the previous process has acknowledged it, so it is recorded even above the capacity."""
         self.last_serial += 1
         message.serial = self.last_serial
         record = codec.encode_accepted(message)
@@ -94,29 +94,29 @@
         return True
 
     def start_attempt(self, message: MessageRecord, receiver: bytes, now_ms: float) -> bool:
-        """Records an attempt before its first byte leaves; False if that is not possible."""
+        """Records an attempt before its first byte is sent. Returns False if it can't be recorded."""
         message.finish_attempt(may_have_executed=True)
         attempt = Attempt(receiver, now_ms)
         if not self._append(codec.encode_attempt_started(message.serial, attempt)):
             return False
-        # only now: the append may compact, which writes the attempt in flight as well
+        # Not earlier: the append may trigger a compaction, which would write the attempt in flight as well.
         message.in_flight = attempt
         message.attempts += 1
         return True
 
     def finish_attempt(self, message: MessageRecord, may_have_executed: bool) -> None:
-        """Records the outcome of the attempt in flight."""
+        """Ends the attempt in flight; a record is written only if it was not executed."""
         message.finish_attempt(may_have_executed)
         if not may_have_executed:
             self._append(codec.encode_record(RecordKind.ATTEMPT_NOT_EXECUTED, message.serial))
 
     def give_up(self, message: MessageRecord, notice: PendingNotice) -> None:
-        """Records the notice that is owed for a message, before it leaves."""
+        """Records the notice for a message that was given up, before it is sent."""
         message.pending_notice = notice
         self._append(codec.encode_given_up(message.serial, notice))
 
     def finish(self, message: MessageRecord) -> None:
-        """Records the end of a message; nothing where it is not pending."""
+        """Records the end of a message; has no effect if it is not pending."""
         if message.serial in self.pending:
             self._remove(message)
             self._append(codec.encode_record(RecordKind.FINISHED, message.serial))
@@ -124,7 +124,7 @@
     # -- receivers and hand-over ----------------------------------------------------------------------------
 
     def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
-        """Records, before it is acknowledged, that operators detached or attached a receiver; False if not possible."""
+        """Records that a receiver was detached or attached, before that is acknowledged. Returns False on failure."""
         if is_detached == (receiver in self.detached_receivers):
             return True
         if is_detached and not self._has_capacity_for(RESERVED_BYTES_PER_MESSAGE):
@@ -141,15 +141,16 @@
         return True
 
     def mark_handover_consumed(self, offset: int) -> None:
-        """Records that the hand-over log of the process before is consumed up to this offset."""
+        """Records that the previous process's hand-over log is consumed up to this offset."""
         self._append(codec.encode_record(RecordKind.HANDOVER_CONSUMED, offset))
         self.consumed_handover_bytes = offset
 
     # -- the file -------------------------------------------------------------------------------------------
 
     def compact(self) -> None:
-        """Writes the live state to a second file and renames it over the journal. A fault is logged, and nothing
-        changes."""
+        """Writes the live state to a second file and renames it over the journal.
+
+        An error is logged, and the journal remains unchanged."""
         content = self._live_content()
         try:
             descriptor = os.open(self.compaction_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
@@ -180,7 +181,7 @@
         return b"".join(records)
 
     def _has_capacity_for(self, needed_bytes: int) -> bool:
-        """Whether one more item leaves capacity for all records that may follow, and for a compaction then."""
+        """Returns whether one more item leaves capacity for all its later records and for a compaction."""
         used_bytes = max(self.size_bytes, self.live_bytes) + self.live_bytes
         return used_bytes + 2 * needed_bytes <= self.capacity_bytes
 
@@ -197,7 +198,7 @@
         self.live_bytes -= message.stored_bytes
 
     def _append(self, record: bytes) -> bool:
-        if not self._fits(len(record)) or self.size_bytes > 2 * self.live_bytes + GARBAGE_BYTES:
+        if not self._fits(len(record)) or self.size_bytes > 2 * self.live_bytes + MAX_GARBAGE_BYTES:
             self.compact()
         return self._write(record)
 
@@ -206,7 +207,7 @@
             write_all(self._descriptor, record)
         except OSError as error:
             log_event(events.JOURNAL_WRITE_FAILED, why=str(error))
-            os.ftruncate(self._descriptor, self.size_bytes)  # no later record may stand behind a torn one
+            os.ftruncate(self._descriptor, self.size_bytes)  # records after an incomplete one would be lost
             return False
         self.size_bytes += len(record)
         return True
--- a/dewpin/spool/records.py
+++ b/dewpin/spool/records.py
@@ -1,4 +1,4 @@
-"""What the journal holds of a message, and the kinds of records in it."""
+"""The kinds of records in the journal, and the stored state of a message."""
 
 from enum import Enum
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 class RecordKind(bytes, Enum):
-    """The kinds of records in the journal and in the hand-over log; the value is the byte on disk."""
+    """The kinds of records in the journal and in the hand-over log. The value is the byte on disk."""
 
     ACCEPTED = b"T"
     ATTEMPT_STARTED = b"C"
@@ -21,34 +21,34 @@
     ATTEMPT_FINISHED = b"H"
     """Only in a hand-over log."""
     DESCRIPTOR_COUNT = b"K"
-    """Only in a hand-over log: descriptors that its writer still holds."""
+    """Only in a hand-over log: number of descriptors that its writer still holds."""
     HANDOVER_CONSUMED = b"F"
-    """How many bytes of an earlier process's hand-over log the journal's owner has read."""
+    """Number of bytes of the previous process's hand-over log that the owner of the journal has read."""
 
 
 class Attempt(msgspec.Struct, frozen=True):
-    """One attempt to deliver a message: the receiver's id, and when its first byte left (Unix ms)."""
+    """An attempt to deliver a message: the receiver's id, and when its first byte was sent (Unix ms)."""
 
     receiver: bytes
     sent_at_ms: float
 
 
 class PendingNotice(msgspec.Struct, frozen=True):
-    """The notice that the platform is owed for a message that was given up.
+    """The unacknowledged notice to the platform about a message that was given up.
 
-    `is_deferred`: the client may submit the message again after `retry_after_ms`; otherwise it has bounced."""
+    `is_deferred`: whether the client may submit the message again after `retry_after_ms`; otherwise it has bounced."""
 
     is_deferred: bool
     retry_after_ms: float
 
 
 class MessageRecord:
-    """What is stored of a message from its acceptance to its end. Texts are the bytes that the client sent.
+    """The stored state of a message from its acceptance to its end. Text fields contain the bytes as received.
 
-    Times are Unix ms. `attempts` counts the one in flight too. `possibly_executed` is the first attempt that may have
-    been executed by its receiver, the one in flight left aside. `pending_notice` is set from giving up until the
-    notice is acknowledged. `stored_bytes` is what the message takes in a compacted journal, at most. `message` is the
-    same message as the dispatcher sees it."""
+    Times are Unix ms. `attempts`: number of attempts, including one in flight. `possibly_executed`: the first attempt
+    that its receiver may have executed, except one in flight. `pending_notice`: set from giving up until the notice is
+    acknowledged. `stored_bytes`: maximum size of the message in a compacted journal. `message`: the dispatcher's object
+    for the same message."""
 
     __slots__ = (
         "serial",
@@ -99,7 +99,7 @@
         self.message: Any = None
 
     def finish_attempt(self, may_have_executed: bool) -> None:
-        """Ends the attempt in flight, if there is one."""
+        """Ends the attempt in flight, if any."""
         if self.in_flight and may_have_executed and self.possibly_executed is None:
             self.possibly_executed = self.in_flight
         self.in_flight = None
--- a/dewpin/spool/replay.py
+++ b/dewpin/spool/replay.py
@@ -1,4 +1,4 @@
-"""What the records of a journal amount to: the state that a start of the sender finds."""
+"""Replay of the journal's records: the state that a sender restores at its start."""
 
 import struct
 
@@ -14,7 +14,7 @@
 )
 from .records import MessageRecord, RecordKind
 
-# a member of an enum takes some time to look up, and a start reads every record
+# Bound once, as looking up an enum member takes a noticeable time and a start reads every record.
 _ACCEPTED: bytes = RecordKind.ACCEPTED.value
 _ATTEMPT_STARTED: bytes = RecordKind.ATTEMPT_STARTED.value
 _ATTEMPT_NOT_EXECUTED: bytes = RecordKind.ATTEMPT_NOT_EXECUTED.value
@@ -27,14 +27,14 @@
 
 
 class JournalReplay:
-    """The state after the records that were applied, in their order.
+    """The state that results from applying records in order.
 
-    `pending`: the messages without an end, by serial number, in order of acceptance. `finished_ids`: those of the
-    messages whose end was recorded. `detached_receivers`: the receivers that operators detached, in that order (a dict
-    for its order). `consumed_handover_bytes`: how much of an earlier process's hand-over log was read. `last_serial`:
-    the highest serial number. `counts_by_code`: the records of each kind, kinds of newer programs included.
+    `pending`: the pending messages by serial number, in order of acceptance. `finished_ids`: ids of the messages whose
+    end is recorded. `detached_receivers`: the receivers that operators detached, in that order (a dict, as it keeps the
+    order). `consumed_handover_bytes`: how much of the previous process's hand-over log was read. `last_serial`: the
+    highest serial number. `counts_by_code`: number of records of each kind, including kinds of newer versions.
 
-    An attempt may have been executed unless a later record says otherwise: only proof of the contrary is recorded."""
+    An attempt counts as possibly executed unless a later record excludes it: only that exclusion is recorded."""
 
     def __init__(self) -> None:
         self.pending: dict[int, MessageRecord] = {}
@@ -45,7 +45,7 @@
         self.counts_by_code: dict[bytes, int] = {kind.value: 0 for kind in RecordKind}
 
     def run(self, content: bytes) -> int:
-        """Applies complete records from the start; the offset of the first that is not complete or makes no sense."""
+        """Applies records from the start; returns the offset of the first incomplete or invalid one, or the end."""
         offset = 0
         while True:
             frame = read_frame(content, offset)
@@ -54,7 +54,7 @@
             offset = frame.end_offset
 
     def _apply(self, payload: bytes, size_bytes: int) -> bool:
-        """Applies one record; False where its fields make no sense."""
+        """Applies one record. Returns False if its fields are invalid."""
         code, serial = decode_kind_and_serial(payload)
         try:
             if code == _ACCEPTED:
--- a/tests/spool/test_inspector.py
+++ b/tests/spool/test_inspector.py
@@ -1,10 +1,10 @@
-"""The journal inspector: it shows what a start would find, and changes nothing."""
+"""The journal inspector: it shows the state that a start would restore, and modifies nothing."""
 
 import random
 
 import pytest
 from hypothesis import given
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from dewpin.spool import codec
 from dewpin.spool.folder_lock import FolderLock, is_locked
@@ -13,10 +13,12 @@
 from dewpin.spool.records import MessageRecord, PendingNotice
 
 
-def fill(folder, messages=20):
+def write_journal(folder, messages=20):
     journal = Journal(folder, 1e6)
-    for at in range(messages):
-        journal.accept(MessageRecord(b"m%d" % at, b"notice", b"acme", b"", b"7", b"t", b"x" * 50, float(at), 1e12))
+    for number in range(messages):
+        journal.accept(
+            MessageRecord(b"m%d" % number, b"notice", b"acme", b"", b"7", b"t", b"x" * 50, float(number), 1e12)
+        )
     first, second, third, fourth = list(journal.pending.values())[:4]
     for message in (first, second, third, fourth):
         journal.start_attempt(message, b"r0", 5.0)
@@ -29,7 +31,7 @@
 
 
 def test_each_message_is_shown_as_a_start_would_find_it(tmp_path):
-    fill(tmp_path)
+    write_journal(tmp_path)
     before = (tmp_path / "journal").read_bytes()
     inspector = JournalInspector(tmp_path)
     assert [describe_state(message) for message in inspector.pending()[:4]] == [
@@ -41,7 +43,7 @@
     assert len(inspector.pending()) == 19
     assert inspector.replay.finished_ids == [b"m3"] and not inspector.damages
     assert [record.label for record in inspector.records_of(3)] == ["taken", "connect", "given up"]
-    assert inspector.records_of(1)[1].facts == {"sent": 5.0, "receiver": b"r0"}
+    assert inspector.records_of(1)[1].fields == {"sent": 5.0, "receiver": b"r0"}
     assert (tmp_path / "journal").read_bytes() == before and inspector.is_sender_running is False
     reopened = Journal(tmp_path, 1e6)
     assert [one.message_id for one in reopened.pending.values()] == [one.message_id for one in inspector.pending()]
@@ -49,29 +51,29 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_torn_and_corrupt_records_are_shown_with_offset_and_records_behind(tmp_path, seed):
-    random_source = random.Random(seed)
-    fill(tmp_path)
+    rng = random.Random(seed)
+    write_journal(tmp_path)
     content = bytearray((tmp_path / "journal").read_bytes())
-    offsets, at = [], 0
-    while at < len(content):
-        offsets.append(at)
-        at = codec.read_frame(bytes(content), at).end_offset
-    hit = random_source.randrange(2, len(offsets) - 3)
-    content[offsets[hit] + 9 + random_source.randrange(5)] ^= 1 << random_source.randrange(8)
-    length = offsets[-1] + random_source.randrange(1, len(content) - offsets[-1])
+    offsets, offset = [], 0
+    while offset < len(content):
+        offsets.append(offset)
+        offset = codec.read_frame(bytes(content), offset).end_offset
+    damaged = rng.randrange(2, len(offsets) - 3)
+    content[offsets[damaged] + 9 + rng.randrange(5)] ^= 1 << rng.randrange(8)
+    length = offsets[-1] + rng.randrange(1, len(content) - offsets[-1])
     (tmp_path / "journal").write_bytes(content[:length])
     inspector = JournalInspector(tmp_path)
-    assert [damage.offset for damage in inspector.damages] == [offsets[hit], offsets[-1]]
+    assert [damage.offset for damage in inspector.damages] == [offsets[damaged], offsets[-1]]
     assert "corrupt" in inspector.damages[0].reason and "torn" in inspector.damages[1].reason
-    assert inspector.damages[0].records_behind == len(offsets) - 2 - hit
-    assert inspector.readable_bytes == offsets[hit]
+    assert inspector.damages[0].records_behind == len(offsets) - 2 - damaged
+    assert inspector.readable_bytes == offsets[damaged]
     assert len(Journal(tmp_path, 1e6).pending) == len(inspector.pending())
 
 
-@given(some.binary(max_size=300), some.integers(0, 2000))
+@given(st.binary(max_size=300), st.integers(0, 2000))
 def test_inspector_reads_a_file_with_arbitrary_bytes_to_its_end(tmp_path_factory, noise, at):
     folder = tmp_path_factory.mktemp("noise")
-    fill(folder, 5)
+    write_journal(folder, 5)
     content = (folder / "journal").read_bytes()
     (folder / "journal").write_bytes(content[:at] + noise + content[at:])
     inspector = JournalInspector(folder)
