--- a/dewpin/net/errors.py
+++ b/dewpin/net/errors.py
@@ -2,10 +2,10 @@
 
 
 class MalformedMessageError(Exception):
-    """Bytes that are no valid HTTP/1.1 message, or exceed a bound.
+    """Raised for bytes that are not a valid HTTP/1.1 message or exceed a limit.
 
     Attributes:
-        status: the status code that a server answers such a request with.
+        status: status code of the server's response to such a request.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/dewpin/net/http_body.py
+++ b/dewpin/net/http_body.py
@@ -1,6 +1,6 @@
-"""Message body framing of HTTP/1.1 (RFC 9112, section 6): one decoder for each way in which a body's end is found.
+"""Message body framing of HTTP/1.1 (RFC 9112, section 6): one decoder for each way to delimit a body.
 
-A decoder takes the bytes of its body from the front of the connection's buffer and leaves all that follow them.
+A decoder removes the bytes of its body from the front of the connection's buffer and leaves the bytes after them.
 """
 
 import re
@@ -14,23 +14,23 @@
 
 
 class BodyDecoder(Protocol):
-    """Finds the end of one message's body.
+    """Decodes the body of one message.
 
     Attributes:
-        decoded_bytes: length of the content that was taken from the buffer while the body is not complete.
+        decoded_bytes: size of the content that was removed from the buffer while the body is incomplete.
     """
 
     decoded_bytes: int
 
     def decode(self, buffer: bytearray) -> bytes | None:
-        """Return the whole content and remove its bytes from the buffer, or return None while it is not complete.
+        """Return the whole content and remove its bytes from the buffer, or return None while it is incomplete.
 
-        Raises MalformedMessageError for an invalid framing or a body that exceeds its bound.
+        Raises MalformedMessageError for invalid framing or a body that exceeds its limit.
         """
 
 
 class FixedLengthBody:
-    """A body whose length is known from the header section."""
+    """A body whose length is given in the header section."""
 
     __slots__ = ("decoded_bytes", "_length")
 
@@ -48,7 +48,7 @@
 
 
 class UntilCloseBody:
-    """The body of a response that lasts until the connection ends: it is never complete before."""
+    """The body of a response that is delimited by the end of the connection; it is never complete before that."""
 
     __slots__ = ("decoded_bytes", "_max_bytes")
 
@@ -59,12 +59,12 @@
     def decode(self, buffer: bytearray) -> bytes | None:
         """See `BodyDecoder`."""
         if len(buffer) > self._max_bytes:
-            raise MalformedMessageError(413, "body too large")
+            raise MalformedMessageError(413, "body is too large")
         return None
 
 
 class ChunkedBody:
-    """A body in the chunked transfer coding (RFC 9112, 7.1); chunk extensions and trailer fields are dropped."""
+    """A body in chunked transfer coding (RFC 9112, section 7.1); chunk extensions and trailer fields are discarded."""
 
     __slots__ = ("decoded_bytes", "_max_bytes", "_chunks", "_trailer_bytes", "_is_in_trailer")
 
@@ -81,29 +81,29 @@
             line_end = buffer.find(b"\r\n")
             if line_end < 0:
                 if len(buffer) > MAX_CHUNK_LINE_BYTES:
-                    raise MalformedMessageError(400, "chunk head too long")
+                    raise MalformedMessageError(400, "chunk size line or trailer line is too long")
                 return None
             if self._is_in_trailer:
                 del buffer[: line_end + 2]
                 if line_end == 0:
                     return b"".join(self._chunks)
                 self._skip_trailer_line(line_end)
-            elif not self._take_chunk(buffer, line_end):
+            elif not self._decode_chunk(buffer, line_end):
                 return None
 
     def _skip_trailer_line(self, length: int) -> None:
         self._trailer_bytes += length
         if self._trailer_bytes >= MAX_TRAILER_BYTES:
-            raise MalformedMessageError(431, "trailer too large")
+            raise MalformedMessageError(431, "trailer section is too large")
 
-    def _take_chunk(self, buffer: bytearray, line_end: int) -> bool:
-        """Take the chunk whose size line ends at `line_end`; return whether it was complete."""
+    def _decode_chunk(self, buffer: bytearray, line_end: int) -> bool:
+        """Decode the chunk whose size line ends at `line_end`; return whether it was complete."""
         digits = bytes(buffer[:line_end]).split(b";")[0].strip()
         if not CHUNK_SIZE.fullmatch(digits):
-            raise MalformedMessageError(400, "chunk size")
+            raise MalformedMessageError(400, "invalid chunk size")
         size = int(digits, 16)
         if self.decoded_bytes + size > self._max_bytes:
-            raise MalformedMessageError(413, "body too large")
+            raise MalformedMessageError(413, "body is too large")
         if size == 0:
             del buffer[: line_end + 2]
             self._is_in_trailer = True
@@ -113,8 +113,8 @@
         if len(buffer) < end + 2:
             return False
         if buffer[end : end + 2] != b"\r\n":
-            raise MalformedMessageError(400, "chunk end")
-        self.decoded_bytes += size  # only now: an incomplete chunk is looked at each time that bytes arrive
+            raise MalformedMessageError(400, "chunk data is not followed by a line end")
+        self.decoded_bytes += size  # not earlier: an incomplete chunk is checked again whenever bytes arrive
         self._chunks.append(bytes(buffer[start:end]))
         del buffer[: end + 2]
         return True
--- a/dewpin/net/http_messages.py
+++ b/dewpin/net/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: requests and responses as the parser returns them, and the bytes of a response."""
+"""HTTP/1.1 requests and responses as the parser returns them, and formatting of responses."""
 
 import msgspec
 
@@ -26,9 +26,9 @@
 
     Attributes:
         method, target, version: the parts of the request line.
-        fields: header fields by lower-case name; lines of the same name are joined by a comma.
+        fields: header fields by lower-case name; lines with the same name are joined with a comma.
         body: the content, without its framing.
-        closes_connection: whether the connection ends with this exchange.
+        closes_connection: whether the connection is closed after this exchange.
     """
 
     method: bytes
@@ -44,9 +44,9 @@
 
     Attributes:
         version, status, reason: the parts of the status line.
-        fields: header fields by lower-case name; lines of the same name are joined by a comma.
+        fields: header fields by lower-case name; lines with the same name are joined with a comma.
         body: the content, without its framing.
-        closes_connection: whether the connection ends with this exchange.
+        closes_connection: whether the connection is closed after this exchange.
     """
 
     version: bytes
@@ -60,7 +60,7 @@
 def format_response(
     status: int, closes_connection: bool = False, extra_fields: bytes = b"", body: bytes = b""
 ) -> bytes:
-    """Return the bytes of a response; `extra_fields` are whole field lines, each with its line end."""
+    """Return the bytes of a response; `extra_fields` contains complete field lines, each with its line end."""
     reason = REASON_PHRASES.get(status, "Other").encode()
     connection = b"Connection: close\r\n" if closes_connection else b""
     return b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n%s\r\n%s" % (
--- a/dewpin/net/http_parser.py
+++ b/dewpin/net/http_parser.py
@@ -1,6 +1,6 @@
-"""An HTTP/1.1 parser without I/O (RFC 9112): bytes are fed as they arrive, complete messages are taken out.
+"""An HTTP/1.1 parser without I/O (RFC 9112): it is fed bytes as they arrive and returns complete messages.
 
-It buffers the bytes of the message that is not complete yet and bounds their number. A body's content is never changed.
+It buffers the bytes of incomplete messages and limits their number. The content of a body is never modified.
 """
 
 import re
@@ -25,43 +25,43 @@
 
 
 class _MessageParser(Generic[MessageT]):
-    """What parsing requests and responses has in common.
+    """Base class of the parsers of requests and responses.
 
-    After MalformedMessageError the parser must not be asked for messages any more; `discard` frees what it holds.
+    After a MalformedMessageError no further messages may be requested; `discard` releases the buffered bytes.
     """
 
     def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.max_body_bytes = max_body_bytes
         self._buffer = bytearray()
-        self._searched_bytes = 0  # the end of the header section does not begin before here
-        self._message: MessageT | None = None  # the one whose header section is complete
+        self._searched_bytes = 0  # length of the buffer that was searched for the end of the header section
+        self._message: MessageT | None = None  # set while its header section is complete and its body is not
         self._body: BodyDecoder = EMPTY_BODY
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Take bytes that arrived."""
+        """Append received bytes to the buffer."""
         self._buffer += data
 
     @property
     def buffered_bytes(self) -> int:
-        """How many bytes are held of messages that are not complete, and of what follows them."""
+        """Number of buffered bytes, including the decoded part of an incomplete body."""
         return len(self._buffer) + self._body.decoded_bytes
 
     @property
     def has_unparsed_bytes(self) -> bool:
-        """Whether bytes arrived that no message has taken yet."""
+        """Whether the buffer contains bytes that do not belong to a returned message."""
         return bool(self._buffer)
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and is not complete."""
+        """Whether a message has begun and is incomplete."""
         return self._message is not None or bool(self._buffer)
 
     def has_pipelined_bytes(self) -> bool:
-        """Return whether anything but empty lines follows the last message."""
+        """Return whether the last message is followed by anything other than empty lines."""
         return bool(self._buffer.strip(b"\r\n"))
 
     def discard(self) -> None:
-        """Forget all that is held."""
+        """Discard all buffered bytes and the incomplete message."""
         self._buffer.clear()
         self._message = None
         self._body = EMPTY_BODY
@@ -84,18 +84,18 @@
     def _parse_head(self) -> bool:
         """Parse the start line and the header fields; return whether a message's header section is complete."""
         buffer = self._buffer
-        while buffer[:2] == b"\r\n":  # RFC 9112, 2.2: empty lines before a message are ignored
+        while buffer[:2] == b"\r\n":  # RFC 9112, section 2.2: empty lines before a message are ignored
             del buffer[:2]
             self._searched_bytes = 0
         end = buffer.find(b"\r\n\r\n", max(0, self._searched_bytes - 3))
         if (end < 0 and len(buffer) > MAX_HEAD_BYTES) or end > MAX_HEAD_BYTES:
-            raise MalformedMessageError(431, "head too large")
+            raise MalformedMessageError(431, "header section is too large")
         if end < 0:
             self._searched_bytes = len(buffer)
             return False
         start_line, *field_lines = bytes(buffer[:end]).split(b"\r\n")
         message = self._message = self._parse_start_line(start_line)
-        # Only now: behind a malformed start line the buffer keeps it, so that what follows is not taken for one.
+        # Not earlier: a malformed start line must stay in the buffer so that the next line is not parsed in its place.
         del buffer[: end + 4]
         self._searched_bytes = 0
         self._parse_fields(field_lines, message.fields)
@@ -113,41 +113,41 @@
             if not colon or not TOKEN.fullmatch(name) or CONTROL_CHARACTER.search(value):
                 if CONTROL_CHARACTER.search(value) and self._can_skip_field(name):
                     continue
-                raise MalformedMessageError(400, "header line")
+                raise MalformedMessageError(400, "invalid header field line")
             name, value = name.lower(), value.strip(b" \t")
             if name in fields:
                 if name != b"content-length":
                     value = fields[name] + b", " + value
                 elif fields[name] != value:
-                    raise MalformedMessageError(400, "two lengths")
+                    raise MalformedMessageError(400, "conflicting Content-Length fields")
             fields[name] = value
 
     def _declared_framing(self, fields: dict[bytes, bytes]) -> BodyDecoder | None:
-        """Return the framing that the header fields declare, None if they declare none."""
+        """Return the framing that the header fields declare; None if they declare none."""
         transfer_coding, length = fields.get(b"transfer-encoding"), fields.get(b"content-length")
         if transfer_coding is not None:
             if transfer_coding.lower() != b"chunked":
-                raise MalformedMessageError(501, "transfer coding")
+                raise MalformedMessageError(501, "unsupported transfer coding")
             if length is not None:
-                raise MalformedMessageError(400, "a length and a transfer coding")
+                raise MalformedMessageError(400, "both Content-Length and Transfer-Encoding")
             return ChunkedBody(self.max_body_bytes)
         if length is None:
             return None
         if not CONTENT_LENGTH.fullmatch(length):
-            raise MalformedMessageError(400 if not length.isdigit() else 413, "length")
+            raise MalformedMessageError(400 if not length.isdigit() else 413, "invalid or too large Content-Length")
         if int(length) > self.max_body_bytes:
-            raise MalformedMessageError(413, "body too large")
+            raise MalformedMessageError(413, "body is too large")
         return FixedLengthBody(int(length))
 
     def _can_skip_field(self, name: bytes) -> bool:
-        """Return whether a line of this field is ignored if its value is invalid."""
+        """Return whether a field line with this name is ignored if its value is invalid."""
         raise NotImplementedError
 
     def _parse_start_line(self, line: bytes) -> MessageT:
         raise NotImplementedError
 
     def _choose_framing(self, message: MessageT) -> BodyDecoder | None:
-        """Return how the body's end is found; None: the message is an interim one and is skipped."""
+        """Return the decoder of the body; None for an interim response, which is skipped."""
         raise NotImplementedError
 
 
@@ -158,8 +158,8 @@
         super().__init__(max_body_bytes)
         self._expects_continue = False
 
-    def take_expectation(self) -> bool:
-        """Return, once for each request, whether its client waits for 100 (Continue) before it sends the body."""
+    def consume_expectation(self) -> bool:
+        """Return, once per request, whether its client expects 100 (Continue) before it sends the body."""
         if not self._expects_continue or self._message is None:
             return False
         self._expects_continue = False
@@ -171,10 +171,10 @@
     def _parse_start_line(self, line: bytes) -> Request:
         parts = line.split(b" ", 2)
         if len(parts) != 3 or not TOKEN.fullmatch(parts[0]) or not parts[1] or CONTROL_CHARACTER.search(line):
-            raise MalformedMessageError(400, "request line")
+            raise MalformedMessageError(400, "invalid request line")
         method, target, version = parts
         if not HTTP_1_VERSION.fullmatch(version):
-            raise MalformedMessageError(505 if version.startswith(b"HTTP/") else 400, "version")
+            raise MalformedMessageError(505 if version.startswith(b"HTTP/") else 400, "unsupported HTTP version")
         return Request(method, target, version, {})
 
     def _choose_framing(self, message: Request) -> BodyDecoder:
@@ -183,17 +183,17 @@
 
 
 class ResponseParser(_MessageParser[Response]):
-    """Parses responses; interim ones (1xx) are skipped."""
+    """Parses responses and skips interim ones (1xx)."""
 
     def partial_status(self) -> int | None:
-        """Return the status of the message that is not complete; None if its status line is not complete or invalid."""
+        """Return the status of the incomplete message; None if its status line is incomplete or invalid."""
         if self._message:
             return self._message.status
         status_line = COMPLETE_STATUS_LINE.match(self._buffer)
         return int(status_line[1]) if status_line else None
 
     def end_of_input(self) -> Response | None:
-        """Return the message that lasts until the connection ends, if there is one."""
+        """Return the message that is delimited by the end of the connection, if there is one."""
         if self._message is None or not isinstance(self._body, UntilCloseBody):
             return None
         message, self._message = self._message, None
@@ -201,12 +201,12 @@
         return message
 
     def _can_skip_field(self, name: bytes) -> bool:
-        return name.lower() == b"srv-load"  # a load report that can't be read does not invalidate the response
+        return name.lower() == b"srv-load"  # an unreadable load report does not invalidate the response
 
     def _parse_start_line(self, line: bytes) -> Response:
         parts = line.split(b" ", 2)
         if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or not STATUS_CODE.fullmatch(parts[1]):
-            raise MalformedMessageError(400, "status line")
+            raise MalformedMessageError(400, "invalid status line")
         return Response(parts[0], int(parts[1]), parts[2] if len(parts) > 2 else b"", {})
 
     def _choose_framing(self, message: Response) -> BodyDecoder | None:
@@ -222,6 +222,6 @@
 
 
 def _set_persistence(message: Request | Response) -> None:
-    """Decide whether the connection persists behind this message (RFC 9112, 9.3)."""
+    """Determine whether the connection persists after this message (RFC 9112, section 9.3)."""
     options = {option.strip().lower() for option in message.fields.get(b"connection", b"").split(b",")}
     message.closes_connection = b"close" in options or (message.version == b"HTTP/1.0" and b"keep-alive" not in options)
--- a/dewpin/net/http_protocol.py
+++ b/dewpin/net/http_protocol.py
@@ -11,13 +11,14 @@
 
 
 class HttpProtocol(asyncio.BufferedProtocol, Generic[ParserT]):
-    """One connection.
+    """Base class of the protocols of connections.
 
-    All connections share one buffer: the event loop fills it and hands it over before it reads from another connection.
+    All connections share one buffer: the event loop fills it and calls `buffer_updated` before it reads from another
+    connection.
 
     Attributes:
-        parser: the parser of what the other side sends.
-        transport: asyncio's transport, from `connection_made` on.
+        parser: parser of the received bytes.
+        transport: asyncio's transport, set when the connection is made.
     """
 
     parser: ParserT
@@ -28,18 +29,18 @@
         self.parser = parser
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio's protocol."""
+        """Implement asyncio's protocol: store the transport."""
         self.transport = transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Part of asyncio's protocol."""
+        """Implement asyncio's protocol: return the shared buffer."""
         return self._shared_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Part of asyncio's protocol: feed the bytes to the parser."""
+        """Implement asyncio's protocol: feed the received bytes to the parser."""
         self.parser.feed(self._shared_buffer[:nbytes])
         self.bytes_received()
 
     def bytes_received(self) -> None:
-        """Handle what the parser has after more bytes arrived."""
+        """Called after received bytes were fed to the parser."""
         raise NotImplementedError
--- a/dewpin/net/server.py
+++ b/dewpin/net/server.py
@@ -1,6 +1,6 @@
-"""The HTTP server for clients: its listening socket, and the parts that serve its connections.
+"""The HTTP server for clients: its listening socket and the components that serve its connections.
 
-Each request that was read whole gets a response at once, whatever becomes of its message.
+Each complete request gets a response immediately, regardless of the later outcome of its message.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 from .sockets import create_listening_socket, has_pending_event
 
 LISTEN_BACKLOG = 512  # connections that the kernel queues while the event loop is busy
-SO_ATTACH_REUSEPORT_CBPF = 51  # Linux' socket option; Python's socket module has no name for it
-BPF_RETURN = 6  # the instruction of the filter: return a constant, here the index of the listener that is chosen
+SO_ATTACH_REUSEPORT_CBPF = 51  # Linux socket option, which Python's socket module does not define
+BPF_RETURN = 6  # BPF instruction that returns a constant, here the index of the selected listener
 
 
 class HttpServer:
@@ -27,8 +27,8 @@
 
     Attributes:
         connections: the open connections and their limits.
-        clients: the same connections, for whoever only counts them.
-        listener: the listening socket, from `open` on.
+        clients: the same connections, for callers that only count them.
+        listener: the listening socket, set by `open`.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, relay: MessageIntake) -> None:
@@ -41,17 +41,17 @@
 
     @property
     def limits(self) -> ServerLimits:
-        """The limits in force."""
+        """The current limits."""
         return self.connections.limits
 
     def set_limits(self, limits: ServerLimits) -> None:
-        """Put limits in force."""
+        """Replace the limits."""
         self.connections.limits = limits
 
     async def open(self, host: str, port: int) -> tuple[str, int]:
-        """Listen, and return the address. Raises OSError.
+        """Start listening and return the bound address. Raises OSError.
 
-        The address can be shared: during an upgrade the next process listens beside this one.
+        The port is reusable: during an upgrade the next process listens on the same address.
         """
         self.listener = create_listening_socket(host, port, reuse_port=True)
         self._server = await self._loop.create_server(
@@ -59,42 +59,43 @@
             sock=self.listener,
             backlog=MAX_ACCEPTED_AT_ONCE,
         )
-        self.listener.listen(LISTEN_BACKLOG)  # asyncio uses one number for both
+        # asyncio uses `backlog` both for the kernel's queue and for the connections accepted per iteration.
+        self.listener.listen(LISTEN_BACKLOG)
         self.connections.start_sweeping()
         address: tuple[str, int] = self.listener.getsockname()[:2]
         return address
 
     def steer_connections_here(self) -> None:
-        """Have the kernel give new connections to this process and none to the previous one at the same address.
+        """Make the kernel pass new connections to this process and none to the previous one at the same address.
 
-        The previous process's queue runs empty, so that nobody waits in it when its listener closes. Where the kernel
-        has no such filter it shares connections out, and both processes answer.
+        The previous process's accept queue drains, so that no connection is in it when its listener is closed. If the
+        kernel does not support the filter, it distributes new connections, and both processes respond.
         """
-        choose_second = array("B", struct.pack("HBBI", BPF_RETURN, 0, 0, 1))  # of the two listeners the later one
-        program = struct.pack("HP", 1, choose_second.buffer_info()[0])
+        select_later_listener = array("B", struct.pack("HBBI", BPF_RETURN, 0, 0, 1))  # the later of the two listeners
+        program = struct.pack("HP", 1, select_later_listener.buffer_info()[0])
         try:
             self.listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
         except OSError as error:
             log_event(events.STEERING_FAILED, why=str(error))
 
     def drain(self) -> None:
-        """From now on each connection ends with its next response; idle ones stay, as a request may be on its way."""
+        """Close each connection after its next response; idle ones stay open, as a request may be in transit."""
         self.connections.drain()
 
     def stop(self) -> None:
-        """From now on each connection ends with its next response, and idle ones end at once."""
+        """Close each connection after its next response, and idle ones immediately."""
         self.connections.stop()
 
     def has_queued_connections(self) -> bool:
-        """Return whether connections wait that only the kernel has accepted: they would be reset with the listener."""
+        """Return whether the kernel's accept queue has connections, which closing the listener would reset."""
         return has_pending_event(self.listener, select.POLLIN)
 
     def stop_listening(self) -> None:
-        """Accept no new connections from now on."""
+        """Stop accepting new connections."""
         self._server.close()
 
     def close(self) -> None:
-        """Close the listener and every connection."""
+        """Close the listener and all connections."""
         self.connections.stop_sweeping()
         self._server.close()
         self.connections.close()
--- a/dewpin/net/sockets.py
+++ b/dewpin/net/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets beside what asyncio offers: a listener, and a look at what waits unread."""
+"""Socket functions that asyncio does not provide: a listening socket, and a check for pending events."""
 
 import select
 import socket
@@ -6,7 +6,7 @@
 
 
 class HasFileDescriptor(Protocol):
-    """A socket, or what asyncio gives in its place."""
+    """A socket or asyncio's substitute for one."""
 
     def fileno(self) -> int:
         """Return the file descriptor."""
@@ -15,8 +15,8 @@
 def create_listening_socket(host: str, port: int, reuse_port: bool = False) -> socket.socket:
     """Return a socket that listens at this address. Raises OSError.
 
-    The socket names its protocol, and so do those that it accepts: of others asyncio can't tell that they are TCP and
-    does not set TCP_NODELAY. The kernel would delay their small writes, and a close over unread bytes would lose them.
+    Its protocol is set explicitly, and accepted sockets inherit it: asyncio does not recognize other sockets as TCP and
+    does not set TCP_NODELAY. The kernel would then delay small writes, and closing with unread bytes would lose them.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     server = socket.create_server((host, port), family=family, reuse_port=reuse_port)
@@ -24,7 +24,7 @@
 
 
 def has_pending_event(polled: HasFileDescriptor, event_mask: int) -> bool:
-    """Return whether one of these `select.POLL*` events is pending at a socket, without waiting."""
+    """Return, without blocking, whether one of these `select.POLL*` events is pending at a socket."""
     poller = select.poll()
     poller.register(polled.fileno(), event_mask)
     return bool(poller.poll(0))
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -1,4 +1,4 @@
-"""How a client's connection ends: bytes that arrive in the very moment, and what is read and accepted after it."""
+"""Closing of clients' connections: requests that arrive at the same moment must be answered or not be accepted."""
 
 import asyncio
 import select
@@ -15,14 +15,14 @@
 from dewpin.ports import Accepted, Deferred
 from driver import play, read_message, until
 
-HEAD = (
+REQUEST = (
     b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: notice\r\nReq-Owner: acme\r\nX-Consignee: dest=7\r\n"
     b"Content-Length: 4\r\n\r\nbody"
 )
 
 
 class AcceptingRelay:
-    """Stands for the relay: accepts everything; `on_accept` is called while it does."""
+    """A relay that accepts every message and calls `on_accept` meanwhile."""
 
     is_draining = False
 
@@ -38,10 +38,10 @@
 
 
 class Client:
-    """A client's end, which writes at once and in order, also while the loop stands still."""
+    """A client with a blocking socket, which can write while the event loop is blocked."""
 
-    def __init__(self, at, server):
-        self.socket, self.server = socket.create_connection(at), server
+    def __init__(self, address, server):
+        self.socket, self.server = socket.create_connection(address), server
 
     async def wait_until_accepted(self, connection_count):
         await until(lambda: len(self.server.clients) == connection_count)
@@ -49,165 +49,165 @@
         return self
 
     def write(self, data):
-        """Return once the bytes wait at the server's side."""
+        """Return once the bytes are pending at the server's socket."""
         self.socket.sendall(data)
-        watch = select.poll()
-        watch.register(self.server_side.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        assert watch.poll(10000)
+        poller = select.poll()
+        poller.register(self.server_side.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        assert poller.poll(10000)
 
     async def read(self):
-        """Return what arrives until a clean end; ConnectionResetError at another one."""
-        held = b""
+        """Return the bytes until the end of the stream. Raises ConnectionResetError if the connection is reset."""
+        received = b""
         while data := await asyncio.wait_for(asyncio.to_thread(self.socket.recv, 65536), 10.0):
-            held += data
-        return held
+            received += data
+        return received
 
 
-def play_at_server(scene, max_connections=8):
-    async def whole():
+def run_with_server(scenario, max_connections=8):
+    async def run():
         relay = AcceptingRelay()
         server = HttpServer(asyncio.get_running_loop(), relay)
         server.limits.max_connections = max_connections
-        at = await server.open("127.0.0.1", 0)
+        address = await server.open("127.0.0.1", 0)
         clients = []
 
         async def connect():
-            clients.append(Client(at, server))
+            clients.append(Client(address, server))
             return await clients[-1].wait_until_accepted(len(clients))
 
         try:
-            await asyncio.wait_for(scene(server, relay, connect), 30.0)
+            await asyncio.wait_for(scenario(server, relay, connect), 30.0)
         finally:
             for client in clients:
                 client.socket.close()
             server.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-async def answered_connection(connect, ident=b"a"):
-    """A connection that was answered and is idle."""
-    one = await connect()
-    one.write(HEAD % ident)
-    await until(lambda: one.server_side.has_sent_request)
-    assert b" 202 " in await asyncio.to_thread(one.socket.recv, 65536)
-    return one
+async def connect_idle_client(connect, message_id=b"a"):
+    """Return a client that has received a response and whose connection is idle."""
+    client = await connect()
+    client.write(REQUEST % message_id)
+    await until(lambda: client.server_side.has_sent_request)
+    assert b" 202 " in await asyncio.to_thread(client.socket.recv, 65536)
+    return client
 
 
 def test_small_writes_are_not_delayed_on_either_side():
-    async def scene(server, relay, connect):
-        one = await connect()
+    async def scenario(server, relay, connect):
+        client = await connect()
         loop = asyncio.get_running_loop()
-        _, connection = await loop.create_connection(lambda: Connection(65536), *one.socket.getpeername())
-        for transport in (one.server_side.transport, connection.transport):
-            held = transport.get_extra_info("socket")
-            assert held.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        _, connection = await loop.create_connection(lambda: Connection(65536), *client.socket.getpeername())
+        for transport in (client.server_side.transport, connection.transport):
+            tcp_socket = transport.get_extra_info("socket")
+            assert tcp_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         connection.transport.abort()
 
-    play_at_server(scene)
+    run_with_server(scenario)
 
 
-def test_a_request_that_arrives_as_a_stop_ends_idle_connections_is_answered():
-    async def scene(server, relay, connect):
-        one, other = await answered_connection(connect), await answered_connection(connect, b"b")
-        one.write(HEAD % b"crosses")  # it waits unread
+def test_request_that_arrives_while_a_stop_closes_idle_connections_is_answered():
+    async def scenario(server, relay, connect):
+        client, other_client = await connect_idle_client(connect), await connect_idle_client(connect, b"b")
+        client.write(REQUEST % b"crosses")  # stays unread until after the stop
         relay.is_draining = True
         server.stop()
-        answer = await one.read()
-        assert answer.startswith(b"HTTP/1.1 503") and b"Connection: close" in answer
-        assert await other.read() == b""
+        response = await client.read()
+        assert response.startswith(b"HTTP/1.1 503") and b"Connection: close" in response
+        assert await other_client.read() == b""
         assert relay.accepted == [b"a", b"b"]
 
-    play_at_server(scene)
+    run_with_server(scenario)
 
 
-def test_a_request_that_arrives_as_idle_connections_make_room_is_answered():
-    async def scene(server, relay, connect):
+def test_request_that_arrives_during_eviction_of_idle_connections_is_answered():
+    async def scenario(server, relay, connect):
         server.limits.min_idle_seconds = 0.0
-        one, other = await answered_connection(connect), await answered_connection(connect, b"b")
-        one.write(HEAD % b"crosses")
-        assert server.connections.make_room(2) is False and one.server_side in server.clients
-        assert b" 202 " in await asyncio.to_thread(one.socket.recv, 65536)
-        assert await other.read() == b"" and relay.accepted == [b"a", b"b", b"crosses"]
+        client, other_client = await connect_idle_client(connect), await connect_idle_client(connect, b"b")
+        client.write(REQUEST % b"crosses")
+        assert server.connections.evict(2) is False and client.server_side in server.clients
+        assert b" 202 " in await asyncio.to_thread(client.socket.recv, 65536)
+        assert await other_client.read() == b"" and relay.accepted == [b"a", b"b", b"crosses"]
 
-    play_at_server(scene)
+    run_with_server(scenario)
 
 
-def test_a_first_request_that_arrives_as_silent_connections_make_room_is_answered(monkeypatch):
-    async def scene(server, relay, connect):
-        one = await connect()
-        one.write(HEAD % b"late")  # it waits unread
+def test_first_request_that_arrives_during_eviction_of_silent_connections_is_answered(monkeypatch):
+    async def scenario(server, relay, connect):
+        client = await connect()
+        client.write(REQUEST % b"late")  # stays unread until after the eviction
         server.limits.max_connections = 0
-        monkeypatch.setattr(connection_table, "SILENT_SECONDS", 0.0)
-        server.connections.make_room(1)
-        assert b" 202 " in await one.read() and relay.accepted == [b"late"]
-
-    play_at_server(scene)
-
-
-def test_what_follows_the_last_response_neither_resets_it_nor_is_accepted():
-    async def scene(server, relay, connect):
-        one = await answered_connection(connect)
-        server.drain()  # each connection ends with its next answer
-        relay.on_accept = lambda: one.write(HEAD % b"behind")
-        one.write(HEAD % b"last")
-        answer = await one.read()
-        assert answer.startswith(b"HTTP/1.1 202") and answer.count(b"HTTP/1.1") == 1
-        one.socket.sendall(HEAD % b"after")  # its end was seen, and it writes nevertheless
-        one.socket.close()
+        monkeypatch.setattr(connection_table, "MIN_SILENT_SECONDS", 0.0)
+        server.connections.evict(1)
+        assert b" 202 " in await client.read() and relay.accepted == [b"late"]
+
+    run_with_server(scenario)
+
+
+def test_bytes_after_the_last_request_neither_reset_the_connection_nor_are_accepted():
+    async def scenario(server, relay, connect):
+        client = await connect_idle_client(connect)
+        server.drain()  # closes each connection after its next response
+        relay.on_accept = lambda: client.write(REQUEST % b"behind")
+        client.write(REQUEST % b"last")
+        response = await client.read()
+        assert response.startswith(b"HTTP/1.1 202") and response.count(b"HTTP/1.1") == 1
+        client.socket.sendall(REQUEST % b"after")  # the client writes although the server has closed its side
+        client.socket.close()
         await until(lambda: not server.clients)
         assert relay.accepted == [b"a", b"last"] and not server.connections.lingering
 
-    play_at_server(scene)
+    run_with_server(scenario)
 
 
-def test_a_lingering_close_is_bounded_where_the_client_never_ends_its_side():
-    async def scene(server, relay, connect):
-        one = await answered_connection(connect)
+def test_lingering_close_ends_if_the_client_never_closes_its_side():
+    async def scenario(server, relay, connect):
+        client = await connect_idle_client(connect)
         server.drain()
-        one.write(HEAD % b"last")
-        await until(lambda: one.server_side.is_closing)
-        assert one.server_side in server.connections.lingering
-        await until(lambda: not server.clients)  # its own end never comes
-        assert not server.connections.lingering and b" 202 " in await one.read()
+        client.write(REQUEST % b"last")
+        await until(lambda: client.server_side.is_closing)
+        assert client.server_side in server.connections.lingering
+        await until(lambda: not server.clients)  # the client does not close its side
+        assert not server.connections.lingering and b" 202 " in await client.read()
 
-    play_at_server(scene)
+    run_with_server(scenario)
 
 
-def test_lingering_connections_give_way_to_new_ones(monkeypatch):
+def test_lingering_connections_are_closed_in_favour_of_new_ones(monkeypatch):
     monkeypatch.setattr(connection_table, "LINGER_SECONDS", 20.0)
 
-    async def scene(server, relay, connect):
-        one, other = await answered_connection(connect), await answered_connection(connect, b"b")
-        for at in (one, other):
-            at.server_side.end()
+    async def scenario(server, relay, connect):
+        client, other_client = await connect_idle_client(connect), await connect_idle_client(connect, b"b")
+        for closing in (client, other_client):
+            closing.server_side.close_gracefully()
         assert len(server.connections.lingering) == 2
-        third = socket.create_connection(one.socket.getpeername())
-        await until(lambda: one.server_side not in server.clients)
-        assert other.server_side in server.connections.lingering and len(server.clients) == 2
-        third.sendall(HEAD % b"c")
-        assert b" 202 " in await asyncio.to_thread(third.recv, 65536)
-        third.close()
+        new_socket = socket.create_connection(client.socket.getpeername())
+        await until(lambda: client.server_side not in server.clients)
+        assert other_client.server_side in server.connections.lingering and len(server.clients) == 2
+        new_socket.sendall(REQUEST % b"c")
+        assert b" 202 " in await asyncio.to_thread(new_socket.recv, 65536)
+        new_socket.close()
 
-    play_at_server(scene, max_connections=2)
+    run_with_server(scenario, max_connections=2)
 
 
-def test_a_connection_that_only_the_kernel_has_accepted_is_answered_before_a_stop_ends():
+def test_connection_in_the_accept_queue_is_answered_before_a_stop_ends():
     class Notices:
-        """A connection comes as the stop looks whether all is done."""
+        """Opens a connection with a request when the stop checks whether it is complete."""
 
-        at = caller = None
+        address = client_socket = None
 
         @property
         def unacknowledged(self):
-            if not self.caller:
-                self.caller = socket.create_connection(self.at)
-                self.caller.sendall(HEAD % b"a")
+            if not self.client_socket:
+                self.client_socket = socket.create_connection(self.address)
+                self.client_socket.sendall(REQUEST % b"a")
             return {}
 
-    async def scene(server, relay, connect):
+    async def scenario(server, relay, connect):
         notices = Notices()
-        notices.at = server.listener.getsockname()
+        notices.address = server.listener.getsockname()
         relay.attempts_in_flight, deployment = (
             0,
             SimpleNamespace(
@@ -216,33 +216,33 @@
         )
         await stop_gracefully(relay, server, notices, deployment)
         assert not server.has_queued_connections()
-        assert b" 503 " in await asyncio.to_thread(notices.caller.recv, 65536)
-        notices.caller.close()
+        assert b" 503 " in await asyncio.to_thread(notices.client_socket.recv, 65536)
+        notices.client_socket.close()
 
-    play_at_server(scene)
+    run_with_server(scenario)
 
 
 @pytest.mark.parametrize("twice", [False, True])
-def test_what_queued_up_while_the_sender_was_suspended_is_answered_by_a_stop(tmp_path, twice):
-    async def scene(outside, sender):
+def test_requests_queued_while_the_sender_was_suspended_are_answered_during_a_stop(tmp_path, twice):
+    async def scenario(outside, sender):
         sender.told["stop"] = {"sends_ms": 100.0, "ends_ms": 10000.0}
         await sender.start()
         idle = await sender.connect()
         await sender.hand_in("a", connection=idle)
-        half, request = await sender.connect(), HEAD % b"c"
-        half[1].write(request[:40])
+        partial, request = await sender.connect(), REQUEST % b"c"
+        partial[1].write(request[:40])
         await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n")
         sender.process.send_signal(signal.SIGSTOP)
-        idle[1].write(HEAD % b"b")
-        half[1].write(request[40:])
-        new = [await sender.connect() for _ in range(20)]  # accepted by the kernel alone
-        for at, one in enumerate(new):
-            one[1].write(HEAD % b"n%d" % at)
+        idle[1].write(REQUEST % b"b")
+        partial[1].write(request[40:])
+        new = [await sender.connect() for _ in range(20)]  # accepted by the kernel only
+        for number, connection in enumerate(new):
+            connection[1].write(REQUEST % b"n%d" % number)
         silent = await sender.connect()
         for _ in range(2 if twice else 1):
             sender.process.send_signal(signal.SIGTERM)
         sender.process.send_signal(signal.SIGCONT)
-        for reader, writer in (idle, half, *new):
+        for reader, writer in (idle, partial, *new):
             message = await asyncio.wait_for(read_message(reader), 10.0)
             assert int(message[0].split()[1]) in (202, 503)
             assert await asyncio.wait_for(reader.read(), 10.0) == b""
@@ -250,4 +250,4 @@
         silent[1].close()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
 
-    play(tmp_path, scene, start=False)
+    play(tmp_path, scenario, start=False)
--- a/tests/net/test_http_parser.py
+++ b/tests/net/test_http_parser.py
@@ -1,4 +1,4 @@
-"""The HTTP parser, fed in any pieces, and the responses that the server formats."""
+"""The HTTP parser, fed input in arbitrary fragments, and the responses that the server formats."""
 
 import random
 
@@ -10,7 +10,7 @@
 
 
 def random_requests(rng):
-    """The bytes of some requests, and their bodies."""
+    """Return the bytes of one to four requests, and their bodies."""
     raw, bodies = b"", []
     for _ in range(rng.randrange(1, 5)):
         body = rng.randbytes(rng.choice((0, 1, 10, 5000)))
@@ -20,28 +20,28 @@
             continue
         raw += b"\r\nPOST /api HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"
         while body:
-            size = rng.randint(1, len(body))
-            raw, body = raw + b"%X;note=1\r\n" % size + body[:size] + b"\r\n", body[size:]
+            fragment_size = rng.randint(1, len(body))
+            raw, body = raw + b"%X;note=1\r\n" % fragment_size + body[:fragment_size] + b"\r\n", body[fragment_size:]
         raw += b"0\r\n" + b"Trailer: x\r\n" * rng.randrange(2) + b"\r\n"
     return raw, bodies
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_requests_in_pieces_of_any_size_are_parsed_alike(seed):
+def test_requests_in_fragments_of_any_size_are_parsed_equally(seed):
     rng = random.Random(seed)
     raw, bodies = random_requests(rng)
     parser, parsed_bodies = RequestParser(), []
     while raw:
-        size = rng.choice((1, 2, 7, 1000))
-        parser.feed(raw[:size])
-        raw = raw[size:]
+        fragment_size = rng.choice((1, 2, 7, 1000))
+        parser.feed(raw[:fragment_size])
+        raw = raw[fragment_size:]
         while request := parser.next_message():
             parsed_bodies.append(request.body)
     assert parsed_bodies == bodies and not parser.has_unparsed_bytes
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_noise_is_rejected_or_buffered_within_bounds(seed):
+def test_corrupted_requests_are_rejected_or_buffered_within_limits(seed):
     rng = random.Random(seed)
     raw = bytearray(random_requests(rng)[0])
     for _ in range(rng.randrange(1, 20)):
@@ -49,8 +49,8 @@
     parser_type = ResponseParser if rng.random() < 0.3 else RequestParser
     parser = parser_type(max_body_bytes=8000)
     try:
-        for at in range(0, len(raw), 100):
-            parser.feed(raw[at : at + 100])
+        for offset in range(0, len(raw), 100):
+            parser.feed(raw[offset : offset + 100])
             while parser.next_message():
                 pass
             assert len(parser._buffer) < 8000 + 16384 + 100
@@ -58,7 +58,7 @@
         assert 400 <= error.status < 600
 
 
-def test_the_header_section_of_a_response_decides_where_its_body_ends():
+def test_header_section_of_a_response_determines_the_end_of_its_body():
     parser = ResponseParser()
     parser.feed(
         b"HTTP/1.1 100 Continue\r\n\r\n" + format_response(200, body=b"abc") + b"HTTP/1.1 204 No Content\r\n\r\n"
