--- a/dewpin/net/connection.py
+++ b/dewpin/net/connection.py
@@ -1,4 +1,4 @@
-"""A connection that we open: it carries one exchange, a request and its response, at a time."""
+"""An outgoing connection, which carries one exchange (a request and its response) at a time."""
 
 import asyncio
 import select
@@ -12,16 +12,16 @@
 from .http_protocol import HttpProtocol
 from .sockets import has_pending_event
 
-EARLY_RESPONSE_TIMEOUT_SECONDS = 0.25  # for a response that begins before the request has left whole
+EARLY_RESPONSE_TIMEOUT_SECONDS = 0.25  # for a response that begins before the request is sent completely
 
 
 class ExchangeResult(Enum):
     """How an exchange ended."""
 
-    RESPONSE = "response"  # a complete response arrived
-    NOT_SENT_WHOLE = "not sent whole"  # the connection ended while part of the request had not left
-    CONNECTION_LOST = "connection lost"  # it ended after that
-    MALFORMED = "malformed"  # what arrived is no response, or did not become complete in time
+    RESPONSE = "response"  # a complete response was received
+    NOT_FULLY_SENT = "not fully sent"  # the connection was closed before the whole request was sent
+    CONNECTION_LOST = "connection lost"  # the connection was closed after that
+    MALFORMED = "malformed"  # the received bytes are not a response, or it was not complete in time
 
 
 OnResult = Callable[[ExchangeResult, Response | None], None]
@@ -31,17 +31,17 @@
     """A connection to a receiver or to the platform's agent.
 
     Attributes:
-        is_closed: it has ended, on either side.
-        has_unsent_bytes: part of the request has not left yet.
-        idle_until: the loop's time until which the pool may keep it idle.
+        is_closed: whether either side has closed the connection.
+        has_unsent_bytes: whether part of the request is not sent yet.
+        idle_until: loop time until which the pool may keep the connection idle.
     """
 
     def __init__(self, max_body_bytes: int, response_timeout_seconds: float | None = None) -> None:
-        """Make a connection.
+        """Create the protocol of a connection.
 
         Args:
-            max_body_bytes: the longest body of a response.
-            response_timeout_seconds: for a response that has begun to become complete; None for no bound.
+            max_body_bytes: maximum size of a response body.
+            response_timeout_seconds: time from the first byte of a response until it is complete; None for no limit.
         """
         super().__init__(ResponseParser(max_body_bytes))
         self.is_closed = False
@@ -54,10 +54,10 @@
         self._response_timeout_seconds = response_timeout_seconds
         self._response_timer: asyncio.TimerHandle | None = None
 
-    # -- an exchange --------------------------------------------------------------------------------------------------
+    # -- exchange -----------------------------------------------------------------------------------------------------
 
     def send(self, request: bytes, on_result: OnResult) -> None:
-        """Send a request; `on_result` is called once with what came of it, unless the exchange is abandoned."""
+        """Send a request; `on_result` is called once with the result, unless the exchange is abandoned."""
         self._on_result = on_result
         self.transport.write(request)
 
@@ -67,37 +67,37 @@
         on_result: OnResult,
         on_sent: Callable[[], None],
         hold_seconds: float,
-        must_leave_before: float,
+        send_deadline: float,
     ) -> None:
-        """Send a request, its last byte a moment later.
+        """Send a request, with its last byte after a short delay.
 
-        A connection may be reset or closed just as the request arrives. As long as the last byte has not left, that
-        proves that the request was not executed, which a message that must not be executed twice depends on.
+        The receiver may reset or close the connection just as the request arrives. If the last byte is not sent yet,
+        this proves that the request was not executed, which matters for messages that must not be executed twice.
 
         Args:
             request: the bytes of the request.
-            on_result: called once with what came of it, unless the exchange is abandoned.
-            on_sent: called when the request has left whole.
-            hold_seconds: how long the last byte is held back.
-            must_leave_before: the loop's time from which on the last byte may not leave; the connection closes then.
+            on_result: called once with the result, unless the exchange is abandoned.
+            on_sent: called when the whole request is sent.
+            hold_seconds: delay of the last byte.
+            send_deadline: loop time from which the last byte must not be sent; the connection is closed instead.
         """
         self._on_result = on_result
         self._on_sent = on_sent
         self.has_unsent_bytes = True
         self.transport.write(request[:-1])
         self._last_byte_timer = asyncio.get_running_loop().call_later(
-            hold_seconds, self._send_last_byte, request[-1:], must_leave_before
+            hold_seconds, self._send_last_byte, request[-1:], send_deadline
         )
 
-    def _send_last_byte(self, last_byte: bytes, must_leave_before: float) -> None:
+    def _send_last_byte(self, last_byte: bytes, send_deadline: float) -> None:
         loop = asyncio.get_running_loop()
         self._last_byte_timer = None
         if self.has_pending_input() or self.parser.has_partial_message:
-            # Read all of it first: an end proves that nothing was executed, and so does a rejection, which may say
-            # how long to wait.
+            # Read the pending input first: the end of the connection or a rejection, which may contain a retry-after,
+            # proves that the request was not executed.
             self._last_byte_timer = loop.call_later(EARLY_RESPONSE_TIMEOUT_SECONDS, self.close)
             return
-        if loop.time() >= must_leave_before:
+        if loop.time() >= send_deadline:
             self.close()
             return
         self.has_unsent_bytes = self.transport.get_write_buffer_size() > 0
@@ -111,7 +111,7 @@
             self._on_sent = None
 
     def abandon_exchange(self) -> None:
-        """Have the result of the exchange reported to nobody."""
+        """Discard the result of the exchange: `on_result` is not called."""
         self._on_result = None
 
     def _finish_exchange(self, result: ExchangeResult, response: Response | None) -> None:
@@ -123,42 +123,42 @@
         on_result(result, response)
 
     def has_pending_input(self) -> bool:
-        """Return whether something waits to be read: where no response is due yet, most likely the connection's end.
+        """Return whether unread input is pending: most likely the end of the connection if no response is expected.
 
-        Without this look a request would be written to a connection that has ended already, which counts as a reset
-        and so ends a message that must not be executed twice; and a time-out would overtake a response.
+        Without this check a request could be written to a connection that is already closed, which would count as a
+        reset and end a message that must not be executed twice; and a time-out could overtake a response.
         """
         return has_pending_event(self.transport.get_extra_info("socket"), select.POLLIN)
 
     # -- idle in the pool ---------------------------------------------------------------------------------------------
 
     def set_idle(self, until: float, on_closed: "Callable[[Connection], None]") -> None:
-        """Keep it idle until this time of the loop; `on_closed` is called if it ends meanwhile."""
+        """Mark the connection as idle until this loop time; `on_closed` is called if it is closed while idle."""
         self._on_idle_closed = on_closed
         self.idle_until = until
 
     def set_in_use(self) -> None:
-        """End the idle time."""
+        """Mark the connection as in use."""
         self._on_idle_closed = None
 
     # -- asyncio's protocol -------------------------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Part of asyncio's protocol. Without a buffer `pause_writing` reports any byte that does not leave at once."""
+        """Implement asyncio's protocol. With limit 0, `pause_writing` is called if any byte is not sent at once."""
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Part of asyncio's protocol."""
+        """Implement asyncio's protocol: part of the request is still buffered."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Part of asyncio's protocol."""
+        """Implement asyncio's protocol: the buffer is empty, so only a delayed last byte can be unsent."""
         self.has_unsent_bytes = self._last_byte_timer is not None
         self._report_sent()
 
     def bytes_received(self) -> None:
-        """Report a complete response, or bound the time of one that has begun."""
+        """Report a complete response, or start the time-out of a partial one."""
         try:
             response = self.parser.next_message() if self._on_result else None
         except MalformedMessageError as error:
@@ -168,41 +168,41 @@
         if response:
             self._finish_exchange(ExchangeResult.RESPONSE, response)
         elif not self._on_result:
-            self.close()  # nothing was requested
+            self.close()  # the bytes are not the response to any request
         elif self._response_timeout_seconds:
             self._update_response_timer(self._response_timeout_seconds)
 
     def _update_response_timer(self, timeout_seconds: float) -> None:
-        """Bound the time of a response that has begun: one that never ends would hold a slot until the time-out."""
+        """Limit the time of a partial response; if it never ended, it would occupy a call slot until the time-out."""
         has_begun = self.parser.has_partial_message
         if has_begun and self._response_timer is None:
             self._response_timer = asyncio.get_running_loop().call_later(timeout_seconds, self._fail_malformed)
-        elif self._response_timer and not has_begun:  # it was an interim one; the response itself has not begun
+        elif self._response_timer and not has_begun:  # it was an interim response; the final one has not begun
             self._response_timer.cancel()
             self._response_timer = None
 
     def eof_received(self) -> None:
-        """Part of asyncio's protocol. The end completes a response without a length."""
+        """Implement asyncio's protocol: the end of the stream completes a response without a length."""
         response = self.parser.end_of_input() if self._on_result else None
         if response:
             self._finish_exchange(ExchangeResult.RESPONSE, response)
         self.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Part of asyncio's protocol."""
+        """Implement asyncio's protocol: report an unfinished exchange."""
         self.close()
 
-    # -- its end ------------------------------------------------------------------------------------------------------
+    # -- closing ------------------------------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """End it now; what is unread or has not left is dropped."""
+        """Close the connection immediately; unread and unsent bytes are dropped."""
         if self.is_closed:
             return
         self.is_closed = True
         if self._last_byte_timer:
             self._last_byte_timer.cancel()
         if self._on_result:
-            result = ExchangeResult.NOT_SENT_WHOLE if self.has_unsent_bytes else ExchangeResult.CONNECTION_LOST
+            result = ExchangeResult.NOT_FULLY_SENT if self.has_unsent_bytes else ExchangeResult.CONNECTION_LOST
             self._finish_exchange(result, None)
         elif self._on_idle_closed:
             self._on_idle_closed(self)
--- a/dewpin/net/endpoint_list.py
+++ b/dewpin/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The agent's JSON of the endpoint list, translated to the code's names."""
+"""Parser of the endpoint list in the agent's JSON format."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def parse_endpoints(members: Iterable[dict[str, Any]]) -> list[EndpointEntry]:
-    """Return the entries of a list's members; those that are invalid are logged and left out."""
+    """Return the entries of a list's members; invalid members are logged and skipped."""
     entries = []
     for member in members:
         try:
--- a/dewpin/net/endpoint_watch.py
+++ b/dewpin/net/endpoint_watch.py
@@ -1,7 +1,7 @@
-"""The watch on the platform agent's endpoint list.
+"""Watch of the endpoint list at the platform's agent.
 
-It repeats its request by itself until it is answered. After a failed exchange it requests the whole list; while
-discovery rejects it, or nobody answers, the last list stays in force.
+Requests are retried until they are answered. After a failed exchange the complete list is requested; while discovery
+rejects requests, or the agent does not respond, the last list remains in use.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 from .watch_schedule import RESPONSE_TIMEOUT_SECONDS, WATCH_SECONDS, WatchSchedule
 
 OnUpdate = Callable[[list[EndpointEntry], bool, int], None]
-"""Called with: entries, whether they are the whole list, its revision."""
+"""Called with the entries, whether they are the complete list, and its revision."""
 
 
 class EndpointWatch:
-    """Watches the list and reports its updates.
+    """Watches the endpoint list and reports its updates.
 
     Attributes:
-        revision: of the list that is known; None for none.
+        revision: revision of the known list; None if no list is known.
     """
 
     def __init__(
@@ -35,32 +35,32 @@
         schedule: WatchSchedule,
         is_first_process: bool = False,
     ) -> None:
-        """Start to watch.
+        """Start the watch.
 
         Args:
-            address: of the agent.
-            revision: of the list that is known; None for none, the whole list is requested then.
+            address: address of the agent.
+            revision: revision of the known list; with None the complete list is requested.
             on_update: called with each update.
-            schedule: the pauses between requests.
-            is_first_process: no process before this one can know an update.
+            schedule: pauses before requests.
+            is_first_process: whether no earlier process can have received an update.
         """
         self.revision = revision
         self._on_update = on_update
         self._schedule = schedule
         self._is_first_process = is_first_process
-        self._may_be_renumbered = revision is not None  # whether the agent still counts on from there is not known
+        self._may_be_renumbered = revision is not None  # the agent may have restarted its numbering since
         self._connection = AgentConnection(self._run)
         self._connection.move(address)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watch at this address: another agent may number its lists differently, so its whole list comes first."""
+        """Watch at this address, beginning with a complete list, as another agent may number its lists differently."""
         self.revision = None
         self._may_be_renumbered = False
         self._is_first_process = False
         self._connection.move(address)
 
     def stop(self) -> None:
-        """End the watch."""
+        """Stop the watch."""
         self._connection.stop()
 
     async def _run(self) -> None:
@@ -72,7 +72,7 @@
             if response is not None and response.status == 503:
                 await asyncio.sleep(self._schedule.rejected_pause_seconds())
                 continue
-            needs_whole_list = not self._take_response(response)
+            needs_whole_list = not self._handle_response(response)
             if needs_whole_list:
                 await asyncio.sleep(self._schedule.retry_pause_seconds())
             else:
@@ -85,21 +85,21 @@
             query = b"?index=%d&wait=%d" % (self.revision, WATCH_SECONDS * 1000.0)
         return b"GET /api/targets%s HTTP/1.1\r\nHost: %s\r\n\r\n" % (query, self._connection.host_field)
 
-    def _take_response(self, response: Response | None) -> bool:
-        """Report a response's update, if it has one; return whether the watch can go on from it."""
+    def _handle_response(self, response: Response | None) -> bool:
+        """Report the update in a response, if any; return whether the watch can continue from its revision."""
         if response is None or response.status != 200:
             return False
         try:
-            return self._take_update(response.body)
+            return self._apply_update(response.body)
         except Exception as error:
             log_event(events.WATCH_FAILED, why=f"{type(error).__name__}: {error}")
             return False
 
-    def _take_update(self, body: bytes) -> bool:
+    def _apply_update(self, body: bytes) -> bool:
         update = msgspec.json.decode(body)
         revision, is_complete = int(update["revision"]), bool(update["complete"])
         if self._may_be_renumbered and self.revision is not None and revision < self.revision:
-            self.revision = None  # the cached list is from an agent that numbers differently
+            self.revision = None  # the cached list has the numbering of another agent
         self._may_be_renumbered = False
         if self.revision is None and not is_complete:
             return False
--- a/dewpin/net/notice_publisher.py
+++ b/dewpin/net/notice_publisher.py
@@ -1,6 +1,6 @@
-"""Notices to the platform's agent: of messages that were given up, so that their clients hear of it.
+"""Publisher of notices to the platform's agent about messages that were given up, for the messages' clients.
 
-A notice is sent again until the agent acknowledges it, also to another address if the agent moves.
+A notice is sent repeatedly until the agent acknowledges it, at its new address if the agent moves.
 """
 
 import asyncio
@@ -13,54 +13,55 @@
 from ..log import events, log_event, log_internal_error
 from .agent_connection import AgentConnection
 
-# For a notice's connection, and as long for its response, which comes at once: the platform waits 0.3 s beyond a
-# message's lifetime for it. Each retry allows twice as much, up to the maximum.
+# Time-outs for connecting to the agent and, separately, for its response, which it sends without delay. The platform
+# waits for a notice until 0.3 s after the end of a message's lifetime. The time-out doubles with each retry, up to the
+# maximum.
 MIN_TIMEOUT_SECONDS = 0.12
 MAX_TIMEOUT_SECONDS = 1.0
-RETRY_PAUSE_FACTORS = (0.125, 0.375)  # of the time-out: between these a retry's pause is drawn
+RETRY_PAUSE_FACTORS = (0.125, 0.375)  # range of the random pause before a retry, as factors of the time-out
 MAX_BATCH = 100  # notices in one request
-MAX_LOGGED_BYTES = 200
+MAX_SAMPLE_BYTES = 200
 
 
 class _PendingNotice(NamedTuple):
-    """A notice without an acknowledgement: its line in a request, and what to call behind it."""
+    """An unacknowledged notice: its line in a request, and the callback for its acknowledgement."""
 
     line: bytes
     on_acknowledged: Callable[[], None]
 
 
 class AgentNoticePublisher:
-    """Sends notices, in the order in which they came.
+    """Sends notices in the order in which they were published.
 
     Attributes:
-        unacknowledged: the notices without an acknowledgement, by their number.
+        unacknowledged: the unacknowledged notices by their sequence number.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.unacknowledged: dict[int, _PendingNotice] = {}
-        self._count = 0
+        self._last_number = 0
         self._has_notices = asyncio.Event()
         self._max_batch = MAX_BATCH
         self._connection = AgentConnection(self._run)
         self.move(address)
 
     def move(self, address: tuple[str, int]) -> None:
-        """Send to the agent at this address, pending notices too."""
+        """Send all notices, including pending ones, to the agent at this address."""
         self._connection.move(address)
 
     def stop(self) -> None:
-        """Send nothing any more."""
+        """Stop sending."""
         self._connection.stop()
 
     def publish(
         self, message_id: bytes, is_deferred: bool, retry_after_ms: float, on_acknowledged: Callable[[], None]
     ) -> None:
-        """Send a notice that a message is given up until it is acknowledged, then call `on_acknowledged`.
+        """Send a notice that a message was given up until it is acknowledged, then call `on_acknowledged`.
 
         Args:
             message_id: the message's id.
-            is_deferred: the client may safely submit the message again.
-            retry_after_ms: when, counted from now; 0 for no advice.
+            is_deferred: whether the client can safely submit the message again.
+            retry_after_ms: recommended delay before that; 0 if not specified.
             on_acknowledged: called once.
         """
         notice: dict[str, Any] = {
@@ -69,8 +70,8 @@
         }
         if is_deferred and retry_after_ms > 0.0:
             notice["retry_in_ms"] = round(retry_after_ms, 3)
-        self._count += 1
-        self.unacknowledged[self._count] = _PendingNotice(msgspec.json.encode(notice), on_acknowledged)
+        self._last_number += 1
+        self.unacknowledged[self._last_number] = _PendingNotice(msgspec.json.encode(notice), on_acknowledged)
         self._has_notices.set()
 
     async def _run(self) -> None:
@@ -88,19 +89,19 @@
                 timeout_seconds = min(2.0 * timeout_seconds, MAX_TIMEOUT_SECONDS)
 
     async def _send_batch(self, timeout_seconds: float) -> bool:
-        """Send the oldest notices; return whether the agent answered them, with success or with 400 (invalid)."""
+        """Send the oldest notices; return whether the agent responded with success or with 400 (invalid)."""
         numbers = list(self.unacknowledged)[: self._max_batch]
         body = b"".join(self.unacknowledged[number].line + b"\n" for number in numbers)
         response = await self._connection.exchange(self._format_request(body), timeout_seconds, timeout_seconds)
         status = response.status if response else 0
         is_invalid = status == 400
         if is_invalid:
-            log_event(events.NOTICE_REJECTED, sample=body[:MAX_LOGGED_BYTES])
+            log_event(events.NOTICE_REJECTED, sample=body[:MAX_SAMPLE_BYTES])
         if 200 <= status < 300 or (is_invalid and len(numbers) == 1):
             for number in numbers:
-                _call_acknowledged(self.unacknowledged.pop(number))
+                _notify_acknowledged(self.unacknowledged.pop(number))
         elif is_invalid:
-            self._max_batch = 1  # one of them is invalid: each by itself until all are acknowledged
+            self._max_batch = 1  # one of them is invalid: send them one by one until all are acknowledged
         else:
             return False
         return True
@@ -113,8 +114,8 @@
         )
 
 
-def _call_acknowledged(notice: _PendingNotice) -> None:
+def _notify_acknowledged(notice: _PendingNotice) -> None:
     try:
         notice.on_acknowledged()
-    except Exception:  # a fault with one message must not keep the others' notices back
+    except Exception:  # an error with one message must not block the notices of others
         log_internal_error("notices")
--- a/dewpin/net/receiver_messages.py
+++ b/dewpin/net/receiver_messages.py
@@ -1,4 +1,4 @@
-"""What travels between a sender and a receiver in one call: the request's bytes, and the meaning of a response."""
+"""The messages of a call to a receiver: formatting of requests and interpretation of responses."""
 
 import re
 from typing import NamedTuple
@@ -19,12 +19,12 @@
 NUMBER = re.compile(rb"[0-9.eE+-]{1,32}")
 
 
-class ResponseFacts(NamedTuple):
-    """What a response says.
+class ResponseDetails(NamedTuple):
+    """The content of a response.
 
     Attributes:
-        outcome: the attempt's outcome.
-        retry_after_ms: how long the receiver asks to wait; 0 for no wait.
+        outcome: outcome of the attempt.
+        retry_after_ms: wait that the receiver requested; 0 if none.
         load_report: the receiver's load figures by name.
     """
 
@@ -34,7 +34,7 @@
 
 
 def format_call(attempt: AttemptRequest) -> bytes:
-    """Return the bytes of a call; the body goes on as it came."""
+    """Return the bytes of a call's request; the body is passed on unmodified."""
     host, port = attempt.address[:2]
     idempotency_key = attempt.idempotency_key
     key_field = b"Idempotency-Key: %s\r\n" % idempotency_key if idempotency_key else b""
@@ -50,21 +50,21 @@
 
 
 def outcome_of_status(status: int) -> str:
-    """Return the outcome that a response with this status stands for."""
+    """Return the outcome that corresponds to this response status."""
     return OUTCOMES_BY_STATUS.get(status, Outcome.ERROR)
 
 
-def read_response(outcome: str, response: Response | None) -> ResponseFacts:
-    """Return what a response says; `outcome` is what its status stands for, or what came about without a response."""
+def read_response(outcome: str, response: Response | None) -> ResponseDetails:
+    """Return the content of a response; `outcome` corresponds to its status, or to the failure without a response."""
     if response is None:
-        return ResponseFacts(outcome, 0.0, {})
+        return ResponseDetails(outcome, 0.0, {})
     retry_after_ms = 0.0
     if outcome == Outcome.REJECTED:
         if response.fields.get(b"x-line-busy") == b"1":
             outcome = Outcome.NOT_SENT
         else:
             retry_after_ms = 1000.0 * _parse_number(response.fields.get(b"retry-after", b"0"))
-    return ResponseFacts(outcome, retry_after_ms, _parse_load_report(response.fields.get(b"srv-load", b"")))
+    return ResponseDetails(outcome, retry_after_ms, _parse_load_report(response.fields.get(b"srv-load", b"")))
 
 
 def _parse_load_report(field: bytes) -> dict[str, float]:
@@ -77,7 +77,7 @@
 
 
 def _parse_number(text: bytes) -> float:
-    """Return a number of 0 or more, or 0 where the text is none."""
+    """Return the number in a text, or 0 if it is invalid, negative or too large."""
     try:
         value = float(text)
     except ValueError:
--- a/dewpin/net/watch_schedule.py
+++ b/dewpin/net/watch_schedule.py
@@ -1,35 +1,35 @@
-"""When a sender requests the endpoint list: time-outs, and pauses that spread the requests of many senders."""
+"""The times of a sender's requests for the endpoint list: time-outs, and pauses that spread many senders' requests."""
 
 import random
 
-# All times of the watch are parts of this one; docs/rare-moments.md adds them up.
-MAX_STALENESS_SECONDS = 6.0  # after which an update counts as known, whatever became of the requests for it
-WATCH_SECONDS = MAX_STALENESS_SECONDS / 4.0  # that the agent holds a watch open for an update
-RESPONSE_TIMEOUT_SECONDS = MAX_STALENESS_SECONDS / 6.0  # beyond a watch's time, and where there is nothing to wait for
+# All times of the watch are fractions of this one; docs/rare-moments.md adds them up.
+MAX_STALENESS_SECONDS = 6.0  # time after which a sender is assumed to know an update, even if its requests failed
+WATCH_SECONDS = MAX_STALENESS_SECONDS / 4.0  # time for which the agent keeps a watch request open
+RESPONSE_TIMEOUT_SECONDS = MAX_STALENESS_SECONDS / 6.0  # after the watch time, or for a request that does not watch
 CONNECT_TIMEOUT_SECONDS = MAX_STALENESS_SECONDS / 6.0
 MAX_RETRY_PAUSE_SECONDS = MAX_STALENESS_SECONDS / 6.0  # after a failed exchange
-MAX_REJECTED_PAUSE_SECONDS = MAX_STALENESS_SECONDS / 2.0  # after one that discovery rejected
+MAX_REJECTED_PAUSE_SECONDS = MAX_STALENESS_SECONDS / 2.0  # after a request that discovery rejected
 MIN_RETRY_PAUSE_SECONDS = 0.1
-SECONDS_PER_SENDER = 0.1  # that a fleet leaves for each sender's request for the list
+SECONDS_PER_SENDER = 0.1  # share of each sender in the time over which a fleet spreads its requests
 MAX_BACKOFF_DOUBLINGS = 6
 
 
 class WatchSchedule:
-    """The pauses before requests for the list, drawn at random.
+    """Random pauses before requests for the endpoint list.
 
-    A fleet's senders would otherwise all request the list at once, at a start or after a fault: discovery rejects most
-    of them, and those that come again at once are rejected again. Each pause leaves time for the response before the
-    update counts as known.
+    Without them all senders of a fleet would request the list at the same time after a start or a failure. Discovery
+    would reject most of the requests, and would reject them again if they were retried immediately. Each pause leaves
+    enough time to receive a response before `MAX_STALENESS_SECONDS` are over.
     """
 
     def __init__(self, fleet_size: int, drain_grace_ms: float, seed: object, is_list_pushed: bool = True) -> None:
-        """Make a schedule.
+        """Create a schedule.
 
         Args:
-            fleet_size: how many senders there are.
-            drain_grace_ms: the time for which messages may still go to a draining receiver.
-            seed: of the random source.
-            is_list_pushed: the agent has the list by itself, so that a request costs nobody else anything.
+            fleet_size: number of senders in the fleet.
+            drain_grace_ms: time for which messages may still be sent to a draining receiver.
+            seed: seed of the random number generator.
+            is_list_pushed: whether the agent always has the list, so that requests put no load on discovery.
         """
         self._random = random.Random(seed)  # type: ignore[arg-type]
         self._is_list_pushed = is_list_pushed
@@ -42,8 +42,8 @@
     def first_pause_seconds(self, is_first_process: bool) -> float:
         """Return the pause before the first request.
 
-        `is_first_process`: no process before this one can know an update. Where lists are pushed, what the agent has
-        counts as known from the first moment on.
+        `is_first_process`: whether no earlier process can have received an update. There is no pause if lists are
+        pushed, as the sender is then assumed to know the agent's list from its start.
         """
         if self._is_list_pushed:
             return 0.0
@@ -56,12 +56,12 @@
         return MIN_RETRY_PAUSE_SECONDS + self._random.uniform(0.0, self._max_extra_pause_seconds)
 
     def rejected_pause_seconds(self) -> float:
-        """Return the pause after a request that discovery rejected; it grows with each one in a row."""
+        """Return the pause after a request that discovery rejected; it grows with consecutive rejections."""
         self._rejections += 1
         doublings = min(self._rejections - 1, MAX_BACKOFF_DOUBLINGS)
-        longest = min(MAX_REJECTED_PAUSE_SECONDS, max(MIN_RETRY_PAUSE_SECONDS, self._spread_seconds) * 2.0**doublings)
-        return self._random.uniform(0.5, 1.0) * longest
+        max_pause = min(MAX_REJECTED_PAUSE_SECONDS, max(MIN_RETRY_PAUSE_SECONDS, self._spread_seconds) * 2.0**doublings)
+        return self._random.uniform(0.5, 1.0) * max_pause
 
     def reset_backoff(self) -> None:
-        """Begin with the shortest pauses again: a request was answered."""
+        """Return to the shortest pauses after a request was answered."""
         self._rejections = 0
--- a/tests/net/test_connection_pool.py
+++ b/tests/net/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Calls of the pool whose connection is reset, comes up late or never."""
+"""Calls of the pool whose connection is reset, or is established late or never."""
 
 import asyncio
 import socket
@@ -9,10 +9,10 @@
 from driver import Outside, until
 
 
-def test_a_connection_that_is_reset_while_the_call_arrives_proves_that_nothing_was_executed(monkeypatch):
-    monkeypatch.setattr("dewpin.net.call.LAST_BYTE_HOLD_SECONDS", 2.0)  # the receiver has all the time
+def test_connection_reset_before_the_last_byte_proves_that_nothing_was_executed(monkeypatch):
+    monkeypatch.setattr("dewpin.net.call.LAST_BYTE_HOLD_SECONDS", 2.0)  # long enough for the receiver to reset it
 
-    async def scene():
+    async def scenario():
         outside, results = await Outside().open(), []
         outside.early = True
         pool = ConnectionPool(asyncio.get_running_loop(), 300.0, 15000.0)
@@ -23,16 +23,16 @@
         for server in (outside.agent, *outside.servers, *(c.transport for c in outside.connections)):
             server.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
-def test_a_call_that_has_not_left_is_recalled_or_unreached_and_one_that_has_left_is_not_touched():
-    async def scene():
+def test_connecting_call_can_be_cancelled_or_time_out_and_a_sent_call_is_not_affected():
+    async def scenario():
         outside, results = await Outside().open(), {}
         outside.script = lambda call: None
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(loop, 300.0, 15000.0)
-        full_server = socket.create_server(("127.0.0.1", 0), backlog=0)  # its queue fills, and nobody accepts
+        full_server = socket.create_server(("127.0.0.1", 0), backlog=0)  # never accepts, and its queue is full
         fillers = [socket.socket() for _ in range(4)]
         for filler in fillers:
             filler.setblocking(False)
@@ -52,22 +52,22 @@
         call("out", live)
         await until(lambda: "late" in results)
         assert results["late"].outcome == Outcome.CONNECT_FAILED and results["late"].duration_ms >= 299.0
-        call("recalled", full)
+        call("cancelled", full)
         await until(lambda: outside.idents() == [b"out"])
         pool.cancel_unsent(full)
         pool.cancel_unsent(live)
-        assert results["recalled"].outcome == Outcome.NOT_SENT and "out" not in results
+        assert results["cancelled"].outcome == Outcome.NOT_SENT and "out" not in results
         create, loop.create_connection = loop.create_connection, reset
         call("reset", full)
         await until(lambda: "reset" in results)
-        assert results["reset"].outcome == Outcome.DROPPED  # while it was made: no crash, and no full queue
+        assert results["reset"].outcome == Outcome.DROPPED  # reset while connecting: not crashed, queue not full
         loop.create_connection = create
         call("timed out", live, 100.0)
         await until(lambda: "timed out" in results)
         assert results["timed out"].outcome == Outcome.TIMED_OUT
         outside.script = lambda call: b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf"
         call("half", live, 100.0)
-        await until(lambda: "half" in results)  # the status line counts
+        await until(lambda: "half" in results)  # the status line is sufficient
         assert results["half"].outcome == Outcome.DELIVERED and pool.idle_count == 0 and not pool.connecting_calls
         for opened in (
             full_server,
@@ -78,4 +78,4 @@
         ):
             opened.close()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/net/test_notice_publisher.py
+++ b/tests/net/test_notice_publisher.py
@@ -1,4 +1,4 @@
-"""Notices to an agent that falls silent."""
+"""Notices to an agent that does not respond."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 from driver import read_message, reply
 
 
-def test_a_notice_on_a_silent_connection_is_sent_again_on_another_within_the_platforms_slack(monkeypatch):
+def test_unanswered_notice_is_sent_again_on_another_connection_before_the_platforms_deadline(monkeypatch):
     pauses, timeouts = [], []
 
-    async def scene():
+    async def scenario():
         received, acknowledged = [], []
 
         async def agent(reader, writer):
@@ -22,16 +22,16 @@
         notices = AgentNoticePublisher(server.sockets[0].getsockname())
         exchange, sleep = notices._connection.exchange, asyncio.sleep
 
-        def noting_exchange(request, timeout_seconds, connect_timeout_seconds):
+        def recording_exchange(request, timeout_seconds, connect_timeout_seconds):
             timeouts.append((timeout_seconds, connect_timeout_seconds))
             return exchange(request, timeout_seconds, connect_timeout_seconds)
 
-        def noting_sleep(seconds):
+        def recording_sleep(seconds):
             pauses.append(seconds)
             return sleep(seconds)
 
-        monkeypatch.setattr(notices._connection, "exchange", noting_exchange)
-        monkeypatch.setattr("dewpin.net.notice_publisher.asyncio.sleep", noting_sleep)
+        monkeypatch.setattr(notices._connection, "exchange", recording_exchange)
+        monkeypatch.setattr("dewpin.net.notice_publisher.asyncio.sleep", recording_sleep)
         notices.publish(b"m", False, 0.0, lambda: acknowledged.append(b"m"))
         while not acknowledged:
             await sleep(0.005)
@@ -42,9 +42,9 @@
         notices.stop()
         server.close()
 
-    asyncio.run(scene())
-    assert timeouts[0] == timeouts[-1] == (MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS)  # the next one begins anew
-    # a connection that comes up late, a response that never comes, and the pause behind it
+    asyncio.run(scenario())
+    assert timeouts[0] == timeouts[-1] == (MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS)  # reset for the next notice
+    # a connection established just in time, a missing response, and the pause after it
     assert sum(timeouts[0]) + pauses[0] < 0.3
     assert [timeout for timeout, _ in timeouts[:4]] == [
         min(MIN_TIMEOUT_SECONDS * 2.0**retry, MAX_TIMEOUT_SECONDS) for retry in range(4)
--- a/tests/net/test_receiver_calls.py
+++ b/tests/net/test_receiver_calls.py
@@ -1,4 +1,4 @@
-"""One call each, on a real connection, to a receiver that responds, resets or closes at a given byte of it."""
+"""Calls over real connections to a receiver that responds, resets or closes at a given byte of the request."""
 
 import asyncio
 import socket
@@ -19,7 +19,7 @@
 
 
 class ScriptedReceiver:
-    """A receiver's end of one connection after another, which a test reads and writes step by step."""
+    """A receiver whose connections a test reads and writes step by step."""
 
     def __init__(self):
         self.server = socket.create_server(("127.0.0.1", 0))
@@ -33,7 +33,7 @@
         return self.connections[-1]
 
     async def read(self, accepted, end):
-        """Return the bytes that arrive until they end so."""
+        """Return the received bytes once they end with `end`."""
         received = b""
         while not received.endswith(end):
             received += (await self.loop.sock_recv(accepted, 65536)) or b"closed" + end
@@ -44,12 +44,12 @@
         accepted.close()
 
     def close(self):
-        for opened in (self.server, *self.connections):
-            opened.close()
+        for open_socket in (self.server, *self.connections):
+            open_socket.close()
 
 
-def play(scene):
-    async def whole():
+def run_scenario(scenario):
+    async def run():
         receiver, pool = ScriptedReceiver(), ConnectionPool(asyncio.get_running_loop(), 1000.0, 15000.0)
         results = []
 
@@ -57,12 +57,12 @@
             pool.send(AttemptRequest(receiver.address, b"m", b"", body, timeout_ms, lambda: 5000.0, results.append))
 
         try:
-            await asyncio.wait_for(scene(receiver, pool, call, results), 30.0)
+            await asyncio.wait_for(scenario(receiver, pool, call, results), 30.0)
         finally:
             pool.close()
             receiver.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize(
@@ -76,8 +76,8 @@
         (b"HTTP/1.1 20\r\n\r\nHTTP/1.1 200 OK\r\nx", Outcome.ERROR),
     ],
 )
-def test_only_a_complete_status_line_says_that_a_call_was_delivered(sent, outcome):
-    async def scene(receiver, pool, call, results):
+def test_only_a_complete_status_line_proves_that_a_call_was_delivered(sent, outcome):
+    async def scenario(receiver, pool, call, results):
         call()
         accepted = await receiver.accept()
         await receiver.read(accepted, b"body")
@@ -86,27 +86,27 @@
         await until(lambda: results)
         assert results[0].outcome == outcome and not pool.idle_count
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("stray", [OK, reply(500), reply(410), b"HTTP/1.1 200 O", b"\x00noise\r\n\r\n"])
-def test_what_an_earlier_response_left_over_is_no_response_to_the_next_call(monkeypatch, stray):
-    async def scene(receiver, pool, call, results):
+def test_bytes_left_over_from_an_earlier_response_are_not_a_response_to_the_next_call(monkeypatch, stray):
+    async def scenario(receiver, pool, call, results):
         call()
         accepted = await receiver.accept()
         await receiver.read(accepted, b"body")
         await receiver.loop.sock_sendall(accepted, OK)
         await until(lambda: results and pool.idle_count)
-        monkeypatch.setattr(call_module, "LAST_BYTE_HOLD_SECONDS", 3.0)  # the receiver has all the time
+        monkeypatch.setattr(call_module, "LAST_BYTE_HOLD_SECONDS", 3.0)  # long enough for the receiver to respond
         call(body=b"next")
         await receiver.read(accepted, b"nex")
         await receiver.loop.sock_sendall(accepted, stray)
         await until(lambda: len(results) == 2)
         assert results[1].outcome == Outcome.DROPPED and results[1].duration_ms < 4900.0
         assert not results[1].is_withdrawn and not pool.idle_count
-        assert not await asyncio.wait_for(receiver.read(accepted, b"closed"), 5.0) == b"t"  # its last byte never left
+        assert not await asyncio.wait_for(receiver.read(accepted, b"closed"), 5.0) == b"t"  # last byte was not sent
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -117,10 +117,8 @@
         (OK, Outcome.DROPPED, 0.0),
     ],
 )
-def test_a_response_that_waits_unread_when_the_last_byte_is_due_is_read_first(
-    monkeypatch, early, outcome, retry_after_ms
-):
-    async def scene(receiver, pool, call, results):
+def test_response_that_is_unread_when_the_last_byte_is_due_is_read_first(monkeypatch, early, outcome, retry_after_ms):
+    async def scenario(receiver, pool, call, results):
         arrived, written = threading.Event(), threading.Event()
 
         def respond():
@@ -129,37 +127,39 @@
             sending.sendall(early)
             written.set()
 
-        # the connection's far end is a thread's, so that it goes on while the loop stands still
+        # the remote side of the connection runs in a thread, so that it continues while the loop is blocked
         server = socket.create_server(("127.0.0.1", 0))
         thread = threading.Thread(target=respond)
         thread.start()
-        near, _ = server.accept()
-        transport, connection = await receiver.loop.create_connection(lambda: Connection(65536, 0.25), sock=near)
+        local_socket, _ = server.accept()
+        transport, connection = await receiver.loop.create_connection(
+            lambda: Connection(65536, 0.25), sock=local_socket
+        )
         pool.keep_idle(receiver.address, connection)
         monkeypatch.setattr(call_module, "LAST_BYTE_HOLD_SECONDS", 0.05)
 
-        def between():  # in the loop's turn in which the last byte is due, after it has polled its sockets
+        def before_timers():  # runs when the last byte is due, after the loop has polled its sockets
             arrived.set()
             written.wait(10.0)
             assert connection.has_pending_input()
 
         call()
-        receiver.loop.call_at(connection._last_byte_timer.when() - 0.0001, between)
-        while receiver.loop.time() < connection._last_byte_timer.when() - 0.002:  # both timers are due in one turn
+        receiver.loop.call_at(connection._last_byte_timer.when() - 0.0001, before_timers)
+        while receiver.loop.time() < connection._last_byte_timer.when() - 0.002:  # both timers run in one iteration
             await asyncio.sleep(0)
-        blocked = connection._last_byte_timer.when() + 0.002
-        while receiver.loop.time() < blocked:
+        blocked_until = connection._last_byte_timer.when() + 0.002
+        while receiver.loop.time() < blocked_until:
             pass
         await until(lambda: results)
         assert (results[0].outcome, results[0].retry_after_ms) == (outcome, retry_after_ms)
         thread.join()
         server.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_interim_response_in_pieces_starts_no_timeout_for_the_response(monkeypatch):
-    async def scene(receiver, pool, call, results):
+def test_fragmented_interim_response_does_not_start_the_response_timeout(monkeypatch):
+    async def scenario(receiver, pool, call, results):
         monkeypatch.setattr(call_module, "RESPONSE_TIMEOUT_SECONDS", 0.05)
         call()
         accepted = await receiver.accept()
@@ -168,36 +168,36 @@
         await until(lambda: connections[-1].parser.has_partial_message)
         await receiver.loop.sock_sendall(accepted, b" Hints\r\n\r\n")
         await until(lambda: not connections[-1].parser.has_partial_message)
-        began_at = receiver.loop.time()
-        await until(lambda: receiver.loop.time() > began_at + 0.2)
+        interim_ended_at = receiver.loop.time()
+        await until(lambda: receiver.loop.time() > interim_ended_at + 0.2)
         assert not results
         await receiver.loop.sock_sendall(accepted, OK)
         await until(lambda: results)
         assert results[0].outcome == Outcome.DELIVERED
 
     connections = []
-    make = Connection.connection_made
+    connection_made = Connection.connection_made
     monkeypatch.setattr(
         Connection,
         "connection_made",
-        lambda connection, transport: (connections.append(connection), make(connection, transport))[1],
+        lambda connection, transport: (connections.append(connection), connection_made(connection, transport))[1],
     )
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_timeout_does_not_overtake_a_response_that_has_arrived():
-    async def scene(receiver, pool, call, results):
+def test_timeout_does_not_overtake_a_response_that_has_arrived():
+    async def scenario(receiver, pool, call, results):
         call(timeout_ms=200.0)
         accepted = await receiver.accept()
         await receiver.read(accepted, b"body")
-        due = receiver.loop.time() + 0.2  # the call's time-out is due before that
+        due = receiver.loop.time() + 0.2  # the time-out of the call is due before this
 
-        def between():  # in the loop's turn in which the time-out is due, after it has polled its sockets
+        def before_timers():  # runs when the time-out is due, after the loop has polled its sockets
             accepted.setblocking(True)
             accepted.sendall(OK)
             assert connections[-1].has_pending_input()
 
-        receiver.loop.call_at(timers[-1].when() - 0.0001, between)
+        receiver.loop.call_at(timers[-1].when() - 0.0001, before_timers)
         while receiver.loop.time() < timers[-1].when() - 0.002:
             await asyncio.sleep(0)
         while receiver.loop.time() < due + 0.002:
@@ -206,27 +206,27 @@
         assert results[0].outcome == Outcome.DELIVERED
 
     timers, connections = [], []
-    start, made = Call.start, Connection.connection_made
+    original_start, connection_made = Call.start, Connection.connection_made
 
-    def noting_start(call):
-        start(call)
+    def recording_start(call):
+        original_start(call)
         timers.append(call._timer)
 
     patch = pytest.MonkeyPatch()
-    patch.setattr(Call, "start", noting_start)
+    patch.setattr(Call, "start", recording_start)
     patch.setattr(
         Connection,
         "connection_made",
-        lambda connection, transport: (connections.append(connection), made(connection, transport))[1],
+        lambda connection, transport: (connections.append(connection), connection_made(connection, transport))[1],
     )
     try:
-        play(scene)
+        run_scenario(scenario)
     finally:
         patch.undo()
 
 
-def test_a_pool_that_keeps_no_idle_connections_closes_each_one():
-    async def scene(receiver, pool, call, results):
+def test_pool_without_idle_connections_closes_each_connection():
+    async def scenario(receiver, pool, call, results):
         pool.max_idle = 0
         call()
         accepted = await receiver.accept()
@@ -235,4 +235,4 @@
         await until(lambda: results)
         assert not pool.idle_count and await asyncio.wait_for(receiver.loop.sock_recv(accepted, 1), 5.0) == b""
 
-    play(scene)
+    run_scenario(scenario)
