--- a/dewpin/net/connection_table.py
+++ b/dewpin/net/connection_table.py
@@ -11,8 +11,8 @@
 MAX_REJECTED_CONNECTIONS = 16  # connections over the limit that still get a 503
 SWEEP_INTERVAL_SECONDS = 0.1
 LINGER_SECONDS = 0.5  # time for a client to close its side after the server has closed its own
-# At the connection limit, a connection may be closed that has sent nothing for the first time, or that has sent no more
-# of its first request for the second:
+# At the connection limit, a connection may be closed if its client has sent nothing for MIN_SILENT_SECONDS, or no more
+# of an incomplete first request for MIN_STALLED_SECONDS.
 MIN_SILENT_SECONDS = 0.5
 MIN_STALLED_SECONDS = 2.0
 KEEP_ALIVE_DIVISOR = 4  # above 1/KEEP_ALIVE_DIVISOR of the connection limit, responses close their connections
