--- a/dewpin/cli/spool.py
+++ b/dewpin/cli/spool.py
@@ -141,17 +141,17 @@
 def verify(inspector: "JournalInspector", as_json: bool) -> int | None:
     """Read all records; report torn and corrupt ones with their offsets, and exit with 3 if there are any."""
     complete_records = sum(inspector.replay.counts_by_code.values())
-    records_behind = sum(damage.records_behind for damage in inspector.damages)
+    records_after = sum(damage.records_after for damage in inspector.damaged_regions)
     pending = len(inspector.pending())
     if as_json:
-        damages = [
+        damaged_regions = [
             {
                 "offset": damage.offset,
                 "bytes": damage.size_bytes,
                 "why": damage.reason,
-                "behind": damage.records_behind,
+                "behind": damage.records_after,
             }
-            for damage in inspector.damages
+            for damage in inspector.damaged_regions
         ]
         print_json(
             {
@@ -160,8 +160,8 @@
                 "records": complete_records,
                 "live": inspector.is_sender_running,
                 "owed": pending,
-                "behind_damage": records_behind,
-                "damages": damages,
+                "behind_damage": records_after,
+                "damages": damaged_regions,
             }
         )
     else:
@@ -171,13 +171,13 @@
             f"{inspector.path}: {size} bytes, {complete_records} complete records, "
             f"{pending} pending messages{lock_state}"
         )
-        for damage in inspector.damages:
+        for damage in inspector.damaged_regions:
             location = f"at {damage.offset}: {damage.size_bytes} bytes {damage.reason}"
-            click.echo(f"{location}; followed by {damage.records_behind} complete records")
-        if records_behind:
+            click.echo(f"{location}; followed by {damage.records_after} complete records")
+        if records_after:
             data_loss = f"a restart discards everything from offset {inspector.readable_bytes} on"
-            click.echo(f"{data_loss}, including these {records_behind} records: copy the journal first")
-    return ExitCode.DAMAGED if inspector.damages else None
+            click.echo(f"{data_loss}, including these {records_after} records: copy the journal first")
+    return ExitCode.DAMAGED if inspector.damaged_regions else None
 
 
 @spool.command()
@@ -215,7 +215,7 @@
         "owed_bytes": sum(len(message.body) for message in pending),
         "oldest_s": round(oldest_ms / 1000.0, 3),
         "over_time": sum(message.expires_at_ms < now_ms for message in pending),
-        "damages": len(inspector.damages),
+        "damages": len(inspector.damaged_regions),
     }
 
 
@@ -292,6 +292,6 @@
 
 def _warn_of_damage(inspector: "JournalInspector") -> None:
     """Warn on standard error if the journal is damaged, as the rows printed above may be incomplete."""
-    if inspector.damages:
-        offset = inspector.damages[0].offset
+    if inspector.damaged_regions:
+        offset = inspector.damaged_regions[0].offset
         click.echo(f"dewpin: the journal is damaged from offset {offset} on; see `dewpin spool verify`", err=True)
--- a/dewpin/spool/inspector.py
+++ b/dewpin/spool/inspector.py
@@ -32,18 +32,18 @@
 """The kinds as the command prints them; operators' scripts depend on these labels."""
 
 
-class DamagedRange:
-    """A range of the file that is not a valid record.
+class DamagedRegion:
+    """A region of the file that is not a valid record.
 
-    `records_behind`: number of complete records that follow it, up to the next damage."""
+    `records_after`: number of complete records that follow it, up to the next region."""
 
-    __slots__ = ("offset", "size_bytes", "reason", "records_behind")
+    __slots__ = ("offset", "size_bytes", "reason", "records_after")
 
     def __init__(self, offset: int, size_bytes: int, reason: str) -> None:
         self.offset = offset
         self.size_bytes = size_bytes
         self.reason = reason
-        self.records_behind = 0
+        self.records_after = 0
 
 
 class RecordView(NamedTuple):
@@ -58,9 +58,9 @@
     """The contents of the journal in a folder.
 
     `replay`: the state that a sender would restore at its start. `readable_bytes`: the part of the file that it would
-    read. `damages`: the ranges that are not valid records. `has_compaction_file`: whether a compaction is in progress
-    or was interrupted. `is_sender_running`: whether a running sender holds the folder's lock, None if that can't be
-    determined.
+    read. `damaged_regions`: the parts that are not valid records. `has_compaction_file`: whether a compaction is in
+    progress or was interrupted. `is_sender_running`: whether a running sender holds the folder's lock, None if that
+    can't be determined.
 
     Raises OSError if the journal can't be read."""
 
@@ -68,7 +68,7 @@
         self.path = os.path.join(folder, JOURNAL_FILE)
         self.content = _read_file(self.path)
         self._scan()
-        if self.damages:
+        if self.damaged_regions:
             time.sleep(REREAD_DELAY_SECONDS)
             self.content = _read_file(self.path)
             self._scan()
@@ -98,20 +98,20 @@
 
     def _scan(self) -> None:
         self.replay = JournalReplay()
-        self.damages: list[DamagedRange] = []
+        self.damaged_regions: list[DamagedRegion] = []
         self.readable_bytes = offset = self.replay.run(self.content)
         while offset < len(self.content):
             frame = codec.read_frame(self.content, offset)
             reason = frame.reason if isinstance(frame, DamagedFrame) else "corrupt: its fields make no sense"
             next_offset = _find_next_record(self.content, offset + 1)
-            damage = DamagedRange(offset, next_offset - offset, reason)
-            self.damages.append(damage)
+            region = DamagedRegion(offset, next_offset - offset, reason)
+            self.damaged_regions.append(region)
             offset = next_offset
             while offset < len(self.content):
                 following = codec.read_frame(self.content, offset)
                 if isinstance(following, DamagedFrame):
                     break
-                damage.records_behind += 1
+                region.records_after += 1
                 offset = following.end_offset
 
 
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -227,8 +227,8 @@
             for sheet in look.pending()
         },
         "damages": [
-            {"offset": one.offset, "bytes": one.size_bytes, "why": one.reason, "records_behind": one.records_behind}
-            for one in look.damages
+            {"offset": one.offset, "bytes": one.size_bytes, "why": one.reason, "records_behind": one.records_after}
+            for one in look.damaged_regions
         ],
         "readable_bytes": look.readable_bytes,
         "compaction_under_way": look.has_compaction_file,
--- a/tests/spool/test_inspector.py
+++ b/tests/spool/test_inspector.py
@@ -41,7 +41,7 @@
         "not sent",
     ]
     assert len(inspector.pending()) == 19
-    assert inspector.replay.finished_ids == [b"m3"] and not inspector.damages
+    assert inspector.replay.finished_ids == [b"m3"] and not inspector.damaged_regions
     assert [record.label for record in inspector.records_of(3)] == ["taken", "connect", "given up"]
     assert inspector.records_of(1)[1].fields == {"sent": 5.0, "receiver": b"r0"}
     assert (tmp_path / "journal").read_bytes() == before and inspector.is_sender_running is False
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_torn_and_corrupt_records_are_shown_with_offset_and_records_behind(tmp_path, seed):
+def test_torn_and_corrupt_records_are_shown_with_offset_and_records_after_them(tmp_path, seed):
     rng = random.Random(seed)
     write_journal(tmp_path)
     content = bytearray((tmp_path / "journal").read_bytes())
@@ -63,9 +63,9 @@
     length = offsets[-1] + rng.randrange(1, len(content) - offsets[-1])
     (tmp_path / "journal").write_bytes(content[:length])
     inspector = JournalInspector(tmp_path)
-    assert [damage.offset for damage in inspector.damages] == [offsets[damaged], offsets[-1]]
-    assert "corrupt" in inspector.damages[0].reason and "torn" in inspector.damages[1].reason
-    assert inspector.damages[0].records_behind == len(offsets) - 2 - damaged
+    assert [region.offset for region in inspector.damaged_regions] == [offsets[damaged], offsets[-1]]
+    assert "corrupt" in inspector.damaged_regions[0].reason and "torn" in inspector.damaged_regions[1].reason
+    assert inspector.damaged_regions[0].records_after == len(offsets) - 2 - damaged
     assert inspector.readable_bytes == offsets[damaged]
     assert len(Journal(tmp_path, 1e6).pending) == len(inspector.pending())
 
@@ -77,7 +77,7 @@
     content = (folder / "journal").read_bytes()
     (folder / "journal").write_bytes(content[:at] + noise + content[at:])
     inspector = JournalInspector(folder)
-    assert sum(damage.size_bytes for damage in inspector.damages) <= len(noise) + len(content)
+    assert sum(region.size_bytes for region in inspector.damaged_regions) <= len(noise) + len(content)
     assert inspector.readable_bytes <= len(inspector.content)
     for message in inspector.pending():
         inspector.records_of(message.serial)
