--- a/dewpin/__init__.py
+++ b/dewpin/__init__.py
@@ -1,3 +1,3 @@
-"""dewpin: a relay that hands mails on to destinations nobody here controls."""
+"""dewpin: a message relay that delivers to destinations operated by others."""
 
 __version__ = "0.2.0"
--- a/dewpin/cluster/__init__.py
+++ b/dewpin/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What both planes share: settings, configuration, messages between processes, errors."""
+"""Code shared by the control plane and the data plane: settings, configuration, RPC messages, errors."""
--- a/dewpin/cluster/addresses.py
+++ b/dewpin/cluster/addresses.py
@@ -1,14 +1,14 @@
-"""IPv4 addresses with a port, as settings and messages write them."""
+"""Validation of IPv4 addresses with a port, the form used in settings and messages."""
 
 import socket
 
-HIGHEST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def is_address(text: str) -> bool:
-    """Return whether `text` is an IPv4 address and a port, as `10.0.0.1:8080`."""
+    """Return whether `text` is an IPv4 address with a port, such as `10.0.0.1:8080`."""
     host, colon, port = text.rpartition(":")
-    return bool(colon) and is_ipv4(host) and port.isascii() and port.isdigit() and 0 < int(port) <= HIGHEST_PORT
+    return bool(colon) and is_ipv4(host) and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
 
 
 def is_ipv4(text: str) -> bool:
--- a/dewpin/cluster/background_tasks.py
+++ b/dewpin/cluster/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that no caller awaits, and their owner."""
+"""Ownership of background tasks that no caller awaits."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class BackgroundTasks:
-    """Owns tasks that no caller awaits, until each of them ends."""
+    """Holds a reference to each background task until it ends; cancels them and waits for them."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task and return it, so that the caller can cancel it."""
-        task = asyncio.ensure_future(work)
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start a task for a coroutine and return it, so that the caller can cancel it."""
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -26,11 +26,11 @@
             task.cancel()
 
     async def wait_until_done(self) -> None:
-        """Return once no task runs any more."""
+        """Wait until no task is running."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
     async def stop(self) -> None:
-        """Cancel all tasks and return once each of them has ended."""
+        """Cancel all tasks and wait until they have ended."""
         self.cancel()
         await self.wait_until_done()
--- a/dewpin/cluster/configuration/__init__.py
+++ b/dewpin/cluster/configuration/__init__.py
@@ -1,13 +1,13 @@
 """The operator's configuration: routes, services and limits.
 
-`parse_configuration` reads a request body and checks it whole; it reports every fault at once. What is rejected is
-only what makes a configuration impossible to follow: a body that cannot be read, a route without a known service, two
-routes at one host and prefix, weights that add up to nothing, a time-out of zero. Absent optional fields get defaults
-and unknown fields are kept in `Configuration.raw`. Whether a generation may follow the current one is decided by the
-register, not here. Times are in milliseconds where a name ends in `_ms`, in seconds where it ends in `_s`.
+`parse_configuration` parses and validates a request body and reports all faults at once. It rejects only
+configurations that cannot be applied: an unreadable body, a route without a known service, two routes with the same
+host and prefix, weights that sum to zero, a time-out of zero. Absent optional fields get defaults, and unknown fields
+are kept in `Configuration.raw`. Whether a generation may replace the current one is decided by the register, not here.
+Times are in milliseconds where a name ends in `_ms`, in seconds where it ends in `_s`.
 
-`schema` has the fields as the operator writes them, `rules` the checks between fields, `model` the checked
-configuration, `building` makes it with its defaults, `reading` does it all in order; `patch` changes single items.
+`schema` has the fields of the input, `rules` the validation across fields, `model` the validated configuration,
+`building` its construction with defaults and `reading` the whole sequence; `patch` changes single items.
 """
 
 from .building import (
--- a/dewpin/cluster/configuration/building.py
+++ b/dewpin/cluster/configuration/building.py
@@ -1,4 +1,4 @@
-"""How the checked fields of a configuration become `Configuration`, with the defaults of the fields left out."""
+"""Construction of a `Configuration` from validated fields, with defaults for absent ones."""
 
 from types import MappingProxyType
 
@@ -20,13 +20,13 @@
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 
 
-def build_configuration(checked: RawConfiguration, raw: JsonObject) -> Configuration:
-    """Make a configuration of checked fields; `raw` is the operator's own object."""
+def build_configuration(validated: RawConfiguration, raw: JsonObject) -> Configuration:
+    """Build a configuration from validated fields; `raw` is the operator's original object."""
     return Configuration(
-        generation=int(checked["generation"]),
-        routes=tuple(_build_route(route) for route in checked["routes"]),
-        services=MappingProxyType({service["name"]: _build_service(service) for service in checked["services"]}),
-        limits=_build_limits(value_or(checked.get("limits"), RawLimits())),
+        generation=int(validated["generation"]),
+        routes=tuple(_build_route(route) for route in validated["routes"]),
+        services=MappingProxyType({service["name"]: _build_service(service) for service in validated["services"]}),
+        limits=_build_limits(value_or(validated.get("limits"), RawLimits())),
         raw=raw,
     )
 
@@ -53,7 +53,7 @@
 
 
 def _build_split(raw: RawRoute) -> tuple[Share, ...]:
-    """Return the shares that get requests; a `split` outranks a `backend`."""
+    """Return the shares that get requests; `split` takes precedence over `backend`."""
     split = raw.get("split")
     if split is None:
         return (Share(value_or(raw.get("backend"), ""), 1.0),)
--- a/dewpin/cluster/configuration/model.py
+++ b/dewpin/cluster/configuration/model.py
@@ -1,4 +1,4 @@
-"""A checked configuration, as the rest of the program uses it.
+"""The validated configuration, as used by the rest of the program.
 
 Times are in milliseconds where a name ends in `_ms`, in seconds where it ends in `_s`.
 """
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """The share of a route's requests that goes to one service; weights are relative to each other."""
+    """The share of a route's requests that go to one service; weights are relative to each other."""
 
     backend: str
     weight: float
@@ -43,12 +43,12 @@
 
     @property
     def is_stream(self) -> bool:
-        """Return whether the answers of this route are series of events."""
+        """Return whether the responses of this route are event streams."""
         return self.kind == STREAM
 
     @property
     def may_repeat(self) -> bool:
-        """Return whether a request may run more than once; an unknown kind counts as not repeatable."""
+        """Return whether a request may be executed more than once; an unknown kind counts as not idempotent."""
         return self.kind == IDEMPOTENT
 
 
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A group of receivers that do the same work."""
+    """A group of interchangeable receivers."""
 
     name: str
     health_path: str
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take or sit idle."""
+    """Limits on the size of clients' requests, on the time for sending headers and on idle time."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """A checked configuration; `raw` is the operator's own object, to be read back exactly."""
+    """A validated configuration; `raw` is the operator's original object, which can be read back unchanged."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -106,13 +106,13 @@
         object.__setattr__(self, "_index", index)
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path` at `host`; a port and a query are left out."""
+        """Return the route of `host` with the longest matching prefix of `path`; a port and a query are ignored."""
         routes = self._index.get(normal_host(host))
         return routes.longest_match(path.partition("?")[0]) if routes else None
 
 
 class _HostRoutes:
-    """The routes of one host, by prefix."""
+    """The routes of one host, indexed by prefix."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._by_prefix = {route.path_prefix: route for route in routes}
@@ -127,7 +127,7 @@
 
 
 def normal_host(host: str) -> str:
-    """Return a `Host` value in lower case and without its port."""
+    """Return the value of a `Host` header in lower case and without its port."""
     host = host.strip().lower()
     if host.startswith("["):
         return host.partition("]")[0] + "]"
--- a/dewpin/cluster/configuration/patch.py
+++ b/dewpin/cluster/configuration/patch.py
@@ -1,7 +1,7 @@
-"""Changes of single items of a configuration: `upsert` adds items or replaces them by name, `delete` removes them.
+"""Changes to single items of a configuration: `upsert` adds items or replaces them by name, `delete` removes them.
 
-A patch is checked in two steps: its own shape when it is read, and what it makes of the configuration that it builds
-on, by the same rules as a configuration that is sent whole.
+A patch is validated in two steps: its own shape when it is parsed, and its result when it is applied, by the same rules
+as a complete configuration.
 """
 
 import json
@@ -14,13 +14,13 @@
 
 
 class NamedItem(TypedDict):
-    """What each item of `upsert` has."""
+    """The required field of each item of `upsert`."""
 
     name: str
 
 
 class RawPatch(TypedDict):
-    """A patch as the operator writes it: by list of the configuration, items to put and names to remove."""
+    """A patch as the operator writes it: for each list of the configuration, items to upsert and names to delete."""
 
     generation: int
     upsert: NotRequired[dict[str, list[NamedItem]] | None]
@@ -32,22 +32,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPatch:
-    """A checked patch. Lists are named as in a configuration, such as `routes` and `services`."""
+    """A patch of valid shape. Lists are named as in a configuration, such as `routes` and `services`."""
 
     generation: int
     upsert: Mapping[str, Sequence[JsonObject]]
     delete: Mapping[str, Sequence[str]]
 
     def apply(self, body: str) -> bytes:
-        """Return the body of the configuration that this patch makes of the one in `body`.
+        """Return the body of the configuration that results from applying this patch to the one in `body`.
 
-        Raises InvalidConfigurationError with every fault of the result. Items that are replaced keep their position,
-        new ones follow the others; deleting a name that is not there changes nothing.
+        Raises InvalidConfigurationError with every fault of the result. Replaced items keep their position and new ones
+        are appended; deleting an unknown name has no effect.
         """
         configuration = cast(JsonObject, json.loads(body))
         for list_name in {**self.delete, **self.upsert}:
-            kept = _without(_list_of(configuration, list_name), self.delete.get(list_name, ()))
-            configuration[list_name] = _with(kept, self.upsert.get(list_name, ()))
+            remaining = _without(_list_of(configuration, list_name), self.delete.get(list_name, ()))
+            configuration[list_name] = _with(remaining, self.upsert.get(list_name, ()))
         configuration["generation"] = self.generation
         patched = json.dumps(configuration, separators=(",", ":"), ensure_ascii=False).encode("utf-8")
         parse_configuration(patched)
@@ -55,20 +55,20 @@
 
 
 def parse_patch(body: bytes) -> ConfigurationPatch:
-    """Read a patch and check its shape. Raises InvalidConfigurationError with every fault."""
+    """Parse a patch and validate its shape. Raises InvalidConfigurationError with every fault."""
     raw = read_object(body)
     faults = check_shape(raw, RawPatch)
     if not faults:
         faults = _check_names(cast(RawPatch, raw))
     if faults:
         raise InvalidConfigurationError(faults)
-    checked = cast(RawPatch, raw)
-    upsert = cast(dict[str, list[JsonObject]], value_or(checked.get("upsert"), {}))
-    return ConfigurationPatch(checked["generation"], upsert, value_or(checked.get("delete"), {}))
+    valid_patch = cast(RawPatch, raw)
+    upsert = cast(dict[str, list[JsonObject]], value_or(valid_patch.get("upsert"), {}))
+    return ConfigurationPatch(valid_patch["generation"], upsert, value_or(valid_patch.get("delete"), {}))
 
 
 def _check_names(patch: RawPatch) -> list[Fault]:
-    """Check that no name comes twice in a list."""
+    """Check that the names in each list are unique."""
     faults: list[Fault] = []
     for list_name, items in value_or(patch.get("upsert"), {}).items():
         seen: set[str] = set()
@@ -80,7 +80,8 @@
 
 
 def _list_of(configuration: JsonObject, list_name: str) -> Items:
-    """Return a list of the configuration; empty if it has none. Raises InvalidConfigurationError if it is no list."""
+    """Return a list of the configuration, empty if absent. Raises InvalidConfigurationError if it is not a list of
+    objects."""
     items = value_or(configuration.get(list_name), [])
     faults = check_shape(items, list[dict[str, object]], list_name)
     if faults:
@@ -89,16 +90,16 @@
 
 
 def _without(items: Items, names: Sequence[str]) -> Items:
-    """Return the items whose names are not among `names`."""
+    """Return the items whose names are not in `names`."""
     removed = frozenset(names)
     return [item for item in items if _name_of(item) not in removed]
 
 
 def _with(items: Items, changed: Sequence[JsonObject]) -> Items:
-    """Return the items with those of the same name replaced, and the new ones behind."""
-    replacing = {_name_of(item): item for item in changed}
-    merged = [replacing.pop(_name_of(item), item) for item in items]
-    return [*merged, *replacing.values()]
+    """Return the items with those in `changed` replaced by name, followed by the new ones."""
+    replacements = {_name_of(item): item for item in changed}
+    merged = [replacements.pop(_name_of(item), item) for item in items]
+    return [*merged, *replacements.values()]
 
 
 def _name_of(item: JsonObject) -> Any:
--- a/dewpin/cluster/configuration/reading.py
+++ b/dewpin/cluster/configuration/reading.py
@@ -1,4 +1,4 @@
-"""Reading a configuration: the request body as one JSON object, checked whole, every fault reported at once."""
+"""Parsing and validation of a configuration from a request body; all faults are reported at once."""
 
 import json
 from typing import Any, cast
@@ -11,13 +11,13 @@
 
 
 class InvalidConfigurationError(InvalidInputError):
-    """Every fault of a rejected configuration."""
+    """A configuration was rejected; contains every fault."""
 
     summary = "invalid configuration"
 
 
 def parse_configuration(body: bytes) -> Configuration:
-    """Read and check a configuration; raises InvalidConfigurationError with every fault."""
+    """Parse and validate a configuration; raises InvalidConfigurationError with every fault."""
     raw = read_object(body)
     faults = check_shape(raw, RawConfiguration)
     faults += check_rules(raw, faults)
@@ -27,13 +27,13 @@
 
 
 def longest_retain_s(body: str) -> float:
-    """Return the longest `retain_s` of all routes of a body that was checked before; 0 without a route."""
+    """Return the longest `retain_s` of all routes of a validated body; 0 if there are no routes."""
     routes = cast(RawConfiguration, json.loads(body))["routes"]
     return max((float(value_or(route.get("retain_s"), DEFAULT_RETAIN_S)) for route in routes), default=0.0)
 
 
 def read_object(body: bytes) -> JsonObject:
-    """Return the one JSON object of a body. Raises InvalidConfigurationError if there is none."""
+    """Parse a body that is one JSON object. Raises InvalidConfigurationError if it is not one."""
     try:
         value = json.loads(body, parse_constant=_reject_constant, object_pairs_hook=_unique_fields)
     except RecursionError:
@@ -50,10 +50,10 @@
 
 
 def _unique_fields(pairs: list[tuple[str, Any]]) -> JsonObject:
-    """Build an object; a field that comes twice could not be read back, so the body is not readable whole."""
+    """Build an object; rejects duplicate fields, since they could not be read back unchanged."""
     built = dict(pairs)
     if len(built) < len(pairs):
         names = [name for name, _ in pairs]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        raise ValueError(f"fields given twice in one object: {', '.join(twice)}")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        raise ValueError(f"fields given twice in one object: {', '.join(duplicates)}")
     return built
--- a/dewpin/cluster/configuration/rules.py
+++ b/dewpin/cluster/configuration/rules.py
@@ -1,4 +1,4 @@
-"""The rules between the fields of a configuration, beyond the shape of each."""
+"""Validation rules across the fields of a configuration, in addition to the shape of each."""
 
 from typing import cast
 
@@ -8,7 +8,7 @@
 
 
 def check_rules(raw: JsonObject, shape_faults: list[Fault]) -> list[Fault]:
-    """Check the rules between fields, on every part whose shape is sound."""
+    """Check the rules across fields, on every part whose shape is valid."""
     known_services = _service_names(raw)
     faults: list[Fault] = []
     first_paths: dict[tuple[str, str], str] = {}
@@ -17,17 +17,17 @@
         path = f"routes[{index}]"
         if any(fault.is_within(path) for fault in shape_faults):
             continue
-        sound_route = cast(RawRoute, route)
-        faults += _check_route(sound_route, path, known_services)
-        key = normal_host(sound_route["hostname"]), sound_route["path_prefix"]
-        first = first_paths.setdefault(key, path)
-        if first != path:
-            faults.append(Fault(path, f"has the same host and prefix as {first}"))
+        valid_route = cast(RawRoute, route)
+        faults += _check_route(valid_route, path, known_services)
+        key = normal_host(valid_route["hostname"]), valid_route["path_prefix"]
+        first_path = first_paths.setdefault(key, path)
+        if first_path != path:
+            faults.append(Fault(path, f"has the same host and prefix as {first_path}"))
     return faults
 
 
 def _service_names(raw: JsonObject) -> set[str] | None:
-    """Return the names of all services, or None where one of them cannot be told."""
+    """Return the names of all services, or None if any of them is invalid."""
     services = raw.get("services")
     if check_shape(services, list[NamedService]):
         return None
--- a/dewpin/cluster/configuration/schema.py
+++ b/dewpin/cluster/configuration/schema.py
@@ -1,4 +1,4 @@
-"""The fields of a configuration as the operator writes them; the checks of their shapes are made of these."""
+"""The fields of a configuration as the operator writes them; `check_shape` validates against these types."""
 
 from typing import NotRequired, TypedDict
 
@@ -48,7 +48,7 @@
 
 
 class NamedService(TypedDict):
-    """What routes refer to of a service."""
+    """The field of a service that routes refer to."""
 
     name: str
 
@@ -64,7 +64,7 @@
 
 
 class RawLimits(TypedDict):
-    """The bounds on what clients may send, as the operator writes them."""
+    """The limits on clients' requests, as the operator writes them."""
 
     max_header_bytes: NotRequired[int | None]
     max_body_bytes: NotRequired[int | None]
@@ -73,7 +73,7 @@
 
 
 class RawConfiguration(TypedDict):
-    """A whole configuration as the operator writes it."""
+    """A complete configuration as the operator writes it."""
 
     generation: int
     routes: list[RawRoute]
--- a/dewpin/cluster/errors.py
+++ b/dewpin/cluster/errors.py
@@ -1,8 +1,8 @@
-"""Errors of the serving tier: the base class of all exceptions, and the closed list of error kinds.
+"""Errors of the serving tier: the base class of all exceptions and the fixed set of error kinds.
 
-Every error that crosses a package or a process has a kind from `ErrorKind`; its value is the field `kind` of an error
-message between processes. `ERROR_RESPONSES` maps each kind to the response that a client or an operator gets and to the
-level at which the error is logged.
+Every error that crosses a package or process boundary has an `ErrorKind`, whose value is the field `kind` of error
+messages between processes. `ERROR_RESPONSES` maps each kind to the HTTP response that a client or an operator gets and
+to the level at which the error is logged.
 """
 
 import logging
@@ -13,12 +13,12 @@
 
 
 class DewpinError(Exception):
-    """Base class of the exceptions that the serving tier raises."""
+    """Base class of the exceptions raised by the serving tier."""
 
 
 @unique
 class ErrorKind(StrEnum):
-    """What went wrong; the values are sent between processes and to clients, and never change."""
+    """The kind of an error; the values are sent between processes and to clients and must not change."""
 
     BAD_REQUEST = "bad_request"
     NO_ROUTE = "no_route"
@@ -49,11 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorResponse:
-    """The response to a request that failed with an error of one kind.
+    """The response to a request that failed with one kind of error.
 
     `status`: HTTP status code.
-    `guarantees_not_run`: whether the status says that the request was not executed and never will be.
-    `log_level`: level of `logging` at which the error is logged.
+    `guarantees_not_run`: whether the status guarantees that the request was not executed and never will be.
+    `log_level`: `logging` level of the error's log line.
     """
 
     status: int
@@ -62,7 +62,7 @@
 
 
 NOT_RUN_STATUSES = frozenset({402, 408, 421, 429, 503})
-"""Statuses that guarantee the caller that the request was not executed and never will be."""
+"""Statuses that guarantee to the caller that the request was not executed and never will be."""
 
 ERROR_RESPONSES: Mapping[ErrorKind, ErrorResponse] = MappingProxyType(
     {
@@ -96,10 +96,10 @@
 
 
 class TierError(DewpinError):
-    """An error of a known kind.
+    """An error with a kind from the fixed set.
 
-    `kind`: what went wrong.
-    `detail`: text for logs and for the body of the response; may be empty.
+    `kind`: kind of the error.
+    `detail`: text for logs and for the response body; may be empty.
     """
 
     def __init__(self, kind: ErrorKind, detail: str = "") -> None:
--- a/dewpin/cluster/logs.py
+++ b/dewpin/cluster/logs.py
@@ -1,10 +1,10 @@
-"""Structured logs of the tier's programs: one JSON object per line on standard error.
+"""Structured logging of the tier's programs: one JSON object per line on standard error.
 
-Every line is one of the named `Event`s with typed fields of its own; `EVENT_LEVELS` has the level of each. By default
-only the events of a process's life, warnings and errors are written. Logging never blocks the program: a line is
-dropped when writing to standard error would block or when too many lines come in a second, and the next line that is
-written has the number of dropped lines. `configure` is called once at the start; before it, events of the default level
-are dropped.
+Every line is one of the named `Event`s with its own fields; `EVENT_LEVELS` has the level of each. By default only
+process lifecycle events, warnings and errors are written. Logging never blocks the program: a line is dropped if
+writing to standard error would block or if there are more than MAX_LINES_PER_SECOND, and the next line written reports
+the number of dropped lines. `configure` is called once at start-up; until then, events at the default level are
+dropped.
 """
 
 import logging
@@ -20,10 +20,10 @@
 from .errors import TierError
 
 LOGGER_NAME = "dewpin"
-"""The logger that `configure` sets up; what modules log by their own names passes through it too."""
+"""The logger that `configure` sets up; records of the loggers of modules propagate to it."""
 
 NOTICE = 25
-"""The level between INFO and WARNING, for the events of a process's life."""
+"""The level between INFO and WARNING, for process lifecycle events."""
 
 LEVELS: Mapping[str, int] = MappingProxyType(
     {
@@ -34,19 +34,19 @@
         "error": logging.ERROR,
     }
 )
-"""The levels by their names in the settings file."""
+"""Logging levels by their names in the settings file."""
 
 MAX_LINES_PER_SECOND = 50
 MAX_TEXT_CHARACTERS = 1_000
 """Longer text fields are truncated."""
 
 _MAX_LINE_BYTES = select.PIPE_BUF
-"""A pipe that polls as writable takes this many bytes at once without blocking."""
+"""A pipe that polls as writable accepts a write of this many bytes without blocking."""
 
 
 @unique
 class Event(StrEnum):
-    """The kind of a line; the value is the line's `event` field."""
+    """The type of a log line; its value is the line's `event` field."""
 
     STARTED = "started"
     READY = "ready"
@@ -105,7 +105,7 @@
 class BoundedHandler(logging.Handler):
     """Writes lines to a file descriptor without blocking.
 
-    `dropped`: lines that were dropped since the last one that was written.
+    `dropped`: number of lines dropped since the last one was written.
     """
 
     def __init__(self, descriptor: int, clock: Callable[[], float] = time.monotonic) -> None:
@@ -116,12 +116,12 @@
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
         self._second_started_s = clock()
-        self._written_in_second = 0
+        self._lines_in_second = 0
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record, or drop it."""
-        if not self._within_rate() or not self._is_writable():
+        """Write a record, or drop it if that would block or exceed the rate limit."""
+        if not self._is_within_rate_limit() or not self._is_writable():
             self.dropped += 1
             return
         try:
@@ -132,32 +132,32 @@
         else:
             self.dropped = 0
 
-    def _within_rate(self) -> bool:
+    def _is_within_rate_limit(self) -> bool:
         now_s = self._clock()
         if now_s - self._second_started_s >= 1.0:
             self._second_started_s = now_s
-            self._written_in_second = 0
-        self._written_in_second += 1
-        return self._written_in_second <= MAX_LINES_PER_SECOND
+            self._lines_in_second = 0
+        self._lines_in_second += 1
+        return self._lines_in_second <= MAX_LINES_PER_SECOND
 
     def _is_writable(self) -> bool:
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
 
 def configure(level: str, node: str, role: str, descriptor: int | None = None) -> BoundedHandler:
-    """Send events from `level` (a key of LEVELS) up to standard error, each with the names of the node and the role."""
+    """Log events from `level` (a key of LEVELS) up to standard error, each with the names of the node and the role."""
     from pythonjsonlogger.json import JsonFormatter
 
     class LineFormatter(JsonFormatter):
-        """Moves an event's fields to the top level of the line; fields that every line has take precedence."""
+        """Moves an event's fields to the top level of the line; the fields common to all lines take precedence."""
 
         def process_log_record(self, log_data: dict[str, Any]) -> dict[str, Any]:
             line: dict[str, Any] = super().process_log_record(log_data)
             fields = line.pop("fields", {})
             if handler.dropped:
                 line["dropped_lines"] = handler.dropped
-            added = {key: value for key, value in fields.items() if key not in line}
-            return {key: _truncated(value) for key, value in {**line, **added}.items()}
+            extra_fields = {key: value for key, value in fields.items() if key not in line}
+            return {key: _truncated(value) for key, value in {**line, **extra_fields}.items()}
 
     handler = BoundedHandler(sys.stderr.fileno() if descriptor is None else descriptor)
     handler.setFormatter(
@@ -175,14 +175,14 @@
 
 
 def log_event(event: Event, **fields: object) -> None:
-    """Log an event at its own level; `fields` go into the line beside it and have to fit into JSON."""
+    """Log an event at its level with additional fields, which must be serializable as JSON."""
     level = EVENT_LEVELS[event]
     if _logger.isEnabledFor(level):
         _logger.log(level, event.value, extra={"fields": fields} if fields else None)
 
 
 def log_error(error: TierError, **fields: object) -> None:
-    """Log an error of the closed list at the level that the list gives its kind."""
+    """Log an error at the level of its kind."""
     level = error.response.log_level
     if _logger.isEnabledFor(level):
         details = {"kind": error.kind.value, "detail": error.detail, **fields}
--- a/dewpin/cluster/message_fields.py
+++ b/dewpin/cluster/message_fields.py
@@ -1,7 +1,7 @@
-"""Reading the fields of a message that was received: each has the type that it has to have, or MalformedMessageError is
-raised. Unknown fields are ignored: a newer release may send them.
+"""Type-checked access to the fields of received messages.
 
-Every function here returns a field of the message and raises MalformedMessageError if it is missing or of another type.
+Every accessor returns one field of a message and raises MalformedMessageError if it is missing or of the wrong type.
+Unknown fields are ignored, since a newer release may send them.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class MalformedMessageError(DewpinError, ValueError):
-    """A field of a message is missing or of another type.
+    """A field of a message is missing or of the wrong type.
 
-    `field`: its name.
-    `expected`: what it has to be.
+    `field`: name of the field.
+    `expected`: description of a valid value.
     """
 
     def __init__(self, field: str, expected: str) -> None:
@@ -27,52 +27,52 @@
 
 
 def text(message: Message, field: str) -> str:
-    """Return a field that holds text."""
+    """Return a string field."""
     value = message.get(field)
     if not isinstance(value, str):
-        raise MalformedMessageError(field, "text")
+        raise MalformedMessageError(field, "a string")
     return value
 
 
 def text_or_none(message: Message, field: str) -> str | None:
-    """Return a field that holds text or null; it has to be there."""
-    return None if _present(message, field) is None else text(message, field)
+    """Return a field that is a string or null; it has to be present."""
+    return None if _required(message, field) is None else text(message, field)
 
 
 def integer(message: Message, field: str) -> int:
-    """Return a field that holds a whole number."""
+    """Return an integer field."""
     value = message.get(field)
     if type(value) is not int:
-        raise MalformedMessageError(field, "a whole number")
+        raise MalformedMessageError(field, "an integer")
     return value
 
 
 def boolean(message: Message, field: str) -> bool:
-    """Return a field that holds true or false."""
+    """Return a boolean field."""
     value = message.get(field)
     if not isinstance(value, bool):
-        raise MalformedMessageError(field, "true or false")
+        raise MalformedMessageError(field, "a boolean")
     return value
 
 
 def octets(message: Message, field: str) -> bytes:
-    """Return the bytes that a field holds as latin-1 text."""
+    """Return the bytes of a field that encodes them as a latin-1 string."""
     try:
         return text(message, field).encode("latin-1")
     except UnicodeEncodeError:
-        raise MalformedMessageError(field, "bytes as latin-1 text") from None
+        raise MalformedMessageError(field, "bytes as a latin-1 string") from None
 
 
 def object_or_none(message: Message, field: str) -> Message | None:
-    """Return a field that holds an object or null; it has to be there."""
-    value = _present(message, field)
+    """Return a field that is an object or null; it has to be present."""
+    value = _required(message, field)
     if value is not None and not isinstance(value, dict):
         raise MalformedMessageError(field, "an object or null")
     return value
 
 
 def mapping(message: Message, field: str) -> Message:
-    """Return a field that holds an object."""
+    """Return an object field."""
     value = message.get(field)
     if not isinstance(value, dict):
         raise MalformedMessageError(field, "an object")
@@ -80,7 +80,7 @@
 
 
 def objects(message: Message, field: str) -> list[Message]:
-    """Return a field that holds a list of objects."""
+    """Return a field that is a list of objects."""
     values = message.get(field)
     if not isinstance(values, list) or not all(isinstance(value, dict) for value in values):
         raise MalformedMessageError(field, "a list of objects")
@@ -88,15 +88,15 @@
 
 
 def texts(message: Message, field: str) -> list[str]:
-    """Return a field that holds a list of texts."""
+    """Return a field that is a list of strings."""
     values = message.get(field)
     if not isinstance(values, list) or not all(isinstance(value, str) for value in values):
-        raise MalformedMessageError(field, "a list of texts")
+        raise MalformedMessageError(field, "a list of strings")
     return values
 
 
 def ballot(message: Message, field: str) -> tuple[int, str]:
-    """Return a field that holds the number of a proposal: a counter and its proposer."""
+    """Return a ballot field: a counter and the id of the proposer."""
     match message.get(field):
         case [int(counter), str(proposer)] if not isinstance(counter, bool):
             return counter, proposer
@@ -105,17 +105,17 @@
 
 
 def ballot_or_none(message: Message, field: str) -> tuple[int, str] | None:
-    """Return a field that holds a ballot or null; it has to be there."""
-    return None if _present(message, field) is None else ballot(message, field)
+    """Return a field that is a ballot or null; it has to be present."""
+    return None if _required(message, field) is None else ballot(message, field)
 
 
 def check_type(message: Message, expected: str) -> None:
-    """Raise MalformedMessageError unless the message is of this type."""
+    """Raise MalformedMessageError unless the message is of type `expected`."""
     if message.get("type") != expected:
         raise MalformedMessageError("type", expected)
 
 
-def _present(message: Message, field: str) -> Any:
+def _required(message: Message, field: str) -> Any:
     if field not in message:
         raise MalformedMessageError(field, "a value or null")
     return message[field]
--- a/dewpin/cluster/netstring.py
+++ b/dewpin/cluster/netstring.py
@@ -1,9 +1,10 @@
-"""Netstrings of JSON: the framing of all messages between dewpin's own processes.
+"""JSON netstrings: the framing of all messages between dewpin processes.
 
-A frame is the payload's length in decimal digits, a colon, the payload, a comma. The payload is one JSON object.
+A frame consists of the length of the payload in decimal digits, a colon, the payload and a comma. The payload is one
+JSON object.
 
-Bytes that JSON can't carry, or only at many times their length, travel behind it: an object whose `raw` is a number is
-followed by a second netstring of so many bytes, of any value, which are that `raw`.
+Binary data, which JSON cannot represent or only at a multiple of its length, follows the object: if the `raw` field of
+the object is a number, a second netstring of that many arbitrary bytes follows, which are the value of `raw`.
 """
 
 from __future__ import annotations
@@ -14,28 +15,28 @@
 from .errors import DewpinError
 
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-"""The longest payload and the most raw bytes of one message."""
+"""Maximum length of the payload of a message, and of its raw bytes."""
 RAW = "raw"
-"""The key of an object's raw bytes."""
+"""The key of the raw bytes of an object."""
 _MAX_LENGTH_DIGITS = len(str(MAX_FRAME_BYTES))
 
 JsonObject = dict[str, Any]
 
 
 class FrameError(DewpinError, ValueError):
-    """Bytes that are no frame, or a frame over the limit; the connection that they came on cannot be used any more."""
+    """Bytes that are not a valid frame, or a frame over the limit; the connection cannot be used any further."""
 
 
 def encode(message: JsonObject, max_bytes: int = MAX_FRAME_BYTES) -> bytes:
-    """Return the frame of `message`.
+    """Return `message` as a frame.
 
-    Raises FrameError for a message that no decoder accepts: its connection would be ended by the peer.
+    Raises FrameError for a message that no decoder accepts, since the peer would close the connection.
     """
     raw = message.get(RAW)
     if isinstance(raw, bytes):
         return _netstring(_json({**message, RAW: len(raw)}), max_bytes) + _netstring(raw, max_bytes)
     if raw is not None:
-        raise FrameError("raw is not bytes")
+        raise FrameError("`raw` is not bytes")
     return _netstring(_json(message), max_bytes)
 
 
@@ -45,21 +46,21 @@
 
 def _netstring(payload: bytes, max_bytes: int) -> bytes:
     if len(payload) > max_bytes:
-        raise FrameError(f"{len(payload)} bytes")
+        raise FrameError(f"{len(payload)} bytes exceed the limit")
     return b"%d:%b," % (len(payload), payload)
 
 
 class Decoder:
-    """Splits a stream of bytes into messages."""
+    """Decodes a byte stream into messages."""
 
     def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Accept payloads of up to `max_bytes`."""
+        """Create a decoder that accepts payloads of up to `max_bytes`."""
         self._buffer = bytearray()
         self._max_bytes = max_bytes
-        self._awaiting_raw: JsonObject | None = None  # an object whose raw bytes have not come
+        self._awaiting_raw: JsonObject | None = None  # a message whose raw bytes have not been received
 
     def feed(self, data: bytes) -> list[JsonObject]:
-        """Return the messages that `data` completes. Raises FrameError for bytes that cannot be a frame."""
+        """Return the messages completed by `data`. Raises FrameError for bytes that cannot be a frame."""
         self._buffer += data
         messages: list[JsonObject] = []
         while (payload := self._next_payload()) is not None:
@@ -69,16 +70,16 @@
         return messages
 
     def _complete(self, payload: bytes) -> JsonObject | None:
-        """Return the message that `payload` completes; None if its raw bytes have not come."""
-        awaiting = self._awaiting_raw
-        if awaiting is not None:
+        """Return the message completed by `payload`, or None if its raw bytes have not been received."""
+        pending = self._awaiting_raw
+        if pending is not None:
             self._awaiting_raw = None
-            return {**awaiting, RAW: payload}
+            return {**pending, RAW: payload}
         message = _decode(payload)
         if RAW not in message:
             return message
         if type(message[RAW]) is not int or not 0 <= message[RAW] <= self._max_bytes:
-            raise FrameError(f"raw bytes: {message[RAW]!r:.16}")
+            raise FrameError(f"invalid number of raw bytes: {message[RAW]!r:.16}")
         self._awaiting_raw = message
         return None
 
@@ -90,10 +91,10 @@
             return None
         digits = bytes(self._buffer[:colon])
         if not digits.isdigit() or int(digits) > self._max_bytes:
-            raise FrameError(f"length {digits[:16]!r}")
+            raise FrameError(f"invalid length {digits[:16]!r}")
         length = int(digits)
         if self._awaiting_raw is not None and length != self._awaiting_raw[RAW]:
-            raise FrameError(f"{length} raw bytes where {self._awaiting_raw[RAW]} were announced")
+            raise FrameError(f"{length} raw bytes instead of {self._awaiting_raw[RAW]} as announced")
         end = colon + 1 + length
         if len(self._buffer) <= end:
             return None
@@ -111,5 +112,5 @@
     except ValueError as error:
         raise FrameError(str(error)) from error
     if not isinstance(message, dict):
-        raise FrameError("not an object")
+        raise FrameError("payload is not a JSON object")
     return message
--- a/dewpin/cluster/placement.py
+++ b/dewpin/cluster/placement.py
@@ -1,7 +1,7 @@
-"""Which members hold the records of a key: rendezvous hashing, the same at every process without communication.
+"""Replica placement by rendezvous hashing: every process computes the replicas of a key without communication.
 
-The replicas of a key are spread over regions and zones as evenly as the members allow, so that the loss of one affects
-as few of them as possible. A member's location is `region/zone`.
+The replicas of a key are spread over regions and zones as evenly as the members allow, so that the loss of one region
+or zone affects as few of them as possible. A member's location is `region/zone`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class LocationCount:
-    """How many of the members chosen so far are in each region and zone."""
+    """Number of the members chosen so far in each region and zone."""
 
     def __init__(self, locations: Iterable[str] = ()) -> None:
         self._zones: Counter[str] = Counter()
@@ -34,12 +34,12 @@
         self._regions[region_of(location)] += 1
 
     def crowding(self, location: str) -> tuple[int, int]:
-        """Return how many members are in the region and in the zone of `location`; the lowest is to be chosen next."""
+        """Return the number of members in the region and in the zone of `location`; the lowest is to be chosen next."""
         return self._regions[region_of(location)], self._zones[location]
 
 
 def location_of(region: str, zone: str) -> str:
-    """Return the location of a machine."""
+    """Return the location of a machine in a zone of a region."""
     return f"{region}/{zone}"
 
 
@@ -50,9 +50,9 @@
 
 @lru_cache(maxsize=_CACHED_KEYS)
 def replicas(key: str, members: tuple[str, ...], count: int, locations: tuple[str, ...] = ()) -> frozenset[str]:
-    """Return the `count` members (all, if there are fewer) that hold the records of `key`.
+    """Return the `count` members (or all, if there are fewer) that hold the records of `key`.
 
-    `locations` are those of the members, in the same order; without them all members count as being in one location.
+    `locations` are those of the members, in the same order; if empty, all members count as being in one location.
     """
     if len(members) <= count:
         return frozenset(members)
@@ -61,31 +61,30 @@
 
 
 def _spread(ranked: list[str], count: int, locations: Mapping[str, str]) -> list[str]:
-    """Choose `count` members: each time one from the least crowded location, of these the one ranked first."""
-    counted = LocationCount()
+    """Choose `count` members one by one, each the highest-ranked of those in the least occupied location."""
+    counts = LocationCount()
     remaining = list(ranked)
     chosen: list[str] = []
     while len(chosen) < count:
-        member = min(remaining, key=lambda one: counted.crowding(locations.get(one, "")))
+        member = min(remaining, key=lambda candidate: counts.crowding(locations.get(candidate, "")))
         remaining.remove(member)
         chosen.append(member)
-        counted.add(locations.get(member, ""))
+        counts.add(locations.get(member, ""))
     return chosen
 
 
 def replica_count(machines: int, zones: int, regions: int) -> int:
-    """Return how many replicas tolerate the loss of so many machines, or zones, or regions: a majority has to
-    remain."""
+    """Return the number of replicas of which a majority survives the loss of so many machines, zones or regions."""
     return 2 * max(machines, zones, regions) + 1
 
 
 def majority(size: int) -> int:
-    """Return the least number of `size` members that makes a majority."""
+    """Return the smallest number of members that is a majority of `size`."""
     return size // 2 + 1
 
 
 def max_unreachable(members: int, count: int) -> int:
-    """Return how many of all `members` may be unreachable while every key still has a majority of its `count`
-    replicas."""
+    """Return how many of the `members` may be unreachable with a majority of the `count` replicas of every key still
+    reachable."""
     size = min(members, count)
     return size - majority(size)
--- a/dewpin/cluster/platform_list.py
+++ b/dewpin/cluster/platform_list.py
@@ -1,4 +1,4 @@
-"""Reading the platform's list of receivers over HTTP."""
+"""HTTP client for the platform's list of receivers."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from dewpin.cluster.receivers import Receiver, receiver_from_platform
 
 MAX_PAGES = 2000
-"""A list with more pages counts as endless."""
+"""Reading stops with an error after this many pages, in case the platform's pagination never ends."""
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 0.8
 
 
 class PlatformUnavailableError(DewpinError):
-    """The platform did not return its complete list: it did not answer, rejected the request or sent an unreadable
-    reply."""
+    """The platform did not return its complete list: it did not respond, rejected the request or sent an invalid
+    response."""
 
 
 class PlatformList:
-    """The platform's list at one address."""
+    """Client for the platform's list at one address."""
 
     def __init__(self, address: str) -> None:
-        """Read from `address` (`ip:port`)."""
+        """Create a client for the list at `address` (`ip:port`)."""
         self._address = address
         self._pool = urllib3.PoolManager(
             num_pools=1,
@@ -38,7 +38,7 @@
         )
 
     def read(self) -> list[Receiver]:
-        """Return all receivers; blocks. Raises PlatformUnavailableError unless every page was read."""
+        """Return all receivers; blocks the thread. Raises PlatformUnavailableError unless every page was read."""
         return list(self._pages())
 
     def _pages(self) -> Iterator[Receiver]:
@@ -52,7 +52,7 @@
                 raise PlatformUnavailableError(repr(error)) from error
             if not token:
                 return
-        raise PlatformUnavailableError("pages without end")
+        raise PlatformUnavailableError("too many pages")
 
     def _page(self, token: str | None) -> dict[str, Any]:
         url = f"http://{self._address}/instances"
@@ -69,7 +69,7 @@
         except ValueError as error:
             raise PlatformUnavailableError(repr(error)) from error
         if not isinstance(page, dict):
-            raise PlatformUnavailableError("not an object")
+            raise PlatformUnavailableError("response body is not a JSON object")
         return page
 
 
@@ -81,17 +81,17 @@
 
 
 class ThreadedPlatformReader:
-    """Reads in a thread, over one connection that is reused."""
+    """Reads in a worker thread, over one persistent connection."""
 
     def __init__(self) -> None:
-        """Start without a connection."""
+        """Create a reader without a connection."""
         self._list: PlatformList | None = None
         self._address: str | None = None
 
     async def read(self, address: str) -> list[Receiver]:
         """Return all receivers of the list at `address`.
 
-        Raises PlatformUnavailableError; the next reading opens a new connection then.
+        Raises PlatformUnavailableError; the next read then opens a new connection.
         """
         if self._list is None or self._address != address:
             self._list, self._address = PlatformList(address), address
--- a/dewpin/cluster/ports.py
+++ b/dewpin/cluster/ports.py
@@ -1,6 +1,6 @@
-"""Which of a machine's free ports dewpin's own processes listen on.
+"""The ports of a machine that dewpin processes listen on for internal traffic.
 
-The ports are the same on all machines, so the address `ip:port` of one interface gives those of the others.
+The ports are the same on all machines, so one address `ip:port` of a machine yields its others.
 """
 
 from __future__ import annotations
--- a/dewpin/cluster/receivers.py
+++ b/dewpin/cluster/receivers.py
@@ -1,4 +1,4 @@
-"""The receivers of the platform's list, merged so that a receiver that was seen to leave never comes back."""
+"""The receiver directory: merges the platform's listings so that a receiver seen draining never becomes ready again."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ReceiverRecord(TypedDict):
-    """One receiver on the wire between dewpin's processes; fields as in `Receiver`."""
+    """A receiver in messages between dewpin processes; fields as in `Receiver`."""
 
     id: str
     backend: str
@@ -26,14 +26,14 @@
 class Receiver:
     """One incarnation of a receiver.
 
-    `id`: unique; never used again.
+    `id`: unique and never reused.
     `backend`: name of its service.
     `address`: `ip:port`.
-    `zone`: zone of its machine; empty if the platform does not say.
-    `capacity`: requests that it serves at the same time.
-    `draining`: whether it is leaving and gets no new requests.
-    `warm_up_left_ms`: how much longer it stays slow, as of the reading of the list; `cold_left_ms` on the wire.
-    `generation`: version of its software, as the platform names it.
+    `zone`: zone of its machine; empty if the platform does not report it.
+    `capacity`: number of requests that it serves concurrently.
+    `draining`: whether it is shutting down and gets no new requests.
+    `warm_up_left_ms`: remaining warm-up time when the list was read; `cold_left_ms` on the wire.
+    `generation`: its software version as reported by the platform.
     """
 
     id: str
@@ -46,7 +46,7 @@
     generation: str = ""
 
     def to_record(self) -> ReceiverRecord:
-        """Return the receiver on the wire between dewpin's processes."""
+        """Return the receiver as a record for messages between dewpin processes."""
         return ReceiverRecord(
             id=self.id,
             backend=self.backend,
@@ -60,7 +60,7 @@
 
 
 def receiver_from_record(record: Mapping[str, Any]) -> Receiver:
-    """Return the receiver of a wire record. Raises KeyError, TypeError or ValueError if it is none."""
+    """Decode a receiver from a record. Raises KeyError, TypeError or ValueError if the record is invalid."""
     return Receiver(
         id=str(record["id"]),
         backend=str(record["backend"]),
@@ -74,8 +74,8 @@
 
 
 def receiver_from_platform(entry: Mapping[str, Any]) -> Receiver:
-    """Return the receiver of an entry of the platform's list. Raises KeyError, TypeError or ValueError if it is
-    none."""
+    """Decode a receiver from an entry of the platform's list. Raises KeyError, TypeError or ValueError if the entry is
+    invalid."""
     return Receiver(
         id=str(entry["id"]),
         backend=str(entry["backend"]),
@@ -89,10 +89,10 @@
 
 
 class DirectoryVersion(NamedTuple):
-    """Version of a directory; a greater one is newer.
+    """Version of a directory; versions are ordered, and a greater one is newer.
 
-    `counter`: one more than the greatest that the reader knew.
-    `reader`: id of the process that read the list; decides between equal counters.
+    `counter`: one more than the greatest that the reader had seen.
+    `reader`: id of the process that read the list; breaks ties between equal counters.
     """
 
     counter: int
@@ -103,13 +103,13 @@
 
 
 class ReceiverDirectory:
-    """The receivers that one process knows.
+    """The receivers known to one process.
 
-    A receiver that was seen draining stays so, and one that left the list after that stays away, whatever an older
-    listing says that arrives later.
+    Draining is never reverted: a receiver seen draining remains so, and one that was removed from the list after that
+    is not added again, even if an older listing that contains it arrives later.
 
-    `version`: of the listing that the receivers are from.
-    `receivers`: by id.
+    `version`: version of the listing that the receivers come from.
+    `receivers`: the receivers by id.
     """
 
     def __init__(self) -> None:
@@ -117,54 +117,54 @@
         self.version = NO_VERSION
         self.receivers: dict[str, Receiver] = {}
         self._draining_ids: dict[str, None] = {}
-        self._greatest_seen = NO_VERSION
+        self._max_seen_version = NO_VERSION
         self._differs_from_source = False
 
     def observe_version(self, version: DirectoryVersion) -> None:
-        """Remember a version that another process has: the next listing gets a newer one."""
-        self._greatest_seen = max(self._greatest_seen, version)
+        """Record a version held by another process, so that the next listing gets a newer one."""
+        self._max_seen_version = max(self._max_seen_version, version)
 
     def apply_listing(self, receivers: Iterable[Receiver], reader: str) -> bool:
-        """Apply the complete list as `reader` has just read it for all processes; return whether it is a new
-        version."""
-        needs_version = self._greatest_seen > self.version or self.version == NO_VERSION or self._differs_from_source
+        """Apply the complete list that `reader` has just read, to be published to all processes; return whether it made
+        a new version."""
+        needs_version = self._max_seen_version > self.version or self.version == NO_VERSION or self._differs_from_source
         if not self.apply_private_listing(receivers) and not needs_version:
             return False
         self._differs_from_source = False
-        self.version = DirectoryVersion(max(self.version.counter, self._greatest_seen.counter) + 1, reader)
+        self.version = DirectoryVersion(max(self.version.counter, self._max_seen_version.counter) + 1, reader)
         return True
 
     def apply_private_listing(self, receivers: Iterable[Receiver]) -> bool:
-        """Apply a list that no other process gets, under the version as it is; return whether anything changed."""
+        """Apply a list that is not published to others, without a new version; return whether anything changed."""
         merged = self._merge(receivers)
         changed = _without_warm_up(merged) != _without_warm_up(self.receivers)
         self.receivers = merged
         return changed
 
     def apply_update(self, version: DirectoryVersion, receivers: Iterable[Receiver]) -> bool:
-        """Apply another process's directory; return whether it is newer than this one.
+        """Apply the directory of another process; return whether it is newer than this one.
 
-        If a receiver is known to be draining here that the update shows as ready, the next listing makes a new version,
-        so that the others learn of it too.
+        If a receiver is known to be draining here but is ready in the update, the next listing makes a new version, so
+        that the draining is published to the other processes.
         """
         if version <= self.version:
             return False
-        sent = {receiver.id: receiver for receiver in receivers}
-        self.receivers = self._merge(sent.values())
-        self._differs_from_source = _without_warm_up(self.receivers) != _without_warm_up(sent)
+        received = {receiver.id: receiver for receiver in receivers}
+        self.receivers = self._merge(received.values())
+        self._differs_from_source = _without_warm_up(self.receivers) != _without_warm_up(received)
         self.version = version
         return True
 
     def to_records(self) -> list[ReceiverRecord]:
-        """Return all receivers on the wire."""
+        """Return the records of all receivers."""
         return [receiver.to_record() for receiver in self.receivers.values()]
 
     def by_service(self) -> dict[str, tuple[Receiver, ...]]:
-        """Return the receivers by the name of their service."""
+        """Return the receivers grouped by the name of their service."""
         services: dict[str, list[Receiver]] = {}
         for receiver in self.receivers.values():
             services.setdefault(receiver.backend, []).append(receiver)
-        return {name: tuple(found) for name, found in services.items()}
+        return {name: tuple(members) for name, members in services.items()}
 
     def _merge(self, receivers: Iterable[Receiver]) -> dict[str, Receiver]:
         merged: dict[str, Receiver] = {}
@@ -187,6 +187,13 @@
 
 def _without_warm_up(receivers: Mapping[str, Receiver]) -> dict[str, tuple[object, ...]]:
     return {
-        one.id: (one.backend, one.address, one.zone, one.capacity, one.draining, one.generation)
-        for one in receivers.values()
+        receiver.id: (
+            receiver.backend,
+            receiver.address,
+            receiver.zone,
+            receiver.capacity,
+            receiver.draining,
+            receiver.generation,
+        )
+        for receiver in receivers.values()
     }
--- a/dewpin/cluster/relay_messages.py
+++ b/dewpin/cluster/relay_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the relay tree, by which senders learn of changes: renewals of leases, and watches.
+"""Messages of the relay tree, which distributes state changes to senders: lease renewals and watches.
 
-Every `decode` raises KeyError, TypeError or ValueError for a message that is not of its kind.
+Every `decode` raises KeyError, TypeError or ValueError if the message is invalid.
 """
 
 from __future__ import annotations
@@ -17,15 +17,16 @@
 RELAY_WATCH = "relay.watch"
 
 StateJson = dict[str, Any]
-"""A system state as JSON: `dewpin.controlplane.register.system_state`."""
+"""A system state as a JSON object; see `dewpin.controlplane.register.system_state`."""
 
 
 @dataclass(frozen=True, slots=True)
 class RenewRequest:
-    """Requests a sender's lease, or its renewal.
+    """Requests or renews the lease of a sender.
 
-    `sender`, `address`, `zone`: id of the sender, `ip:port` at which its children in the relay tree reach it, its zone.
-    `receivers_version`: of the receivers that the sender knows.
+    `sender`, `address`, `zone`: id of the sender, `ip:port` at which its children in the relay tree reach it, and its
+        zone.
+    `receivers_version`: version of the sender's receiver directory.
     """
 
     sender: str
@@ -34,7 +35,7 @@
     receivers_version: DirectoryVersion
 
     def encode(self) -> Message:
-        """Return the message."""
+        """Return the message to send."""
         return {
             "type": LEASE_RENEW,
             "sender": self.sender,
@@ -45,7 +46,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> RenewRequest:
-        """Return the request of a message."""
+        """Decode a request."""
         return cls(
             sender=str(message["sender"]),
             address=str(message["address"]),
@@ -58,14 +59,15 @@
 class LeaseGrant:
     """Grants a lease.
 
-    `duration_s`: of the lease, from the request on.
-    `state_version`, `receivers_version`: what the control server that grants it knows.
-    `list_age_s`: how long ago the platform's list was read that the receivers are from.
+    `duration_s`: duration of the lease, counted from the request.
+    `state_version`, `receivers_version`: versions of the system state and of the receivers at the control server that
+        grants the lease.
+    `list_age_s`: time since the platform's list that the receivers come from was read.
     `parents`: addresses of the sender's parents in the relay tree, the nearest first.
     `control_addresses`: addresses of the control servers; field `keepers` on the wire.
     `senders`: number of live senders.
-    `knowledge_age_s`: how long ago a majority confirmed the control server's state as the newest, as of the reply;
-        earlier releases omit it and count as current.
+    `knowledge_age_s`: time since a majority confirmed the control server's state as the newest, when it replied;
+        earlier releases omit it and are treated as current.
     """
 
     duration_s: float
@@ -78,7 +80,7 @@
     knowledge_age_s: float = 0.0
 
     def encode(self) -> Message:
-        """Return the message."""
+        """Return the message to send."""
         return {
             "type": "lease.granted",
             "duration_s": self.duration_s,
@@ -86,14 +88,14 @@
             "receivers_version": self.receivers_version,
             "list_age_s": self.list_age_s,
             "parents": self.parents,
-            "keepers": self.control_addresses,  # the key of earlier releases
+            "keepers": self.control_addresses,  # the key that earlier releases use
             "senders": self.senders,
             "knowledge_age_s": self.knowledge_age_s,
         }
 
     @classmethod
     def decode(cls, message: Message) -> LeaseGrant:
-        """Return the grant of a message."""
+        """Decode a grant."""
         return cls(
             duration_s=float(message["duration_s"]),
             state_version=int(message["state_version"]),
@@ -108,12 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """Requests what is newer than these versions.
+    """Requests the state and the receivers if they are newer than the caller's.
 
-    `state_version`, `receivers_version`: what the caller knows.
-    `is_long_poll`: whether the reply is to wait until something is newer; field `wait` on the wire.
-    `body_generation`: generation of the configuration whose body the caller has, 0 for none; field `held`. Earlier
-        releases omit it: they don't know states without a body.
+    `state_version`, `receivers_version`: the caller's versions.
+    `is_long_poll`: whether to delay the reply until there is an update; field `wait` on the wire.
+    `body_generation`: generation of the configuration whose body the caller has, 0 for none; field `held` on the wire.
+        Earlier releases omit it, since they do not support states without a body.
     """
 
     state_version: int
@@ -122,7 +124,7 @@
     body_generation: int | None = None
 
     def encode(self) -> Message:
-        """Return the message."""
+        """Return the message to send."""
         message: Message = {
             "type": RELAY_WATCH,
             "state_version": self.state_version,
@@ -135,7 +137,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> WatchRequest:
-        """Return the request of a message."""
+        """Decode a request."""
         return cls(
             state_version=int(message["state_version"]),
             receivers_version=directory_version(message["receivers_version"]),
@@ -148,10 +150,10 @@
 class RelayUpdate:
     """The reply to a watch; its type on the wire is `relay.news`.
 
-    `receivers_version`, `list_age_s`, `knowledge_age_s`: of the process that replies, as in `LeaseGrant`; earlier
-        releases omit `knowledge_age_s` and confirm nothing.
-    `state`: the system state if it is newer than the caller's, else None; without the body of its configuration if the
-        caller has that or is to fetch it by pages.
+    `receivers_version`, `list_age_s`, `knowledge_age_s`: those of the replying process, as in `LeaseGrant`; earlier
+        releases omit `knowledge_age_s`, and their replies confirm nothing.
+    `state`: the system state if it is newer than the caller's, else None. It omits the body of its configuration if the
+        caller has the body already or has to fetch it in pages.
     `receivers`: all receivers if they are newer than the caller's, else None.
     """
 
@@ -162,7 +164,7 @@
     receivers: tuple[Receiver, ...] | None = None
 
     def encode(self) -> Message:
-        """Return the message."""
+        """Return the message to send."""
         message: Message = {
             "type": "relay.news",
             "receivers_version": self.receivers_version,
@@ -177,7 +179,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> RelayUpdate:
-        """Return the update of a message."""
+        """Decode an update."""
         receivers = message.get("receivers")
         return cls(
             receivers_version=directory_version(message["receivers_version"]),
@@ -189,29 +191,29 @@
 
 
 def has_body(state: StateJson) -> bool:
-    """Return whether the state has no configuration, or one with its body."""
+    """Return whether the state includes the body of its configuration, or has no configuration."""
     configuration = state.get("configuration")
     return configuration is None or "body" in configuration
 
 
 def without_body(state: StateJson) -> StateJson:
-    """Return the state without its configuration's body."""
+    """Return the state without the body of its configuration."""
     configuration = {name: field for name, field in state["configuration"].items() if name != "body"}
     return {**state, "configuration": configuration}
 
 
 def generation_of(state: StateJson | None) -> int:
-    """Return the generation of the state's configuration; 0 if there is none."""
+    """Return the generation of the configuration of a state; 0 if there is none."""
     configuration = state.get("configuration") if state is not None else None
     return int(configuration["generation"]) if configuration is not None else 0
 
 
 def directory_version(pair: object) -> DirectoryVersion:
-    """Return the version of a directory of a message. Raises TypeError or ValueError if it is none."""
+    """Decode the version of a receiver directory from a message. Raises TypeError or ValueError if it is invalid."""
     counter, reader = cast(tuple[int, str], pair)
     return DirectoryVersion(int(counter), str(reader))
 
 
 def rounded_up_s(age_s: float) -> float:
-    """Return an age as messages hold it: rounded up to milliseconds, which keeps messages short."""
+    """Round an age up to milliseconds, which keeps messages short."""
     return math.ceil(age_s * 1000) / 1000
--- a/dewpin/cluster/relay_service.py
+++ b/dewpin/cluster/relay_service.py
@@ -1,6 +1,7 @@
-"""Answers the watches of the relay tree: at once if there is an update for the caller, else with the next one.
+"""Serves the watches of the relay tree: replies at once if there is an update for the caller, else with the next one.
 
-A process whose state no majority has confirmed for too long relays nothing: its callers are to ask another one.
+A process whose state has not been confirmed by a majority for too long rejects watches, so that its callers turn to
+another process.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 from .rpc import Message, RpcError
 
 WATCH_HEARTBEAT_S = 1.0
-"""A watch without an update is answered after this time, so that the caller knows its parent to be alive."""
+"""A watch gets a reply after this time even without an update, which shows the caller that its parent is alive."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedKnowledge:
-    """What a process can relay.
+    """The state and the receivers that a process can relay.
 
-    `state`: the newest system state; may lack its configuration's body while that is being fetched.
+    `state`: the newest system state; lacks the body of its configuration while that is being fetched.
     `directory`: the receivers.
-    `list_age_s`: how long ago the platform's list was read that the receivers are from.
-    `age_s`: how long ago a majority confirmed the state as the newest.
-    `is_current`: whether that is recent enough to relay it.
+    `list_age_s`: time since the platform's list that the receivers come from was read.
+    `age_s`: time since a majority confirmed the state as the newest.
+    `is_current`: whether the confirmation is recent enough for the state to be relayed.
     """
 
     state: StateJson | None
@@ -39,22 +40,22 @@
 
 
 class RelayService:
-    """Answers the children of a process in the relay tree."""
+    """Handles the watches of the children of a process in the relay tree."""
 
     def __init__(self, knowledge: Callable[[], RelayedKnowledge]) -> None:
-        """`knowledge` returns what the process knows at that moment."""
+        """`knowledge` returns what the process can relay at the time of the call."""
         self._knowledge = knowledge
         self._changed = asyncio.Event()
 
     def announce(self) -> None:
-        """Wake the watches that wait for an update."""
+        """Wake the watches that are waiting for an update."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def handle_watch(self, message: Message) -> Message:
-        """Return an update, at the latest after WATCH_HEARTBEAT_S.
+        """Return an update after at most WATCH_HEARTBEAT_S.
 
-        Raises RpcError (`no_quorum`) if what is known here is not current.
+        Raises RpcError (`no_quorum`) if the state of this process is not current.
         """
         request = WatchRequest.decode(message)
         if request.is_long_poll and not _has_update(self._current_knowledge(), request):
@@ -65,7 +66,7 @@
     def _current_knowledge(self) -> RelayedKnowledge:
         knowledge = self._knowledge()
         if not knowledge.is_current:
-            raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed what is known here")
+            raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed the state recently")
         return knowledge
 
 
@@ -79,15 +80,15 @@
 
 
 def _state_for(request: WatchRequest, state: StateJson | None) -> StateJson | None:
-    """Return the state for the caller: without a body that it already has, or that is longer than a page."""
+    """Return the state for the caller, without a body that the caller already has or that does not fit in a page."""
     configuration = state.get("configuration") if state is not None else None
     if state is None or configuration is None:
         return state
     if request.body_generation is None:
         if not has_body(state):
-            raise RpcError(ErrorKind.NO_QUORUM, "the newest configuration is not whole here")
+            raise RpcError(ErrorKind.NO_QUORUM, "the body of the newest configuration is incomplete")
         return state
-    if not has_body(state) or "base" not in configuration:  # of a control server of an earlier release
+    if not has_body(state) or "base" not in configuration:  # states of control servers of earlier releases lack `base`
         return state
     is_known = generation_of(state) == request.body_generation
     return without_body(state) if is_known or not fits_page(configuration["body"]) else state
--- a/dewpin/cluster/rpc/__init__.py
+++ b/dewpin/cluster/rpc/__init__.py
@@ -1,14 +1,13 @@
-"""Remote calls between dewpin's processes: netstrings of JSON over TCP, many concurrent calls on one connection.
+"""Remote procedure calls between dewpin processes: JSON netstrings over TCP, multiplexed on one connection per peer.
 
-A message is an object with a `type`; a reply of type `error` raises `RpcError` at the caller. The frames around
-messages are those of `rpc_frames`.
+A message is an object with a `type`; a reply of type `error` raises `RpcError` at the caller. `rpc_frames` defines the
+frames that messages are sent in.
 
-Each connection numbers its calls and never uses a number twice, so the reply to a call that was abandoned, however
-late, matches no pending call and is dropped. A call that failed may have been executed: only calls to idempotent
-handlers may be repeated.
+Each connection numbers its calls and never reuses a number, so a late reply to an abandoned call matches no pending
+call and is dropped. A call that failed may have been executed, so only calls to idempotent handlers may be retried.
 
-`server` answers calls, `client` makes them, `connection` has what both do with a socket, `errors` the error and its
-message.
+`server` handles calls, `client` makes them, `connection` has the socket handling of both, `errors` the exception and
+the error message.
 """
 
 from ..rpc_frames import Message
--- a/dewpin/cluster/rpc/client.py
+++ b/dewpin/cluster/rpc/client.py
@@ -1,4 +1,4 @@
-"""The client: makes calls to other processes."""
+"""The RPC client."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 CONNECT_TIMEOUT_S = 1.0
 UNCOMPRESSED_PERIOD_S = 60.0
-"""How long plain netstrings are sent to a process that closed a compressed connection without a reply: one of an
-earlier release reads no others."""
+"""How long uncompressed frames are sent to a peer that closed a compressed connection without a reply: earlier releases
+do not support compression."""
 
 
 class RpcClient:
-    """Makes calls to other processes over one connection per address, opened when it is first needed."""
+    """Makes calls to other processes over one connection per address, opened on first use."""
 
     def __init__(self) -> None:
         """Create a client without connections."""
@@ -28,15 +28,15 @@
     async def call(self, address: str, message: Message, timeout_s: float) -> Message:
         """Return the reply of the process at `address` (`host:port`).
 
-        Raises RpcError on any failure, after `timeout_s` at the latest.
+        Raises RpcError on any failure, after at most `timeout_s`.
         """
         received_before = self._received_chunks(address)
         try:
-            async with asyncio.timeout(timeout_s):  # wait_for would make a task of each call
+            async with asyncio.timeout(timeout_s):  # wait_for would create a task for each call
                 reply = await self._call(address, message)
         except TimeoutError:
             if self._received_chunks(address) == received_before:
-                self._drop(address)  # nothing came all the while: a new connection may find another path sooner
+                self._drop(address)  # nothing was received: a new connection may find a working path sooner
             raise RpcError("timeout", address) from None
         if reply.get("type") == "error":
             raise RpcError(str(reply.get("kind")), str(reply.get("detail", "")), reply)
@@ -100,24 +100,24 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server.
+    """A connection to a server.
 
-    `transport`: None before the connection is made and after it was lost.
-    `received_chunks`: how many times bytes were received.
+    `transport`: the transport; None until the connection is made and after it is lost.
+    `received_chunks`: number of times that bytes were received.
     """
 
     def __init__(self, is_compressed: bool) -> None:
-        """Create the protocol of a connection whose requests are compressed or not."""
+        """Create the protocol of a connection; `is_compressed` is whether to compress its requests."""
         self._decoder = Decoder()
         self._incoming = IncomingBytes()
         self._output = CompressedOutput() if is_compressed else None
         self._pending: dict[int, asyncio.Future[Message]] = {}
-        self._number = 0
+        self._last_number = 0
         self.received_chunks = 0
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to use the connection."""
+        """Store the transport and set its socket options."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         set_socket_options(transport)
@@ -131,7 +131,7 @@
         self._pending.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Resolve the calls whose replies `data` completes; abort the connection if it is not readable."""
+        """Resolve the calls whose replies are completed by `data`; abort the connection if a frame is invalid."""
         self.received_chunks += 1
         try:
             for chunk in self._incoming.decode(data):
@@ -148,12 +148,12 @@
 
     @property
     def was_compression_rejected(self) -> bool:
-        """Whether the peer closed a compressed connection without a byte of reply to what it was sent."""
-        is_closed_after_use = self.transport is None and self._number > 0
+        """Whether the peer closed a compressed connection after a request without sending any bytes."""
+        is_closed_after_use = self.transport is None and self._last_number > 0
         return is_closed_after_use and self._output is not None and not self.received_chunks
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -161,9 +161,9 @@
         """Return the reply to `message`. Raises RpcError (`closed`, `too_large`)."""
         if self.transport is None or self.transport.is_closing() or abort_if_peer_does_not_read(self.transport):
             raise RpcError("closed")
-        self._number += 1
-        number = self._number
-        frame = _request_bytes(RequestFrame(number, message))
+        self._last_number += 1
+        number = self._last_number
+        frame = _encode_request(RequestFrame(number, message))
         if self._output is not None:
             frame = self._output.encode(frame)
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
@@ -175,8 +175,8 @@
             self._pending.pop(number, None)
 
 
-def _request_bytes(request: RequestFrame) -> bytes:
-    """Return the bytes of a request. Raises RpcError (`too_large`)."""
+def _encode_request(request: RequestFrame) -> bytes:
+    """Encode a request. Raises RpcError (`too_large`)."""
     try:
         return request.encode()
     except FrameError as error:
--- a/dewpin/cluster/rpc/connection.py
+++ b/dewpin/cluster/rpc/connection.py
@@ -1,4 +1,4 @@
-"""What both ends of a connection do: socket options, and the bound on bytes that a peer does not read."""
+"""Socket handling of clients and servers: socket options and the limit of unsent bytes."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 import socket
 
 USER_TIMEOUT_MS = 2000
-"""TCP_USER_TIMEOUT: a connection ends once sent bytes were not acknowledged for so long."""
+"""TCP_USER_TIMEOUT: a connection fails if sent bytes are not acknowledged for this long."""
 MAX_UNSENT_BYTES = 16 * 1024 * 1024
-"""A connection whose peer leaves more than this unread is aborted before more is written to it."""
+"""A connection with more bytes than this in its write buffer is aborted instead of written to."""
 
 log = logging.getLogger(__name__)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of `host:port`. Raises ValueError if the port is no number."""
+    """Split `host:port` into host and port. Raises ValueError if the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def set_socket_options(transport: asyncio.BaseTransport) -> None:
-    """Send small messages at once, and end the connection soon after its peer has disappeared."""
+    """Disable Nagle's algorithm and limit how long sent bytes may remain unacknowledged."""
     connection = transport.get_extra_info("socket")
     if connection is None:
         return
@@ -32,7 +32,7 @@
 
 
 def abort_if_peer_does_not_read(transport: asyncio.Transport) -> bool:
-    """Abort a connection with more than MAX_UNSENT_BYTES to send; return whether it was aborted."""
+    """Abort a connection with more than MAX_UNSENT_BYTES in its write buffer; return whether it was aborted."""
     if transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
         return False
     log.warning("rpc.peer_does_not_read", extra={"peer": str(transport.get_extra_info("peername"))})
--- a/dewpin/cluster/rpc/errors.py
+++ b/dewpin/cluster/rpc/errors.py
@@ -1,4 +1,4 @@
-"""The error of a call, and the message that carries it."""
+"""The exception of a failed call and the error message."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from ..rpc_frames import Message
 
 ERROR_FIELDS = frozenset({"type", "kind", "detail"})
-"""The fields that every error message has; those beyond belong to its kind."""
+"""The fields common to all error messages; any others are specific to the kind."""
 
 
 class RpcError(DewpinError):
-    """A call got no reply, or an error message as its reply.
+    """A call got no reply or an error message as its reply.
 
     `kind`: the `kind` of the error message, or one of `timeout`, `connect`, `closed`, `too_large`.
     `detail`: text for logs; may be empty.
-    `message`: the whole error message, if one was received.
+    `message`: the complete error message if one was received, else empty.
     """
 
     def __init__(self, kind: str, detail: str = "", message: Message | None = None) -> None:
-        """`message` may also hold fields for the error message that a handler's RpcError becomes."""
+        """In an RpcError raised by a handler, `message` may have additional fields for the error message."""
         super().__init__(f"{kind}: {detail}" if detail else kind)
         self.kind = kind
         self.detail = detail
@@ -28,5 +28,5 @@
 
 
 def error_message(kind: str, detail: str = "", **fields: Any) -> Message:
-    """Return the reply that raises `RpcError` at the caller."""
+    """Return the error message that raises `RpcError` at the caller."""
     return {"type": "error", "kind": kind, "detail": detail, **fields}
--- a/dewpin/cluster/rpc/server.py
+++ b/dewpin/cluster/rpc/server.py
@@ -1,4 +1,4 @@
-"""The server: answers the calls of other processes."""
+"""The RPC server."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 from .errors import ERROR_FIELDS, RpcError, error_message
 
 Handler = Callable[[Message], Awaitable[Message]]
-"""Returns the reply to a message; an RpcError that it raises becomes an error message."""
+"""Returns the reply to a message; an RpcError that it raises is sent as an error message."""
 
 MAX_PENDING_REQUESTS = 1000
-"""Requests of one connection that are handled at the same time at most."""
+"""Maximum number of requests of one connection that are handled concurrently."""
 LISTEN_BACKLOG = 512
 
 log = logging.getLogger(__name__)
 
 
 class RpcServer:
-    """Answers the calls of other processes by one handler for each message type.
+    """Handles the calls of other processes with one handler per message type.
 
-    `handlers`: by message type; may be extended while the server runs.
+    `handlers`: handlers by message type; may be extended while the server is running.
     `connections`: the open connections.
     """
 
     def __init__(self, handlers: Mapping[str, Handler]) -> None:
-        """Create a server that does not listen yet."""
+        """Create a server that is not listening yet."""
         self.handlers = dict(handlers)
         self.connections: set[asyncio.Transport] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Begin to listen. Raises OSError if the address is not available."""
+        """Start listening. Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ServerConnection(self), host, port, backlog=LISTEN_BACKLOG)
 
@@ -50,7 +50,7 @@
             transport.abort()
 
     async def dispatch(self, message: Message) -> Message:
-        """Return the reply to one message; a handler that fails gives an error message."""
+        """Return the reply to a message, which is an error message if the handler fails."""
         handler = self.handlers.get(str(message.get("type")))
         if handler is None:
             return error_message("unknown_type", str(message.get("type")))
@@ -59,16 +59,16 @@
         except RpcError as error:
             fields = {name: value for name, value in error.message.items() if name not in ERROR_FIELDS}
             return error_message(error.kind, error.detail, **fields)
-        except Exception as error:  # a fault of a handler must not end the process; the caller is notified
+        except Exception as error:  # a bug in a handler must not end the process; the caller gets an error message
             log.exception("rpc.handler_failed", extra={"message_type": message.get("type")})
             return error_message("internal", repr(error))
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a client; replies leave in the order in which handlers finish."""
+    """A connection of a client; replies are sent in the order in which the handlers finish."""
 
     def __init__(self, server: RpcServer) -> None:
-        """Create the protocol of a connection that `server` has accepted."""
+        """Create the protocol of a connection accepted by `server`."""
         self._server = server
         self._decoder = Decoder()
         self._incoming = IncomingBytes()
@@ -84,13 +84,13 @@
         set_socket_options(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Deregister the connection; handlers in progress run to their end."""
+        """Deregister the connection; running handlers are not cancelled."""
         if self._transport is not None:
             self._server.connections.discard(self._transport)
         self._transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Start to handle the requests that `data` completes."""
+        """Start handling the requests completed by `data`."""
         try:
             for chunk in self._incoming.decode(data):
                 self._start_handling(self._decoder.feed(chunk))
@@ -98,18 +98,18 @@
             self._abort(str(error))
 
     def _start_handling(self, frames: list[dict[str, Any]]) -> None:
-        """Start to handle requests. Raises FrameError for a frame that is no request, or for too many."""
+        """Start handling requests. Raises FrameError for an invalid request or if too many are pending."""
         for frame in frames:
             try:
                 request = RequestFrame.decode(frame)
             except InvalidFrameError as error:
-                raise FrameError("not a request") from error
+                raise FrameError("invalid request frame") from error
             if len(self._tasks) >= MAX_PENDING_REQUESTS:
-                raise FrameError("too many requests unanswered")
+                raise FrameError("too many pending requests")
             self._tasks.add(asyncio.ensure_future(self._handle(request)))
 
-    def _abort(self, why: str) -> None:
-        log.warning("rpc.bad_frame", extra={"why": why})
+    def _abort(self, reason: str) -> None:
+        log.warning("rpc.bad_frame", extra={"why": reason})
         if self._transport is not None:
             self._transport.abort()
 
@@ -119,12 +119,12 @@
             transport = self._transport
             if transport is None or transport.is_closing() or abort_if_peer_does_not_read(transport):
                 return
-            transport.write(self._encode(_reply_bytes(ReplyFrame(request.number, reply))))
+            transport.write(self._encode(_encode_reply(ReplyFrame(request.number, reply))))
         finally:
             forget_current_task(self._tasks)
 
     def _encode(self, frame: bytes) -> bytes:
-        """Return the bytes of a reply in the form in which the client sends its requests."""
+        """Return the bytes to send for an encoded reply: compressed if the client compresses its requests."""
         if not self._incoming.is_compressed:
             return frame
         if self._output is None:
@@ -132,8 +132,8 @@
         return self._output.encode(frame)
 
 
-def _reply_bytes(reply: ReplyFrame) -> bytes:
-    """Return the bytes of a reply, or of an error message if it cannot be encoded, so that its caller need not wait."""
+def _encode_reply(reply: ReplyFrame) -> bytes:
+    """Encode a reply, or an error message if that fails, so that the caller does not wait for its time-out."""
     try:
         return reply.encode()
     except (ValueError, TypeError) as error:  # FrameError is a ValueError
--- a/dewpin/cluster/rpc_frames.py
+++ b/dewpin/cluster/rpc_frames.py
@@ -1,10 +1,10 @@
-"""The frames of calls between processes, and their one codec: a number of the connection, and a message.
+"""The frames of calls between processes and their codec: a call number, unique on its connection, and a message.
 
 A request is `{"v": 1, "n": number, "m": message}`, its reply `{"v": 1, "r": number, "m": message}`, each a netstring.
-The raw bytes of a message, its `raw`, are those of the whole frame and follow as a second netstring (`netstring`); a
-process sends them only to one that asked for them, since releases before them read the second netstring as a broken
-frame. The classes are not frozen: two are made for each call at each end, and fields of a frozen class are set more
-slowly.
+The raw bytes of a message, its field `raw`, become the raw bytes of the frame and follow as a second netstring (see
+`netstring`). They are sent only to a peer that asked for them, since releases that do not support them read the second
+netstring as an invalid frame. The classes are not frozen, because each end creates two instances per call and setting
+the fields of a frozen class is slower.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 
 class InvalidFrameError(DewpinError, ValueError):
-    """A frame of another protocol version, or without its number or message."""
+    """A frame of another protocol version, or one without a valid number or message."""
 
 
 @dataclass(slots=True)
 class _Frame:
-    """A numbered message.
+    """A message with the number of its call.
 
-    `number`: of the call, unique on its connection.
-    `number_key`: the frame's key for `number` on the wire.
+    `number`: number of the call, unique on its connection.
+    `number_key`: key of `number` on the wire.
     """
 
     number: int
@@ -38,9 +38,9 @@
     number_key: ClassVar[str]
 
     def encode(self) -> bytes:
-        """Return the bytes on the wire.
+        """Return the encoded frame.
 
-        Raises FrameError if they are too many, ValueError or TypeError if JSON cannot hold the message.
+        Raises FrameError if it is too long, ValueError or TypeError if the message is not serializable as JSON.
         """
         frame = {"v": PROTOCOL_VERSION, self.number_key: self.number, "m": self.message}
         if RAW in self.message:
@@ -50,11 +50,11 @@
 
     @classmethod
     def decode(cls, frame: dict[str, Any]) -> Self:
-        """Return the frame of a netstring's object. Raises InvalidFrameError if it is none."""
+        """Decode a frame from the object of a netstring. Raises InvalidFrameError if it is not one."""
         number, message = frame.get(cls.number_key), frame.get("m")
         if frame.get("v") != PROTOCOL_VERSION or type(number) is not int or not isinstance(message, dict):
-            raise InvalidFrameError(f"no frame of version {PROTOCOL_VERSION} with `{cls.number_key}` and `m`")
-        if RAW in message:  # raw bytes stand beside the message, never in its JSON
+            raise InvalidFrameError(f"not a frame of version {PROTOCOL_VERSION} with `{cls.number_key}` and `m`")
+        if RAW in message:  # raw bytes are a field of the frame, never of the message in it
             raise InvalidFrameError(f"`{RAW}` inside the message")
         if RAW in frame:
             message[RAW] = frame[RAW]
@@ -63,13 +63,13 @@
 
 @dataclass(slots=True)
 class RequestFrame(_Frame):
-    """A call; the connection never uses a number twice."""
+    """A request; its number is never reused on the connection."""
 
     number_key = "n"
 
 
 @dataclass(slots=True)
 class ReplyFrame(_Frame):
-    """The reply to the call of that number on the same connection."""
+    """The reply to the request with the same number on the same connection."""
 
     number_key = "r"
--- a/dewpin/cluster/running_tasks.py
+++ b/dewpin/cluster/running_tasks.py
@@ -1,4 +1,4 @@
-"""Sets that keep tasks alive while they run."""
+"""Bookkeeping of the sets that hold references to running tasks."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def forget_current_task(tasks: set[asyncio.Task[None]]) -> None:
-    """Remove the running task from a set; to be the last thing that the task does.
+    """Remove the current task from a set; must be the last thing that the task does.
 
-    A done callback would do the same in an iteration of the event loop of its own, with a poll of all sockets: as
-    costly as a whole small message.
+    A done callback would do the same but take an extra iteration of the event loop, which polls all sockets and costs
+    as much as handling a small message.
     """
     task = asyncio.current_task()
     if task is not None:
--- a/dewpin/cluster/settings/__init__.py
+++ b/dewpin/cluster/settings/__init__.py
@@ -1,18 +1,18 @@
-"""The settings file of a process: where it runs, what it serves and what it has to keep to.
+"""The settings file of a process: its location, the services it runs and the limits it must observe.
 
-The file is TOML and its path is in the environment variable `DEWPIN_BOOT`. `load_settings` reads and checks it whole
-and reports every fault at once, each with its key and what was expected there; unknown keys are ignored. A process
-that cannot use its settings ends with exit code 2 and one line per fault (`settings_or_exit`). Durations are in
-milliseconds where a name ends in `_ms`, in seconds where it ends in `_s`.
+The file is TOML and its path is in the environment variable `DEWPIN_BOOT`. `load_settings` parses and validates it and
+reports all faults at once, each with its key and the expected value; unknown keys are ignored. A process with invalid
+settings exits with code 2 after printing one line per fault (`settings_or_exit`). Durations are in milliseconds where a
+name ends in `_ms`, in seconds where it ends in `_s`.
 
-`schema` has the fields as the file writes them, `rules` the checks between fields, `model` the checked settings,
-`building` makes these with their defaults, `reading` does it all in order.
+`schema` has the fields of the file, `rules` the validation across fields, `model` the validated settings, `building`
+their construction with defaults and `reading` the whole sequence.
 """
 
 from .model import CONTROL, FRONT, READY, STORE, Bounds, Cloud, FaultTolerance, MachineLimits, PortRange, Settings
 from .reading import (
     BOOT_VARIABLE,
-    FAULTY_SETTINGS_EXIT_CODE,
+    INVALID_SETTINGS_EXIT_CODE,
     InvalidSettingsError,
     load_settings,
     parse_settings,
@@ -22,7 +22,7 @@
 __all__ = [
     "BOOT_VARIABLE",
     "CONTROL",
-    "FAULTY_SETTINGS_EXIT_CODE",
+    "INVALID_SETTINGS_EXIT_CODE",
     "FRONT",
     "READY",
     "STORE",
--- a/dewpin/cluster/settings/building.py
+++ b/dewpin/cluster/settings/building.py
@@ -1,4 +1,4 @@
-"""How the checked fields of a settings file become `Settings`, with the defaults of the fields left out."""
+"""Construction of `Settings` from validated fields, with defaults for absent ones."""
 
 from collections.abc import Mapping
 from dataclasses import fields
@@ -17,7 +17,7 @@
 
 
 def build_settings(raw: RawSettings) -> Settings:
-    """Make the settings of a file whose fields were checked."""
+    """Build the settings from the validated fields of a file."""
     zones = raw.get("zones", {})
     data_dir = raw.get("data_dir")
     first_port, last_port = raw["port_range"]
@@ -68,8 +68,8 @@
 
 
 def _build_bounds(raw: RawBounds) -> Bounds:
-    named = cast(Mapping[str, float], raw)
-    return Bounds(**{one.name: float(named[one.name]) for one in fields(Bounds) if one.name in named})
+    values = cast(Mapping[str, float], raw)
+    return Bounds(**{bound.name: float(values[bound.name]) for bound in fields(Bounds) if bound.name in values})
 
 
 def _build_cloud(raw: RawCloud | None) -> Cloud | None:
--- a/dewpin/cluster/settings/model.py
+++ b/dewpin/cluster/settings/model.py
@@ -1,4 +1,4 @@
-"""The checked settings of a process, as the rest of the program uses them.
+"""The validated settings of a process, as used by the rest of the program.
 
 Durations are in milliseconds where a name ends in `_ms`, in seconds where it ends in `_s`.
 """
@@ -15,15 +15,15 @@
 CONTROL = "control"
 READY = "ready"
 
-LISTEN_ADDRESSES_OF_SERVICE: Mapping[str, tuple[str, ...]] = MappingProxyType(
+REQUIRED_LISTEN_ENTRIES: Mapping[str, tuple[str, ...]] = MappingProxyType(
     {FRONT: (FRONT, READY), CONTROL: (CONTROL,), STORE: ()}
 )
-"""The `listen` entries that a process needs for each service that it serves."""
+"""The `listen` entries required for each service that a process runs."""
 
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the machine grants the process; 0 stands for a figure that the file leaves out."""
+    """The resource limits of the process on its machine; 0 for a limit that the file omits."""
 
     cpu_share: float = 0.0
     cpus: float = 0.0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many machines that count for the quorum, or zones, or regions may be lost at once."""
+    """How many machines that count for the quorum, or zones, or regions may fail at the same time."""
 
     machines: int = 1
     zones: int = 0
@@ -43,21 +43,28 @@
 
     @property
     def replica_count(self) -> int:
-        """How many replicas of everything bear these losses."""
+        """The number of replicas of each record that tolerates these failures."""
         return replica_count(self.machines, self.zones, self.regions)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules in force, with the defaults for those that the file leaves out.
-
-    The ones that the tier acts on: `config_apply_ms` until an acknowledged configuration is in force everywhere,
-    `downgrade_ms` for which an older one may still be, `ack_ms` for which an order is repeated, `contact_ms` after
-    which a machine that hears nothing is out of touch, `catch_up_s` granted to a machine after its start or return,
-    `recovery_s` until turns of before a fault are served again, `drain_ms` for which a receiver that is leaving goes
-    on, `grace_s` between SIGTERM and SIGKILL, `finish_s` for programs after the end of traffic, `seed_lag_s` by which
-    lists of seeds are old, `addr_reuse_s` after which a receiver's address may be handed on, `skew_ms` between the
-    clocks of machines.
+    """The time bounds that the system must meet, with defaults for those that the file omits.
+
+    The ones that the tier uses:
+
+    `config_apply_ms`: until an acknowledged configuration is in force everywhere.
+    `downgrade_ms`: for which an older configuration may still be in force.
+    `ack_ms`: for which a configuration change is retried.
+    `contact_ms`: after which a machine that receives nothing counts as disconnected.
+    `catch_up_s`: granted to a machine after its start or its reconnection.
+    `recovery_s`: until turns stored before a failure are served again.
+    `drain_ms`: for which a draining receiver keeps running.
+    `grace_s`: between SIGTERM and SIGKILL.
+    `finish_s`: for programs after the end of traffic.
+    `seed_lag_s`: by which lists of seeds may be outdated.
+    `addr_reuse_s`: after which the address of a receiver may be reassigned.
+    `skew_ms`: between the clocks of machines.
     """
 
     seed_lag_s: float = 3.0
@@ -80,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cloud:
-    """Where the platform lists its receivers, how often it may be asked and how old its answers may be."""
+    """Address of the platform's list of receivers, rate limit for reading it and maximum age of its content."""
 
     address: str
     rate_per_s: float
@@ -89,19 +96,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PortRange:
-    """The ports that are free for traffic between processes, both ends included."""
+    """The ports available for traffic between processes, both ends included."""
 
     first: int
     last: int
 
     def __contains__(self, port: int) -> bool:
-        """Return whether `port` lies in the range."""
+        """Return whether `port` is in the range."""
         return self.first <= port <= self.last
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The checked settings of a process."""
+    """The validated settings of a process."""
 
     node_name: str
     role: str
@@ -126,5 +133,5 @@
     cloud: Cloud | None = None
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone; a zone that the file does not list is a region of its own."""
+        """Return the region of a zone; a zone that the file does not list forms a region of its own."""
         return self.zones.get(zone, zone)
--- a/dewpin/cluster/settings/reading.py
+++ b/dewpin/cluster/settings/reading.py
@@ -1,4 +1,4 @@
-"""Reading a settings file: its path from the environment, its content checked whole, every fault reported at once."""
+"""Loading of the settings file named by the environment; all faults are reported at once."""
 
 import os
 import sys
@@ -14,17 +14,17 @@
 from .schema import RawSettings
 
 BOOT_VARIABLE = "DEWPIN_BOOT"
-FAULTY_SETTINGS_EXIT_CODE = 2
+INVALID_SETTINGS_EXIT_CODE = 2
 
 
 class InvalidSettingsError(InvalidInputError):
-    """Every fault of a settings file."""
+    """A settings file is invalid; contains every fault."""
 
     summary = "invalid settings"
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read and check a settings file; raises InvalidSettingsError with every fault, also when it cannot be read."""
+    """Load and validate a settings file. Raises InvalidSettingsError with every fault, or if the file is unreadable."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
@@ -35,7 +35,7 @@
 
 
 def parse_settings(raw: JsonObject) -> Settings:
-    """Check the content of a settings file; raises InvalidSettingsError with every fault."""
+    """Validate the content of a settings file; raises InvalidSettingsError with every fault."""
     faults = check_shape(raw, RawSettings)
     faults += check_rules(raw, faults)
     if faults:
@@ -44,7 +44,7 @@
 
 
 def settings_or_exit(environment: Mapping[str, str] = os.environ) -> Settings:
-    """Load the settings named by the environment; on a fault, print one line per fault and exit with code 2."""
+    """Load the settings file named by the environment; if invalid, print one line per fault and exit with code 2."""
     path = environment.get(BOOT_VARIABLE)
     if not path:
         _exit_with([f"{BOOT_VARIABLE}: expected the path of a settings file, got nothing"])
@@ -56,4 +56,4 @@
 
 def _exit_with(lines: list[str]) -> NoReturn:
     print("\n".join(lines), file=sys.stderr)
-    raise SystemExit(FAULTY_SETTINGS_EXIT_CODE)
+    raise SystemExit(INVALID_SETTINGS_EXIT_CODE)
--- a/dewpin/cluster/settings/schema.py
+++ b/dewpin/cluster/settings/schema.py
@@ -1,10 +1,10 @@
-"""The fields of a settings file, as typed dictionaries; the checks of their shapes are made of these."""
+"""The fields of a settings file as typed dictionaries; `check_shape` validates against these types."""
 
 from typing import NotRequired, TypedDict
 
 
 class RawLimits(TypedDict):
-    """What the machine grants the process, as the file has it."""
+    """The resource limits of the process on its machine, as written in the file."""
 
     cpu_share: NotRequired[float]
     cpus: NotRequired[float]
@@ -15,7 +15,7 @@
 
 
 class RawFaultTolerance(TypedDict):
-    """What may be lost at once, as the file has it."""
+    """The failures to tolerate at the same time, as written in the file."""
 
     machines: NotRequired[int]
     zones: NotRequired[int]
@@ -23,7 +23,7 @@
 
 
 class RawBounds(TypedDict):
-    """The figures of the rules in force, as the file has them."""
+    """The time bounds that the system must meet, as written in the file."""
 
     seed_lag_s: NotRequired[float]
     addr_reuse_s: NotRequired[float]
@@ -44,7 +44,7 @@
 
 
 class RawCloud(TypedDict):
-    """The platform's list of receivers, as the file has it."""
+    """Access to the platform's list of receivers, as written in the file."""
 
     address: str
     rate_per_s: NotRequired[float]
@@ -52,7 +52,7 @@
 
 
 class RawSettings(TypedDict):
-    """The whole settings file."""
+    """The complete settings file."""
 
     node_name: str
     role: NotRequired[str]
--- a/dewpin/cluster/settings_watch.py
+++ b/dewpin/cluster/settings_watch.py
@@ -1,4 +1,4 @@
-"""Changes of the settings file while a process runs, found by reading it again."""
+"""Reloading of the settings file of a running process, by polling its content."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 def reloaded(running: Settings, changed: Settings) -> Settings:
-    """Return the running settings with those of `changed` that can change without a restart.
+    """Return the `running` settings with the reloadable ones taken from `changed`.
 
-    These are the seeds, the platform's list and the zones. Addresses, folders, limits and bounds are tied to what the
-    process set up at its start.
+    Reloadable without a restart are the seeds, the address and limits of the platform's list, and the zones. Addresses,
+    folders, limits and bounds take effect only at process start.
     """
     return replace(running, seeds=changed.seeds, cloud=changed.cloud, zones=changed.zones)
 
 
 class SettingsWatch:
-    """Detects changes of a settings file.
+    """Detects changes to a settings file.
 
-    An invalid file is logged once and otherwise ignored.
+    An invalid file is logged once and its content is ignored.
     """
 
     def __init__(self, path: str | Path, running: Settings) -> None:
-        """Watch the file at `path`; `running` are the settings that the process has."""
+        """Watch the file at `path`; `running` are the current settings of the process."""
         self._path = Path(path)
         self._running = running
-        self._seen: bytes | None = None
+        self._last_content: bytes | None = None
 
     def poll(self) -> Settings | None:
-        """Return the checked settings of the file if they changed since the last call, else None."""
+        """Return the validated settings of the file if they changed since the last call, else None."""
         content = self._content()
-        if content is None or content == self._seen:
+        if content is None or content == self._last_content:
             return None
-        self._seen = content
+        self._last_content = content
         try:
             settings = load_settings(self._path)
         except InvalidSettingsError as error:
--- a/dewpin/cluster/store_messages.py
+++ b/dewpin/cluster/store_messages.py
@@ -1,7 +1,7 @@
-"""The messages between senders and stores, and between stores: their types, records and error kinds.
+"""Messages between senders and stores and among stores: message types, records and error kinds.
 
-Every request carries the epoch of the caller's view and the id of the member that is meant. Bytes travel as latin-1
-text, which JSON keeps as it is for plain ASCII.
+Every request has the epoch of the caller's view and the id of the member that it is addressed to. Bytes are encoded as
+latin-1 strings, which JSON leaves unescaped if they are printable ASCII.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 PULLED = "store.pulled"
 
 STALE_EPOCH = "stale_epoch"
-"""Error: the request's epoch is not the store's; the field `view` of the reply is the store's own, or null."""
+"""Error: the epoch of the request differs from the store's; the reply's field `view` is the store's view or null."""
 WRONG_MEMBER = "another_incarnation"
-"""Error: the process at this address is another incarnation than the member that the request names."""
+"""Error: the process at this address is another incarnation of the store than the addressed member."""
 NOT_REPLICA = "not_replica"
-"""Error: the store is no replica of the program under this epoch."""
+"""Error: the store is not a replica of the program in this epoch."""
 STORAGE_FAILED = "storage_failed"
-"""Error: the storage failed to read or write."""
+"""Error: reading from or writing to storage failed."""
 MALFORMED = "malformed"
-"""Error: a field of the request is missing or of another type; repeating the request is of no use."""
+"""Error: a field of the request is missing or of the wrong type; retrying the request cannot succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class TurnRecord:
-    """A turn as the stores keep it.
+    """A stored turn.
 
-    `turn`, `program`: id of the turn, and the program that holds it.
-    `previous`: id of the turn that this one continues; None for the first of a history.
-    `retain_ms`: for how long the turn is to be kept, counted from the moment at which a store stores it.
-    `input`, `output`: the bodies of the request and of the response.
+    `turn`, `program`: ids of the turn and of the program that owns it.
+    `previous`: id of the turn that this one continues; None for the first turn of a history.
+    `retain_ms`: retention time of the turn, counted from when a store stores it.
+    `input`, `output`: bodies of the request and of the response.
     """
 
     turn: str
@@ -67,7 +67,7 @@
 
     @staticmethod
     def from_json(value: Message) -> TurnRecord:
-        """Return the record of a JSON object made by `to_json`. Raises MalformedMessageError if it is none."""
+        """Decode a record encoded by `to_json`. Raises MalformedMessageError if it is invalid."""
         return TurnRecord(
             read.text(value, "turn"),
             read.text(value, "program"),
@@ -80,13 +80,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryPage:
-    """Consecutive turns of a conversation history, newest first.
+    """A page of consecutive turns of a conversation history, newest first.
 
     `turns`: the turns; field `links` on the wire.
-    `next_turn`: id of the turn before the oldest of `turns`; None if that is the first one. Field `following`.
-    `is_next_missing`: whether the store has no turn `next_turn`; otherwise it is left for the next request. Field
-        `absent`.
-    `other_program_turns`: ids of turns that the store holds for other programs only; field `foreign`.
+    `next_turn`: id of the turn that precedes the oldest of `turns`, or None if that is the first of the history; field
+        `following` on the wire.
+    `is_next_missing`: whether the store does not have `next_turn`; otherwise the next request starts there. Field
+        `absent` on the wire.
+    `other_program_turns`: ids of turns that the store has for other programs only; field `foreign` on the wire.
     """
 
     turns: tuple[TurnRecord, ...]
@@ -106,7 +107,7 @@
 
     @staticmethod
     def from_json(value: Message) -> HistoryPage:
-        """Return the page of a reply made by `to_json`. Raises MalformedMessageError if it is none."""
+        """Decode a page encoded by `to_json`. Raises MalformedMessageError if it is invalid."""
         read.check_type(value, TURN_HISTORY_PAGE)
         turns = tuple(TurnRecord.from_json(turn) for turn in read.objects(value, "links"))
         next_turn = read.text_or_none(value, "following")
@@ -115,5 +116,5 @@
 
 
 def request(kind: str, view: StoreView, member: str, /, **fields: Any) -> Message:
-    """Return a request of type `kind` to `member` under the epoch of `view`."""
+    """Return a request of type `kind` to `member` with the epoch of `view`."""
     return {"type": kind, "epoch": view.epoch, "to": member, **fields}
--- a/dewpin/cluster/store_requests.py
+++ b/dewpin/cluster/store_requests.py
@@ -1,8 +1,8 @@
-"""Requests that senders send to stores: turns to store, conversation histories to read, and the two phases of a ballot
-for a program's budget ledger.
+"""Requests of senders to stores: storing turns, reading conversation histories, and the two phases of a ballot for the
+budget ledger of a program.
 
-The replies to a ballot are those of `dewpin.consensus.messages`; the reply to a `HistoryRequest` is a `HistoryPage`. On
-the wire a ballot is the pair of its counter and its proposer.
+The replies to a ballot are those of `dewpin.consensus.messages`, the reply to a `HistoryRequest` is a `HistoryPage`. On
+the wire a ballot is the pair of its counter and proposer.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from .store_view import StoreView
 
 BallotPair = tuple[int, str]
-"""Counter and proposer of a ballot."""
+"""Counter and proposer id of a ballot."""
 LedgerValue = Mapping[str, Any]
-"""The value of a ledger's register; stores do not interpret it."""
+"""The value of the register that holds a ledger; opaque to stores."""
 
 
 class SenderRequest(Protocol):
-    """One of the requests below.
+    """Interface of the requests below.
 
     `kind`: the message type on the wire.
     """
@@ -31,16 +31,16 @@
     kind: ClassVar[str]
 
     def fields(self) -> Message:
-        """Return the request's own fields on the wire."""
+        """Return the fields on the wire that are specific to this request."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHeader:
-    """The fields that every request to a store begins with.
+    """The common fields of all requests to stores.
 
     `epoch`: epoch of the caller's view.
-    `member`: id of the store that is meant; field `to` on the wire.
-    `view`: the caller's view, where the store may not know it yet.
+    `member`: id of the addressed store; field `to` on the wire.
+    `view`: the caller's view, sent if the store may not have it yet.
     """
 
     epoch: int
@@ -48,7 +48,7 @@
     view: StoreView | None = None
 
     def encode(self, request_kind: str, fields: Message) -> Message:
-        """Return the message of a request of this kind with these fields of its own."""
+        """Return the message of a request of type `request_kind` with its specific `fields`."""
         message = {"type": request_kind, "epoch": self.epoch, "to": self.member, **fields}
         if self.view is not None:
             message["view"] = self.view.to_json()
@@ -56,16 +56,16 @@
 
     @classmethod
     def decode(cls, message: Message) -> RequestHeader:
-        """Return the header of a message. Raises MalformedMessageError if there is none."""
+        """Decode the header of a message. Raises MalformedMessageError if it is invalid."""
         epoch, member = read.integer(message, "epoch"), read.text(message, "to")
         return cls(epoch, member, _view(message) if message.get("view") is not None else None)
 
 
 @dataclass(frozen=True, slots=True)
 class HistoryRequest:
-    """Requests the history that ends with a turn, as far as the store has it and it fits one reply.
+    """Requests the history that ends with a turn, as far as the store has it and it fits in one reply.
 
-    `program`: the program that reads; turns that only other programs hold are marked in the reply.
+    `program`: id of the reading program; the reply marks turns that the store has for other programs only.
     `last_turn`: id of the newest turn of the history; field `previous` on the wire.
     """
 
@@ -74,12 +74,12 @@
     last_turn: str
 
     def fields(self) -> Message:
-        """Return the request's own fields on the wire."""
+        """Return the fields on the wire that are specific to this request."""
         return {"program": self.program, "previous": self.last_turn}
 
     @classmethod
     def decode(cls, message: Message) -> HistoryRequest:
-        """Return the request of a message. Raises MalformedMessageError if it is none."""
+        """Decode a request. Raises MalformedMessageError if it is invalid."""
         return cls(read.text(message, "program"), read.text(message, "previous"))
 
 
@@ -92,12 +92,12 @@
     ballot: BallotPair
 
     def fields(self) -> Message:
-        """Return the request's own fields on the wire."""
+        """Return the fields on the wire that are specific to this request."""
         return {"program": self.program, "ballot": list(self.ballot)}
 
     @classmethod
     def decode(cls, message: Message) -> LedgerPrepareRequest:
-        """Return the request of a message. Raises MalformedMessageError if it is none."""
+        """Decode a request. Raises MalformedMessageError if it is invalid."""
         return cls(read.text(message, "program"), read.ballot(message, "ballot"))
 
 
@@ -105,8 +105,8 @@
 class LedgerAcceptRequest:
     """Second phase of a ballot for the budget ledger of `program`.
 
-    `value`: the ledger's value to accept.
-    `next_ballot`: to be promised with it, for the sender's next change; None for none.
+    `value`: the value of the ledger to accept.
+    `next_ballot`: ballot to promise together with the acceptance, for the sender's next change; None for none.
     """
 
     kind: ClassVar[str] = wire.LEDGER_ACCEPT
@@ -116,7 +116,7 @@
     next_ballot: BallotPair | None
 
     def fields(self) -> Message:
-        """Return the request's own fields on the wire."""
+        """Return the fields on the wire that are specific to this request."""
         next_ballot = None if self.next_ballot is None else list(self.next_ballot)
         return {
             "program": self.program,
@@ -127,7 +127,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> LedgerAcceptRequest:
-        """Return the request of a message. Raises MalformedMessageError if it is none."""
+        """Decode a request. Raises MalformedMessageError if it is invalid."""
         return cls(
             read.text(message, "program"),
             read.ballot(message, "ballot"),
@@ -138,10 +138,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PutTurnsRequest:
-    """Requests that turns be stored, and optionally participation in the second phase of a ballot in the same
+    """Requests that turns be stored and, optionally, that the second phase of a ballot be performed in the same
     transaction.
 
-    Earlier releases know turns only: they store them and ignore the ballot.
+    Stores of earlier releases support turns only: they store these and ignore the ballot.
     """
 
     kind: ClassVar[str] = wire.TURN_PUT
@@ -149,7 +149,7 @@
     accept: LedgerAcceptRequest | None = None
 
     def fields(self) -> Message:
-        """Return the request's own fields on the wire."""
+        """Return the fields on the wire that are specific to this request."""
         fields: Message = {"turns": [turn.to_json() for turn in self.turns]}
         if self.accept is not None:
             fields["accept"] = self.accept.fields()
@@ -157,7 +157,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> PutTurnsRequest:
-        """Return the request of a message. Raises MalformedMessageError if it is none."""
+        """Decode a request. Raises MalformedMessageError if it is invalid."""
         turns = tuple(TurnRecord.from_json(turn) for turn in read.objects(message, "turns"))
         if message.get("accept") is None:
             return cls(turns)
@@ -168,20 +168,20 @@
 class PutTurnsReply:
     """Acknowledges that the turns are on disk.
 
-    `reply`: the reply to the ballot of the request, if it had one, as encoded by `dewpin.consensus.messages`.
+    `reply`: the reply to the ballot of the request, if any, as encoded by `dewpin.consensus.messages`.
     """
 
     reply: Message | None = None
 
     def encode(self) -> Message:
-        """Return the message."""
+        """Return the message to send."""
         if self.reply is None:
             return {"type": wire.TURN_STORED}
         return {"type": wire.TURN_STORED, "reply": self.reply}
 
     @classmethod
     def decode(cls, message: Message) -> PutTurnsReply:
-        """Return the reply of a message. Raises MalformedMessageError if it is none."""
+        """Decode a reply. Raises MalformedMessageError if it is invalid."""
         read.check_type(message, wire.TURN_STORED)
         if message.get("reply") is None:
             return cls()
@@ -192,4 +192,4 @@
     try:
         return StoreView.from_json(message["view"])
     except ValueError as error:
-        raise read.MalformedMessageError("view", "a view of stores") from error
+        raise read.MalformedMessageError("view", "a store view") from error
--- a/dewpin/cluster/store_view.py
+++ b/dewpin/cluster/store_view.py
@@ -1,7 +1,7 @@
-"""The view of the stores: which members hold turns and budget ledgers, and under which epoch.
+"""The store view: the members that hold turns and budget ledgers in one epoch.
 
-While `next` is set the view is changing: writes go to majorities of the stable and of the next replicas of a key,
-reads are answered by the stable ones.
+While `next` is set, a view change is in progress: a write of a key needs a majority of its stable replicas and one of
+its next replicas; reads are served by the stable replicas.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 class Member:
     """One incarnation of a store.
 
-    `id`: incarnation of its data folder.
+    `id`: id of the incarnation of its data folder.
     `address`: `ip:port`.
     `location`: `region/zone`; empty if unknown.
     """
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True)
 class StoreView:
-    """The members under one epoch.
+    """The members of one epoch.
 
-    `epoch`: a greater one is newer.
-    `stable`: the members that answer reads.
-    `next`: the members after the change; None while the view is not changing.
+    `epoch`: number of the epoch; greater is newer.
+    `stable`: the members that serve reads.
+    `next`: the members after the view change in progress; None if there is none.
     """
 
     epoch: int
@@ -45,17 +45,17 @@
 
     @cached_property
     def members(self) -> dict[str, Member]:
-        """All members by id, those of `next` included."""
+        """All members by id, including those of `next`."""
         return {member.id: member for member in (*self.stable, *(self.next or ()))}
 
     @cached_property
     def stable_ids(self) -> tuple[str, ...]:
-        """The ids of the stable members, in a fixed order."""
+        """The ids of the stable members, sorted."""
         return tuple(sorted(member.id for member in self.stable))
 
     @cached_property
     def next_ids(self) -> tuple[str, ...]:
-        """The ids of the next members, in a fixed order; empty when the view is not changing."""
+        """The ids of the next members, sorted; empty if no view change is in progress."""
         return tuple(sorted(member.id for member in self.next or ()))
 
     @cached_property
@@ -67,30 +67,30 @@
         return tuple(self.members[member].location for member in self.next_ids)
 
     def stable_replicas(self, key: str, count: int) -> frozenset[str]:
-        """Return the members that answer reads of `key`."""
+        """Return the members that serve reads of `key`."""
         return replicas(key, self.stable_ids, count, self._stable_locations)
 
     def next_replicas(self, key: str, count: int) -> frozenset[str]:
-        """Return the members that will hold `key` after the change; empty when the view is not changing."""
+        """Return the replicas of `key` after the view change; empty if none is in progress."""
         return replicas(key, self.next_ids, count, self._next_locations)
 
     def write_sets(self, key: str, count: int) -> tuple[frozenset[str], ...]:
-        """Return the replica sets of which a write of `key` needs a majority each."""
+        """Return the replica sets of `key`; a write needs a majority of each."""
         sets = [self.stable_replicas(key, count)]
         if self.next_ids:
             sets.append(self.next_replicas(key, count))
         return tuple(sets)
 
     def holds(self, member: str, key: str, count: int) -> bool:
-        """Return whether `member` is a replica of `key` before or after the change."""
+        """Return whether `member` is a replica of `key` before or after the view change."""
         return any(member in replica_set for replica_set in self.write_sets(key, count))
 
     def max_unreachable(self, count: int) -> int:
-        """Return how many stable members may be unreachable while every key still has a majority of its replicas."""
+        """Return how many stable members may be unreachable with a majority of every key's replicas still reachable."""
         return max_unreachable(len(self.stable), count)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the view as the JSON object that the system state holds: addresses by member id."""
+        """Return the view as the JSON object in the system state, with addresses by member id."""
         return {
             "epoch": self.epoch,
             "stable": {member.id: member.address for member in self.stable},
@@ -100,21 +100,21 @@
 
     @staticmethod
     def from_json(value: JsonObject) -> StoreView:
-        """Return the view of a JSON object made by `to_json`. Raises ValueError for anything else."""
+        """Decode a view encoded by `to_json`. Raises ValueError if it is invalid."""
         try:
-            following = value["next"]
+            next_members = value["next"]
             locations = value.get("locations", {})
             return StoreView(
                 int(value["epoch"]),
                 _members(value["stable"], locations),
-                None if following is None else _members(following, locations),
+                None if next_members is None else _members(next_members, locations),
             )
         except (AttributeError, KeyError, TypeError) as error:
-            raise ValueError(f"not a view of stores: {error!r}") from error
+            raise ValueError(f"not a store view: {error!r}") from error
 
 
 def _members(addresses: Any, locations: Any) -> tuple[Member, ...]:
     return tuple(
-        Member(str(identity), str(address), str(locations.get(identity, "")))
-        for identity, address in sorted(addresses.items())
+        Member(str(member_id), str(address), str(locations.get(member_id, "")))
+        for member_id, address in sorted(addresses.items())
     )
--- a/dewpin/cluster/validation.py
+++ b/dewpin/cluster/validation.py
@@ -1,10 +1,10 @@
 """Validation of untyped values against typed dictionaries.
 
-`check_shape` compares a value read from JSON or TOML with a type annotation and reports every fault with its path,
-such as `routes[3].split[0].weight`. It knows the annotations that messages are made of: `str`, `bool`, `int`, `float`,
-`None`, unions, `list[X]`, `dict[str, X]`, `object` and `TypedDict` classes. Fields that a typed dictionary does not
-name are ignored. An optional field that is `null` counts as absent when its annotation includes `None`. Whoever rejects
-an input raises an `InvalidInputError` with all its faults.
+`check_shape` validates a value read from JSON or TOML against a type annotation and reports every fault with its path,
+such as `routes[3].split[0].weight`. It supports the annotations `str`, `bool`, `int`, `float`, `None`, unions,
+`list[X]`, `dict[str, X]`, `object` and `TypedDict` classes. Fields that a typed dictionary does not declare are
+ignored. An optional field that is `null` counts as absent if its annotation includes `None`. Code that rejects an input
+raises an `InvalidInputError` with all faults.
 """
 
 import math
@@ -17,12 +17,12 @@
 from .errors import DewpinError
 
 JsonObject = dict[str, Any]
-"""An object as `json.loads` or `tomllib.loads` returns it."""
+"""An object as returned by `json.loads` or `tomllib.loads`."""
 
 T = TypeVar("T")
 
-_SHOWN_CHARACTERS = 60
-_EXPECTED = {
+_MAX_SHOWN_CHARACTERS = 60
+_SCALAR_DESCRIPTIONS = {
     str: "a string",
     bool: "true or false",
     int: "a whole number",
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault of an input.
+    """A validation error of an input.
 
-    `path`: of the field, such as `routes[3].split`; empty for the whole input.
-    `message`: what is wrong there.
+    `path`: path of the field, such as `routes[3].split`; empty for the whole input.
+    `message`: description of the error.
     """
 
     path: str
@@ -46,12 +46,12 @@
         return f"{self.path}: {self.message}" if self.path else self.message
 
     def is_within(self, path: str) -> bool:
-        """Return whether this fault lies at `path` or somewhere inside it."""
+        """Return whether the path of this fault is `path` or inside it."""
         return self.path == path or self.path.startswith((path + ".", path + "["))
 
 
 class InputFaultError(DewpinError, ValueError):
-    """One fault of an input as an error; attributes as in `Fault`."""
+    """A fault as an exception; attributes as in `Fault`."""
 
     def __init__(self, fault: Fault) -> None:
         super().__init__(str(fault))
@@ -60,24 +60,24 @@
 
 
 class InvalidInputError(DewpinError, ExceptionGroup[InputFaultError]):
-    """An input was rejected, for one or more faults.
+    """An input was rejected because of one or more faults.
 
-    Subclasses name the kind of input in `summary`.
+    Subclasses describe the kind of input in `summary`.
     """
 
     summary = "invalid input"
 
     def __new__(cls, faults: Iterable[Fault]) -> Self:
-        """Group the faults; there has to be at least one."""
+        """Group the faults, of which there must be at least one."""
         return super().__new__(cls, cls.summary, [InputFaultError(fault) for fault in faults])
 
     def lines(self) -> list[str]:
-        """Return one line per fault, each with its path."""
+        """Return one line with path and message per fault."""
         return [str(fault) for fault in self.exceptions]
 
 
 def check_shape(value: object, annotation: Any, path: str = "") -> list[Fault]:
-    """Return every fault of `value` against `annotation`; an empty list means that it may be cast to it."""
+    """Return every fault of `value` against `annotation`; if there is none, `value` may be cast to that type."""
     if annotation is object or annotation is Any:
         return []
     if is_typeddict(annotation):
@@ -89,15 +89,15 @@
         return _check_list(value, annotation, path)
     if origin is dict:
         return _check_mapping(value, annotation, path)
-    return [] if _is_scalar(value, annotation) else [expected(_EXPECTED[annotation], value, path)]
+    return [] if _is_scalar(value, annotation) else [expected(_SCALAR_DESCRIPTIONS[annotation], value, path)]
 
 
-def expected(what: str, value: object, path: str) -> Fault:
-    """Return the fault of a `value` that should have been `what`."""
+def expected(description: str, value: object, path: str) -> Fault:
+    """Return the fault that `value` is not the expected `description`."""
     shown = repr(value)
-    if len(shown) > _SHOWN_CHARACTERS:
-        shown = shown[:_SHOWN_CHARACTERS] + "..."
-    return Fault(path, f"expected {what}, got {shown}")
+    if len(shown) > _MAX_SHOWN_CHARACTERS:
+        shown = shown[:_MAX_SHOWN_CHARACTERS] + "..."
+    return Fault(path, f"expected {description}, got {shown}")
 
 
 def join_path(path: str, field: str) -> str:
@@ -106,7 +106,7 @@
 
 
 def value_or(value: T | None, default: T) -> T:
-    """Return `value`, or `default` if it is absent."""
+    """Return `value`, or `default` if it is None."""
     return default if value is None else value
 
 
