--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -305,7 +305,7 @@
     def least_free(self: Any) -> int:
         return next(number for number in itertools.count(1) if number not in self._pending)
 
-    patch.setattr(ClientConnection, "_number", property(least_free, lambda self, number: None), raising=False)
+    patch.setattr(ClientConnection, "_last_number", property(least_free, lambda self, number: None), raising=False)
 
 
 def let_a_store_go_before_one_has_copied(patch: Patch) -> None:
