--- a/tests/cluster/samples.py
+++ b/tests/cluster/samples.py
@@ -1,4 +1,4 @@
-"""Configurations and settings that the tests of the shared package start from."""
+"""Valid configurations and settings for the tests of `dewpin.cluster`."""
 
 from typing import Any
 
@@ -106,4 +106,4 @@
 duties = []
 max_lag_ms = 800
 """
-"""A settings file of a sender, with some bounds left out."""
+"""A settings file of a sender that omits some bounds."""
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: what is read, what is refused, and which route is picked."""
+"""The operator's configuration: parsing, validation and route selection."""
 
 import json
 from typing import Any
@@ -43,9 +43,9 @@
     route = {"hostname": "a.example", "path_prefix": "/", "backend": "s", "split": None, "gap_aim_ms": None}
     raw = {"generation": 1, "routes": [route], "services": [{"name": "s", "engine": None}]}
     configuration = parse_configuration(encoded(raw))
-    (read,) = configuration.routes
-    assert read.timeout_ms > 0 and read.target_ms == read.timeout_ms
-    assert not read.may_repeat and read.retries == 1 and read.gap_aim_ms is None
+    (parsed_route,) = configuration.routes
+    assert parsed_route.timeout_ms > 0 and parsed_route.target_ms == parsed_route.timeout_ms
+    assert not parsed_route.may_repeat and parsed_route.retries == 1 and parsed_route.gap_aim_ms is None
     assert configuration.limits.max_body_bytes > 0
 
 
@@ -111,8 +111,8 @@
     raw["services"][1]["max_conns"] = []
     del raw["routes"][1]["hostname"]
     raw["limits"]["idle_timeout_ms"] = {}
-    places = [line.partition(":")[0] for line in faults_of(encoded(raw))]
-    assert sorted(places) == [
+    paths = [line.partition(":")[0] for line in faults_of(encoded(raw))]
+    assert sorted(paths) == [
         "generation",
         "limits.idle_timeout_ms",
         "routes[0].timeout_ms",
@@ -152,18 +152,18 @@
 )
 
 
-def all_places(value: Any) -> list[tuple[Any, Any]]:
+def all_entries(value: Any) -> list[tuple[Any, Any]]:
     """Return the container and the key of every value inside `value`."""
     keys = value.keys() if isinstance(value, dict) else range(len(value)) if isinstance(value, list) else ()
     found = [(value, key) for key in keys]
-    return found + [place for key in keys for place in all_places(value[key])]
+    return found + [entry for key in keys for entry in all_entries(value[key])]
 
 
 @given(st.data())
 def test_any_modified_configuration_is_parsed_exactly_or_rejected_with_paths(data: st.DataObject):
     raw = samples.configuration()
     for _ in range(data.draw(st.integers(1, 3))):
-        container, key = data.draw(st.sampled_from(all_places(raw)))
+        container, key = data.draw(st.sampled_from(all_entries(raw)))
         if isinstance(container, dict) and data.draw(st.booleans()):
             del container[key]
         else:
@@ -215,5 +215,5 @@
     path = "/" + "/".join(parts)
     configuration = parse_configuration(routes_at(*[("h", prefix) for prefix in sorted(prefixes)]))
     found = configuration.route_for("h", path)
-    wanted = max((prefix for prefix in prefixes if path.startswith(prefix)), key=len, default=None)
-    assert (found.path_prefix if found else None) == wanted
+    expected_prefix = max((prefix for prefix in prefixes if path.startswith(prefix)), key=len, default=None)
+    assert (found.path_prefix if found else None) == expected_prefix
--- a/tests/cluster/test_configuration_patch.py
+++ b/tests/cluster/test_configuration_patch.py
@@ -1,4 +1,4 @@
-"""Patches of a configuration: their shape, what they make of a configuration, and what they refuse."""
+"""Configuration patches: validation of their shape, their results and rejected patches."""
 
 import json
 
@@ -58,8 +58,8 @@
     new_route.pop("split", None)
     after = patched({"generation": 9, "upsert": {"services": [service], "routes": [new_route]}})
     assert "svc-new" in names(after, "services")
-    without = {"generation": 10, "delete": {"services": ["svc-new"], "routes": ["r-new"]}}
-    assert patched(without, after) == {**samples.configuration(), "generation": 10}
+    removal = {"generation": 10, "delete": {"services": ["svc-new"], "routes": ["r-new"]}}
+    assert patched(removal, after) == {**samples.configuration(), "generation": 10}
 
 
 def test_unknown_fields_are_kept():
@@ -75,11 +75,11 @@
 def test_patched_configuration_is_validated():
     unknown_service = {**route("r-new", "/new/"), "backend": "svc-nowhere"}
     unknown_service.pop("split", None)
-    same_place = route("r-new", samples.configuration()["routes"][0]["path_prefix"])
-    served = names(samples.configuration(), "services")
+    same_prefix_route = route("r-new", samples.configuration()["routes"][0]["path_prefix"])
+    service_names = names(samples.configuration(), "services")
     assert "svc-nowhere" in faults_of({"generation": 9, "upsert": {"routes": [unknown_service]}})[0]
-    assert "same host and prefix" in faults_of({"generation": 9, "upsert": {"routes": [same_place]}})[0]
-    assert faults_of({"generation": 9, "delete": {"services": served}})
+    assert "same host and prefix" in faults_of({"generation": 9, "upsert": {"routes": [same_prefix_route]}})[0]
+    assert faults_of({"generation": 9, "delete": {"services": service_names}})
 
 
 @pytest.mark.parametrize(
@@ -112,8 +112,8 @@
 def test_long_list_is_patched_in_one_pass():
     routes = [route(f"r-{number}", f"/{number}/") for number in range(2000)]
     before = {**samples.configuration(), "routes": routes}
-    moved = [route(f"r-{number}", f"/moved-{number}/") for number in range(0, 2000, 2)]
-    gone = [f"r-{number}" for number in range(1, 2000, 4)]
-    after = patched({"generation": 9, "upsert": {"routes": moved}, "delete": {"routes": gone}}, before)
+    replaced = [route(f"r-{number}", f"/moved-{number}/") for number in range(0, 2000, 2)]
+    deleted = [f"r-{number}" for number in range(1, 2000, 4)]
+    after = patched({"generation": 9, "upsert": {"routes": replaced}, "delete": {"routes": deleted}}, before)
     assert len(after["routes"]) == 1500
     assert parse_configuration(json.dumps(after).encode()).generation == 9
--- a/tests/cluster/test_errors.py
+++ b/tests/cluster/test_errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds and their responses."""
+"""The fixed set of error kinds and their responses."""
 
 from dewpin.cluster.errors import ERROR_RESPONSES, NOT_RUN_STATUSES, ErrorKind, TierError
 
--- a/tests/cluster/test_logs.py
+++ b/tests/cluster/test_logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object per line, by level, without ever blocking."""
+"""Structured logging: one JSON object per line, filtered by level, without blocking."""
 
 import fcntl
 import json
@@ -15,7 +15,7 @@
 
 
 class Pipe:
-    """A pipe whose written lines can be read without waiting."""
+    """A pipe whose lines can be read without blocking."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -25,24 +25,24 @@
         return [json.loads(line) for line in self.read().splitlines()]
 
     def read(self) -> bytes:
-        read = b""
+        data = b""
         while True:
             try:
-                read += os.read(self.reader, 1 << 20)
+                data += os.read(self.reader, 1 << 20)
             except BlockingIOError:
-                return read
+                return data
 
 
 @pytest.fixture
 def pipe() -> Iterator[Pipe]:
     logger = logging.getLogger(logs.LOGGER_NAME)
-    before = logger.handlers, logger.level, logger.propagate
-    made = Pipe()
-    yield made
-    logger.handlers, logger.level, logger.propagate = before
-    logger.setLevel(before[1])
-    os.close(made.reader)
-    os.close(made.writer)
+    saved = logger.handlers, logger.level, logger.propagate
+    created = Pipe()
+    yield created
+    logger.handlers, logger.level, logger.propagate = saved
+    logger.setLevel(saved[1])
+    os.close(created.reader)
+    os.close(created.writer)
 
 
 def test_every_event_has_a_level():
--- a/tests/cluster/test_netstring.py
+++ b/tests/cluster/test_netstring.py
@@ -1,4 +1,4 @@
-"""Netstrings: frames cut anywhere, and bytes that are no frames."""
+"""Netstrings: decoding of streams split anywhere, and rejection of invalid bytes."""
 
 import pytest
 
--- a/tests/cluster/test_placement.py
+++ b/tests/cluster/test_placement.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing and the replica sets of a view."""
+"""Rendezvous hashing and the replica sets of a store view."""
 
 from collections import Counter
 
@@ -16,8 +16,8 @@
 
 
 def test_keys_are_distributed_evenly():
-    held = Counter(member for key in range(3000) for member in replicas(f"p{key}", MEMBERS, 3))
-    assert min(held.values()) > 0.9 * 3000 * 3 / 7
+    keys_by_member = Counter(member for key in range(3000) for member in replicas(f"p{key}", MEMBERS, 3))
+    assert min(keys_by_member.values()) > 0.9 * 3000 * 3 / 7
 
 
 @given(st.text(max_size=20), st.sampled_from(MEMBERS))
@@ -47,16 +47,16 @@
     members = tuple(f"m{number}" for number in range(10))
     locations = tuple(location_of("r", ("one", "two", "three")[number % 3]) for number in range(10))
     for count in (3, 5):
-        held = replicas(key, members, count, locations)
-        left = [member for member in held if locations[members.index(member)] != f"r/{lost}"]
-        assert len(held) == count and len(left) >= majority(count)
+        key_replicas = replicas(key, members, count, locations)
+        remaining = [member for member in key_replicas if locations[members.index(member)] != f"r/{lost}"]
+        assert len(key_replicas) == count and len(remaining) >= majority(count)
 
 
 @given(st.text(max_size=20))
 def test_replicas_are_spread_over_regions_before_zones(key):
     locations = ("r/one", "r/two", "r/three", "s/one", "t/one")
-    held = replicas(key, tuple("abcde"), 3, locations)
-    assert len({locations["abcde".index(member)].partition("/")[0] for member in held}) == 3
+    key_replicas = replicas(key, tuple("abcde"), 3, locations)
+    assert len({locations["abcde".index(member)].partition("/")[0] for member in key_replicas}) == 3
 
 
 def test_replica_count_tolerates_the_configured_losses():
--- a/tests/cluster/test_rpc.py
+++ b/tests/cluster/test_rpc.py
@@ -1,4 +1,4 @@
-"""Calls between processes over loopback: answers, errors, peers that are silent, connections that end."""
+"""RPC calls over loopback: replies, errors, unresponsive peers and closed connections."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
     return {"type": "echo", "text": message["text"]}
 
 
-async def refuse(message):
+async def reject(message):
     raise RpcError("stale_epoch", "another one", {"type": "ignored", "view": 7})
 
 
@@ -26,17 +26,17 @@
     raise ZeroDivisionError("a fault of the handler")
 
 
-class Server:
-    """An RpcServer on a free port, beside a client; `held` lets the handler of `hold` answer."""
+class Loopback:
+    """An RpcServer on a free port and a client; the handler of `hold` replies once `released` is set."""
 
     def __init__(self):
-        self.held = asyncio.Event()
-        self.server = RpcServer({"echo": echo, "refuse": refuse, "fail": fail, "hold": self.hold})
+        self.released = asyncio.Event()
+        self.server = RpcServer({"echo": echo, "reject": reject, "fail": fail, "hold": self.hold})
         self.client = RpcClient()
         self.address = ""
 
     async def hold(self, message):
-        await self.held.wait()
+        await self.released.wait()
         return {"type": "held"}
 
     async def __aenter__(self):
@@ -58,122 +58,122 @@
 
 
 def test_call_returns_its_reply():
-    async def scene():
-        async with Server() as there:
-            return await there.call("echo", text="é")
+    async def scenario():
+        async with Loopback() as loopback:
+            return await loopback.call("echo", text="é")
 
-    assert asyncio.run(scene()) == {"type": "echo", "text": "é"}
+    assert asyncio.run(scenario()) == {"type": "echo", "text": "é"}
 
 
 def test_concurrent_calls_share_one_connection():
-    async def scene():
-        async with Server() as there:
-            held = asyncio.ensure_future(there.call("hold"))
-            answers = await asyncio.gather(*(there.call("echo", text=str(number)) for number in range(200)))
-            connections = len(there.server.connections)
-            there.held.set()
-            return [answer["text"] for answer in answers], connections, await held
-
-    texts, connections, held = asyncio.run(scene())
+    async def scenario():
+        async with Loopback() as loopback:
+            held_call = asyncio.ensure_future(loopback.call("hold"))
+            replies = await asyncio.gather(*(loopback.call("echo", text=str(number)) for number in range(200)))
+            connections = len(loopback.server.connections)
+            loopback.released.set()
+            return [reply["text"] for reply in replies], connections, await held_call
+
+    texts, connections, held = asyncio.run(scenario())
     assert texts == [str(number) for number in range(200)]
     assert connections == 1 and held == {"type": "held"}
 
 
 def test_error_reply_raises_rpc_error_with_kind_and_fields():
-    async def scene():
-        async with Server() as there:
+    async def scenario():
+        async with Loopback() as loopback:
             with pytest.raises(RpcError) as caught:
-                await there.call("refuse")
+                await loopback.call("reject")
             return caught
 
-    caught = asyncio.run(scene())
+    caught = asyncio.run(scenario())
     assert (kind_of(caught), caught.value.detail, caught.value.message["view"]) == ("stale_epoch", "another one", 7)
 
 
 def test_rpc_error_of_nested_call_is_forwarded_to_the_caller():
-    async def scene():
-        async with Server() as there:
+    async def scenario():
+        async with Loopback() as loopback:
 
-            async def pass_on(message):
-                return await there.call("refuse")
+            async def forward(message):
+                return await loopback.call("reject")
 
-            there.server.handlers["pass_on"] = pass_on
+            loopback.server.handlers["forward"] = forward
             with pytest.raises(RpcError) as caught:
-                await there.call("pass_on", timeout_s=1.0)
+                await loopback.call("forward", timeout_s=1.0)
             return caught
 
-    caught = asyncio.run(scene())
+    caught = asyncio.run(scenario())
     assert (kind_of(caught), caught.value.detail, caught.value.message["view"]) == ("stale_epoch", "another one", 7)
 
 
 @pytest.mark.parametrize(("message_type", "kind"), [("fail", "internal"), ("nothing", "unknown_type")])
 def test_failing_or_missing_handler_is_an_error_and_keeps_the_connection(message_type, kind):
-    async def scene():
-        async with Server() as there:
+    async def scenario():
+        async with Loopback() as loopback:
             with pytest.raises(RpcError) as caught:
-                await there.call(message_type)
-            await there.call("echo", text="still here")
-            return kind_of(caught), len(there.server.connections)
+                await loopback.call(message_type)
+            await loopback.call("echo", text="still here")
+            return kind_of(caught), len(loopback.server.connections)
 
-    assert asyncio.run(scene()) == (kind, 1)
+    assert asyncio.run(scenario()) == (kind, 1)
 
 
 def test_refused_connection_is_an_error():
-    async def scene():
-        async with Server() as there:
-            await there.server.stop()
+    async def scenario():
+        async with Loopback() as loopback:
+            await loopback.server.stop()
             with pytest.raises(RpcError) as caught:
-                await there.call("echo", text="x")
+                await loopback.call("echo", text="x")
             return kind_of(caught)
 
-    assert asyncio.run(scene()) in {"connect", "closed"}
+    assert asyncio.run(scenario()) in {"connect", "closed"}
 
 
 def test_unresponsive_peer_is_dropped_and_next_call_reconnects():
-    async def scene():
-        async with Server() as there:
-            await there.call("echo", text="x")
-            first = set(there.server.connections)
+    async def scenario():
+        async with Loopback() as loopback:
+            await loopback.call("echo", text="x")
+            initial = set(loopback.server.connections)
             with pytest.raises(RpcError) as caught:
-                await there.call("hold", SHORT_S)
-            await there.call("echo", text="x")
-            return kind_of(caught), first & there.server.connections
+                await loopback.call("hold", SHORT_S)
+            await loopback.call("echo", text="x")
+            return kind_of(caught), initial & loopback.server.connections
 
-    assert asyncio.run(scene()) == ("timeout", set())
+    assert asyncio.run(scenario()) == ("timeout", set())
 
 
 def test_time_out_of_one_call_keeps_a_connection_that_serves_others():
-    async def scene():
-        async with Server() as there:
-            await there.call("echo", text="x")
-            first = set(there.server.connections)
-            late = asyncio.ensure_future(there.call("hold", SHORT_S))
-            await there.call("echo", text="x")
+    async def scenario():
+        async with Loopback() as loopback:
+            await loopback.call("echo", text="x")
+            initial = set(loopback.server.connections)
+            timed_out_call = asyncio.ensure_future(loopback.call("hold", SHORT_S))
+            await loopback.call("echo", text="x")
             with pytest.raises(RpcError) as caught:
-                await late
-            there.held.set()
-            answer = await there.call("echo", text="after")
-            return kind_of(caught), first == there.server.connections, answer["text"]
+                await timed_out_call
+            loopback.released.set()
+            reply = await loopback.call("echo", text="after")
+            return kind_of(caught), initial == loopback.server.connections, reply["text"]
 
-    assert asyncio.run(scene()) == ("timeout", True, "after")
+    assert asyncio.run(scenario()) == ("timeout", True, "after")
 
 
 def test_lost_connection_fails_all_its_calls():
-    async def scene():
-        async with Server() as there:
-            calls = [asyncio.ensure_future(there.call("hold")) for _ in range(3)]
-            await there.call("echo", text="x")
-            for transport in there.server.connections:
+    async def scenario():
+        async with Loopback() as loopback:
+            calls = [asyncio.ensure_future(loopback.call("hold")) for _ in range(3)]
+            await loopback.call("echo", text="x")
+            for transport in loopback.server.connections:
                 transport.abort()
             results = await asyncio.gather(*calls, return_exceptions=True)
-            again = await there.call("echo", text="again")
-            return [result.kind for result in results], again["text"]
+            reconnected = await loopback.call("echo", text="again")
+            return [result.kind for result in results], reconnected["text"]
 
-    assert asyncio.run(scene()) == (["closed"] * 3, "again")
+    assert asyncio.run(scenario()) == (["closed"] * 3, "again")
 
 
 async def send_raw(address, data):
-    """Sends bytes to a server; what it sent back until it closed."""
+    """Sends bytes to a server; returns what it sends until it closes the connection."""
     reader, writer = await asyncio.open_connection(*address.split(":"))
     writer.write(data)
     try:
@@ -194,27 +194,27 @@
     ],
 )
 def test_server_closes_connection_with_invalid_frames(data):
-    async def scene():
-        async with Server() as there:
-            return await send_raw(there.address, data)
+    async def scenario():
+        async with Loopback() as loopback:
+            return await send_raw(loopback.address, data)
 
-    assert asyncio.run(scene()) == b""
+    assert asyncio.run(scenario()) == b""
 
 
 def test_server_closes_connection_with_too_many_pending_requests(monkeypatch):
     monkeypatch.setattr(rpc_server, "MAX_PENDING_REQUESTS", 3)
 
-    async def scene():
-        async with Server() as there:
+    async def scenario():
+        async with Loopback() as loopback:
             calls = b"".join(encode({"v": 1, "n": number, "m": {"type": "hold"}}) for number in range(4))
-            return await send_raw(there.address, calls)
+            return await send_raw(loopback.address, calls)
 
-    assert asyncio.run(scene()) == b""
+    assert asyncio.run(scenario()) == b""
 
 
 def test_client_drops_peer_with_invalid_replies():
-    async def scene():
-        server = await asyncio.start_server(lambda reader, writer: answer_at_once(writer), "127.0.0.1", 0)
+    async def scenario():
+        server = await asyncio.start_server(lambda reader, writer: send_invalid_reply(writer), "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         client = RpcClient()
         try:
@@ -225,14 +225,15 @@
             await client.close()
             server.close()
 
-    def answer_at_once(writer):
+    def send_invalid_reply(writer):
         writer.write(b"HTTP/1.1 400 Bad Request\r\n\r\n")
 
-    assert asyncio.run(scene()) == "closed"
+    assert asyncio.run(scenario()) == "closed"
 
 
 class EndedTransport(asyncio.Transport):
-    """A connection that ends with the first write, as the event loop tells it: closing at once, lost a turn later."""
+    """A transport that closes with the first write: `is_closing` is true at once, while the event loop reports the
+    connection as lost only in a later iteration."""
 
     def __init__(self):
         super().__init__()
@@ -249,26 +250,26 @@
 
 
 def test_replies_are_not_written_to_a_closing_connection():
-    async def scene():
-        held = asyncio.Event()
+    async def scenario():
+        released = asyncio.Event()
 
         async def hold(message):
-            await held.wait()
+            await released.wait()
             return {"type": "held"}
 
         connection, transport = rpc_server.ServerConnection(RpcServer({"hold": hold})), EndedTransport()
         connection.connection_made(transport)
         for number in range(10):
             connection.data_received(encode({"v": PROTOCOL_VERSION, "n": number, "m": {"type": "hold"}}))
-        held.set()
+        released.set()
         await asyncio.gather(*connection._tasks)
         return transport.written
 
-    assert asyncio.run(scene()) == 1
+    assert asyncio.run(scenario()) == 1
 
 
 def test_call_on_closing_connection_fails_at_once():
-    async def scene():
+    async def scenario():
         connection, transport = ClientConnection(is_compressed=True), EndedTransport()
         connection.connection_made(transport)
         transport.written = 1
@@ -276,23 +277,23 @@
             await asyncio.wait_for(connection.call({"type": "echo"}), SHORT_S)
         return kind_of(caught), transport.written
 
-    assert asyncio.run(scene()) == ("closed", 1)
+    assert asyncio.run(scenario()) == ("closed", 1)
 
 
 def test_uncompressed_client_gets_uncompressed_replies():
-    async def scene():
-        async with Server() as there:
-            reader, writer = await asyncio.open_connection(*there.address.split(":"))
+    async def scenario():
+        async with Loopback() as loopback:
+            reader, writer = await asyncio.open_connection(*loopback.address.split(":"))
             writer.write(encode({"v": 1, "n": 1, "m": {"type": "echo", "text": "x"}}))
-            answer = await asyncio.wait_for(reader.readuntil(b","), LONG_S)
+            reply = await asyncio.wait_for(reader.readuntil(b","), LONG_S)
             writer.close()
-            return answer
+            return reply
 
-    assert asyncio.run(scene())[:1].isdigit()
+    assert asyncio.run(scenario())[:1].isdigit()
 
 
 class PlainServer:
-    """A process of an earlier release: it ends connections that don't begin with a netstring."""
+    """A server of an earlier release, which closes connections that do not start with a netstring."""
 
     def __init__(self):
         self.first_bytes = []
@@ -316,27 +317,27 @@
 
 
 def test_peer_that_rejects_compression_gets_uncompressed_requests():
-    async def scene():
+    async def scenario():
         server, client = PlainServer(), RpcClient()
         await server.start()
         with pytest.raises(RpcError):
             await client.call(server.address, {"type": "echo"}, LONG_S)
-        answer = await client.call(server.address, {"type": "echo"}, LONG_S)
+        reply = await client.call(server.address, {"type": "echo"}, LONG_S)
         await client.close()
         server.stop()
-        return answer["text"], [first.isdigit() for first in server.first_bytes]
+        return reply["text"], [first_byte.isdigit() for first_byte in server.first_bytes]
 
-    assert asyncio.run(scene()) == ("plain", [False, True])
+    assert asyncio.run(scenario()) == ("plain", [False, True])
 
 
 def test_peer_that_replied_once_stays_compressed_after_reconnect():
-    async def scene():
-        async with Server() as there:
-            await there.call("echo", text="x")
-            for transport in list(there.server.connections):
+    async def scenario():
+        async with Loopback() as loopback:
+            await loopback.call("echo", text="x")
+            for transport in list(loopback.server.connections):
                 transport.abort()
             await asyncio.sleep(SHORT_S)
-            await there.call("echo", text="x")
-            return there.client._uncompressed_until_s
+            await loopback.call("echo", text="x")
+            return loopback.client._uncompressed_until_s
 
-    assert asyncio.run(scene()) == {}
+    assert asyncio.run(scenario()) == {}
--- a/tests/cluster/test_rpc_endings.py
+++ b/tests/cluster/test_rpc_endings.py
@@ -1,4 +1,4 @@
-"""How calls between processes end: late answers, connections that die, frames too large, peers that do not read."""
+"""How RPC calls end: late replies, lost connections, oversized frames and peers that do not read."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -16,7 +16,7 @@
 
 
 class ScriptedServer:
-    """Takes connections and notes the frames on each; a test answers them as it likes."""
+    """Accepts connections and queues the requests it receives; the test sends the replies."""
 
     def __init__(self):
         self.calls = asyncio.Queue()
@@ -35,7 +35,7 @@
         incoming, decoder = IncomingBytes(), Decoder()
         try:
             while data := await reader.read(65536):
-                for frame in [frame for piece in incoming.decode(data) for frame in decoder.feed(piece)]:
+                for frame in [frame for chunk in incoming.decode(data) for frame in decoder.feed(chunk)]:
                     await self.calls.put((writer, frame["n"], frame["m"]))
         except ConnectionError:
             pass
@@ -61,11 +61,11 @@
         server.stop()
 
 
-def answer(number, text):
+def reply_frame(number, text):
     return encode({"v": 1, "r": number, "m": {"type": "said", "text": text}})
 
 
-def ask(client, server, text, timeout_s=LONG_S):
+def start_call(client, server, text, timeout_s=LONG_S):
     return asyncio.ensure_future(client.call(server.address, {"type": "say", "text": text}, timeout_s))
 
 
@@ -75,61 +75,61 @@
 
 @pytest.mark.parametrize("how", ["timed out", "cancelled"])
 def test_late_reply_to_abandoned_call_is_dropped(how):
-    async def scene():
+    async def scenario():
         async with scripted() as (server, client):
-            abandoned = ask(client, server, "first", SHORT_S if how == "timed out" else LONG_S)
+            abandoned = start_call(client, server, "first", SHORT_S if how == "timed out" else LONG_S)
             writer, first, _ = await server.next_call()
-            other = ask(client, server, "other")
+            other = start_call(client, server, "other")
             _, second, _ = await server.next_call()
-            writer.write(answer(second, "for other"))
+            writer.write(reply_frame(second, "for other"))
             assert (await other)["text"] == "for other"
             if how == "cancelled":
                 abandoned.cancel()
             await asyncio.wait([abandoned])
-            later = ask(client, server, "later")
-            writer_of_later, third, message = await server.next_call()
-            writer.write(answer(first, "for the abandoned call"))
-            writer.write(answer(first, "once more"))
-            writer_of_later.write(answer(third, "for later"))
-            return message["text"], (await later)["text"], writer is writer_of_later, [first, second, third]
+            later = start_call(client, server, "later")
+            later_writer, third, message = await server.next_call()
+            writer.write(reply_frame(first, "for the abandoned call"))
+            writer.write(reply_frame(first, "once more"))
+            later_writer.write(reply_frame(third, "for later"))
+            return message["text"], (await later)["text"], writer is later_writer, [first, second, third]
 
-    assert asyncio.run(scene()) == ("later", "for later", True, [1, 2, 3])
+    assert asyncio.run(scenario()) == ("later", "for later", True, [1, 2, 3])
 
 
 def test_replies_out_of_order_reach_their_callers():
-    async def scene():
+    async def scenario():
         async with scripted() as (server, client):
-            calls = [ask(client, server, str(number)) for number in range(20)]
-            asked = [await server.next_call() for _ in calls]
-            for writer, number, message in reversed(asked):
-                writer.write(answer(number, message["text"]))
-            return [(await call)["text"] for call in calls], [number for _, number, _ in asked]
+            calls = [start_call(client, server, str(number)) for number in range(20)]
+            requests = [await server.next_call() for _ in calls]
+            for writer, number, message in reversed(requests):
+                writer.write(reply_frame(number, message["text"]))
+            return [(await call)["text"] for call in calls], [number for _, number, _ in requests]
 
-    texts, numbers = asyncio.run(scene())
+    texts, numbers = asyncio.run(scenario())
     assert texts == [str(number) for number in range(20)]
     assert len(set(numbers)) == 20
 
 
 @pytest.mark.parametrize("share", [0.0, 0.3, 0.99])
 def test_connection_lost_within_a_reply_fails_its_calls_and_leaks_nothing(share):
-    async def scene():
+    async def scenario():
         async with scripted() as (server, client):
-            calls = [ask(client, server, str(number)) for number in range(3)]
+            calls = [start_call(client, server, str(number)) for number in range(3)]
             writer, number, _ = await server.next_call()
-            frame = answer(number, "x" * 1000)
+            frame = reply_frame(number, "x" * 1000)
             writer.write(frame[: int(len(frame) * share)])
             await writer.drain()
             writer.transport.abort() if share == 0.0 else writer.close()
             outcomes = await asyncio.gather(*calls, return_exceptions=True)
-            again = ask(client, server, "again")
+            retry = start_call(client, server, "again")
             while True:
                 later, number, message = await server.next_call()
                 if later is not writer:
                     break
-            later.write(answer(number, message["text"]))
-            return [kind_of(outcome) for outcome in outcomes], (await again)["text"]
+            later.write(reply_frame(number, message["text"]))
+            return [kind_of(outcome) for outcome in outcomes], (await retry)["text"]
 
-    assert asyncio.run(scene()) == (["closed"] * 3, "again")
+    assert asyncio.run(scenario()) == (["closed"] * 3, "again")
 
 
 @pytest.mark.parametrize(
@@ -143,15 +143,15 @@
     ],
 )
 def test_invalid_reply_ends_the_connection(frame):
-    async def scene():
+    async def scenario():
         async with scripted() as (server, client):
-            call = ask(client, server, "x")
+            call = start_call(client, server, "x")
             writer, _, _ = await server.next_call()
             writer.write(encode(frame))
             (outcome,) = await asyncio.gather(call, return_exceptions=True)
             return kind_of(outcome)
 
-    assert asyncio.run(scene()) == "closed"
+    assert asyncio.run(scenario()) == "closed"
 
 
 @asynccontextmanager
@@ -189,7 +189,7 @@
 def test_frame_over_the_limit_fails_only_its_call(message, kind, monkeypatch):
     monkeypatch.setattr(rpc_frames, "encode", lambda frame: netstring.encode(frame, max_bytes=1000))
 
-    async def scene():
+    async def scenario():
         async with served(echo=echo, large=large, unsendable=unsendable) as (server, client, address):
             await client.call(address, {"type": "echo", "text": "before"}, LONG_S)
             first = set(server.connections)
@@ -197,17 +197,17 @@
             after = await client.call(address, {"type": "echo", "text": "after"}, LONG_S)
             return kind_of(outcome), after["text"], server.connections == first
 
-    assert asyncio.run(scene()) == (kind, "after", True)
+    assert asyncio.run(scenario()) == (kind, "after", True)
 
 
 def test_server_aborts_connection_whose_peer_does_not_read(monkeypatch):
     monkeypatch.setattr(rpc_connection, "MAX_UNSENT_BYTES", 100_000)
 
-    async def answer_much(message):
+    async def reply_at_length(message):
         return {"type": "much", "text": "x" * 50_000}
 
-    async def scene():
-        async with served(much=answer_much) as (server, _, address):
+    async def scenario():
+        async with served(much=reply_at_length) as (server, _, address):
             reader, writer = await asyncio.open_connection(*address.split(":"), limit=1000)
             largest = 0
             try:
@@ -215,7 +215,7 @@
                     writer.write(encode({"v": 1, "n": number, "m": {"type": "much"}}))
                     await writer.drain()
                     await asyncio.sleep(0)
-                    largest = max([largest, *(each.get_write_buffer_size() for each in server.connections)])
+                    largest = max([largest, *(transport.get_write_buffer_size() for transport in server.connections)])
                     if number and not server.connections:
                         break
             except ConnectionError:
@@ -223,7 +223,7 @@
             writer.close()
             return largest, bool(server.connections)
 
-    largest, is_open = asyncio.run(scene())
+    largest, is_open = asyncio.run(scenario())
     assert not is_open
     assert largest <= 100_000 + 60_000
 
@@ -231,11 +231,11 @@
 def test_client_aborts_connection_whose_peer_does_not_read(monkeypatch):
     monkeypatch.setattr(rpc_connection, "MAX_UNSENT_BYTES", 100_000)
 
-    async def scene():
-        held = asyncio.Event()
+    async def scenario():
+        released = asyncio.Event()
 
         async def never_read(reader, writer):
-            await held.wait()
+            await released.wait()
             writer.close()
 
         server = await asyncio.start_server(never_read, "127.0.0.1", 0, limit=1000)
@@ -251,7 +251,7 @@
         while not calls[0].done():
             await asyncio.sleep(0)
         connection = client._established(f"{host}:{port}")
-        held.set()
+        released.set()
         for call in calls:
             call.cancel()
         outcomes = await asyncio.gather(*calls, return_exceptions=True)
@@ -259,4 +259,4 @@
         server.close()
         return kind_of(outcomes[0]), connection is None or connection.transport is None
 
-    assert asyncio.run(scene()) == ("closed", True)
+    assert asyncio.run(scenario()) == ("closed", True)
--- a/tests/cluster/test_rpc_frames.py
+++ b/tests/cluster/test_rpc_frames.py
@@ -1,4 +1,4 @@
-"""The frames of calls as they go over the wire, byte for byte, and what is none."""
+"""The frames of RPC calls: recorded bytes on the wire, and rejection of invalid frames."""
 
 import pytest
 
@@ -7,18 +7,18 @@
 
 MESSAGE = {"type": "turn.stored", "text": "ä"}
 REQUEST = b'56:{"v":1,"n":7,"m":{"type":"turn.stored","text":"\\u00e4"}},'
-ANSWER = REQUEST.replace(b'"n"', b'"r"')
+REPLY = REQUEST.replace(b'"n"', b'"r"')
 
 
 @pytest.mark.parametrize(
     ("frame", "wire"),
-    [(RequestFrame(7, MESSAGE), REQUEST), (ReplyFrame(7, MESSAGE), ANSWER)],
+    [(RequestFrame(7, MESSAGE), REQUEST), (ReplyFrame(7, MESSAGE), REPLY)],
     ids=["request", "answer"],
 )
 def test_frame_round_trips_through_recorded_bytes(frame, wire):
     assert frame.encode() == wire
-    (read,) = Decoder().feed(wire)
-    assert type(frame).decode(read) == frame
+    (decoded,) = Decoder().feed(wire)
+    assert type(frame).decode(decoded) == frame
 
 
 @pytest.mark.parametrize(
@@ -44,8 +44,8 @@
     message = {"type": "store.pulled", "raw": bytes(range(256))}
     wire = ReplyFrame(7, message).encode()
     assert wire == b'51:{"v":1,"r":7,"m":{"type":"store.pulled"},"raw":256},256:' + message["raw"] + b","
-    (read,) = Decoder().feed(wire)
-    assert ReplyFrame.decode(read) == ReplyFrame(7, message)
+    (decoded,) = Decoder().feed(wire)
+    assert ReplyFrame.decode(decoded) == ReplyFrame(7, message)
     assert message["raw"] == bytes(range(256))
 
 
--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, and how every fault is named."""
+"""The settings file: parsing, validation and the reported faults."""
 
 import tomllib
 from pathlib import Path
--- a/tests/cluster/test_settings_watch.py
+++ b/tests/cluster/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Changes of the settings file while a process runs."""
+"""Reloading of the settings file of a running process."""
 
 import pytest
 from cluster import samples
@@ -8,7 +8,7 @@
 from dewpin.cluster.settings_watch import SettingsWatch, reloaded
 
 OTHER_SEEDS = samples.SETTINGS.replace("10.1.0.34:8144", "10.1.0.99:8144")
-ELSEWHERE = OTHER_SEEDS.replace("10.200.0.100:8142", "10.200.0.7:8142").replace("10.1.0.30", "10.1.0.31")
+OTHER_ADDRESSES = OTHER_SEEDS.replace("10.200.0.100:8142", "10.200.0.7:8142").replace("10.1.0.30", "10.1.0.31")
 
 
 @pytest.fixture
@@ -75,7 +75,7 @@
 
 def test_reloaded_settings_take_seeds_and_platform_only(path):
     running = load_settings(path)
-    path.write_text(ELSEWHERE)
+    path.write_text(OTHER_ADDRESSES)
     after = reloaded(running, load_settings(path))
     assert after.seeds == ("10.1.0.99:8144", "10.2.0.38:8144")
     assert after.cloud == Cloud("10.200.0.7:8142", 44.0, 800.0)
--- a/tests/cluster/test_store_requests.py
+++ b/tests/cluster/test_store_requests.py
@@ -1,4 +1,4 @@
-"""What senders ask of stores, as it goes over the wire, and what is refused as no such message."""
+"""Requests of senders to stores: their form on the wire, and rejection of invalid messages."""
 
 import json
 
@@ -20,16 +20,16 @@
 from dewpin.dataplane.programs.ledger_ballot import ledger_reply
 
 TURN = TurnRecord("t1", "p", None, 60_000, b"\xe4", b"out")
-TURN_TEXT = r'{"turn": "t1", "program": "p", "previous": null, "retain_ms": 60000, "input": "\u00e4", "output": "out"}'
-LINKS = HistoryPage((TURN,), "t0", False, frozenset({"t1"}))
+TURN_JSON = r'{"turn": "t1", "program": "p", "previous": null, "retain_ms": 60000, "input": "\u00e4", "output": "out"}'
+PAGE = HistoryPage((TURN,), "t0", False, frozenset({"t1"}))
 VIEW = StoreView(7, (Member("a-1", "a:1"),))
-VIEW_TEXT = '{"epoch": 7, "stable": {"a-1": "a:1"}, "next": null, "locations": {"a-1": ""}}'
+VIEW_JSON = '{"epoch": 7, "stable": {"a-1": "a:1"}, "next": null, "locations": {"a-1": ""}}'
 
 REQUESTS = [
-    (PutTurnsRequest((TURN,)), f'{{"turns": [{TURN_TEXT}]}}'),
+    (PutTurnsRequest((TURN,)), f'{{"turns": [{TURN_JSON}]}}'),
     (
         PutTurnsRequest((TURN,), LedgerAcceptRequest("p", (5, "s"), {"spent": 1, "open": {}}, None)),
-        f'{{"turns": [{TURN_TEXT}], "accept": '
+        f'{{"turns": [{TURN_JSON}], "accept": '
         '{"program": "p", "ballot": [5, "s"], "value": {"spent": 1, "open": {}}, "next_ballot": null}}',
     ),
     (HistoryRequest("p", "t1"), '{"program": "p", "previous": "t1"}'),
@@ -43,43 +43,43 @@
         '{"program": "p", "ballot": [5, "s"], "value": null, "next_ballot": null}',
     ),
 ]
-NO_TEXT = [None, 5, ["x"], {}, True]
-NO_WHOLE_NUMBER = [None, "5", 5.5, 5.0, True, [5], {}]
-NO_BALLOT = [None, 5, "5s", [], [5], [5, "s", 1], ["5", "s"], [5, 5], [5.0, "s"], [True, "s"], {"counter": 5}]
-NO_BYTES = [*NO_TEXT, "\u2028"]
+NOT_STRINGS = [None, 5, ["x"], {}, True]
+NOT_INTEGERS = [None, "5", 5.5, 5.0, True, [5], {}]
+NOT_BALLOTS = [None, 5, "5s", [], [5], [5, "s", 1], ["5", "s"], [5, 5], [5.0, "s"], [True, "s"], {"counter": 5}]
+NOT_LATIN_1_STRINGS = [*NOT_STRINGS, "\u2028"]
 
-WRONG_FIELDS = [
+INVALID_FIELDS = [
     *[(PutTurnsRequest, ("turns",), value) for value in (None, "t", {}, ["t"], [None], 5)],
-    *[(PutTurnsRequest, ("turns", 0, field), value) for field in ("turn", "program") for value in NO_TEXT],
-    *[(PutTurnsRequest, ("turns", 0, "previous"), value) for value in NO_TEXT if value is not None],
-    *[(PutTurnsRequest, ("turns", 0, "retain_ms"), value) for value in NO_WHOLE_NUMBER],
-    *[(PutTurnsRequest, ("turns", 0, field), value) for field in ("input", "output") for value in NO_BYTES],
+    *[(PutTurnsRequest, ("turns", 0, field), value) for field in ("turn", "program") for value in NOT_STRINGS],
+    *[(PutTurnsRequest, ("turns", 0, "previous"), value) for value in NOT_STRINGS if value is not None],
+    *[(PutTurnsRequest, ("turns", 0, "retain_ms"), value) for value in NOT_INTEGERS],
+    *[(PutTurnsRequest, ("turns", 0, field), value) for field in ("input", "output") for value in NOT_LATIN_1_STRINGS],
     *[(PutTurnsRequest, ("accept",), value) for value in (5, "x", [], True)],
-    *[(HistoryRequest, (field,), value) for field in ("program", "previous") for value in NO_TEXT],
-    *[(LedgerPrepareRequest, ("program",), value) for value in NO_TEXT],
-    *[(LedgerPrepareRequest, ("ballot",), value) for value in NO_BALLOT],
-    *[(LedgerAcceptRequest, ("program",), value) for value in NO_TEXT],
-    *[(LedgerAcceptRequest, ("ballot",), value) for value in NO_BALLOT],
-    *[(LedgerAcceptRequest, ("next_ballot",), value) for value in NO_BALLOT if value is not None],
+    *[(HistoryRequest, (field,), value) for field in ("program", "previous") for value in NOT_STRINGS],
+    *[(LedgerPrepareRequest, ("program",), value) for value in NOT_STRINGS],
+    *[(LedgerPrepareRequest, ("ballot",), value) for value in NOT_BALLOTS],
+    *[(LedgerAcceptRequest, ("program",), value) for value in NOT_STRINGS],
+    *[(LedgerAcceptRequest, ("ballot",), value) for value in NOT_BALLOTS],
+    *[(LedgerAcceptRequest, ("next_ballot",), value) for value in NOT_BALLOTS if value is not None],
     *[(LedgerAcceptRequest, ("value",), value) for value in (5, "x", [], True)],
-    *[(RequestHeader, ("epoch",), value) for value in NO_WHOLE_NUMBER],
-    *[(RequestHeader, ("to",), value) for value in NO_TEXT],
+    *[(RequestHeader, ("epoch",), value) for value in NOT_INTEGERS],
+    *[(RequestHeader, ("to",), value) for value in NOT_STRINGS],
     *[(RequestHeader, ("view",), value) for value in (5, "x", [], {}, {"epoch": "x", "stable": {}, "next": None})],
     *[(HistoryPage, ("type",), value) for value in (None, "turn.stored")],
     *[(HistoryPage, ("links",), value) for value in (None, "t", ["t"], [{}])],
-    *[(HistoryPage, ("following",), value) for value in NO_TEXT if value is not None],
+    *[(HistoryPage, ("following",), value) for value in NOT_STRINGS if value is not None],
     *[(HistoryPage, ("absent",), value) for value in (None, 0, "no")],
     *[(HistoryPage, ("foreign",), value) for value in (None, "t1", [1], {})],
     *[(PutTurnsReply, ("type",), value) for value in (None, "turn.links", 5)],
     *[(PutTurnsReply, ("reply",), value) for value in (5, "x", [], True)],
 ]
-SOUND = {
+VALID_MESSAGES = {
     PutTurnsRequest: PutTurnsRequest((TURN,)).fields,
     HistoryRequest: HistoryRequest("p", "t1").fields,
     LedgerPrepareRequest: LedgerPrepareRequest("p", (5, "s")).fields,
     LedgerAcceptRequest: LedgerAcceptRequest("p", (5, "s"), {"spent": 1, "open": {}}, (6, "s")).fields,
     RequestHeader: lambda: RequestHeader(7, "a-1", VIEW).encode("turn.chain", {}),
-    HistoryPage: LINKS.to_json,
+    HistoryPage: PAGE.to_json,
     PutTurnsReply: PutTurnsReply().encode,
 }
 
@@ -88,9 +88,9 @@
     return kind.from_json(message) if kind is HistoryPage else kind.decode(message)
 
 
-def holder_of(message, path):
-    for step in path[:-1]:
-        message = message[step]
+def container_of(message, path):
+    for key in path[:-1]:
+        message = message[key]
     return message
 
 
@@ -104,23 +104,23 @@
     plain = RequestHeader(7, "a-1").encode("turn.chain", {"program": "p"})
     assert json.dumps(plain) == '{"type": "turn.chain", "epoch": 7, "to": "a-1", "program": "p"}'
     assert RequestHeader.decode(plain) == RequestHeader(7, "a-1")
-    told = RequestHeader(7, "a-1", VIEW).encode("turn.chain", {"program": "p"})
-    assert json.dumps(told) == json.dumps(plain)[:-1] + f', "view": {VIEW_TEXT}}}'
-    assert RequestHeader.decode(told) == RequestHeader(7, "a-1", VIEW)
+    with_view = RequestHeader(7, "a-1", VIEW).encode("turn.chain", {"program": "p"})
+    assert json.dumps(with_view) == json.dumps(plain)[:-1] + f', "view": {VIEW_JSON}}}'
+    assert RequestHeader.decode(with_view) == RequestHeader(7, "a-1", VIEW)
 
 
 def test_replies_have_recorded_form():
     assert PutTurnsReply().encode() == {"type": "turn.stored"}
     assert PutTurnsReply.decode({"type": "turn.stored"}) == PutTurnsReply()
-    assert HistoryPage.from_json(json.loads(json.dumps(LINKS.to_json()))) == LINKS
+    assert HistoryPage.from_json(json.loads(json.dumps(PAGE.to_json()))) == PAGE
 
 
 @pytest.mark.parametrize("reply", [Accepted(Ballot(5, "s")), Conflict(Ballot(6, "t"))])
 def test_put_turns_reply_has_the_reply_to_its_ballot(reply):
     message = PutTurnsReply(encode_reply(reply)).encode()
-    told = PutTurnsReply.decode(json.loads(json.dumps(message))).reply
-    assert told is not None
-    assert ledger_reply(told) == reply
+    ballot_reply = PutTurnsReply.decode(json.loads(json.dumps(message))).reply
+    assert ballot_reply is not None
+    assert ledger_reply(ballot_reply) == reply
 
 
 @pytest.mark.parametrize("reply", [{}, {"type": "turn.stored"}, {"type": ACCEPTED}, {"type": ACCEPTED, "ballot": 5}])
@@ -138,31 +138,31 @@
 
 
 def test_unknown_fields_are_ignored():
-    for kind, sound in SOUND.items():
-        assert decode(kind, {**sound(), "newer": 1}) == decode(kind, sound())
+    for kind, valid in VALID_MESSAGES.items():
+        assert decode(kind, {**valid(), "newer": 1}) == decode(kind, valid())
 
 
 @pytest.mark.parametrize(
-    ("kind", "path", "value"), WRONG_FIELDS, ids=lambda value: getattr(value, "__name__", None) or repr(value)
+    ("kind", "path", "value"), INVALID_FIELDS, ids=lambda value: getattr(value, "__name__", None) or repr(value)
 )
 def test_field_of_wrong_type_is_rejected_by_name(kind, path, value):
-    message = json.loads(json.dumps(SOUND[kind]()))
-    holder_of(message, path)[path[-1]] = value
+    message = json.loads(json.dumps(VALID_MESSAGES[kind]()))
+    container_of(message, path)[path[-1]] = value
     if path == ("view",) or path[0] == "links" or path[-1] == "links":
         with pytest.raises(MalformedMessageError):
             decode(kind, message)
         return
-    with pytest.raises(MalformedMessageError, match=f"^{path[-1]}: ") as refusal:
+    with pytest.raises(MalformedMessageError, match=f"^{path[-1]}: ") as caught:
         decode(kind, message)
-    assert refusal.value.field == path[-1]
+    assert caught.value.field == path[-1]
 
 
-@pytest.mark.parametrize("kind", SOUND, ids=lambda kind: kind.__name__)
+@pytest.mark.parametrize("kind", VALID_MESSAGES, ids=lambda kind: kind.__name__)
 def test_every_field_but_the_view_is_required(kind):
-    for field in SOUND[kind]().keys() - {"view"}:
+    for field in VALID_MESSAGES[kind]().keys() - {"view"}:
         if kind is RequestHeader and field == "type":
             continue
-        message = json.loads(json.dumps(SOUND[kind]()))
+        message = json.loads(json.dumps(VALID_MESSAGES[kind]()))
         del message[field]
         with pytest.raises(MalformedMessageError):
             decode(kind, message)
