--- a/dewpin/cluster/placement.py
+++ b/dewpin/cluster/placement.py
@@ -33,7 +33,7 @@
         self._zones[location] += 1
         self._regions[region_of(location)] += 1
 
-    def crowding(self, location: str) -> tuple[int, int]:
+    def occupancy(self, location: str) -> tuple[int, int]:
         """Return the number of members in the region and in the zone of `location`; the lowest is to be chosen next."""
         return self._regions[region_of(location)], self._zones[location]
 
@@ -66,7 +66,7 @@
     remaining = list(ranked)
     chosen: list[str] = []
     while len(chosen) < count:
-        member = min(remaining, key=lambda candidate: counts.crowding(locations.get(candidate, "")))
+        member = min(remaining, key=lambda candidate: counts.occupancy(locations.get(candidate, "")))
         remaining.remove(member)
         chosen.append(member)
         counts.add(locations.get(member, ""))
--- a/dewpin/controlplane/membership/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -90,7 +90,7 @@
     locations = _peer_locations(observation)
     counted = LocationCount(locations.get(member, "") for member in members)
     now_s = observation.now_s
-    return min(spare, key=lambda peer: (counted.crowding(peer.location), peer.interruptions(now_s), peer.id))
+    return min(spare, key=lambda peer: (counted.occupancy(peer.location), peer.interruptions(now_s), peer.id))
 
 
 def _must_be_removed(
