--- a/dewpin/cluster/body_pages.py
+++ b/dewpin/cluster/body_pages.py
@@ -30,18 +30,18 @@
     """Return whether a body is short enough to be sent together with its system state."""
     if len(body) * MAX_BYTES_PER_CHARACTER <= RELAY_PAGE_BYTES:
         return True
-    return len(body) <= RELAY_PAGE_BYTES and _wire_bytes(body) <= RELAY_PAGE_BYTES
+    return len(body) <= RELAY_PAGE_BYTES and _wire_size(body) <= RELAY_PAGE_BYTES
 
 
 def _page_at(text: str, offset: int) -> str:
     """Return the page that begins at character `offset`, the same at every process that has the text up to its end."""
     part = text[offset : offset + RELAY_PAGE_BYTES]
-    while (size := _wire_bytes(part)) > RELAY_PAGE_BYTES:
+    while (size := _wire_size(part)) > RELAY_PAGE_BYTES:
         part = part[: len(part) * RELAY_PAGE_BYTES // size]
     return part
 
 
-def _wire_bytes(text: str) -> int:
+def _wire_size(text: str) -> int:
     return len(json.dumps(text)) - 2
 
 
--- a/dewpin/cluster/settings/model.py
+++ b/dewpin/cluster/settings/model.py
@@ -55,7 +55,7 @@
 
     `config_apply_ms`: until an acknowledged configuration is in force everywhere.
     `downgrade_ms`: for which an older configuration may still be in force.
-    `ack_ms`: for which a configuration change is retried.
+    `ack_ms`: for which a change requested by the operator is retried.
     `contact_ms`: after which a machine that receives nothing counts as disconnected.
     `catch_up_s`: granted to a machine after its start or its reconnection.
     `recovery_s`: until turns stored before a failure are served again.
