--- a/dewpin/controlplane/membership/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -90,7 +90,7 @@
     locations = _peer_locations(observation)
     location_count = LocationCount(locations.get(member, "") for member in members)
     now_s = observation.now_s
-    return min(spares, key=lambda peer: (location_count.crowding(peer.location), peer.interruptions(now_s), peer.id))
+    return min(spares, key=lambda peer: (location_count.occupancy(peer.location), peer.interruptions(now_s), peer.id))
 
 
 def _must_be_removed(
