--- a/dewpin/controlplane/storage/__init__.py
+++ b/dewpin/controlplane/storage/__init__.py
@@ -1,8 +1,7 @@
-"""The durable state of a control server: one sqlite3 database for each data folder, written by one thread with group
-commit.
+"""Durable state of a control server: one SQLite database per data directory, accessed by one thread with group commit.
 
-`schema` has the tables and their migrations, `database` opens the files and sets damaged ones aside, `storage` runs the
-transactions.
+`schema` defines the tables and their migrations, `database` opens the files and quarantines damaged ones, `storage`
+runs the transactions.
 """
 
 from .database import DAMAGED_MARKER_NAME, DATABASE_NAME, read_incarnation
--- a/dewpin/controlplane/storage/storage.py
+++ b/dewpin/controlplane/storage/storage.py
@@ -1,4 +1,4 @@
-"""Transactions on the database, run by one thread with group commit."""
+"""Database transactions, run on a dedicated thread with group commit."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from .schema import incarnation_of
 
 MAX_PENDING_JOBS = 20_000
-"""Jobs that may wait for the storage thread; a further one is rejected at once."""
+"""Maximum number of jobs waiting for the storage thread; further ones are rejected immediately."""
 MAX_JOBS_IN_COMMIT = 256
-"""Jobs that share one commit at most."""
+"""Maximum number of jobs per commit."""
 MAX_COMMIT_S = 2.0
-"""Once a commit has taken this long, the disk counts as unresponsive and new jobs are rejected at once: their callers
-would have given up long before the disk is back, and pending jobs take memory."""
+"""After a commit has run for this long, the disk is considered unresponsive and new jobs are rejected immediately:
+their callers would time out long before the disk recovers, and pending jobs use memory."""
 
 Statement = tuple[str, tuple[Any, ...]]
-"""An SQL statement with the values of its placeholders."""
+"""An SQL statement and the values of its placeholders."""
 Row = tuple[Any, ...]
 Result = TypeVar("Result")
 
@@ -37,8 +37,8 @@
     """One unit of work for the storage thread.
 
     `work`: runs on the storage thread, inside the transaction of its group.
-    `loop`, `future`: where the result goes.
-    `result`, `error`: what the last run gave; set by the storage thread.
+    `loop`, `future`: the future that receives the result, and its event loop.
+    `result`, `error`: outcome of the last run; set by the storage thread.
     """
 
     work: Callable[[sqlite3.Connection], Result]
@@ -53,17 +53,17 @@
 
 
 def _ignore_damage() -> None:
-    """Do nothing about a damaged database beyond rejecting all jobs."""
+    """Take no further action on a damaged database; all jobs are rejected anyway."""
 
 
 class Storage:
-    """The database of one data folder.
+    """The database of one data directory.
 
-    A thread of its own makes every call on the file, so that a slow or unresponsive disk never blocks the event loop.
-    Jobs run in the order in which they were submitted; those that are pending together share one commit.
+    A dedicated thread performs all file access, so that a slow or unresponsive disk never blocks the event loop. Jobs
+    run in the order of submission; jobs that are pending at the same time share one commit.
 
-    `incarnation`: random id of the database, of 16 hexadecimal digits.
-    `is_damaged`: whether the file was found to be damaged; all jobs fail from then on.
+    `incarnation`: random id of the database, 16 hexadecimal digits.
+    `is_damaged`: whether the file was found to be damaged; all further jobs fail.
     """
 
     def __init__(
@@ -73,10 +73,10 @@
         clock: Callable[[], float] = time.monotonic,
         on_damaged: Callable[[], None] = _ignore_damage,
     ) -> None:
-        """Open (or create) the database; blocks until it is durable. Raises StorageError or SchemaTooNewError.
+        """Open or create the database; blocks until it is durable. Raises StorageError or SchemaTooNewError.
 
-        `log` receives texts for the operator; `clock` returns monotonic seconds; `on_damaged` is called on the storage
-        thread once the file was found to be damaged: the process should end.
+        `log` receives messages for the operator; `clock` returns monotonic seconds; `on_damaged` is called on the
+        storage thread when the file is found to be damaged: the process should then exit.
         """
         self._folder = Path(data_dir)
         self._log = log
@@ -93,7 +93,7 @@
         self._thread.start()
 
     async def write(self, statements: Sequence[Statement]) -> None:
-        """Run `statements` as one atomic change; return once it is synced. Raises StorageError."""
+        """Run `statements` atomically; return once they are synced to disk. Raises StorageError."""
 
         def work(connection: sqlite3.Connection) -> None:
             for sql, values in statements:
@@ -102,30 +102,30 @@
         await self.transact(work)
 
     async def query(self, sql: str, args: tuple[Any, ...] = ()) -> list[Row]:
-        """Return the rows of a query, which sees every write that was awaited before. Raises StorageError."""
+        """Return the rows of a query; it sees all previously awaited writes. Raises StorageError."""
         return await self.transact(lambda connection: connection.execute(sql, args).fetchall())
 
     async def transact(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """Run `work` on the storage thread inside a transaction; return its result once that is synced.
+        """Run `work` on the storage thread inside a transaction; return its result once it is synced to disk.
 
-        `work` may be run twice (its first effects being rolled back) and must not begin or end transactions. Raises
-        StorageError; the write may have been committed all the same.
+        `work` may run twice (the first run is then rolled back) and must not begin or end transactions. Raises
+        StorageError; the write may have been committed nevertheless.
         """
         if self._is_disk_unresponsive():
-            raise StorageError("the disk does not answer")
+            raise StorageError("the disk is unresponsive")
         loop = asyncio.get_running_loop()
         job: _Job[Result] = _Job(work, loop, loop.create_future())
         with self._jobs_changed:
             if self._is_closing:
                 raise StorageError("the storage is closed")
             if len(self._jobs) >= MAX_PENDING_JOBS:
-                raise StorageError("too many reads and writes wait for the disk")
+                raise StorageError("too many storage jobs are pending")
             self._jobs.append(job)
             self._jobs_changed.notify()
         return await job.future
 
     def close(self) -> None:
-        """End the thread once all pending jobs are done, and close the database."""
+        """Complete all pending jobs, stop the thread and close the database."""
         with self._jobs_changed:
             self._is_closing = True
             self._jobs_changed.notify()
@@ -138,7 +138,7 @@
         return started_s is not None and self._clock() - started_s > MAX_COMMIT_S
 
     def _run_jobs(self) -> None:
-        """The storage thread: take the pending jobs, commit them together, deliver the results."""
+        """Main loop of the storage thread: commits pending jobs in groups and delivers their results."""
         while True:
             with self._jobs_changed:
                 while not self._jobs and not self._is_closing:
@@ -149,10 +149,10 @@
             if not self._commit(group) and len(group) > 1:
                 for job in group:
                     self._commit([job])
-            self._deliver(group)
+            self._deliver_results(group)
 
     def _commit(self, group: list[_Job[Any]]) -> bool:
-        """Run the jobs of `group` in one transaction; set their results or error. Return whether it was committed."""
+        """Run the jobs of `group` in one transaction and set their results or error; return whether it committed."""
         self._commit_started_s = self._clock()
         try:
             if self.is_damaged:
@@ -163,7 +163,7 @@
                 job.result = job.work(self._connection)
             self._connection.execute("COMMIT")
         except Exception as error:
-            translated = self._translate(error)
+            translated = self._translate_error(error)
             for job in group:
                 job.error = translated
             self._roll_back()
@@ -172,8 +172,8 @@
             self._commit_started_s = None
         return True
 
-    def _translate(self, error: Exception) -> Exception:
-        """Return the error to raise for what went wrong on the storage thread; damage is handled as such."""
+    def _translate_error(self, error: Exception) -> Exception:
+        """Return the error to raise to callers for an error on the storage thread; mark a damaged database."""
         if not isinstance(error, (sqlite3.Error, OSError)):
             return error
         if isinstance(error, sqlite3.Error) and is_damage(error):
@@ -183,11 +183,11 @@
 
     def _handle_damage(self, error: sqlite3.Error) -> None:
         self.is_damaged = True
-        self._log(f"the database in {self._folder} is damaged ({error}): the next start sets it aside")
+        self._log(f"the database in {self._folder} is damaged ({error}): it will be quarantined at the next start")
         try:
             mark_damaged(self._folder)
         except OSError as failure:
-            self._log(f"the damage could not be noted in {self._folder}: {failure}")
+            self._log(f"failed to create the damage marker in {self._folder}: {failure}")
         self._on_damaged()
 
     def _roll_back(self) -> None:
@@ -195,23 +195,23 @@
             if self._connection.in_transaction:
                 self._connection.execute("ROLLBACK")
         except sqlite3.Error as error:
-            self._log(f"a transaction in {self._folder} could not be undone: {error}")
+            self._log(f"failed to roll back a transaction in {self._folder}: {error}")
 
     @staticmethod
-    def _deliver(group: list[_Job[Any]]) -> None:
-        """Hand the results to the event loops, with one wake-up for each loop."""
+    def _deliver_results(group: list[_Job[Any]]) -> None:
+        """Deliver the results to their event loops, with one wake-up per loop."""
         by_loop: dict[asyncio.AbstractEventLoop, list[_Job[Any]]] = {}
         for job in group:
             by_loop.setdefault(job.loop, []).append(job)
         for loop, jobs in by_loop.items():
             try:
-                loop.call_soon_threadsafe(_resolve, jobs)
+                loop.call_soon_threadsafe(_resolve_futures, jobs)
             except RuntimeError:
-                continue  # that loop has ended: nobody waits for these results
+                continue  # the loop is closed, so nothing waits for these results
 
 
-def _resolve(jobs: list[_Job[Any]]) -> None:
-    """Resolve the futures of `jobs`, on their own event loop."""
+def _resolve_futures(jobs: list[_Job[Any]]) -> None:
+    """Resolve the futures of `jobs`; runs on their event loop."""
     for job in jobs:
         if job.future.done():
             continue
--- a/dewpin/controlplane/store/__init__.py
+++ b/dewpin/controlplane/store/__init__.py
@@ -1,1 +1,1 @@
-"""One store: turns and budget ledgers on disk, and their copying when the store view changes."""
+"""One store: turns and budget ledgers on disk, and the copying of records when the store view changes."""
--- a/dewpin/controlplane/store/copy_handlers.py
+++ b/dewpin/controlplane/store/copy_handlers.py
@@ -1,7 +1,7 @@
-"""Handlers of the requests of other stores that copy records from this one for a change of the view.
+"""Handlers for the requests of other stores, which copy records from this store during a view change.
 
-A request is answered only once the changing view is durable here, so that no write under an older view can be completed
-after the copy has read past it.
+A request is answered only after the changing view is durable on this store. No write under an older view can then
+complete after the copy has read past it.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class CopyHandlers:
-    """Answers stores that copy from this one; `handlers` has a handler for each message type."""
+    """Answers stores that copy from this one; `handlers` maps message types to handlers."""
 
     def __init__(self, guard: ViewGuard, now_ms: Callable[[], int]) -> None:
-        """Answer under the view of `guard`; `now_ms` returns the time of day in ms."""
+        """Answer under the view of `guard`; `now_ms` returns the wall-clock time in ms."""
         self._guard = guard
         self._now_ms = now_ms
         self.handlers: dict[str, Callable[[Message], Awaitable[Message]]] = {
@@ -38,7 +38,7 @@
         }
 
     async def _check_durable_view(self, message: Message) -> StoreView:
-        """Return the view of a request, which is durable here from now on. Raises RpcError."""
+        """Check the view of a request and make it durable; return it. Raises RpcError."""
         self._guard.check_view(message)
         try:
             view = await self._guard.make_view_durable()
@@ -55,9 +55,9 @@
             lambda connection: turn_table.read_index_page(connection, request.after, request.limit, now_ms),
         )
         count = self._guard.replica_count
-        wanted = [entry for entry in entries if request.member in view.next_replicas(entry.program, count)]
+        requested = [entry for entry in entries if request.member in view.next_replicas(entry.program, count)]
         after = (entries[-1].turn, entries[-1].program) if len(entries) == request.limit else None
-        return IndexPage(wanted, after).encode()
+        return IndexPage(requested, after).encode()
 
     async def _read_turns(self, message: Message) -> Message:
         await self._check_durable_view(message)
@@ -76,5 +76,5 @@
             message["epoch"], lambda connection: ledger_replica.read_page(connection, request.after, request.limit)
         )
         count = self._guard.replica_count
-        wanted = [record for record in records if request.member in view.next_replicas(record.program, count)]
-        return LedgersPage(wanted, records[-1].program if len(records) == request.limit else None).encode()
+        requested = [record for record in records if request.member in view.next_replicas(record.program, count)]
+        return LedgersPage(requested, records[-1].program if len(records) == request.limit else None).encode()
--- a/dewpin/controlplane/store/ledger_replica.py
+++ b/dewpin/controlplane/store/ledger_replica.py
@@ -1,7 +1,7 @@
-"""The replicas of budget ledgers on disk: one register for each program, decided by `dewpin.consensus.Replica`.
+"""Replicas of budget ledgers on disk: one consensus register per program, implemented by `dewpin.consensus.Replica`.
 
-All functions run on the storage thread, inside its transaction: what they decide is synced before the reply is sent.
-They raise sqlite3.Error.
+All functions run on the storage thread, inside its transaction, so their changes are synced to disk before the reply is
+sent. They raise sqlite3.Error.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 KEY_PREFIX = "ledger/"
 _END_OF_KEYS = "ledger0"
-"""The smallest text above every key that begins with KEY_PREFIX."""
+"""Exclusive upper bound of the keys that begin with KEY_PREFIX."""
 
 JsonObject = dict[str, Any]
 
@@ -26,8 +26,8 @@
 class LedgerRecord:
     """The state of one replica of a program's ledger.
 
-    `promised`: the greatest ballot that was promised.
-    `accepted`, `value`: the ballot of the value that was accepted last, and that value.
+    `promised`: the highest ballot promised.
+    `accepted`, `value`: the last accepted value and its ballot.
     """
 
     program: str
@@ -46,17 +46,14 @@
 
     @staticmethod
     def from_json(value: JsonObject) -> LedgerRecord:
-        """Return the record of a JSON object made by `to_json`.
-
-        Raises KeyError, TypeError or ValueError if it is none.
-        """
+        """Parse a JSON object made by `to_json`. Raises KeyError, TypeError or ValueError if it is malformed."""
         return LedgerRecord(
             value["program"], ballot_from_json(value["promised"]), ballot_from_json(value["accepted"]), value["value"]
         )
 
 
 def load(connection: sqlite3.Connection, program: str) -> Replica:
-    """Return the replica of the program's ledger; an empty one if there is none."""
+    """Return the replica of the program's ledger; an empty one if none is stored."""
     row = connection.execute(
         "SELECT promised, accepted_ballot, value, copied FROM register_replica WHERE key = ?", (KEY_PREFIX + program,)
     ).fetchone()
@@ -88,7 +85,7 @@
 
 
 def prepare(connection: sqlite3.Connection, program: str, ballot: Ballot, now_ms: int) -> Promise | Conflict:
-    """Take part in the first phase of a ballot; a promise is written."""
+    """Handle the prepare phase of a ballot; a promise is written to disk."""
     replica = load(connection, program)
     reply = replica.prepare(ballot)
     if isinstance(reply, Promise):
@@ -104,9 +101,9 @@
     next_ballot: Ballot | None,
     now_ms: int,
 ) -> Accepted | Conflict:
-    """Take part in the second phase of a ballot; an accepted value is written.
+    """Handle the accept phase of a ballot; an accepted value is written to disk.
 
-    `next_ballot` is promised with it, unless it is None.
+    `next_ballot` is promised along with it, unless it is None.
     """
     replica = load(connection, program)
     reply = replica.accept(ballot, value, next_ballot)
@@ -116,10 +113,10 @@
 
 
 def merge(connection: sqlite3.Connection, records: Sequence[LedgerRecord], now_ms: int) -> None:
-    """Merge the states of other replicas into this one's: the greatest accepted ballot and the greatest promise win.
+    """Merge the states of other replicas into this replica; the highest accepted ballot and the highest promise win.
 
-    A value that is merged is marked as copied. It must be here, so that nobody who reads a majority misses a chosen
-    value; but this replica may have promised a greater ballot already, so it never counts as a vote for the value.
+    A merged value is marked as copied. It has to be stored so that a read from a majority cannot miss a chosen value.
+    It never counts as a vote for the value, because this replica may already have promised a higher ballot.
     """
     for record in records:
         replica = load(connection, record.program)
@@ -132,7 +129,7 @@
 
 
 def read_page(connection: sqlite3.Connection, after: str, limit: int) -> list[LedgerRecord]:
-    """Return up to `limit` ledgers whose program sorts after `after`, in the order of programs."""
+    """Return up to `limit` ledgers whose program sorts after `after`, ordered by program."""
     rows = connection.execute(
         "SELECT key, promised, accepted_ballot, value FROM register_replica"
         " WHERE key > ? AND key < ? ORDER BY key LIMIT ?",
@@ -150,7 +147,7 @@
 
 
 def purge(connection: sqlite3.Connection, unchanged_since_ms: int, limit: int) -> int:
-    """Delete up to `limit` ledgers that have not changed since that time of day in ms; return how many."""
+    """Delete up to `limit` ledgers last changed before this wall-clock time in ms; return the number deleted."""
     return connection.execute(
         "DELETE FROM register_replica WHERE key IN (SELECT key FROM register_replica"
         " WHERE changed_ms < ? AND key > ? AND key < ? ORDER BY changed_ms LIMIT ?)",
--- a/dewpin/controlplane/store/replica_sync.py
+++ b/dewpin/controlplane/store/replica_sync.py
@@ -1,9 +1,9 @@
-"""Copying of records to a store for a change of the view.
+"""Copying of records to a store during a view change.
 
-Each member of the next view copies from the stable members all that it will hold after the change: the index of the
-turns, the bodies of those that are missing here, and the ledgers. A stable member answers such a request only once the
-changing view is durable there, so writes under older views can no longer be completed behind the copy. The copy is
-complete when so many sources were read that every key was read from a majority of its stable replicas.
+Each member of the next view copies from the stable members everything that it will hold after the change: the index of
+the turns, the bodies of missing turns, and the ledgers. A stable member answers such a request only after the changing
+view is durable on it, so that writes under older views can no longer complete after the copy has read past them. The
+copy is complete when enough sources were read that every key was read from a majority of its stable replicas.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from dewpin.cluster.store_view import Member, StoreView
 from dewpin.controlplane.store import ledger_replica
 from dewpin.controlplane.store.ledger_replica import LedgerRecord
-from dewpin.controlplane.store.source_client import Calls, SourceClient, retry_until_success
+from dewpin.controlplane.store.source_client import RpcCaller, SourceClient, retry_until_success
 from dewpin.controlplane.store.store import Store
 from dewpin.controlplane.store.turn_copy import SourceTurnCopy, TurnClaims, TurnWriter
 
 
 class StoreSync:
-    """Runs the copy for the newest view, one at a time."""
+    """Runs the copy for the newest view; at most one copy is in progress."""
 
-    def __init__(self, store: Store, calls: Calls, on_synced: Callable[[int], None]) -> None:
-        """Copy to `store`; `on_synced` is called with the epoch of each view whose copy is complete."""
+    def __init__(self, store: Store, rpc: RpcCaller, on_synced: Callable[[int], None]) -> None:
+        """Copy to `store`; `on_synced` is called with the epoch of each view whose copy has completed."""
         self._store = store
-        self._calls = calls
+        self._rpc = rpc
         self._on_synced = on_synced
         self._epoch = -1
         self._task: asyncio.Task[None] | None = None
 
     def start(self, view: StoreView) -> None:
-        """Copy what this store will hold under `view`; a copy for an older view is cancelled."""
+        """Copy the records that this store will hold under `view`; a copy for an older view is cancelled."""
         if view.epoch <= self._epoch:
             return
         self.stop()
@@ -47,12 +47,12 @@
 
     async def _run(self, view: StoreView) -> None:
         if view.next is not None and self._store.member_id in view.next_ids:
-            await ViewCopy(self._store, self._calls, view).run()
+            await ViewCopy(self._store, self._rpc, view).run()
         self._on_synced(view.epoch)
 
 
 class SourceState(Enum):
-    """How far one source was read."""
+    """Progress of reading one source."""
 
     READING_TURNS = auto()
     READING_LEDGERS = auto()
@@ -60,9 +60,9 @@
 
 
 def has_read_enough_sources(view: StoreView, unread_sources: int, replica_count: int) -> bool:
-    """Return whether a copy is complete with so many stable members not read to their end.
+    """Return whether a copy is complete although `unread_sources` stable members were not read completely.
 
-    The store that copies does not count as one of them, even if it is a stable member.
+    The copying store is not counted, even if it is a stable member.
     """
     return unread_sources <= view.max_unreachable(replica_count)
 
@@ -70,24 +70,24 @@
 class ViewCopy:
     """The copy for one view.
 
-    All sources are read at the same time. Once enough of them are `COMPLETE`, the reading of the others is cancelled.
+    All sources are read concurrently. Once enough of them are `COMPLETE`, the remaining reads are cancelled.
     """
 
-    def __init__(self, store: Store, calls: Calls, view: StoreView) -> None:
-        """Copy to `store` what it will hold under the changing `view`."""
+    def __init__(self, store: Store, rpc: RpcCaller, view: StoreView) -> None:
+        """Copy to `store` the records that it will hold under the changing `view`."""
         self._store = store
-        self._calls = calls
+        self._rpc = rpc
         self._view = view
-        self._states: dict[str, SourceState] = {}
+        self._source_states: dict[str, SourceState] = {}
         self._is_complete = asyncio.Event()
         self._claims = TurnClaims()
         self._turns = TurnWriter(store)
 
     async def run(self) -> None:
-        """Return once the copy is complete."""
+        """Run the copy; return when it is complete."""
         await retry_until_success(self._store.make_view_durable)
         sources = [member for member in self._view.stable if member.id != self._store.member_id]
-        self._states = {member.id: SourceState.READING_TURNS for member in sources}
+        self._source_states = {member.id: SourceState.READING_TURNS for member in sources}
         self._check_complete()
         tasks = [asyncio.ensure_future(self._read_source(member)) for member in sources]
         try:
@@ -98,17 +98,17 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def _check_complete(self) -> None:
-        unread_sources = sum(state is not SourceState.COMPLETE for state in self._states.values())
+        unread_sources = sum(state is not SourceState.COMPLETE for state in self._source_states.values())
         if has_read_enough_sources(self._view, unread_sources, self._store.replica_count):
             self._is_complete.set()
 
     async def _read_source(self, member: Member) -> None:
-        """Move one source through its states."""
-        source = SourceClient(self._calls, self._view, member, self._store.member_id)
+        """Read one source completely, updating its state."""
+        source = SourceClient(self._rpc, self._view, member, self._store.member_id)
         await SourceTurnCopy(source, self._claims, self._turns).run()
-        self._states[member.id] = SourceState.READING_LEDGERS
+        self._source_states[member.id] = SourceState.READING_LEDGERS
         await self._copy_ledgers(source)
-        self._states[member.id] = SourceState.COMPLETE
+        self._source_states[member.id] = SourceState.COMPLETE
         self._check_complete()
 
     async def _copy_ledgers(self, source: SourceClient) -> None:
--- a/dewpin/controlplane/store/sender_handlers.py
+++ b/dewpin/controlplane/store/sender_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of the requests of senders: turns to store, conversation histories to read, ballots for budget ledgers."""
+"""Handlers for the requests of senders: storing turns, reading conversation histories, ballots on budget ledgers."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from dewpin.controlplane.store.view_guard import ViewGuard, decode_request
 
 RETENTION_MARGIN_MS = 30_000
-"""Turns and ledgers are kept for this much longer than asked: for steps of the clock and turns that are in progress."""
+"""Turns and ledgers are kept this much longer than requested, to allow for clock steps and turns in progress."""
 MAX_HISTORY_BYTES = 4 * 1024 * 1024
-"""Bodies in one reply with a history; the sender requests the rest after it."""
+"""Limit on the bodies in one history reply; the sender requests the rest separately."""
 
 
 class SenderHandlers:
-    """Answers senders for one store; `handlers` has a handler for each message type."""
+    """Answers senders for one store; `handlers` maps message types to handlers."""
 
     def __init__(self, guard: ViewGuard, now_ms: Callable[[], int]) -> None:
-        """Answer under the view of `guard`; `now_ms` returns the time of day in ms."""
+        """Answer under the view of `guard`; `now_ms` returns the wall-clock time in ms."""
         self._guard = guard
         self._now_ms = now_ms
         self.handlers: dict[str, Callable[[Message], Awaitable[Message]]] = {
@@ -84,7 +84,7 @@
 
 
 def _accept(connection: sqlite3.Connection, request: LedgerAcceptRequest, now_ms: int) -> Reply:
-    """Take part in the second phase of a ledger's ballot."""
+    """Handle the accept phase of a ballot on a ledger."""
     ballot = Ballot(*request.ballot)
     next_ballot = None if request.next_ballot is None else Ballot(*request.next_ballot)
     return ledger_replica.accept(connection, request.program, ballot, request.value, next_ballot, now_ms)
--- a/dewpin/controlplane/store/store.py
+++ b/dewpin/controlplane/store/store.py
@@ -1,4 +1,4 @@
-"""One store: keeps turns and replicas of budget ledgers, and answers senders and other stores under one epoch."""
+"""One store: holds turns and replicas of budget ledgers, and answers senders and other stores under one epoch."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 
 
 def time_of_day_ms() -> int:
-    """Return the time of day in ms, as this machine has it."""
+    """Return the wall-clock time of this machine in ms."""
     return int(time.time() * 1000)
 
 
 def _ignore_view(view: StoreView) -> None:
-    """Do nothing with a view that was adopted."""
+    """Ignore an adopted view."""
 
 
 class Store:
-    """The records of one member, and the handlers of the requests for them.
+    """The records of one member, and the handlers of requests for them.
 
-    A request of another epoch is rejected with the store's own view; a newer view is adopted from any request that
-    brings one, and by `adopt`.
+    A request of another epoch is rejected, and the error carries the store's own view. A newer view is adopted from any
+    request that carries one, and through `adopt`.
 
     `member_id`: id of this member.
     `replica_count`: number of replicas of each key, 2 f + 1.
-    `storage`: the database that holds the records.
-    `handlers`: handlers by message type, for the process's RpcServer.
+    `storage`: database of the records.
+    `handlers`: handlers by message type, for the RpcServer of the process.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         wall_clock_ms: Callable[[], int] = time_of_day_ms,
         on_view: Callable[[StoreView], None] = _ignore_view,
     ) -> None:
-        """Create the store of member `member_id`; `on_view` is called with each view that is adopted."""
+        """Create the store of member `member_id`; `on_view` is called with each adopted view."""
         self.member_id = member_id
         self.replica_count = replica_count
         self.storage = storage
@@ -65,31 +65,31 @@
 
     @property
     def view(self) -> StoreView | None:
-        """The view under which requests are answered; None until one was adopted."""
+        """The view under which requests are answered; None before the first one is adopted."""
         return self._guard.view
 
     def now_ms(self) -> int:
-        """Return the time of day in ms."""
+        """Return the wall-clock time in ms."""
         return self._wall_clock_ms()
 
     async def load(self) -> None:
-        """Adopt the view that was made durable before the process ended. Raises StorageError."""
+        """Adopt the durable view of the previous run of the process. Raises StorageError."""
         await self._guard.load()
 
     def adopt(self, view: StoreView) -> bool:
-        """Answer under `view` from now on, if it is newer; return whether it is."""
+        """Switch to `view` if it is newer than the current view; return whether it is."""
         return self._guard.adopt(view)
 
     async def make_view_durable(self) -> StoreView:
-        """Return the present view once no restart can bring an older one back. Raises StorageError and RpcError."""
+        """Make the current view durable, so that no restart reverts it; return it. Raises StorageError, RpcError."""
         return await self._guard.make_view_durable()
 
     def set_ledger_retention(self, longest_retain_s: float) -> None:
-        """Keep ledgers for as long as the newest configuration's longest `retain_s`, from the next purge on."""
+        """Set the longest `retain_s` of the newest configuration; takes effect at the next purge."""
         self._longest_retain_s = longest_retain_s
 
     async def purge_forever(self) -> None:
-        """Delete expired turns and idle ledgers, a few at a time, until cancelled."""
+        """Delete expired turns and idle ledgers in small batches until cancelled."""
         while True:
             await asyncio.sleep(PURGE_PERIOD_S)
             try:
@@ -98,9 +98,9 @@
                 log.warning("store.purge_failed", extra={"why": str(failure)})
 
     async def purge_batch(self) -> int:
-        """Delete up to PURGE_BATCH_SIZE turns and as many ledgers; return how many were deleted. Raises StorageError.
+        """Delete up to PURGE_BATCH_SIZE turns and as many ledgers; return the number deleted. Raises StorageError.
 
-        No ledger is deleted before a configuration has said for how long they are to be kept.
+        No ledger is deleted before a configuration has set the retention.
         """
         now_ms, longest_retain_s = self.now_ms(), self._longest_retain_s
 
--- a/dewpin/controlplane/store/transfer_messages.py
+++ b/dewpin/controlplane/store/transfer_messages.py
@@ -1,11 +1,11 @@
-"""Messages by which one store copies from another: pages of the index of turns, turns, and ledgers.
+"""Messages with which one store copies from another: index pages of turns, turns, and ledgers.
 
-A request is sent by `store_messages.request`, which adds the epoch, the member that is meant and the type.
+A request is sent by `store_messages.request`, which adds the epoch, the target member and the type.
 
-Bodies travel as raw bytes behind the JSON part of a reply (`cluster/netstring.py`) where the request asks for that; a
-store of an earlier release neither asks for it nor does it, so both forms are read.
+Bodies are sent as raw bytes after the JSON part of a reply (`cluster/netstring.py`) if the request asks for that.
+Stores of earlier releases support only bodies inside the JSON part, so both forms are decoded.
 
-Every `decode` raises KeyError, TypeError or ValueError for a message that is not of its kind.
+Every `decode` raises KeyError, TypeError or ValueError for a malformed message.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from dewpin.controlplane.store.turn_table import IndexEntry, TurnKey
 
 _NEWEST_ARRIVAL = 0
-"""Value of `newest`: stores of earlier releases number their turns as they arrive and read from an index how far the
-numbers went."""
+"""Value of the field `newest`: stores of earlier releases number their turns in order of arrival and read the highest
+number from an index page."""
 
 
 @dataclass(frozen=True, slots=True)
 class IndexRequest:
-    """Requests a page of the index of the turns that `member` will hold in the next view.
+    """Requests an index page of the turns that `member` will hold in the next view.
 
-    `after`: the page begins behind this key.
-    `limit`: number of turns that are read at most; field `most` on the wire.
+    `after`: key after which the page starts.
+    `limit`: maximum number of turns to read; field `most` on the wire.
     """
 
     member: str
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True, slots=True)
 class IndexPage:
-    """A page of an index.
+    """An index page of turns.
 
-    `after`: the key behind which the next page begins; None on the last page.
+    `after`: key after which the next page starts; None on the last page.
     """
 
     entries: Sequence[IndexEntry]
@@ -66,7 +66,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> IndexPage:
-        """Return the page of a message."""
+        """Return the index page of a message."""
         after = message["after"]
         entries = [
             IndexEntry(str(turn), str(program), int(remaining_ms)) for turn, program, remaining_ms in message["entries"]
@@ -76,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnsRequest:
-    """Requests turns by their keys.
+    """Requests turns by key.
 
-    `max_bytes`: size of the bodies at which the reply ends; field `most_bytes` on the wire.
-    `wants_raw_bodies`: whether the bodies are to come as raw bytes; field `raw_bodies`.
+    `max_bytes`: total size of bodies at which the reply ends; field `most_bytes` on the wire.
+    `wants_raw_bodies`: whether to send the bodies as raw bytes; field `raw_bodies` on the wire.
     """
 
     keys: Sequence[TurnKey]
@@ -102,21 +102,21 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnsReply:
-    """Turns that were requested.
+    """The requested turns.
 
-    `unread_keys`: keys that are left for the next request; a requested key in neither is not at the source.
+    `unread_keys`: keys left for the next request; a requested key in neither field does not exist at the source.
     """
 
     records: Sequence[TurnRecord]
     unread_keys: Sequence[TurnKey]
 
     def encode(self) -> Message:
-        """Return the message in the form that every release reads."""
+        """Return the message with the bodies in JSON, which every release decodes."""
         turns = [record.to_json() for record in self.records]
         return {"type": wire.PULLED, "turns": turns, "unread": [list(key) for key in self.unread_keys]}
 
     def encode_with_raw_bodies(self) -> Message:
-        """Return the message with the bodies as raw bytes, for a request that asked for them."""
+        """Return the message with the bodies as raw bytes, for a request with `wants_raw_bodies`."""
         rows = [
             (record.turn, record.program, record.previous, record.retain_ms, len(record.input), len(record.output))
             for record in self.records
@@ -126,10 +126,10 @@
 
     @classmethod
     def decode(cls, message: Message) -> TurnsReply:
-        """Return the turns of a message in either form."""
+        """Return the turns of a message of either form."""
         unread_keys = [_decode_key(key) for key in message["unread"]]
         if RAW in message:
-            return cls(_records_of_rows(message["rows"], message[RAW]), unread_keys)
+            return cls(_decode_rows(message["rows"], message[RAW]), unread_keys)
         return cls([TurnRecord.from_json(value) for value in message["turns"]], unread_keys)
 
 
@@ -137,8 +137,8 @@
 class LedgersRequest:
     """Requests a page of the ledgers that `member` will hold in the next view.
 
-    `after`: the page begins behind this program.
-    `limit`: number of ledgers that are read at most; field `most` on the wire.
+    `after`: program after which the page starts.
+    `limit`: maximum number of ledgers to read; field `most` on the wire.
     """
 
     member: str
@@ -159,7 +159,7 @@
 class LedgersPage:
     """A page of a store's ledgers.
 
-    `after`: the program behind which the next page begins; None on the last page.
+    `after`: program after which the next page starts; None on the last page.
     """
 
     records: Sequence[LedgerRecord]
@@ -177,21 +177,21 @@
         return cls(records, None if after is None else str(after))
 
 
-def _records_of_rows(rows: Sequence[Any], bodies: bytes) -> list[TurnRecord]:
-    """Return the turns of `rows`, whose bodies follow each other in `bodies`.
+def _decode_rows(rows: Sequence[Any], bodies: bytes) -> list[TurnRecord]:
+    """Return the turns of `rows`, whose bodies are concatenated in `bodies`.
 
-    Raises TypeError or ValueError if the lengths in the rows do not add up to that of `bodies`.
+    Raises TypeError or ValueError if the lengths in the rows do not add up to the length of `bodies`.
     """
     records = []
     end = 0
     for turn, program, previous, retain_ms, input_bytes, output_bytes in rows:
         if input_bytes < 0 or output_bytes < 0:
-            raise ValueError(f"turn {turn!r}: bodies of {input_bytes} and {output_bytes} bytes")
-        start, middle = end, end + input_bytes
-        end = middle + output_bytes
-        records.append(TurnRecord(turn, program, previous, retain_ms, bodies[start:middle], bodies[middle:end]))
+            raise ValueError(f"turn {turn!r}: negative body length ({input_bytes} and {output_bytes} bytes)")
+        start, split = end, end + input_bytes
+        end = split + output_bytes
+        records.append(TurnRecord(turn, program, previous, retain_ms, bodies[start:split], bodies[split:end]))
     if end != len(bodies):
-        raise ValueError(f"{len(bodies)} bytes of bodies, but the rows say {end}")
+        raise ValueError(f"expected {end} bytes of bodies according to the rows, got {len(bodies)}")
     return records
 
 
--- a/dewpin/controlplane/store/turn_copy.py
+++ b/dewpin/controlplane/store/turn_copy.py
@@ -1,7 +1,8 @@
-"""Copying the turns of the stable members, which share the work of sending the bodies.
+"""Copying of turns from the stable members, distributing the transfer of bodies among them.
 
-Every source is read page by page of its index. A turn that is missing here is claimed while its bodies are fetched from
-one source; the others go on with later pages and come back to it when the claim has ended.
+The index of every source is read page by page. A turn that is missing on this store is claimed while its bodies are
+fetched from one source. The copies from other sources continue with later pages and return to the turn when the claim
+has ended.
 """
 
 from __future__ import annotations
@@ -18,55 +19,55 @@
 from dewpin.controlplane.store.turn_transfer import TURNS_PER_REQUEST, FetchedTurns, key_of
 
 MAX_CONCURRENT_REQUESTS = 3
-"""Requests for bodies in flight to one source: one is answered while what another brought is written."""
-CLAIM_S = 2.5
-"""For how long a claim keeps other sources from being asked for the same bodies."""
+"""Concurrent requests for bodies to one source, so that one is answered while the result of another is written."""
+CLAIM_DURATION_S = 2.5
+"""How long a claim prevents requests to other sources for the same bodies."""
 CLAIMED_RETRY_DELAY_S = 0.02
-"""Delay before turns that other sources were asked for are looked at again."""
+"""Delay before turns claimed for other sources are checked again."""
 
-FIRST_KEY: TurnKey = ("", "")
-"""Sorts before the key of every turn."""
+START_KEY: TurnKey = ("", "")
+"""Sorts before every key of a turn."""
 
 
 class TurnClaims:
-    """Which turns are being fetched, and until when that keeps other sources from being asked for them."""
+    """Turns that are being fetched, each with the time at which its claim expires."""
 
     def __init__(self) -> None:
-        """Start without claims."""
+        """Create an empty set of claims."""
         self._until_s: dict[TurnKey, float] = {}
 
     def claim(self, entries: Iterable[IndexEntry]) -> None:
-        """Claim the turns of `entries` for CLAIM_S from now on."""
-        until_s = asyncio.get_running_loop().time() + CLAIM_S
+        """Claim the turns of `entries` for CLAIM_DURATION_S from now on."""
+        until_s = asyncio.get_running_loop().time() + CLAIM_DURATION_S
         self._until_s.update(dict.fromkeys(map(key_of, entries), until_s))
 
     def release(self, entries: Iterable[IndexEntry]) -> None:
-        """End the claims on the turns of `entries`."""
+        """Release the claims on the turns of `entries`."""
         for key in map(key_of, entries):
             self._until_s.pop(key, None)
 
     def unclaimed_keys(self, entries: Iterable[IndexEntry]) -> set[TurnKey]:
-        """Return the keys of those of `entries` that have no claim at present."""
+        """Return the keys of those `entries` that are not claimed at present."""
         now_s = asyncio.get_running_loop().time()
         until_s = self._until_s
         return {key for key in map(key_of, entries) if until_s.get(key, 0.0) <= now_s}
 
 
 class TurnWriter:
-    """Reads and writes the turns of the store that copies, repeating what the disk does not do.
+    """Reads and writes the turns of the copying store, retrying failed transactions.
 
-    One batch of turns waits for the disk at a time, so that a put by a sender waits for one at most. What arrives
-    meanwhile makes the next batch: the slower the disk, the fewer syncs.
+    Only one batch of turns waits for the disk at a time, so a write by a sender waits for one batch at most. Turns that
+    arrive meanwhile form the next batch, so a slower disk gets fewer syncs.
     """
 
     def __init__(self, store: Store) -> None:
-        """Write to the storage of `store`."""
+        """Read and write the storage of `store`."""
         self._store = store
         self._write_lock = asyncio.Lock()
         self._unwritten: list[FetchedTurns] = []
 
     async def find_missing(self, entries: list[IndexEntry]) -> list[IndexEntry]:
-        """Return those of `entries` that are not here."""
+        """Return those `entries` that are missing on this store."""
         missing: list[IndexEntry] = []
 
         async def attempt() -> None:
@@ -78,15 +79,15 @@
         return missing
 
     async def write_fetched(self, fetched: FetchedTurns) -> None:
-        """Store what a source returned, with all else that waits; return once it is synced."""
+        """Write fetched turns, together with all others that are waiting; return once they are synced to disk."""
         self._unwritten.append(fetched)
         async with self._write_lock:
             if not any(one is fetched for one in self._unwritten):
-                return  # written with the batch of another
+                return  # written in the batch of another call
             batch, self._unwritten = self._unwritten, []
             try:
                 await self._write_batch(batch)
-            except BaseException:  # cancelled: the others still wait for theirs
+            except BaseException:  # cancelled: the turns of the other calls still have to be written
                 self._unwritten = [*(one for one in batch if one is not fetched), *self._unwritten]
                 raise
 
@@ -104,41 +105,41 @@
     """The copy of the turns of one source."""
 
     def __init__(self, source: SourceClient, claims: TurnClaims, writer: TurnWriter) -> None:
-        """Copy from `source`; `claims` and `writer` are shared by the copies from all sources."""
+        """Copy from `source`; `claims` and `writer` are shared among the copies from all sources."""
         self._source = source
         self._claims = claims
         self._writer = writer
 
     async def run(self) -> None:
-        """Return once every turn of the source is here, or was deleted at the source."""
-        page = await self._source.read_index(FIRST_KEY)
-        postponed: list[IndexEntry] = []
+        """Copy all turns; return once every turn of the source is stored here or was deleted at the source."""
+        page = await self._source.read_index(START_KEY)
+        claimed_elsewhere: list[IndexEntry] = []
         while True:
             next_page: asyncio.Task[IndexPage] | None = None
-            if page.after is not None:  # in flight while the bodies of this page are fetched
+            if page.after is not None:  # requested while the bodies of the current page are fetched
                 next_page = asyncio.ensure_future(self._source.read_index(page.after))
             try:
-                postponed = await self._copy_unclaimed([*postponed, *page.entries])
+                claimed_elsewhere = await self._copy_unclaimed([*claimed_elsewhere, *page.entries])
                 if next_page is None:
                     break
                 page = await next_page
             finally:
                 if next_page is not None:
                     next_page.cancel()
-        await self._copy_postponed(postponed)
+        await self._copy_claimed_elsewhere(claimed_elsewhere)
 
-    async def _copy_postponed(self, entries: list[IndexEntry]) -> None:
-        """Return once all of `entries` are here, or were deleted at the source."""
+    async def _copy_claimed_elsewhere(self, entries: list[IndexEntry]) -> None:
+        """Retry `entries` until each one is stored here or was deleted at the source."""
         while entries:
             entries = await self._copy_unclaimed(entries)
             if entries:
                 await asyncio.sleep(CLAIMED_RETRY_DELAY_S)
 
     async def _copy_unclaimed(self, entries: list[IndexEntry]) -> list[IndexEntry]:
-        """Fetch those of `entries` that are missing and not claimed; return the missing ones that are claimed.
+        """Fetch those `entries` that are missing and unclaimed; return the missing ones that are claimed.
 
-        Claims are looked at before and after the disk is read: a turn that was stored meanwhile is claimed no more, and
-        what was read does not show it.
+        Claims are checked before and after the disk is read: a turn stored in between is no longer claimed, but the
+        result of the read still shows it as missing.
         """
         unclaimed = self._claims.unclaimed_keys(entries)
         missing = await self._writer.find_missing(entries)
@@ -147,7 +148,7 @@
         return [entry for entry in missing if key_of(entry) not in unclaimed]
 
     async def _fetch_all(self, entries: list[IndexEntry]) -> None:
-        """Fetch and store `entries` by a few concurrent requests."""
+        """Fetch and store `entries`, with up to MAX_CONCURRENT_REQUESTS concurrent requests."""
         self._claims.claim(entries)
         batches = iter([entries[at : at + TURNS_PER_REQUEST] for at in range(0, len(entries), TURNS_PER_REQUEST)])
 
@@ -161,11 +162,11 @@
             self._claims.release(entries)
 
     async def _fetch_batch(self, entries: Sequence[IndexEntry]) -> None:
-        """Fetch and store turns, by as many requests one after the other as their bodies take."""
+        """Fetch and store turns, in as many consecutive requests as the size of their bodies requires."""
         remaining = list(entries)
         while remaining:
             self._claims.claim(remaining)
             fetched = await self._source.read_turns(remaining)
             await self._writer.write_fetched(fetched)
-            done_keys = fetched.done_keys
-            remaining = [entry for entry in remaining if key_of(entry) not in done_keys]
+            finished_keys = fetched.finished_keys
+            remaining = [entry for entry in remaining if key_of(entry) not in finished_keys]
--- a/dewpin/controlplane/store/turn_table.py
+++ b/dewpin/controlplane/store/turn_table.py
@@ -1,7 +1,7 @@
-"""The turns on disk: one row for each program that holds a turn, bodies stored once.
+"""Turns on disk: one row per turn and program that holds it, with the bodies stored only once.
 
-All functions run on the storage thread, inside its transaction, and raise sqlite3.Error. A turn outlives its own expiry
-for as long as there is a turn that continues it: expired turns are purged from the ends of the histories.
+All functions run on the storage thread, inside its transaction, and raise sqlite3.Error. An expired turn is kept while
+another turn continues it, so histories are purged starting with their newest turns.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from dewpin.cluster.store_messages import HistoryPage, TurnRecord
 
 TurnKey = tuple[str, str]
-"""Id of a turn and the program that holds it."""
+"""Turn id and id of the program that holds it."""
 
 _MAX_SCANNED_ROWS_PER_KEY = 4
-"""Rows of a range of keys that are read at most for each key that is looked up in it."""
+"""Maximum number of rows scanned in a range of keys, per key looked up in it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     """One turn of a program, without its bodies.
 
     `turn`, `program`: the key.
-    `remaining_ms`: how much longer the turn is kept; negative once expired.
+    `remaining_ms`: remaining retention; negative once expired.
     """
 
     turn: str
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundTurns:
-    """Turns that were read by their keys.
+    """The result of reading turns by key.
 
-    `records`: those that are here, in the order of the keys.
-    `unread_keys`: the keys that were left out for the size of the bodies; those in neither are not here.
+    `records`: the stored turns, in the order of the keys.
+    `unread_keys`: keys omitted because the size limit was reached; keys in neither field are not stored.
     """
 
     records: Sequence[TurnRecord]
@@ -46,14 +46,14 @@
 
 
 def put(connection: sqlite3.Connection, records: Sequence[TurnRecord], now_ms: int, margin_ms: int) -> None:
-    """Store turns, each for its `retain_ms` and `margin_ms` from now on; one that is here is kept at least as long."""
+    """Store turns with an expiry of `retain_ms` plus `margin_ms` from now; an existing later expiry is kept."""
     _insert(connection, records, now_ms, [margin_ms] * len(records))
 
 
 def put_copies(
     connection: sqlite3.Connection, records: Sequence[TurnRecord], remaining_ms: Sequence[int], now_ms: int
 ) -> None:
-    """Store copies of other stores' turns, each for as long as the source keeps it."""
+    """Store copies of turns from another store with their remaining retention at that store."""
     margins_ms = [remaining - record.retain_ms for record, remaining in zip(records, remaining_ms, strict=True)]
     _insert(connection, records, now_ms, margins_ms)
 
@@ -61,7 +61,7 @@
 def _insert(
     connection: sqlite3.Connection, records: Sequence[TurnRecord], now_ms: int, margins_ms: Sequence[int]
 ) -> None:
-    """Write turns, each to be kept for its `retain_ms` and its margin from now on."""
+    """Write turns, each with an expiry of its `retain_ms` plus its margin from now."""
     connection.executemany(
         "INSERT OR IGNORE INTO turn_bodies (turn, input, output) VALUES (?, ?, ?)",
         [(record.turn, record.input, record.output) for record in records],
@@ -77,9 +77,9 @@
 
 
 def read_history(connection: sqlite3.Connection, program: str, last_turn: str, max_bytes: int) -> HistoryPage:
-    """Return the history that ends with `last_turn`, newest turn first, as far as it is here.
+    """Return the stored part of the history that ends with `last_turn`, newest turn first.
 
-    The page ends with the turn whose bodies bring their sum to `max_bytes`.
+    The page ends with the turn at which the total size of the bodies reaches `max_bytes`.
     """
     turns: list[TurnRecord] = []
     other_program_turns: set[str] = set()
@@ -98,7 +98,7 @@
 
 
 def _read_for_any_program(connection: sqlite3.Connection, program: str, turn: str) -> TurnRecord | None:
-    """Return a turn, as kept for `program` if it is, else as kept for any other."""
+    """Return a turn, preferring the row of `program` over the rows of other programs."""
     row = connection.execute(
         "SELECT turns.program, turns.previous, turns.retain_ms, turn_bodies.input, turn_bodies.output"
         " FROM turns JOIN turn_bodies USING (turn) WHERE turns.turn = ? ORDER BY turns.program <> ? LIMIT 1",
@@ -110,7 +110,7 @@
 
 
 def read_index_page(connection: sqlite3.Connection, after: TurnKey, limit: int, now_ms: int) -> list[IndexEntry]:
-    """Return up to `limit` turns whose key sorts after `after`, in the order of keys."""
+    """Return up to `limit` turns whose key sorts after `after`, ordered by key."""
     rows = connection.execute(
         "SELECT turn, program, expires_ms FROM turns WHERE (turn, program) > (?, ?) ORDER BY turn, program LIMIT ?",
         (*after, limit),
@@ -119,7 +119,7 @@
 
 
 def find_missing(connection: sqlite3.Connection, entries: Sequence[IndexEntry]) -> list[IndexEntry]:
-    """Return those of `entries` that are not here."""
+    """Return those `entries` that are not stored."""
     keys = json.dumps([[entry.turn, entry.program] for entry in entries])
     rows = connection.execute(
         "SELECT asked.key FROM json_each(?) AS asked WHERE NOT EXISTS (SELECT 1 FROM turns"
@@ -130,10 +130,10 @@
 
 
 def find_missing_of_page(connection: sqlite3.Connection, entries: Sequence[IndexEntry]) -> list[IndexEntry]:
-    """Return those of `entries` that are not here, like `find_missing`.
+    """Return those `entries` that are not stored, like `find_missing`.
 
-    Cheaper for entries whose keys are close together: the range of keys that they span is read in one scan, unless it
-    holds far more turns than `entries`.
+    Cheaper for entries with adjacent keys: their range of keys is read in one scan, unless it holds far more turns than
+    `entries`.
     """
     if not entries:
         return []
@@ -145,12 +145,12 @@
     ).fetchall()
     if len(rows) == max_rows:
         return find_missing(connection, entries)
-    present = set(rows)
-    return [entry for entry, key in zip(entries, keys, strict=True) if key not in present]
+    stored = set(rows)
+    return [entry for entry, key in zip(entries, keys, strict=True) if key not in stored]
 
 
 def read_turns(connection: sqlite3.Connection, keys: Sequence[TurnKey], max_bytes: int) -> FoundTurns:
-    """Return the turns of `keys` that are here, until the sum of their bodies reaches `max_bytes`."""
+    """Return the stored turns of `keys`, up to the one at which the total size of the bodies reaches `max_bytes`."""
     records: list[TurnRecord] = []
     size = 0
     for position, (turn, program) in enumerate(keys):
@@ -165,7 +165,7 @@
 
 
 def _read_for_program(connection: sqlite3.Connection, turn: str, program: str) -> TurnRecord | None:
-    """Return a turn as kept for `program`."""
+    """Return the turn as stored for `program`; None if there is no such row."""
     row = connection.execute(
         "SELECT turns.previous, turns.retain_ms, turn_bodies.input, turn_bodies.output"
         " FROM turns JOIN turn_bodies USING (turn) WHERE turns.turn = ? AND turns.program = ?",
@@ -175,7 +175,7 @@
 
 
 def purge(connection: sqlite3.Connection, now_ms: int, limit: int) -> int:
-    """Delete up to `limit` expired turns that no turn continues; return how many."""
+    """Delete up to `limit` expired turns that no other turn continues; return the number deleted."""
     rows = connection.execute(
         "DELETE FROM turns WHERE (turn, program) IN (SELECT turn, program FROM turns AS old WHERE expires_ms < ?"
         " AND NOT EXISTS (SELECT 1 FROM turns AS child WHERE child.previous = old.turn)"
--- a/dewpin/controlplane/store/turn_transfer.py
+++ b/dewpin/controlplane/store/turn_transfer.py
@@ -1,4 +1,4 @@
-"""Turns on their way from one store to another: what is requested, and what a reply brings."""
+"""Transfer of turns from one store to another: building the request and interpreting the reply."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 TURNS_PER_REQUEST = 50
 MAX_BODY_BYTES_PER_REPLY = 96 * 1024
-"""Reading and compressing a reply keeps a source's loop from other requests: about 4 ms for this size."""
+"""Limits how long reading and compressing a reply blocks the event loop of a source: about 4 ms at this size."""
 key_of: Callable[[IndexEntry], TurnKey] = attrgetter("turn", "program")
 """Return the key of an entry."""
 
 
 def turns_request(entries: Sequence[IndexEntry]) -> TurnsRequest:
-    """Return the request for the turns of `entries`."""
+    """Return a request for the turns of `entries`."""
     return TurnsRequest([key_of(entry) for entry in entries], MAX_BODY_BYTES_PER_REPLY, wants_raw_bodies=True)
 
 
 @dataclass(frozen=True, slots=True)
 class FetchedTurns:
-    """Turns that a source returned.
+    """Turns returned by a source.
 
-    `remaining_ms`: for how much longer the source keeps each of `records`.
-    `deleted_keys`: requested keys that the source no longer has.
+    `remaining_ms`: remaining retention of each of `records` at the source.
+    `deleted_keys`: requested keys that no longer exist at the source.
     """
 
     records: tuple[TurnRecord, ...]
@@ -38,20 +38,17 @@
 
     @staticmethod
     def from_reply(entries: Sequence[IndexEntry], reply: TurnsReply) -> FetchedTurns:
-        """Return what the reply to `turns_request(entries)` brings.
-
-        Raises KeyError for a turn that was not requested.
-        """
+        """Interpret the reply to `turns_request(entries)`. Raises KeyError for a turn that was not requested."""
         remaining_ms = {key_of(entry): entry.remaining_ms for entry in entries}
         keys = [(record.turn, record.program) for record in reply.records]
         deleted_keys = frozenset(remaining_ms.keys() - set(keys) - set(reply.unread_keys))
         return FetchedTurns(tuple(reply.records), tuple(remaining_ms[key] for key in keys), deleted_keys)
 
     @property
-    def done_keys(self) -> frozenset[TurnKey]:
-        """The keys of all turns that need no further request."""
+    def finished_keys(self) -> frozenset[TurnKey]:
+        """Keys of all turns that need no further request."""
         return self.deleted_keys.union((record.turn, record.program) for record in self.records)
 
     def write_to(self, connection: sqlite3.Connection, now_ms: int) -> None:
-        """Store the turns for as long as the source keeps them; runs on the storage thread."""
+        """Store the turns with the retention that they have at the source; runs on the storage thread."""
         turn_table.put_copies(connection, self.records, self.remaining_ms, now_ms)
--- a/dewpin/controlplane/store/view_guard.py
+++ b/dewpin/controlplane/store/view_guard.py
@@ -1,7 +1,7 @@
-"""The view under which a store answers, and the checks that every request has to pass.
+"""The view under which a store answers requests, and the checks applied to every request.
 
-A request carries the epoch of the caller's view and the id of the member that is meant. The epoch is checked before the
-storage is asked and once more after it: a reply that was made under an older view must not leave.
+A request carries the epoch of the caller's view and the id of the target member. The epoch is checked before and after
+the storage transaction, so that no reply computed under an older view is sent.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 from dewpin.controlplane.storage import StorageError
 
 _VIEW_NAME = "store_view"
-"""Name of the row of `meta` that holds the durable view as JSON."""
+"""Name of the row in `meta` that holds the durable view as JSON."""
 
 Result = TypeVar("Result")
 
 
 class TransactionalStorage(Protocol):
-    """The part of the storage that a store needs."""
+    """The interface of the storage that a store uses."""
 
     async def transact(self, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """Run `work` in a transaction; return its result once it is synced. Raises StorageError."""
+        """Run `work` in a transaction; return its result once it is synced to disk. Raises StorageError."""
 
 
 class ViewGuard:
-    """The present view of one member, and the checks of requests against it.
+    """The current view of one member, and the checks of requests against it.
 
-    `member_id`: id of this member, an incarnation of its data folder.
+    `member_id`: id of this member, the incarnation of its data directory.
     `replica_count`: number of replicas of each key, 2 f + 1.
-    `view`: the view under which requests are answered; None until one was adopted. Its epoch only grows.
-    `storage`: where the view and the records are kept.
+    `view`: the view under which requests are answered; None before the first one. Its epoch never decreases.
+    `storage`: database of the view and the records.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         replica_count: int,
         on_view: Callable[[StoreView], None],
     ) -> None:
-        """Start without a view; `on_view` is called with each view that is adopted."""
+        """Start without a view; `on_view` is called with each adopted view."""
         self.storage = storage
         self.member_id = member_id
         self.replica_count = replica_count
@@ -56,14 +56,14 @@
         self._durable_epoch = -1
 
     async def load(self) -> None:
-        """Adopt the view that was made durable before the process ended. Raises StorageError."""
+        """Adopt the durable view of the previous run of the process. Raises StorageError."""
         view = await self.storage.transact(read_durable_view)
         if view is not None:
             self._durable_epoch = view.epoch
             self.adopt(view)
 
     def adopt(self, view: StoreView) -> bool:
-        """Answer under `view` from now on, if it is newer; return whether it is."""
+        """Switch to `view` if it is newer than the current view; return whether it is."""
         if self.view is not None and view.epoch <= self.view.epoch:
             return False
         self.view = view
@@ -71,7 +71,7 @@
         return True
 
     async def make_view_durable(self) -> StoreView:
-        """Return the present view once no restart can bring an older one back.
+        """Make the current view durable, so that no restart reverts it, and return it.
 
         Raises StorageError, and RpcError (`stale_epoch`) before the first view.
         """
@@ -84,10 +84,10 @@
         return view
 
     def check_view(self, message: Message) -> StoreView:
-        """Return the view under which the request `message` is to be answered.
+        """Return the view under which to answer the request `message`.
 
-        A newer view that the request brings is adopted first. Raises RpcError: `another_incarnation` if another member
-        is meant, `stale_epoch` (with this store's view) for any other epoch, `malformed`.
+        A newer view in the request is adopted first. Raises RpcError: `another_incarnation` if the request is addressed
+        to another member, `stale_epoch` (with this store's view) if the epochs differ, `malformed`.
         """
         header = decode_request(RequestHeader.decode, message)
         if header.member != self.member_id:
@@ -101,16 +101,18 @@
         return view
 
     def check_replica(self, message: Message, program: str) -> None:
-        """Raise RpcError unless `message` passes `check_view` and this store is a replica of `program`
-        (`not_replica`)."""
+        """Check `message` with `check_view`, and that this store is a replica of `program`.
+
+        Raises RpcError, `not_replica` if it is none.
+        """
         view = self.check_view(message)
         if not view.holds(self.member_id, program, self.replica_count):
             raise RpcError(wire.NOT_REPLICA, program)
 
     async def transact(self, view_epoch: int, work: Callable[[sqlite3.Connection], Result]) -> Result:
-        """Return the result of `work` in a transaction for a request under `view_epoch`.
+        """Run `work` in a transaction for a request under `view_epoch` and return its result.
 
-        Raises RpcError: `storage_failed`, or `stale_epoch` if another view was adopted meanwhile.
+        Raises RpcError: `storage_failed`, or `stale_epoch` if another view was adopted in the meantime.
         """
         try:
             result = await self.storage.transact(work)
@@ -123,7 +125,7 @@
 
 
 def decode_request(decode: Callable[[Message], Result], message: Message) -> Result:
-    """Return what `decode` makes of a message. Raises RpcError (`malformed`)."""
+    """Decode a message with `decode`. Raises RpcError (`malformed`) instead of MalformedMessageError."""
     try:
         return decode(message)
     except MalformedMessageError as error:
@@ -131,7 +133,7 @@
 
 
 def read_durable_view(connection: sqlite3.Connection) -> StoreView | None:
-    """Return the view that was made durable; None if there is none."""
+    """Return the durable view; None if none was stored."""
     row = connection.execute("SELECT value FROM meta WHERE name = ?", (_VIEW_NAME,)).fetchone()
     return None if row is None else StoreView.from_json(json.loads(row[0]))
 
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -111,14 +111,14 @@
 
 def test_decreasing_retentions_keep_every_promise():
     long = LedgerRetention(10 * HOUR_MS)
-    shorter = long.followed_by(5 * 3600.0, 0)
+    shorter = long.after_configuration(5 * 3600.0, 0)
     assert [shorter.max_idle_ms(now) // HOUR_MS for now in (0, 10 * HOUR_MS - 1, 10 * HOUR_MS)] == [10, 10, 5]
-    shortest = shorter.followed_by(0.0, 8 * HOUR_MS)
+    shortest = shorter.after_configuration(0.0, 8 * HOUR_MS)
     assert shortest.max_idle_ms(13 * HOUR_MS - 1) >= 5 * HOUR_MS, "changed under five hours until the eighth"
     assert shortest.max_idle_ms(13 * HOUR_MS) == MIN_RETENTION_MS
-    assert shortest.followed_by(0.0, 12 * HOUR_MS) == shortest
-    assert shortest.followed_by(0.0, 14 * HOUR_MS) == LedgerRetention(MIN_RETENTION_MS)
-    assert shortest.followed_by(10 * 3600.0, 9 * HOUR_MS) == long
+    assert shortest.after_configuration(0.0, 12 * HOUR_MS) == shortest
+    assert shortest.after_configuration(0.0, 14 * HOUR_MS) == LedgerRetention(MIN_RETENTION_MS)
+    assert shortest.after_configuration(10 * 3600.0, 9 * HOUR_MS) == long
 
 
 @pytest.mark.parametrize(
