--- a/dewpin/controlplane/__init__.py
+++ b/dewpin/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: the system state, leases of senders, the platform's list, the operator's API, the stores."""
+"""The control plane: system state, sender leases, the platform's list of receivers, the operator API, and stores."""
--- a/dewpin/controlplane/__main__.py
+++ b/dewpin/controlplane/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m dewpin.controlplane`: a control server, with the settings file that DEWPIN_BOOT names."""
+"""`python3 -m dewpin.controlplane`: runs a control server with the settings file named by DEWPIN_BOOT."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class ControlProcess:
-    """The process of a control server: its database, its servers and the store that may run in it.
+    """The process of a control server: its database, its servers and, if configured, its store.
 
-    `stopping` is set when the database is damaged: the next start sets it aside.
+    `stopping` is set when the database is found to be damaged; the next start quarantines it.
     """
 
     def __init__(self, settings: Settings, stopping: asyncio.Event) -> None:
@@ -33,7 +33,7 @@
         self._settings = settings
         self._stopping = stopping
         self._loop = asyncio.get_running_loop()
-        self._storage = Storage(settings.data_dir, on_damaged=self._stop_from_thread)
+        self._storage = Storage(settings.data_dir, on_damaged=self._request_stop_threadsafe)
         client = RpcClient()
         self._control_server = ControlServer(settings, self._storage, client, random.Random())
         self._rpc_server = RpcServer(self._control_server.handlers)
@@ -42,7 +42,7 @@
             self._store = LocalStore(settings, self._storage, client, self._control_server.record_synced_epoch)
 
     async def start(self) -> None:
-        """Reads the disk, then serves senders, the other control servers and the operator."""
+        """Load the state from disk, then serve senders, other control servers and the operator."""
         control_server = self._control_server
         if self._store is not None:
             await self._store.start()
@@ -52,12 +52,12 @@
         await self._rpc_server.start(*split_address(control_server.address))
         control_server.start()
         if "control" in self._settings.listen:
-            least_stores = self._settings.fault_tolerance.replica_count
-            api = OperatorApi(control_server.register, self._loop, least_stores)
+            min_stores = self._settings.fault_tolerance.replica_count
+            api = OperatorApi(control_server.register, self._loop, min_stores)
             serve_operator(split_address(self._settings.listen["control"]), api)
 
     async def follow_settings(self, watch: SettingsWatch, hangup: asyncio.Event) -> None:
-        """Applies changes of the settings file, at once when `hangup` is set and soon without."""
+        """Apply changes of the settings file: immediately when `hangup` is set, otherwise at the next poll."""
         while True:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(hangup.wait(), POLL_PERIOD_S)
@@ -67,7 +67,7 @@
                 self._control_server.apply_settings(settings)
 
     async def stop(self) -> None:
-        """Tells the others that the process ends, and ends what was started."""
+        """Announce the shutdown to the other control servers, then stop all servers and tasks."""
         self._control_server.leave()
         await asyncio.sleep(LEAVE_NOTICE_S)
         await self._control_server.stop()
@@ -75,28 +75,28 @@
         if self._store is not None:
             await self._store.stop()
 
-    def _stop_from_thread(self) -> None:
+    def _request_stop_threadsafe(self) -> None:
         self._loop.call_soon_threadsafe(self._stopping.set)
 
 
 async def run(settings: Settings) -> None:
-    """Serves until SIGTERM or SIGINT."""
+    """Run the control server until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     stopping, hangup = asyncio.Event(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(signal.SIGHUP, hangup.set)
     process = ControlProcess(settings, stopping)
     await process.start()
     watch = SettingsWatch(os.environ[BOOT_VARIABLE], settings)
-    following = asyncio.ensure_future(process.follow_settings(watch, hangup))
+    settings_task = asyncio.ensure_future(process.follow_settings(watch, hangup))
     await stopping.wait()
-    following.cancel()
+    settings_task.cancel()
     await process.stop()
 
 
 def main() -> int:
-    """Runs the process; returns its exit code."""
+    """Run the process; return its exit code."""
     settings = settings_or_exit()
     logs.configure(settings.log_level, settings.node_name, settings.role)
     asyncio.run(run(settings))
--- a/dewpin/controlplane/control_server.py
+++ b/dewpin/controlplane/control_server.py
@@ -1,6 +1,6 @@
-"""A control server: its part in the register, its heartbeats, its service to senders and its readings of the list.
+"""A control server: register replica, heartbeats, service to senders, and reads of the platform's list of receivers.
 
-Everything here runs on one asyncio loop; the disk and the platform's list are read by threads of their own.
+Everything here runs on one asyncio event loop; the disk and the platform's list are accessed by separate threads.
 """
 
 from __future__ import annotations
@@ -32,51 +32,51 @@
 log = logging.getLogger(__name__)
 
 ERROR_BACKOFF_S = 0.25
-"""After a step that failed in an unforeseen way."""
-RENEWALS_IN_BOUND = 5
-"""Renewals of a sender's lease within the time in which a configuration is to be in force."""
-READER_ALIVE_WITHIN_S = 0.8
-"""A control server that was last heard longer ago is not the assigned reader of the platform's list."""
-FRESHNESS_SHARE_OF_BOUND = 0.5
-"""Of the time within which a configuration is to be in force; the rest is for the way to the senders."""
-FEWEST_HEARTBEATS_IN_AGE = 3
+"""Delay after a step that raised an unexpected exception."""
+LEASE_RENEWALS_PER_APPLY_TIME = 5
+"""Renewals of a sender's lease within the time limit for applying a configuration."""
+READER_TIMEOUT_S = 0.8
+"""A control server from which nothing was received for longer is not assigned to read the platform's list."""
+MAX_STATE_AGE_FRACTION = 0.5
+"""Fraction of the time limit for applying a configuration; the rest is left for distribution to the senders."""
+MIN_MAX_STATE_AGE_HEARTBEATS = 3
 
 
 def max_state_age_s(bounds: Bounds) -> float:
-    """The time since the last confirmation by a majority beyond which a control server serves no state."""
-    share_s = FRESHNESS_SHARE_OF_BOUND * bounds.config_apply_ms / 1000
-    return max(share_s, FEWEST_HEARTBEATS_IN_AGE * HEARTBEAT_PERIOD_S)
+    """Return the age of the last confirmation by a majority beyond which a control server serves no state."""
+    max_age_s = MAX_STATE_AGE_FRACTION * bounds.config_apply_ms / 1000
+    return max(max_age_s, MIN_MAX_STATE_AGE_HEARTBEATS * HEARTBEAT_PERIOD_S)
 
 
 class ControlServerStorage(RegisterDatabase, Protocol):
-    """The storage of a control server, with the id that its data directory was given."""
+    """The storage of a control server, including the id of its data directory."""
 
     @property
     def incarnation(self) -> str:
-        """The id of the data directory: this member's id."""
+        """The id of the data directory, which is the id of this member."""
 
 
-class StateFollower(Protocol):
-    """What follows the system state in the process of a control server: its store."""
+class SystemStateListener(Protocol):
+    """Receives chosen system states in the process of a control server; implemented by its store."""
 
     def adopt(self, state: SystemState) -> None:
-        """Follows a newly chosen state."""
+        """Apply a newly chosen state."""
 
 
 class ControlServer:
     """The control server on one machine.
 
     Attributes:
-        settings: those in force.
-        member: the id of this incarnation.
-        address: that of the RPC server.
-        register: this process's part in the register that holds the system state.
-        freshness: how fresh its knowledge of the system state is.
-        list_reader: the receivers that the platform's list shows.
-        local_peer: how this process introduces itself.
-        heartbeats: the exchange of heartbeats with the other control servers.
-        leases: the leases of senders that this process has granted.
-        senders: the service to senders.
+        settings: the current settings.
+        member: id of this incarnation.
+        address: address of the RPC server.
+        register: this process's replica of the register that holds the system state.
+        freshness: freshness of the local system state.
+        list_reader: reader and directory of the receivers in the platform's list.
+        local_peer: description of this process that is sent in heartbeats.
+        heartbeats: heartbeat exchange with the other control servers.
+        leases: sender leases granted by this process.
+        senders: service to senders.
     """
 
     def __init__(
@@ -97,15 +97,15 @@
         self.list_reader = PlatformListReader(self.member, bounds.drain_ms / 1000, clock, platform)
         self.local_peer = LocalPeer(settings, self.register, self.freshness, self.list_reader, clock)
         self.heartbeats = HeartbeatExchange(
-            self.local_peer, self.register, self.freshness, self.list_reader, client, clock, self._announce
+            self.local_peer, self.register, self.freshness, self.list_reader, client, clock, self._notify_senders
         )
         peers = self.heartbeats.peers
-        self.leases = LeaseTable(bounds.config_apply_ms / 1000 / RENEWALS_IN_BOUND)
+        self.leases = LeaseTable(bounds.config_apply_ms / 1000 / LEASE_RENEWALS_PER_APPLY_TIME)
         self.senders = SenderService(self.leases, self.register, self.freshness, self.list_reader, peers, clock)
         self._maintenance = RegisterMaintenance(
             self.register, self.freshness, peers, self.local_peer, settings.fault_tolerance.replica_count, clock
         )
-        self._store: StateFollower | None = None
+        self._store: SystemStateListener | None = None
         self._storage = storage
         self._rng = rng
         self._clock = clock
@@ -114,24 +114,24 @@
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of this process's messages, by type."""
+        """Message handlers of this process, by message type."""
         return {
             HEARTBEAT: self.heartbeats.handle,
             **self.register.handlers,
             **self.senders.handlers,
         }
 
-    def attach_store(self, store: StateFollower) -> None:
-        """Has the store of this process follow the system state. To be called before `load`."""
+    def attach_store(self, store: SystemStateListener) -> None:
+        """Pass chosen system states to the store of this process. Must be called before `load`."""
         self._store = store
 
     async def load(self) -> None:
-        """Reads the state on disk. To be awaited before anybody may call the handlers."""
+        """Load the state from disk. Must complete before any handler is called."""
         await self.local_peer.load(self._storage)
         await self.register.load()
 
     def start(self) -> None:
-        """Starts to exchange heartbeats, to maintain the register and to read the platform's list."""
+        """Start the heartbeat exchange, the register maintenance and the reads of the platform's list."""
         self._tasks = [
             asyncio.ensure_future(self._repeat(HEARTBEAT_PERIOD_S, self._send_periodic_heartbeats)),
             asyncio.ensure_future(self._repeat(0.0, self._maintain_register)),
@@ -140,33 +140,33 @@
             self._tasks.append(asyncio.ensure_future(self._repeat(0.0, self._read_list_when_due)))
 
     def apply_settings(self, settings: Settings) -> None:
-        """Applies a changed settings file: the seeds and the platform's address; what was bound at the start stays."""
+        """Apply changed seeds and a changed platform address; bound addresses stay as they were at startup."""
         self.settings = self.local_peer.settings = reloaded(self.settings, settings)
         self.send_heartbeats()
 
     def send_heartbeats(self) -> None:
-        """Tells all other control servers now what is new here."""
+        """Send heartbeats with the current local state to all other control servers immediately."""
         self.heartbeats.send_to_all()
 
     def record_synced_epoch(self, epoch: int) -> None:
-        """Tells the others that the store of this process has copied all records for an epoch of the store view."""
+        """Report to the other control servers that the local store has copied all records for a store view epoch."""
         self.local_peer.synced_epoch = max(self.local_peer.synced_epoch, epoch)
         self.send_heartbeats()
 
     def leave(self) -> None:
-        """Tells the others that this process is about to end."""
+        """Report to the other control servers that this process is shutting down."""
         self.local_peer.is_leaving = True
         self.send_heartbeats()
 
     async def stop(self) -> None:
-        """Ends what `start` has started."""
+        """Stop everything that `start` has started."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, self.heartbeats.stop(), return_exceptions=True)
         await self.register.stop()
 
     async def _repeat(self, period_s: float, step: Callable[[], object]) -> None:
-        """Runs a step again and again, about once in `period_s`; 0 for a step that waits by itself."""
+        """Run a step repeatedly, about every `period_s` seconds with jitter; 0 for a step that waits by itself."""
         while True:
             delay_s = period_s * (0.9 + 0.2 * self._rng.random())
             try:
@@ -186,9 +186,9 @@
         self._has_sent_heartbeats.set()
 
     async def _maintain_register(self) -> None:
-        """Runs a step of the maintenance with the next heartbeat, so that both share one wake-up.
+        """Run a maintenance step after the next periodic heartbeat, so that both share one wake-up.
 
-        Heartbeats that are sent during a longer step start none.
+        Heartbeats sent while a step is running do not trigger another one.
         """
         await self._has_sent_heartbeats.wait()
         try:
@@ -196,13 +196,13 @@
         finally:
             self._has_sent_heartbeats.clear()
 
-    def _announce(self) -> None:
+    def _notify_senders(self) -> None:
         self.senders.announce()
 
     def _handle_chosen(self, state: SystemState) -> None:
         if self._store is not None:
             self._store.adopt(state)
-        self._announce()
+        self._notify_senders()
         self.send_heartbeats()
 
     async def _read_list_when_due(self) -> None:
@@ -211,20 +211,20 @@
         if cloud is None or not self.list_reader.is_due(self._is_assigned_reader()):
             return
         if await self.list_reader.read(cloud):
-            self._announce()
+            self._notify_senders()
             self.send_heartbeats()
 
     def _is_assigned_reader(self) -> bool:
-        """Whether this process is the one that reads the platform's list.
+        """Return whether this process is assigned to read the platform's list.
 
-        It is the one with the least id of the live control servers whose readings succeed and that reach a majority, if
-        any do. Two that read at once do no harm: directories merge by version, and receivers that ended stay known.
+        Among the live control servers, those whose reads succeed are preferred, then those that reach a majority, then
+        the lowest id. Concurrent readers are harmless: directories merge by version, and removed receivers stay known.
         """
         now_s = self._clock()
         others = [
             (peer.has_list_failed, not peer.reaches_majority, peer.id)
             for peer in self.heartbeats.peers.peers.values()
-            if peer.serves_control and not peer.is_leaving and peer.since_last_received_s(now_s) < READER_ALIVE_WITHIN_S
+            if peer.serves_control and not peer.is_leaving and peer.since_last_received_s(now_s) < READER_TIMEOUT_S
         ]
         own = (self.list_reader.has_failed, self.freshness.contact_since_s() is None, self.member)
         return own <= min(others, default=own)
--- a/dewpin/controlplane/local_store.py
+++ b/dewpin/controlplane/local_store.py
@@ -1,4 +1,4 @@
-"""The store in the process of a control server, which follows the store view in the system state."""
+"""The store in the process of a control server, updated from the store view in the system state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LocalStore:
-    """The store of one process. `on_synced` is called with each epoch for which it has copied all records."""
+    """The store of one process. `on_synced` is called with each view epoch for which all records have been copied."""
 
     def __init__(
         self,
@@ -30,26 +30,26 @@
         self._store = Store(storage, storage.incarnation, replica_count, wall_clock_ms)
         self._sync = StoreSync(self._store, client, on_synced)
         self._configuration_digest = ""
-        self._purging: asyncio.Task[None] | None = None
+        self._purge_task: asyncio.Task[None] | None = None
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of the store's messages, by type."""
+        """Message handlers of the store, by message type."""
         return self._store.handlers
 
     async def start(self) -> None:
-        """Reads the store from disk and starts to purge what is too old."""
+        """Load the store from disk and start the purging of expired records."""
         await self._store.load()
-        self._purging = asyncio.ensure_future(self._store.purge_forever())
+        self._purge_task = asyncio.ensure_future(self._store.purge_forever())
 
     async def stop(self) -> None:
-        """Ends the purging."""
-        if self._purging is not None:
-            self._purging.cancel()
-            await asyncio.gather(self._purging, return_exceptions=True)
+        """Stop the purging."""
+        if self._purge_task is not None:
+            self._purge_task.cancel()
+            await asyncio.gather(self._purge_task, return_exceptions=True)
 
     def adopt(self, state: SystemState) -> None:
-        """Follows the retention time and the store view of a newly chosen state."""
+        """Apply the ledger retention and the store view of a newly chosen state."""
         self._adopt_configuration(state)
         view = StoreView.from_json(dict(state["stores"]))
         self._store.adopt(view)
--- a/dewpin/controlplane/operator_api.py
+++ b/dewpin/controlplane/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's API: Config.Put, Config.Patch, Config.Get, Retire.Start, Retire.Get. `operator_http` serves it."""
+"""The operator API: Config.Put, Config.Patch, Config.Get, Retire.Start, Retire.Get; served by `operator_http`."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 Parsed = TypeVar("Parsed")
 
 RESPONSE_TIMEOUT_S = 0.85
-SHORTEST_LOOKUP_S = 0.05
-"""For a look into the history of changes, also where the register took the whole time."""
+MIN_HISTORY_LOOKUP_S = 0.05
+"""Minimum time for a lookup in the change history, even if the proposal used up the response time."""
 LOOP_MARGIN_S = 0.1
-"""How much longer than the time limit of its work a request waits for the loop, which may be busy."""
+"""Extra time that a request waits beyond the timeout of its work, because the event loop may be busy."""
 BASE_VERSION_HEADER = "X-Dewpin-Base-Version"
 
 _STATUS_OF_REJECTION: dict[type[ChangeRejectedError], int] = {
@@ -52,19 +52,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ApiResponse:
-    """The response to a request: the HTTP status and a JSON body."""
+    """The response to a request: HTTP status and JSON body."""
 
     status: int
     body: bytes
 
 
 def error_response(status: int, *errors: str) -> ApiResponse:
-    """The response with the reasons why a request failed."""
+    """Return a response that lists the reasons why a request failed."""
     return ApiResponse(status, json.dumps({"errors": list(errors)}).encode())
 
 
 class _InvalidRequestError(DewpinError):
-    """The request can't be parsed; `errors` has a line for each reason."""
+    """The request cannot be parsed; `errors` has one line per reason."""
 
     def __init__(self, *errors: str) -> None:
         super().__init__("; ".join(errors))
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _RequestedChange:
-    """A change of the configuration that a request asks for; generation and digest identify it."""
+    """A requested change of the configuration, identified by generation and digest."""
 
     generation: int
     digest: str
@@ -81,7 +81,7 @@
 
 
 def _parse_base_version(header: str | None) -> int:
-    """The generation that a change builds on. Raises _InvalidRequestError."""
+    """Return the generation on which a change is based. Raises _InvalidRequestError."""
     try:
         return int(header or "0")
     except ValueError:
@@ -89,7 +89,7 @@
 
 
 def _parse_body(parse: Callable[[bytes], Parsed], body: bytes) -> Parsed:
-    """What a request's body says. Raises _InvalidRequestError."""
+    """Parse the body of a request. Raises _InvalidRequestError."""
     try:
         body.decode("utf-8")
         return parse(body)
@@ -100,40 +100,40 @@
 
 
 def _parse_put(body: bytes, base: int) -> _RequestedChange:
-    """The change that stores a configuration. Raises _InvalidRequestError."""
+    """Return the change that stores a configuration. Raises _InvalidRequestError."""
     generation = _parse_body(parse_configuration, body).generation
     return _RequestedChange(generation, configuration_digest(body, base), put_configuration(body, generation, base))
 
 
 def _parse_patch(body: bytes, base: int) -> _RequestedChange:
-    """The change that replaces a part of the configuration. Raises _InvalidRequestError."""
+    """Return the change that replaces parts of the configuration. Raises _InvalidRequestError."""
     patch = _parse_body(parse_patch, body)
     digest = patch_digest(body, base)
     return _RequestedChange(patch.generation, digest, patch_configuration(patch, digest, base))
 
 
 class OperatorApi:
-    """Turns the operator's requests into changes and reads of the register, which lives on the loop `loop`.
+    """Translates operator requests into changes and reads of the register, which runs on the event loop `loop`.
 
-    The methods block, and are called in threads of their own. `least_stores`: how many have to remain when a machine is
-    emptied.
+    The methods block and are called from other threads. `min_stores`: number of stores that must remain when a machine
+    is retired.
     """
 
-    def __init__(self, register: SystemRegister, loop: asyncio.AbstractEventLoop, least_stores: int) -> None:
+    def __init__(self, register: SystemRegister, loop: asyncio.AbstractEventLoop, min_stores: int) -> None:
         self._register = register
         self._loop = loop
-        self._least_stores = least_stores
+        self._min_stores = min_stores
 
     def put(self, body: bytes, base_header: str | None) -> ApiResponse:
-        """Config.Put: stores a configuration."""
+        """Config.Put: store a configuration."""
         return self._change_configuration(_parse_put, body, base_header)
 
     def patch(self, body: bytes, base_header: str | None) -> ApiResponse:
-        """Config.Patch: changes a part of the present configuration."""
+        """Config.Patch: change parts of the current configuration."""
         return self._change_configuration(_parse_patch, body, base_header)
 
     def get(self) -> ApiResponse:
-        """Config.Get: the newest configuration, read by a quorum."""
+        """Config.Get: return the newest configuration, read from a quorum."""
         state = self._propose(_read)
         if isinstance(state, ApiResponse):
             return state
@@ -143,14 +143,14 @@
         return ApiResponse(200, configuration["body"].encode())
 
     def start_retirement(self, name: str) -> ApiResponse:
-        """Retire.Start: has the machine of that name emptied."""
-        state = self._propose(start_retirement(name, self._least_stores))
+        """Retire.Start: start to retire the machine with this name."""
+        state = self._propose(start_retirement(name, self._min_stores))
         if isinstance(state, ApiResponse):
             return state
         return ApiResponse(200, b'{"state":"running"}')
 
     def retirement(self, name: str) -> ApiResponse:
-        """Retire.Get: whether the machine of that name is empty."""
+        """Retire.Get: return whether the retirement of the machine with this name has completed."""
         state = self._propose(_read)
         if isinstance(state, ApiResponse):
             return state
@@ -163,22 +163,22 @@
     def _change_configuration(
         self, parse: Callable[[bytes, int], _RequestedChange], body: bytes, base_header: str | None
     ) -> ApiResponse:
-        """Makes a change. One that is older than all that the register's value lists is looked up in the history."""
+        """Make a change. If it is older than all changes listed in the register's value, look it up in the history."""
         try:
             request = parse(body, _parse_base_version(base_header))
         except _InvalidRequestError as invalid:
             return error_response(400, *invalid.errors)
-        began_at_s = time.monotonic()
+        started_at_s = time.monotonic()
         try:
             state = self._propose(request.change)
             failure = state if isinstance(state, ApiResponse) else None
         except ChangeForgottenError:
-            remaining_s = RESPONSE_TIMEOUT_S - (time.monotonic() - began_at_s)
-            failure = self._failure_by_history(request, max(remaining_s, SHORTEST_LOOKUP_S))
+            remaining_s = RESPONSE_TIMEOUT_S - (time.monotonic() - started_at_s)
+            failure = self._failure_from_history(request, max(remaining_s, MIN_HISTORY_LOOKUP_S))
         return failure or ApiResponse(200, json.dumps({"generation": request.generation}).encode())
 
-    def _failure_by_history(self, request: _RequestedChange, timeout_s: float) -> ApiResponse | None:
-        """None if the change was accepted. It is rejected only if it surely wasn't."""
+    def _failure_from_history(self, request: _RequestedChange, timeout_s: float) -> ApiResponse | None:
+        """Return None if the change was accepted, else an error response; 412 only if it certainly was not accepted."""
         generation = request.generation
         future: Future[bool | None] = asyncio.run_coroutine_threadsafe(
             self._register.was_accepted(generation, request.digest, timeout_s), self._loop
@@ -194,7 +194,7 @@
         return error_response(412, f"generation {generation} is not the one that was taken")
 
     def _propose(self, change: ChangeFunction) -> SystemState | ApiResponse:
-        """Makes a change by the register: the chosen state, or the response that tells why there is none.
+        """Propose a change to the register; return the chosen state, or an error response.
 
         Raises ChangeForgottenError.
         """
@@ -214,5 +214,5 @@
 
 
 def _read(state: SystemState) -> SystemState:
-    """The change that changes nothing: a read."""
+    """Change function of a read: return the state unchanged."""
     return state
--- a/dewpin/controlplane/operator_http.py
+++ b/dewpin/controlplane/operator_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server of the operator's API: a thread for each connection."""
+"""HTTP server of the operator API, with one thread per connection."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class _UnreadableRequestError(DewpinError):
-    """The body of a request can't be read: where the next request begins is unknown."""
+    """The body of a request cannot be read, so the start of the next request is unknown."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -35,11 +35,11 @@
     api: OperatorApi
 
     def do_GET(self) -> None:
-        """Serves a GET request."""
+        """Serve a GET request."""
         self._serve()
 
     def do_POST(self) -> None:
-        """Serves a POST request."""
+        """Serve a POST request."""
         self._serve()
 
     def _serve(self) -> None:
@@ -115,7 +115,7 @@
         self.wfile.write(response.body)
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Logs a request, at the level of debugging."""
+        """Log a request at debug level."""
         log.debug("operator.http", extra={"line": format % args})
 
 
@@ -124,18 +124,18 @@
     request_queue_size = 256
 
     def server_bind(self) -> None:
-        """Binds without looking the host's name up."""
+        """Bind without a lookup of the host name."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(self.server_address)
         self.server_name, self.server_port = self.server_address[:2]  # type: ignore[assignment]
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Logs a connection that failed, at the level of debugging."""
+        """Log a failed connection at debug level."""
         log.debug("operator.connection_failed", exc_info=True)
 
 
 def serve_operator(address: tuple[str, int], api: OperatorApi) -> ThreadingHTTPServer:
-    """Starts to serve the API in threads. OSError if the address can't be bound."""
+    """Start serving the API in threads. Raises OSError if the address cannot be bound."""
     handler = type("OperatorRequestHandler", (_RequestHandler,), {"api": api})
     server = _HttpServer(address, handler)
     threading.Thread(target=server.serve_forever, args=(0.5,), name="operator", daemon=True).start()
--- a/dewpin/controlplane/sender_service.py
+++ b/dewpin/controlplane/sender_service.py
@@ -1,4 +1,4 @@
-"""The service of a control server to senders: it grants their leases and replies to their watches."""
+"""The service of a control server to senders: grants leases and answers watches."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from dewpin.controlplane.register.register import SystemRegister
 from dewpin.controlplane.register.system_state import SystemState, base_generation_of
 
-CONTROL_SERVER_LISTED_S = 5.0
-"""Senders are told the address of a control server for this time after it was last heard."""
+CONTROL_SERVER_EXPIRY_S = 5.0
+"""How long the address of a control server is sent to senders after the last message received from it."""
 
 
 class SenderService:
-    """Leases of senders, and updates at the top of the relay tree."""
+    """Grants sender leases and serves updates at the root of the relay tree."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         self._relay = RelayService(self._relayed_knowledge)
         self._pages = BodyPageService(self._known_body, clock)
         self._state_cache: tuple[SystemState, StateJson] | None = None
-        """The newest chosen state, and its form for senders."""
+        """The newest chosen state and its representation for senders."""
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of senders' messages, by type."""
+        """Handlers for messages from senders, by message type."""
         return {
             LEASE_RENEW: self._handle_renew,
             LEASE_RELEASE: self._handle_release,
@@ -63,7 +63,7 @@
         }
 
     def announce(self) -> None:
-        """Completes the watches that wait for something new."""
+        """Complete the watches that are waiting for an update."""
         self._relay.announce()
         self._pages.announce()
 
@@ -95,12 +95,12 @@
 
     def _control_addresses(self) -> tuple[str, ...]:
         now_s = self._clock()
-        live = [
+        live_addresses = [
             peer.address
             for peer in self._peers.peers.values()
-            if peer.serves_control and peer.since_last_received_s(now_s) < CONTROL_SERVER_LISTED_S
+            if peer.serves_control and peer.since_last_received_s(now_s) < CONTROL_SERVER_EXPIRY_S
         ]
-        return tuple(sorted({self._register.address, *live}))
+        return tuple(sorted({self._register.address, *live_addresses}))
 
     def _relayed_knowledge(self) -> RelayedKnowledge:
         return RelayedKnowledge(
@@ -112,15 +112,15 @@
         )
 
     def _state_for_senders(self) -> StateJson | None:
-        """The chosen state without the operator's accepted changes, which senders have no use for.
+        """Return the chosen state without the list of accepted operator changes, which senders do not need.
 
-        Of these they need the generation that the configuration was built on, to check a body that they fetch.
+        It includes the base generation of the configuration, which senders need to verify a fetched body.
         """
         state = self._register.chosen
         if state is None:
             return None
         if self._state_cache is None or self._state_cache[0] is not state:
-            self._state_cache = state, _for_senders(state)
+            self._state_cache = state, _relayed_state(state)
         return self._state_cache[1]
 
     def _known_body(self, digest: str) -> KnownBody | None:
@@ -128,7 +128,7 @@
         return KnownBody(body, len(body)) if body is not None else None
 
 
-def _for_senders(state: SystemState) -> StateJson:
+def _relayed_state(state: SystemState) -> StateJson:
     relayed: StateJson = {name: value for name, value in state.items() if name != "accepted"}
     if state["configuration"] is not None:
         relayed["configuration"] = {**state["configuration"], "base": base_generation_of(state)}
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -14,7 +14,7 @@
 
 from dewpin.cluster.body_messages import patch_digest
 from dewpin.controlplane import operator_api
-from dewpin.controlplane.operator_api import LOOP_MARGIN_S, RESPONSE_TIMEOUT_S, SHORTEST_LOOKUP_S, OperatorApi
+from dewpin.controlplane.operator_api import LOOP_MARGIN_S, MIN_HISTORY_LOOKUP_S, RESPONSE_TIMEOUT_S, OperatorApi
 from dewpin.controlplane.operator_http import serve_operator
 from dewpin.controlplane.register.proposer import RegisterUnavailableError
 from dewpin.controlplane.register.system_state import (
@@ -260,9 +260,9 @@
     answer = OperatorApi(ScriptedRegister(), None, LEAST_STORES).put(json.dumps(sample(8)).encode(), "7")
     assert answer.status == 503
     took_s = clock.now_s - 100.0
-    assert took_s <= RESPONSE_TIMEOUT_S + 2 * LOOP_MARGIN_S + SHORTEST_LOOKUP_S
+    assert took_s <= RESPONSE_TIMEOUT_S + 2 * LOOP_MARGIN_S + MIN_HISTORY_LOOKUP_S
     for timeout_s in lookups:
-        assert timeout_s == pytest.approx(max(RESPONSE_TIMEOUT_S - proposal_s, SHORTEST_LOOKUP_S))
+        assert timeout_s == pytest.approx(max(RESPONSE_TIMEOUT_S - proposal_s, MIN_HISTORY_LOOKUP_S))
 
 
 def test_missing_base_version_means_first_version(operator):
--- a/tests/controlplane/test_platform_list_reader.py
+++ b/tests/controlplane/test_platform_list_reader.py
@@ -4,7 +4,7 @@
 from dewpin.controlplane.platform_list_reader import (
     CHECKS_PER_PERIOD,
     READINGS_IN_DRAIN,
-    STALE_READINGS,
+    STALE_AFTER_PERIODS,
     UNKNOWN_AGE_S,
     PlatformListReader,
 )
@@ -39,7 +39,7 @@
     assert not reader.is_due(True)
     clock.now_s += 0.02 * PERIOD_S
     assert reader.is_due(True) and not reader.is_due(False)
-    clock.now_s += (STALE_READINGS - 1) * PERIOD_S
+    clock.now_s += (STALE_AFTER_PERIODS - 1) * PERIOD_S
     assert reader.is_due(False)
 
 
