--- a/benchmarks/capacity/context.py
+++ b/benchmarks/capacity/context.py
@@ -92,7 +92,7 @@
     @property
     def reading_period_s(self) -> float:
         """Time between readings of the platform's list."""
-        return self.assumed.drain_bound_s / design.READINGS_IN_DRAIN
+        return self.assumed.drain_bound_s / design.READS_PER_DRAIN_TIME
 
     @property
     def changes_per_s(self) -> float:
--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -7,7 +7,7 @@
 from dewpin.controlplane.membership.cluster_observation import REMOVAL_TIMEOUT_S, REPLACEMENT_TIMEOUT_S
 from dewpin.controlplane.membership.heartbeat import HEARTBEAT_PERIOD_S
 from dewpin.controlplane.membership.leases import LEASE_CYCLES, LEASE_PERIODS, RELAY_FAN_OUT, LeaseTable
-from dewpin.controlplane.platform_list_reader import READINGS_IN_DRAIN
+from dewpin.controlplane.platform_list_reader import READS_PER_DRAIN_TIME
 from dewpin.controlplane.register.system_state import MAX_CHANGES_IN_STATE
 from dewpin.controlplane.storage import MAX_JOBS_IN_COMMIT
 from dewpin.dataplane.membership.lease_renewer import RENEWALS_PER_APPLY_TIME as RENEWALS_IN_BOUND
@@ -20,7 +20,7 @@
     "LEASE_PERIODS",
     "MAX_CHANGES_IN_STATE",
     "MAX_JOBS_IN_COMMIT",
-    "READINGS_IN_DRAIN",
+    "READS_PER_DRAIN_TIME",
     "RELAY_FAN_OUT",
     "REMOVAL_TIMEOUT_S",
     "RENEWALS_IN_BOUND",
--- a/dewpin/controlplane/platform_list_reader.py
+++ b/dewpin/controlplane/platform_list_reader.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-READINGS_IN_DRAIN = 4
+READS_PER_DRAIN_TIME = 4
 """Reads within the drain time of a receiver."""
 STALE_AFTER_PERIODS = 2.5
 """Age of the list, in periods, at which a process that is not the assigned reader reads it."""
@@ -39,7 +39,7 @@
     ) -> None:
         """`drain_s`: how long a draining receiver continues to run."""
         self.directory = ReceiverDirectory()
-        self.period_s = drain_s / READINGS_IN_DRAIN
+        self.period_s = drain_s / READS_PER_DRAIN_TIME
         self._member = member
         self._clock = clock
         self._read_at_s = float("-inf")
--- a/tests/controlplane/test_platform_list_reader.py
+++ b/tests/controlplane/test_platform_list_reader.py
@@ -3,14 +3,14 @@
 from dewpin.cluster.receivers import DirectoryVersion, Receiver
 from dewpin.controlplane.platform_list_reader import (
     CHECKS_PER_PERIOD,
-    READINGS_IN_DRAIN,
+    READS_PER_DRAIN_TIME,
     STALE_AFTER_PERIODS,
     UNKNOWN_AGE_S,
     PlatformListReader,
 )
 
 DRAIN_S = 4.0
-PERIOD_S = DRAIN_S / READINGS_IN_DRAIN
+PERIOD_S = DRAIN_S / READS_PER_DRAIN_TIME
 ONE = Receiver("1", "service", "10.1.0.1:80", "east", 8)
 
 
