--- a/dewpin/controlplane/storage/database.py
+++ b/dewpin/controlplane/storage/database.py
@@ -55,7 +55,7 @@
         return _connect(folder)
     except sqlite3.Error as error:
         is_locked = "locked" in str(error)
-        reason = "the database is in use by a running control server; stop it first" if is_locked else str(error)
+        reason = "its control server still runs; stop it first" if is_locked else str(error)
         raise StorageError(f"{folder}: {reason}") from error
 
 
