--- a/tests/controlplane/control_server_world.py
+++ b/tests/controlplane/control_server_world.py
@@ -1,4 +1,4 @@
-"""Several control plane processes together, over a network and disks in memory: the world of their tests."""
+"""Simulation of several control servers on an in-memory network and disks, for tests and benchmarks."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Platform:
-    """The platform's list, as one process sees it."""
+    """Platform reader of one process; it fails while the platform is down or cut off from the process."""
 
     def __init__(self, world, host):
         self.world = world
@@ -33,8 +33,8 @@
         return list(self.world.receivers)
 
 
-class QuickStore:
-    """A store that copies all records within a tenth of a second."""
+class FastStore:
+    """A store that completes each copy after 0.1 s."""
 
     def __init__(self, control_server):
         self.control_server = control_server
@@ -45,13 +45,13 @@
 
 
 class World:
-    """Machines by number; machine 1 to 3 are the seeds."""
+    """Control servers by machine number; machines 1 to 3 are the seeds."""
 
     def __init__(self, count=3):
         self.network = Network()
         self.control_servers = {}
         self.disks = {}
-        self.lives = 0
+        self.incarnation_count = 0
         self.receivers = [Receiver("i-1", "engines", "10.9.0.1:80", "east", 4)]
         self.readings = []
         self.platform_down = False
@@ -64,7 +64,7 @@
         return f"10.0.0.{number}:7380"
 
     def settings(self, number, bootstrap, name=None):
-        raw = {
+        document = {
             "node_name": name or f"store-{number}",
             "serves": ["control", "store"],
             "ip": f"10.0.0.{number}",
@@ -78,7 +78,7 @@
             "bounds": {"drain_ms": 1000 * DRAIN_S, "config_apply_ms": 1000 * APPLY_S},
             "cloud": {"address": "10.8.0.1:80"},
         }
-        return parse_settings(raw)
+        return parse_settings(document)
 
     async def begin(self):
         for number in self.numbers:
@@ -87,10 +87,10 @@
         await self.until(lambda: self.stores() == self.members() and self.next_stores() is None)
 
     async def start(self, number, bootstrap=False, wiped=False, name=None):
-        """Starts a machine's process, on its disk as it stands or on an empty one."""
+        """Start the process of a machine on its existing disk, or on an empty one if `wiped`."""
         if wiped or number not in self.disks:
-            self.lives += 1
-            self.disks[number] = Disk(f"{number}{self.lives:04d}")
+            self.incarnation_count += 1
+            self.disks[number] = Disk(f"{number}{self.incarnation_count:04d}")
         address = self.address(number)
         self.network.handlers.pop(address, None)
         self.network.down.discard(address)
@@ -103,14 +103,14 @@
             lambda: self.frozen_s.get(number, loop.time()),
             Platform(self, number),
         )
-        control_server.attach_store(QuickStore(control_server))
+        control_server.attach_store(FastStore(control_server))
         self.control_servers[number] = control_server
         await control_server.load()
         self.network.handlers[address] = control_server.handlers
         control_server.start()
 
     def freeze(self, number):
-        """Stops a machine's clock and cuts it off: what it does meanwhile takes no time and reaches nobody."""
+        """Stop the clock of a machine and cut it off: until `thaw`, its clock stands still and it reaches no other."""
         self.frozen_s[number] = asyncio.get_running_loop().time()
         self.network.down.add(self.address(number))
         self.cut_from_platform.add(number)
@@ -130,13 +130,13 @@
         return await self.control_servers[number].register.propose(change, 0.85)
 
     async def until(self, condition, most_s=10.0):
-        """Lets time go by until something holds; how long that took."""
-        began_s = asyncio.get_running_loop().time()
+        """Wait until a condition holds; return the seconds that this took."""
+        started_s = asyncio.get_running_loop().time()
         while not condition():
             await asyncio.sleep(0.01)
-            took_s = asyncio.get_running_loop().time() - began_s
-            assert took_s < most_s, f"not within {most_s} s"
-        return asyncio.get_running_loop().time() - began_s
+            elapsed_s = asyncio.get_running_loop().time() - started_s
+            assert elapsed_s < most_s, f"condition does not hold within {most_s} s"
+        return asyncio.get_running_loop().time() - started_s
 
     def state(self, number):
         return self.control_servers[number].register.chosen
@@ -166,14 +166,14 @@
         return self.newest()["stores"]["next"]
 
     def is_whole(self, *numbers):
-        """Whether these are all members and all stores, with no change under way."""
+        """Return whether these machines are exactly the members and the stores, with no change in progress."""
         if any(self.control_servers[number].register.chosen is None for number in numbers):
             return False
         state = self.newest()
-        wanted = [self.address(number) for number in numbers]
+        expected = [self.address(number) for number in numbers]
         ids = {self.control_servers[number].member for number in numbers}
         return (
-            self.members() == self.stores() == wanted
+            self.members() == self.stores() == expected
             and set(state["members"]) == set(state["stores"]["stable"]) == ids
             and state["members"] == state["former_members"]
             and state["stores"]["next"] is None
@@ -181,9 +181,9 @@
 
 
 def play(scene, count=3):
-    """Runs a scene on machines that have begun."""
+    """Run a scene on a world whose initial configuration is complete; return its result."""
 
-    async def whole():
+    async def run_in_world():
         world = World(count)
         await world.begin()
         try:
@@ -192,7 +192,7 @@
             for control_server in world.control_servers.values():
                 await control_server.stop()
 
-    return run(whole())
+    return run(run_in_world())
 
 
 def renewal(sender="s/1", version=(0, "")):
@@ -205,7 +205,7 @@
 
 
 async def drain_known(world, numbers):
-    """The seconds until all these processes show that the receiver is about to leave."""
+    """Wait until all these processes show the receiver as draining; return the seconds that this took."""
     return await world.until(lambda: all(shows_drain(world, number) for number in numbers))
 
 
--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -1,4 +1,4 @@
-"""Catch-up over slow links, on a fake clock: bytes that stay flat, bodies by pages, nothing held up meanwhile."""
+"""Catch-up over slow links, on a fake clock: constant traffic, bodies in pages, no delay of other messages."""
 
 import asyncio
 import json
@@ -25,10 +25,10 @@
 )
 from dewpin.controlplane.storage import Storage, StorageDamagedError
 
-WAIT_S = 5.0
-ANSWER_S = 0.85
+TIMEOUT_S = 5.0
+RESPONSE_TIMEOUT_S = 0.85
 LONG = 4_000_000
-HEARD_AFTER_S = 0.5
+CONNECT_TIME_S = 0.5
 
 
 def body_of(generation, size):
@@ -63,20 +63,20 @@
         world = await linked_world()
         await world.put(1, 7, 0)
         await world.kill(3)
-        await world.control_servers[1].register.propose(put(8, 7, size), WAIT_S)
+        await world.control_servers[1].register.propose(put(8, 7, size), TIMEOUT_S)
         await asyncio.sleep(0.5)
         world.network.set_rate(mbit)
         await world.start(3)
         assert world.state(3) is None
-        took_s = await world.until(lambda: world.generation(3) == 8)
+        elapsed_s = await world.until(lambda: world.generation(3) == 8)
         version = world.newest()["version"]
         await stop(world)
-        return took_s, world.network.bytes, world.network.largest, version
+        return elapsed_s, world.network.bytes, world.network.largest, version
 
-    took_s, sent, largest, version = run(scene())
-    assert took_s < most_s
-    assert sent < size * 1.1 + 100_000, "the body came once"
-    assert largest < PAGE_CHARACTERS + 10_000, "no message holds the link up for long"
+    elapsed_s, sent, largest, version = run(scene())
+    assert elapsed_s < most_s
+    assert sent < size * 1.1 + 100_000, "the body is transferred only once"
+    assert largest < PAGE_CHARACTERS + 10_000, "no message blocks the link for long"
 
 
 def test_heartbeats_arrive_while_a_long_body_is_fetched():
@@ -84,15 +84,15 @@
         world = await linked_world()
         await world.put(1, 7, 0)
         await world.kill(3)
-        await world.control_servers[1].register.propose(put(8, 7, LONG), WAIT_S)
+        await world.control_servers[1].register.propose(put(8, 7, LONG), TIMEOUT_S)
         await asyncio.sleep(0.5)
         world.network.set_rate(15)
         before = world.newest()["version"]
         await world.start(3)
-        await asyncio.sleep(HEARD_AFTER_S)
+        await asyncio.sleep(CONNECT_TIME_S)
         contact_gaps_s = []
         clock = asyncio.get_running_loop().time
-        until_s = clock() + WAIT_S
+        until_s = clock() + TIMEOUT_S
         while world.generation(3) != 8:
             now_s = clock()
             assert now_s < until_s
@@ -110,7 +110,7 @@
 
 
 def test_restarted_member_is_not_current_before_majority_contact():
-    """Its disk holds a configuration. Alone, however long, it takes none for current; with a second member it does."""
+    """The configuration on its disk is not current while it runs alone, however long, but is with a second member."""
 
     async def scene():
         world = await linked_world()
@@ -133,18 +133,18 @@
         world = await linked_world()
         base = 0
         for generation in range(1, changes + 1):
-            await world.control_servers[1].register.propose(put(generation, base, 1000), WAIT_S)
+            await world.control_servers[1].register.propose(put(generation, base, 1000), TIMEOUT_S)
             base = generation
         await asyncio.sleep(2.0)
         world.network.set_rate(86)
-        await world.control_servers[1].register.propose(put(base + 1, base, 1000), WAIT_S)
+        await world.control_servers[1].register.propose(put(base + 1, base, 1000), TIMEOUT_S)
         await world.until(lambda: all(world.generation(one) == base + 1 for one in (1, 2, 3)))
         sent = world.network.bytes
         await stop(world)
         return sent
 
-    few, many = run(scene(MAX_CHANGES_IN_STATE)), run(scene(5 * MAX_CHANGES_IN_STATE))
-    assert many < few * 1.2
+    after_few, after_many = run(scene(MAX_CHANGES_IN_STATE)), run(scene(5 * MAX_CHANGES_IN_STATE))
+    assert after_many < after_few * 1.2
 
 
 def linked_registers():
@@ -158,11 +158,11 @@
     async def scene():
         registers = linked_registers()
         await registers.begin()
-        await registers.members["a"].propose(put(7, 0, 100_000), WAIT_S)
+        await registers.members["a"].propose(put(7, 0, 100_000), TIMEOUT_S)
         await asyncio.sleep(0.1)
         registers.network.set_rate(86)
-        await registers.members["a"].propose(successor, WAIT_S)
-        await registers.members["a"].propose(read, WAIT_S)
+        await registers.members["a"].propose(successor, TIMEOUT_S)
+        await registers.members["a"].propose(read, TIMEOUT_S)
         await asyncio.sleep(1.0)
         return registers.network.bytes
 
@@ -174,12 +174,12 @@
         registers = linked_registers()
         await registers.begin()
         registers.network.cut("c")
-        await registers.members["a"].propose(put(7, 0, 100_000), WAIT_S)
+        await registers.members["a"].propose(put(7, 0, 100_000), TIMEOUT_S)
         registers.network.join()
         registers.network.down.add("b")
-        await registers.members["a"].propose(successor, WAIT_S)
+        await registers.members["a"].propose(successor, TIMEOUT_S)
         registers.network.down = {"a"}
-        state = await registers.members["c"].propose(read, WAIT_S)
+        state = await registers.members["c"].propose(read, TIMEOUT_S)
         return state["configuration"]["body"], await registers.disks["c"].query("SELECT body FROM register_bodies")
 
     body, rows = run(scene())
@@ -191,8 +191,8 @@
         registers = linked_registers()
         await registers.begin()
         registers.network.cut("c")
-        state = await registers.members["a"].propose(put(7, 0, LONG), WAIT_S)
-        await registers.members["b"].propose(read, WAIT_S)
+        state = await registers.members["a"].propose(put(7, 0, LONG), TIMEOUT_S)
+        await registers.members["b"].propose(read, TIMEOUT_S)
         registers.network.join()
         registers.network.set_rate(86)
         offsets = []
@@ -209,25 +209,25 @@
         with pytest.raises(RpcError):
             await member.adopt_chosen(ZERO_BALLOT, wire, "a")
         assert member.chosen["configuration"] is None
-        broken_at = offsets[-1][1]
+        interrupted_offset = offsets[-1][1]
         await member.adopt_chosen(ZERO_BALLOT, wire, "b")
-        return member.chosen == state, offsets, broken_at
+        return member.chosen == state, offsets, interrupted_offset
 
-    is_whole, offsets, broken_at = run(scene())
+    is_whole, offsets, interrupted_offset = run(scene())
     assert is_whole
-    assert [offset for target, offset in offsets if target == "b"][0] == broken_at > LONG / 2
+    assert [offset for target, offset in offsets if target == "b"][0] == interrupted_offset > LONG / 2
 
 
 @pytest.mark.parametrize("answer", [("other", 5), ("x", 1), ("", 5)])
 def test_body_with_another_digest_is_rejected(answer):
-    class Liar:
+    class WrongBodyClient:
         async def call(self, address, message, timeout_s):
             return {"type": BODY, "part": answer[0], "length": answer[1]}
 
     async def scene():
-        bodies = ConfigurationBodies(Liar())
+        bodies = ConfigurationBodies(WrongBodyClient())
         state = put(7, 0, PAGE_CHARACTERS)(initial_state({}, {}))
-        wire = ConfigurationBodies(Liar()).to_wire(state, ())
+        wire = ConfigurationBodies(WrongBodyClient()).to_wire(state, ())
         with pytest.raises(RpcError):
             await bodies.from_wire(wire, "a")
         return bodies.digests()
@@ -236,14 +236,14 @@
 
 
 def test_replaced_body_can_still_be_fetched():
-    """A peer on a slow link may be halfway through it when the next configuration comes."""
+    """A peer on a slow link may have fetched half of it when the next configuration is chosen."""
 
     async def scene():
         registers = linked_registers()
         await registers.begin()
         registers.network.cut("c")
-        old = registers.members["a"].to_wire(await registers.members["a"].propose(put(7, 0, LONG), WAIT_S), ())
-        await registers.members["a"].propose(put(8, 7, LONG), WAIT_S)
+        old = registers.members["a"].to_wire(await registers.members["a"].propose(put(7, 0, LONG), TIMEOUT_S), ())
+        await registers.members["a"].propose(put(8, 7, LONG), TIMEOUT_S)
         registers.network.join()
         await registers.members["c"].adopt_chosen(ZERO_BALLOT, old, "a")
         return registers.members["c"].chosen["configuration"]["generation"]
@@ -263,26 +263,26 @@
 
 @pytest.mark.parametrize("mbit", [15, 86, 600])
 def test_change_of_four_megabytes_is_acknowledged_and_applied_once(mbit):
-    """The operator sends it to one process after the other until one acknowledges it."""
+    """The operator sends it to one control server after the other until one acknowledges it."""
 
     async def scene():
         world = await linked_world()
         world.network.set_rate(mbit)
         clock = asyncio.get_running_loop().time
-        began_s = clock()
+        started_s = clock()
         for number in (1, 2, 3, 1, 2, 3):
             try:
-                await world.control_servers[number].register.propose(put(7, 0, LONG), ANSWER_S)
+                await world.control_servers[number].register.propose(put(7, 0, LONG), RESPONSE_TIMEOUT_S)
                 break
             except RegisterUnavailableError:
                 await asyncio.sleep(0.2)
-        took_s = clock() - began_s
-        state = await world.control_servers[3].register.propose(read, WAIT_S)
+        elapsed_s = clock() - started_s
+        state = await world.control_servers[3].register.propose(read, TIMEOUT_S)
         await stop(world)
-        return took_s, accepted_change_count(state)
+        return elapsed_s, accepted_change_count(state)
 
-    took_s, taken = run(scene())
-    assert took_s < 4.0 and taken == 1
+    elapsed_s, accepted_count = run(scene())
+    assert elapsed_s < 4.0 and accepted_count == 1
 
 
 # On disk
@@ -293,8 +293,8 @@
         registers = Registers()
         await registers.begin()
         for generation in range(1, 6):
-            await registers.members["a"].propose(put(generation, generation - 1, 1000), WAIT_S)
-        await registers.members["a"].propose(successor, WAIT_S)
+            await registers.members["a"].propose(put(generation, generation - 1, 1000), TIMEOUT_S)
+        await registers.members["a"].propose(successor, TIMEOUT_S)
         member = await registers.restart("a")
         rows = await registers.disks["a"].query("SELECT digest, body FROM register_bodies")
         values = await registers.disks["a"].query("SELECT value FROM register_replica WHERE key = 'system'")
@@ -340,7 +340,7 @@
     async def scene():
         registers = Registers()
         await registers.begin()
-        await registers.members["a"].propose(put(7, 0, 1000), WAIT_S)
+        await registers.members["a"].propose(put(7, 0, 1000), TIMEOUT_S)
         await registers.disks["a"].write([("DELETE FROM register_bodies", ())])
         with pytest.raises(StorageDamagedError):
             await registers.restart("a")
@@ -349,7 +349,7 @@
 
 
 def test_files_do_not_grow_with_many_changes(tmp_path):
-    """One member on a real database: its size, the write-ahead log's and the rows, after 60 and after 300 changes."""
+    """One member with a real database: sizes of the files and number of rows after 60 and after 300 changes."""
     storage = Storage(tmp_path / "data", log=lambda text: None)
 
     async def scene():
@@ -359,7 +359,7 @@
         await registers.begin()
         sizes = []
         for generation in range(1, 301):
-            await registers.members["a"].propose(put(generation, generation - 1, 100_000), WAIT_S)
+            await registers.members["a"].propose(put(generation, generation - 1, 100_000), TIMEOUT_S)
             if generation in (60, 300):
                 await asyncio.sleep(0.05)
                 sizes.append({path.name: path.stat().st_size for path in (tmp_path / "data").iterdir()})
@@ -367,9 +367,9 @@
         return sizes, rows
 
     try:
-        (few, many), rows = asyncio.run(scene())
+        (after_few, after_many), rows = asyncio.run(scene())
     finally:
         storage.close()
     assert rows == [(1,)]
-    for name, size in many.items():
-        assert size <= few[name] + 50_000, name
+    for name, size in after_many.items():
+        assert size <= after_few[name] + 50_000, name
--- a/tests/controlplane/test_control_server.py
+++ b/tests/controlplane/test_control_server.py
@@ -1,4 +1,4 @@
-"""Several control plane processes together, over a network and disks in memory. The clock jumps."""
+"""Several control servers on an in-memory network and disks, on a simulated clock."""
 
 import asyncio
 
@@ -97,12 +97,12 @@
         await world.kill(number)
         await asyncio.sleep(1.0)
         await world.start(number, wiped=True)
-        took_s = await world.until(lambda: world.is_whole(1, 2, 3))
+        elapsed_s = await world.until(lambda: world.is_whole(1, 2, 3))
         other = 1 + number % 3
         await world.kill(other)
         survivor = ({1, 2, 3} - {other}).pop()
         await world.put(survivor, 8, 7)
-        return took_s
+        return elapsed_s
 
     assert play(scene) < CATCH_UP_S / 2
 
@@ -136,19 +136,19 @@
     async def scene(world):
         await world.until(lambda: world.stores() == [world.address(number) for number in (1, 2, 3, 4)])
         await world.control_servers[1].register.propose(start_retirement("store-2", 3), 0.85)
-        took_s = await world.until(lambda: world.newest()["retired"] == ["store-2"])
+        elapsed_s = await world.until(lambda: world.newest()["retired"] == ["store-2"])
         assert world.is_whole(1, 3, 4)
         await world.kill(2, 3)
         await asyncio.sleep(1.0)
         await world.start(3, wiped=True)
         await world.until(lambda: world.is_whole(1, 3, 4))
-        return took_s
+        return elapsed_s
 
-    async def with_a_fourth(world):
+    async def scene_with_fourth_machine(world):
         await world.start(4)
         return await scene(world)
 
-    assert play(with_a_fourth) < 2.0
+    assert play(scene_with_fourth_machine) < 2.0
 
 
 def test_added_store_joins_and_frozen_control_server_keeps_its_place():
@@ -260,20 +260,20 @@
             "state_version": world.newest()["version"],
             "receivers_version": control_server.list_reader.directory.version,
         }
-        began_s = clock()
+        started_s = clock()
         watch = asyncio.ensure_future(control_server.handlers["relay.watch"]({**versions, "wait": True}))
         await asyncio.sleep(0.1)
         await world.put(1, 7, 0)
-        news = await watch
-        assert news["state"]["configuration"]["generation"] == 7 and clock() - began_s < 0.2
-        began_s = clock()
+        update = await watch
+        assert update["state"]["configuration"]["generation"] == 7 and clock() - started_s < 0.2
+        started_s = clock()
         versions = {
-            "state_version": news["state"]["version"],
+            "state_version": update["state"]["version"],
             "receivers_version": control_server.list_reader.directory.version,
         }
-        quiet = await control_server.handlers["relay.watch"]({**versions, "wait": True})
-        assert "state" not in quiet and "receivers" not in quiet
-        return clock() - began_s
+        empty_reply = await control_server.handlers["relay.watch"]({**versions, "wait": True})
+        assert "state" not in empty_reply and "receivers" not in empty_reply
+        return clock() - started_s
 
     assert play(scene) == pytest.approx(WATCH_HEARTBEAT_S)
 
--- a/tests/controlplane/test_control_server_random.py
+++ b/tests/controlplane/test_control_server_random.py
@@ -1,5 +1,5 @@
-"""Control servers under random kills, wipes, cuts, slow disks and orders: what was acknowledged stays, one order a
-version."""
+"""Control servers under random kills, wipes, partitions, slow disks and configuration changes: acknowledged changes
+persist, and only one change is accepted per base version."""
 
 import asyncio
 import random
@@ -23,17 +23,17 @@
 
 
 class Operators:
-    """Operators that send orders to random control servers, build on what was acknowledged, and resend without an
-    answer."""
+    """Operators that send changes to random control servers, based on the last acknowledged one, and resend a change
+    that got no answer."""
 
     def __init__(self, world, rng):
         self.world = world
         self.rng = rng
         self.generation = 0
         self.acknowledged = []
-        self.refused = []
+        self.rejected = []
 
-    async def work(self, until_s):
+    async def send_changes(self, until_s):
         while asyncio.get_running_loop().time() < until_s:
             await asyncio.sleep(self.rng.uniform(0.05, 0.6))
             self.generation += self.rng.choice([1, 1, 2, 5])
@@ -56,7 +56,7 @@
                 await asyncio.sleep(self.rng.uniform(0.0, 0.2))
                 continue
             except ChangeRejectedError:
-                self.refused.append([generation, configuration_digest(body, base)])
+                self.rejected.append([generation, configuration_digest(body, base)])
                 return
             self.acknowledged.append((generation, base, configuration_digest(body, base)))
             assert [generation, configuration_digest(body, base)] in state["accepted"]
@@ -64,12 +64,12 @@
 
 
 class RandomWorld(World):
-    """Troubles one after the other, each borne before the next, as the tolerance of one machine has it."""
+    """Random faults in sequence; the system recovers from each before the next, as it tolerates one failed machine."""
 
     def is_up(self, control_server):
         return control_server.address not in self.network.down
 
-    async def trouble(self, rng):
+    async def inject_fault(self, rng):
         number = rng.choice([1, 2, 3])
         kind = rng.choice(["kill", "wipe", "cut", "freeze", "herd", "slow", "full"])
         if kind in {"kill", "wipe"}:
@@ -87,8 +87,8 @@
         if kind == "herd":
             await self.kill(1, 2, 3)
             await asyncio.sleep(rng.uniform(0.0, 1.0))
-            for one in rng.sample([1, 2, 3], 3):
-                await self.start(one)
+            for restarted in rng.sample([1, 2, 3], 3):
+                await self.start(restarted)
         if kind == "slow":
             self.disks[number].delay_s = rng.uniform(0.0, 0.1)
         if kind == "full":
@@ -107,10 +107,10 @@
         now_s = asyncio.get_running_loop().time
         until_s = now_s() + SCENE_S
         operators = Operators(world, rng)
-        works = [asyncio.ensure_future(operators.work(until_s)) for _ in range(OPERATORS)]
+        operator_tasks = [asyncio.ensure_future(operators.send_changes(until_s)) for _ in range(OPERATORS)]
         while now_s() < until_s:
-            await world.trouble(rng)
-        await asyncio.gather(*works)
+            await world.inject_fault(rng)
+        await asyncio.gather(*operator_tasks)
         state = await world.control_servers[1].register.propose(lambda present: present, 5.0)
         await asyncio.sleep(2.0)
         histories = [
@@ -122,17 +122,19 @@
         return operators, state, histories
 
     operators, state, histories = run(scene())
-    newest = [(order.number, order.generation, order.digest) for order in changes_in_state(state)]
-    whole = [sorted({*history, *newest}) for history in histories]
-    orders = [[generation, digest] for _, generation, digest in whole[0]]
-    assert [number for number, _, _ in whole[0]] == list(range(1, accepted_change_count(state) + 1))
-    assert whole[0] == whole[1] == whole[2], "a member that was wiped or away took what it missed"
-    assert orders[-len(newest) :] == state["accepted"]
-    generations = [generation for generation, _ in orders]
+    newest = [(change.number, change.generation, change.digest) for change in changes_in_state(state)]
+    complete_histories = [sorted({*history, *newest}) for history in histories]
+    changes = [[generation, digest] for _, generation, digest in complete_histories[0]]
+    assert [number for number, _, _ in complete_histories[0]] == list(range(1, accepted_change_count(state) + 1))
+    assert complete_histories[0] == complete_histories[1] == complete_histories[2], (
+        "a member that was wiped or down has fetched the changes that it missed"
+    )
+    assert changes[-len(newest) :] == state["accepted"]
+    generations = [generation for generation, _ in changes]
     assert generations == sorted(set(generations))
-    assert [state["configuration"]["generation"], state["configuration"]["digest"]] == orders[-1]
-    assert all([generation, digest] in orders for generation, _, digest in operators.acknowledged)
-    assert not [order for order in operators.refused if order in orders]
+    assert [state["configuration"]["generation"], state["configuration"]["digest"]] == changes[-1]
+    assert all([generation, digest] in changes for generation, _, digest in operators.acknowledged)
+    assert not [change for change in operators.rejected if change in changes]
     bases = {base for _, base, _ in operators.acknowledged}
-    assert len(bases) == len(operators.acknowledged), "two orders on one version were acknowledged"
+    assert len(bases) == len(operators.acknowledged), "two changes with the same base version were acknowledged"
     assert len(operators.acknowledged) > 5
--- a/tests/controlplane/test_ledger_copies.py
+++ b/tests/controlplane/test_ledger_copies.py
@@ -1,4 +1,4 @@
-"""Ledgers that are copied to other stores: a copy keeps a chosen value known, and is no vote for one that is not."""
+"""Ledgers copied to other stores: a copy preserves a chosen value, but is no vote for a value that is not chosen."""
 
 import asyncio
 import json
@@ -17,42 +17,42 @@
 SETTLED = {"spent": 2, "open": {}}
 
 
-async def ask(machine, kind, view, /, **fields):
+async def request(machine, kind, view, /, **fields):
     message = wire.request(kind, view, machine.store.member_id, program="p", **fields)
     return await machine.store.handlers[kind](json.loads(json.dumps(message)))
 
 
-async def accept(world, names, counter, value, following=None):
-    ballot, after = [counter, "s"], following and [following, "s"]
+async def accept(world, names, counter, value, next_counter=None):
+    ballot, next_ballot = [counter, "s"], next_counter and [next_counter, "s"]
     for name in names:
-        answer = await ask(
-            world.machines[name], wire.LEDGER_ACCEPT, world.view, ballot=ballot, value=value, next_ballot=after
+        reply = await request(
+            world.machines[name], wire.LEDGER_ACCEPT, world.view, ballot=ballot, value=value, next_ballot=next_ballot
         )
-        assert answer["type"] == "ballot.accepted"
+        assert reply["type"] == "ballot.accepted"
 
 
 async def prepare(world, names, counter):
     for name in names:
-        answer = await ask(world.machines[name], wire.LEDGER_PREPARE, world.view, ballot=[counter, "s"])
-        assert answer["type"] == "ballot.promise"
+        reply = await request(world.machines[name], wire.LEDGER_PREPARE, world.view, ballot=[counter, "s"])
+        assert reply["type"] == "ballot.promise"
 
 
-def cut(world, origin, names):
-    world.cuts = {pair for pair in world.cuts if pair[0] != origin} | {(origin, name) for name in names}
+def cut_off(world, source, names):
+    world.cuts = {pair for pair in world.cuts if pair[0] != source} | {(source, name) for name in names}
 
 
 async def copy(world, **unreachable):
-    """Let the named stores copy for the present view; each is cut from the stores that its argument names."""
+    """Run the copy for the current view on the named stores, each cut off from the stores in its argument."""
     for name, others in unreachable.items():
-        cut(world, name, others)
+        cut_off(world, name, others)
         world.machines[name].sync.start(world.view)
     await world.until(lambda: all(world.view.epoch in world.machines[name].synced for name in unreachable))
 
 
 @pytest.mark.parametrize("finished", [False, True])
 def test_readers_agree_when_a_copy_brings_a_minority_value(finished):
-    """`a` alone accepts a reservation. In the next view a proposer that has not seen it gets promises of `b` and `c`
-    and dies once `c` has accepted; then `b` and `d` copy from `a`."""
+    """Only `a` accepts a reservation. In the next view a proposer that has not read it gets promises from `b` and `c`
+    and crashes once `c` has accepted; then `b` and `d` copy from `a`."""
 
     async def scene():
         world = World(names="abcd", in_view="abc", syncs=False)
@@ -66,12 +66,12 @@
             await copy(world, c="b")
             world.tell(StoreView(3, world.members("bcd")))
         first = world.client("first")
-        cut(world, "first", "c")
-        seen_first = await asyncio.wait_for(first.read_ledger("p"), 5.0)
+        cut_off(world, "first", "c")
+        first_value = await asyncio.wait_for(first.read_ledger("p"), 5.0)
         second = world.client("second")
-        cut(world, "second", "ad")
-        seen_second = await asyncio.wait_for(second.read_ledger("p"), 5.0)
-        assert seen_second == seen_first
+        cut_off(world, "second", "ad")
+        second_value = await asyncio.wait_for(second.read_ledger("p"), 5.0)
+        assert second_value == first_value
 
     run(scene())
 
@@ -82,11 +82,11 @@
         disk = world.machines["a"].disk
         record = ledger_replica.LedgerRecord("p", Ballot(5, "x"), Ballot(5, "x"), BEFORE)
         await disk.transact(lambda connection: ledger_replica.merge(connection, [record], 0))
-        answer = await ask(world.machines["a"], wire.LEDGER_PREPARE, world.view, ballot=[6, "x"])
-        assert (answer["accepted"], answer["value"], answer["copied"]) == ([5, "x"], BEFORE, True)
+        reply = await request(world.machines["a"], wire.LEDGER_PREPARE, world.view, ballot=[6, "x"])
+        assert (reply["accepted"], reply["value"], reply["copied"]) == ([5, "x"], BEFORE, True)
         await accept(world, "a", 7, BEFORE)
-        answer = await ask(world.machines["a"], wire.LEDGER_PREPARE, world.view, ballot=[8, "s"])
-        assert (answer["accepted"], answer["copied"]) == ([7, "s"], False)
+        reply = await request(world.machines["a"], wire.LEDGER_PREPARE, world.view, ballot=[8, "s"])
+        assert (reply["accepted"], reply["copied"]) == ([7, "s"], False)
 
     run(scene())
 
@@ -105,7 +105,7 @@
 
 
 def test_chosen_value_survives_a_change_with_a_newcomer_that_promised_a_greater_ballot():
-    """The copy must not be refused for a promise: nobody else among the next replicas may have the value."""
+    """The copy must not be rejected because of a promise: no other next replica may have the value."""
 
     async def scene():
         world = World(names="abcde", in_view="abc", syncs=False)
@@ -115,14 +115,14 @@
         await copy(world, c="b", d="b", e="b")
         world.tell(StoreView(3, world.members("cde")))
         reader = world.client("reader")
-        cut(world, "reader", "c")
+        cut_off(world, "reader", "c")
         assert await asyncio.wait_for(reader.read_ledger("p"), 5.0) == RESERVED
 
     run(scene())
 
 
 def test_copy_does_not_revert_promises():
-    """An older ballot accepted after the promise would be overwritten by the newer one, which has not read it."""
+    """If an older ballot were accepted after the promise, the newer one would overwrite it without having read it."""
 
     async def scene():
         world = World(syncs=False)
@@ -130,8 +130,8 @@
         await prepare(world, "a", 9)
         older = ledger_replica.LedgerRecord("p", Ballot(5, "s"), Ballot(3, "s"), BEFORE)
         await store.disk.transact(lambda connection: ledger_replica.merge(connection, [older], 0))
-        answer = await ask(store, wire.LEDGER_ACCEPT, world.view, ballot=[7, "s"], value=RESERVED, next_ballot=None)
-        assert answer["type"] == "ballot.conflict"
+        reply = await request(store, wire.LEDGER_ACCEPT, world.view, ballot=[7, "s"], value=RESERVED, next_ballot=None)
+        assert reply["type"] == "ballot.conflict"
         replica = ledger_replica.load(store.disk.connection, "p")
         assert (replica.promised, replica.accepted, replica.copied) == (Ballot(9, "s"), Ballot(3, "s"), True)
 
--- a/tests/controlplane/test_ledger_retention.py
+++ b/tests/controlplane/test_ledger_retention.py
@@ -1,4 +1,4 @@
-"""A program that its budget stopped may come again within `retain_s`: until then no store forgets its ledger."""
+"""A program that was stopped by its budget may return within `retain_s`: until then no store deletes its ledger."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 async def is_stopped_by_its_budget(world):
-    """Whether the program is refused one token more; asks as a sender that knows nothing."""
+    """Return whether a new sender is refused the reservation of one more token."""
     reader = world.client("reader")
     try:
         await reader.reserve("p", "again", 1, BUDGET, 1.0)
@@ -114,7 +114,9 @@
     shorter = long.after_configuration(5 * 3600.0, 0)
     assert [shorter.max_idle_ms(now) // HOUR_MS for now in (0, 10 * HOUR_MS - 1, 10 * HOUR_MS)] == [10, 10, 5]
     shortest = shorter.after_configuration(0.0, 8 * HOUR_MS)
-    assert shortest.max_idle_ms(13 * HOUR_MS - 1) >= 5 * HOUR_MS, "changed under five hours until the eighth"
+    assert shortest.max_idle_ms(13 * HOUR_MS - 1) >= 5 * HOUR_MS, (
+        "ledgers changed under five hours until the eighth hour"
+    )
     assert shortest.max_idle_ms(13 * HOUR_MS) == MIN_RETENTION_MS
     assert shortest.after_configuration(0.0, 12 * HOUR_MS) == shortest
     assert shortest.after_configuration(0.0, 14 * HOUR_MS) == LedgerRetention(MIN_RETENTION_MS)
--- a/tests/controlplane/test_malformed_requests.py
+++ b/tests/controlplane/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Requests to a store that are malformed: refused by one kind of error, with nothing written, and not asked again."""
+"""Malformed requests to a store: rejected with one kind of error, without writes, and not retried."""
 
 import asyncio
 import json
@@ -28,11 +28,11 @@
 ]
 
 
-async def refusal_of(machine, message):
+async def rejection_kind(machine, message):
     try:
         await machine.store.handlers[message["type"]](message)
-    except RpcError as refusal:
-        return refusal.kind
+    except RpcError as error:
+        return error.kind
     return None
 
 
@@ -41,13 +41,13 @@
     async def scene():
         world = World()
         machine = world.machines["a"]
-        sound = RequestHeader(1, machine.store.member_id).encode(request_.kind, request_.fields())
+        valid = RequestHeader(1, machine.store.member_id).encode(request_.kind, request_.fields())
         changes = machine.disk.connection.total_changes
-        for field in sound.keys() - {"type"}:
-            message = {name: value for name, value in sound.items() if name != field}
-            assert await refusal_of(machine, message) == wire.MALFORMED
+        for field in valid.keys() - {"type"}:
+            message = {name: value for name, value in valid.items() if name != field}
+            assert await rejection_kind(machine, message) == wire.MALFORMED
         assert machine.disk.connection.total_changes == changes
-        assert await refusal_of(machine, json.loads(json.dumps(sound))) is None
+        assert await rejection_kind(machine, json.loads(json.dumps(valid))) is None
 
     run(scene())
 
@@ -56,35 +56,35 @@
 def test_copy_request_without_epoch_is_malformed(kind):
     async def scene():
         machine = World().machines["a"]
-        assert await refusal_of(machine, {"type": kind, "to": machine.store.member_id}) == wire.MALFORMED
+        assert await rejection_kind(machine, {"type": kind, "to": machine.store.member_id}) == wire.MALFORMED
 
     run(scene())
 
 
-def answering(machine, kind, answer):
-    """Let a store give this answer to all requests of a kind, or raise it."""
-    heard = []
+def script_reply(machine, kind, reply):
+    """Make a store reply to all requests of a kind with `reply`, or raise it; return the received messages."""
+    received = []
 
     async def handler(message):
-        heard.append(message)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        received.append(message)
+        if isinstance(reply, Exception):
+            raise reply
+        return reply
 
     machine.store.handlers[kind] = handler
-    return heard
+    return received
 
 
 def test_request_rejected_as_malformed_is_not_retried():
     async def scene():
         world = World()
-        refused = RpcError(wire.MALFORMED, "turns: expected a list of objects")
-        heard = answering(world.machines["a"], wire.TURN_PUT, refused)
+        rejection = RpcError(wire.MALFORMED, "turns: expected a list of objects")
+        received = script_reply(world.machines["a"], wire.TURN_PUT, rejection)
         client = world.client()
         await client.store_turn(turn("t"), 1.0)
         await client.wait_until_settled()
-        assert len(heard) == 1
-        answering(world.machines["b"], wire.TURN_PUT, refused)
+        assert len(received) == 1
+        script_reply(world.machines["b"], wire.TURN_PUT, rejection)
         with pytest.raises(StoreUnavailableError):
             await client.store_turn(turn("u"), 5.0)
 
@@ -105,15 +105,18 @@
     async def scene():
         world = World()
         await world.client("first").store_turn(turn("t"), 1.0)
-        held = await world.client("second").reserve("p", "t", 5, 10, 1.0)
+        reservation = await world.client("second").reserve("p", "t", 5, 10, 1.0)
         for kind in (wire.TURN_PUT, wire.TURN_HISTORY, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
-            answering(world.machines["c"], kind, answer)
+            script_reply(world.machines["c"], kind, answer)
         client = world.client("third")
         assert await client.read_history("p", "t", 1.0) == b"<t>"
         await client.store_turn(turn("u", "t"), 1.0)
-        assert await asyncio.wait_for(client.read_ledger("p"), 5.0) == {"spent": 0, "open": {"t": held.max_tokens}}
+        assert await asyncio.wait_for(client.read_ledger("p"), 5.0) == {
+            "spent": 0,
+            "open": {"t": reservation.max_tokens},
+        }
         for kind in (wire.TURN_PUT, wire.TURN_HISTORY, wire.LEDGER_PREPARE, wire.LEDGER_ACCEPT):
-            answering(world.machines["b"], kind, answer)
+            script_reply(world.machines["b"], kind, answer)
         with pytest.raises(StoreUnavailableError):
             await client.store_turn(turn("v", "u"), 1.0)
         with pytest.raises(StoreUnavailableError):
@@ -127,12 +130,12 @@
     async def scene():
         world = World()
         machine = world.machines["a"]
-        sound = machine.store.handlers[wire.TURN_PUT]
-        answers = iter([{}, {"type": "turn.links"}])
+        original_handler = machine.store.handlers[wire.TURN_PUT]
+        replies = iter([{}, {"type": "turn.links"}])
 
         async def handler(message):
-            answer = next(answers, None)
-            return await sound(message) if answer is None else answer
+            reply = next(replies, None)
+            return await original_handler(message) if reply is None else reply
 
         machine.store.handlers[wire.TURN_PUT] = handler
         client = world.client()
--- a/tests/controlplane/test_operator_api.py
+++ b/tests/controlplane/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's calls, over loopback to a scripted register."""
+"""Operator API calls over loopback to a scripted register."""
 
 import asyncio
 import concurrent.futures
@@ -27,11 +27,11 @@
     set_initial_stores,
 )
 
-LEAST_STORES = 3
+MIN_STORES = 3
 
 
 class Register:
-    """Agrees on every change at once, unless `available` is off."""
+    """Accepts every change immediately, unless `available` is False."""
 
     def __init__(self):
         ids = {one: f"{one}:1" for one in "abcd"}
@@ -60,11 +60,11 @@
 
     def call(self, method, path, body=None, **headers):
         connection = http.client.HTTPConnection("127.0.0.1", self.port, timeout=5)
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        encoded_headers = {name.replace("_", "-"): value for name, value in headers.items()}
         with contextlib.closing(connection):
-            connection.request(method, path, body, named)
-            answer = connection.getresponse()
-            return answer.status, answer.read()
+            connection.request(method, path, body, encoded_headers)
+            response = connection.getresponse()
+            return response.status, response.read()
 
     def put(self, configuration, base):
         body = configuration if isinstance(configuration, bytes) else json.dumps(configuration).encode()
@@ -77,7 +77,7 @@
     def routes(self):
         return {route["name"] for route in json.loads(self.call("GET", "/dewpin/Config.Get")[1])["routes"]}
 
-    def raw(self, data):
+    def send_raw(self, data):
         with socket.create_connection(("127.0.0.1", self.port), timeout=5) as connection:
             connection.sendall(data)
             connection.shutdown(socket.SHUT_WR)
@@ -86,11 +86,11 @@
 
 @pytest.fixture(scope="module")
 def served():
-    """The API and its port, served by threads of its own for all tests here."""
+    """The API and its port, served in separate threads for all tests of this module."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
-    api = OperatorApi(Register(), loop, LEAST_STORES)
+    api = OperatorApi(Register(), loop, MIN_STORES)
     server = serve_operator(("127.0.0.1", 0), api)
     yield api, server.socket.getsockname()[1]
     server.shutdown()
@@ -180,7 +180,7 @@
 
 
 def test_forgotten_patch_is_looked_up_by_patch_digest(operator):
-    take_more_than_the_state_remembers(operator)
+    exceed_changes_in_state(operator)
     body = json.dumps(added_route(8)).encode()
     operator.register.history = [[8, patch_digest(body, 7)]]
     assert operator.patch(added_route(8), 7) == 200
@@ -198,12 +198,12 @@
     assert operator.put(body, 0) == 200
     assert operator.put(sample(9), 7) == 200
     for size in (1, 7, 100, len(body)):
-        assert operator.raw(chunked(body, size)).startswith(b"HTTP/1.1 200"), size
-    assert operator.raw(chunked(body + b" ", 100)).startswith(b"HTTP/1.1 412")
+        assert operator.send_raw(chunked(body, size)).startswith(b"HTTP/1.1 200"), size
+    assert operator.send_raw(chunked(body + b" ", 100)).startswith(b"HTTP/1.1 412")
     assert json.loads(operator.call("GET", "/dewpin/Config.Get")[1])["generation"] == 9
 
 
-def take_more_than_the_state_remembers(operator):
+def exceed_changes_in_state(operator):
     state = operator.register.state
     for generation in range(7, 7 + MAX_CHANGES_IN_STATE + 5):
         base = generation - 1 if generation > 7 else 0
@@ -213,7 +213,7 @@
 
 @pytest.mark.parametrize("was_accepted", [True, False])
 def test_forgotten_change_is_answered_from_history(operator, was_accepted):
-    take_more_than_the_state_remembers(operator)
+    exceed_changes_in_state(operator)
     body = json.dumps(sample(8)).encode()
     operator.register.history = (
         [[8, configuration_digest(body, 7)]] if was_accepted else [[8, configuration_digest(b"other", 7)]]
@@ -222,12 +222,12 @@
 
 
 def test_forgotten_change_unknown_to_history_gets_503(operator):
-    take_more_than_the_state_remembers(operator)
+    exceed_changes_in_state(operator)
     assert operator.put(sample(8), 7) == 503
 
 
 class LateFuture:
-    """The outcome of work that takes `took_s` of a fake clock, however long its caller is ready to wait."""
+    """The future of work that takes `took_s` on a fake clock, independent of the timeout of its caller."""
 
     def __init__(self, clock, took_s, error=None):
         self.clock, self.took_s, self.error = clock, took_s, error
@@ -257,8 +257,8 @@
     monkeypatch.setattr(operator_api, "time", clock)
     scripted_asyncio = SimpleNamespace(run_coroutine_threadsafe=lambda work, loop: futures.pop(0))
     monkeypatch.setattr(operator_api, "asyncio", scripted_asyncio)
-    answer = OperatorApi(ScriptedRegister(), None, LEAST_STORES).put(json.dumps(sample(8)).encode(), "7")
-    assert answer.status == 503
+    response = OperatorApi(ScriptedRegister(), None, MIN_STORES).put(json.dumps(sample(8)).encode(), "7")
+    assert response.status == 503
     took_s = clock.now_s - 100.0
     assert took_s <= RESPONSE_TIMEOUT_S + 2 * LOOP_MARGIN_S + MIN_HISTORY_LOOKUP_S
     for timeout_s in lookups:
@@ -329,7 +329,7 @@
     body = json.dumps(sample()).encode()
     chunks = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (body[:100], body[100:]))
     head = b"POST /dewpin/Config.Put HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
-    assert operator.raw(head + chunks + b"0\r\n\r\n").startswith(b"HTTP/1.1 200")
+    assert operator.send_raw(head + chunks + b"0\r\n\r\n").startswith(b"HTTP/1.1 200")
     assert operator.call("GET", "/dewpin/Config.Get") == (200, body)
 
 
@@ -347,7 +347,7 @@
     ],
 )
 def test_malformed_request_is_rejected(operator, request_bytes, status):
-    assert operator.raw(request_bytes).startswith(b"HTTP/1.1 %d" % status)
+    assert operator.send_raw(request_bytes).startswith(b"HTTP/1.1 %d" % status)
 
 
 def test_connection_serves_several_requests(operator):
@@ -355,9 +355,9 @@
     with contextlib.closing(connection):
         for _ in range(3):
             connection.request("GET", "/dewpin/Config.Get")
-            answer = connection.getresponse()
-            answer.read()
-            assert answer.status == 404
+            response = connection.getresponse()
+            response.read()
+            assert response.status == 404
 
 
 def test_proposal_that_never_ends_gets_503_in_time(operator, monkeypatch):
--- a/tests/controlplane/test_operator_changes.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -1,4 +1,4 @@
-"""Orders of the operator against the register of three members, on a fake clock: what is taken, refused, left open."""
+"""Operator changes on a register of three members, on a fake clock: accepted, rejected, or without a clear answer."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
     start_retirement,
 )
 
-# Two orders, one order twice
+# Two changes, and one change sent twice
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001, 0.003, 0.006, 0.012, 0.05])
@@ -24,35 +24,35 @@
     async def scene(registers):
         first, second = registers.members["a"], registers.members["b"]
 
-        async def late():
+        async def send_later():
             await asyncio.sleep(delay_s)
             return await answer(second, 7, 0, b"two")
 
-        answers = await asyncio.gather(answer(first, 7, 0, b"one"), late())
-        again = [
+        answers = await asyncio.gather(answer(first, 7, 0, b"one"), send_later())
+        repeated_answers = [
             (await answer(member, 7, 0, b"one"), await answer(member, 7, 0, b"two"))
             for member in registers.members.values()
         ]
         await take(first, 8, 8 + MAX_CHANGES_IN_STATE)
-        later = [
+        later_answers = [
             (await answer(member, 7, 0, b"one"), await answer(member, 7, 0, b"two"))
             for member in registers.members.values()
         ]
-        return answers, again, later
+        return answers, repeated_answers, later_answers
 
-    answers, again, later = play(scene)
+    answers, repeated_answers, later_answers = play(scene)
     assert sorted(answers) == [200, 412]
-    assert set(again) == set(later) == {tuple(answers)}
+    assert set(repeated_answers) == set(later_answers) == {tuple(answers)}
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.001, 0.003, 0.006, 0.012, 0.05])
 def test_same_change_at_two_control_servers_is_accepted_once_and_acknowledged_by_both(delay_s):
     async def scene(registers):
-        async def late():
+        async def send_later():
             await asyncio.sleep(delay_s)
             return await answer(registers.members["b"], 7, 0)
 
-        answers = await asyncio.gather(answer(registers.members["a"], 7, 0), late())
+        answers = await asyncio.gather(answer(registers.members["a"], 7, 0), send_later())
         state = await registers.members["c"].propose(read, WAIT_S)
         return answers, accepted_change_count(state)
 
@@ -82,11 +82,11 @@
     assert play(scene) == ([503, 200], 412)
 
 
-# A proposer that dies
+# Crash of the proposer
 
 
-async def lose_proposer(registers, reached, order):
-    """Makes an order at the member `a`, whose accepts reach these members only; then it dies, and answers nobody."""
+async def lose_proposer(registers, reached, proposal):
+    """Propose a change at the member `a`, whose accepts reach only these members; then it crashes without an answer."""
 
     def on_call(source, target, message):
         if message["type"] == "register.accept" and source == "a" and target not in reached:
@@ -95,18 +95,18 @@
     registers.network.on_call = on_call
     if "a" not in reached:
         registers.disks["a"].stalls = True
-    under_way = asyncio.ensure_future(order)
+    task = asyncio.ensure_future(proposal)
     await asyncio.sleep(0.02)
     registers.network.down.add("a")
-    under_way.cancel()
+    task.cancel()
     registers.network.on_call = lambda source, target, message: None
 
 
 @pytest.mark.parametrize("reached", ["", "a", "b", "c", "ab", "bc", "abc"])
 @pytest.mark.parametrize("asked_next", ["b", "c"])
 def test_resent_change_is_acknowledged_after_proposer_crash_between_accepts(reached, asked_next):
-    """The accepts of the proposer `a` reach some members, then it dies. The same order sent again is acknowledged at
-    whichever member, and a rival on the same base wins only where the order was in force nowhere."""
+    """The accepts of the proposer `a` reach some members, then it crashes. The same change sent again is acknowledged
+    by any member, and a rival change on the same base wins only if the change was accepted nowhere."""
 
     async def scene(registers):
         await lose_proposer(registers, reached, answer(registers.members["a"], 7, 0))
@@ -124,15 +124,15 @@
         rival = await answer(registers.members["b"], 7, 0, b"rival")
         return rival, await answer(registers.members["c"], 7, 0), await answer(registers.members["b"], 7, 0)
 
-    rival, *again = play(scene)
-    assert sorted({rival, *again}) == [200, 412] and len(set(again)) == 1
+    rival, *repeated_answers = play(scene)
+    assert sorted({rival, *repeated_answers}) == [200, 412] and len(set(repeated_answers)) == 1
     if reached == "bc":
-        assert rival == 412, "a majority held the order before its rival came"
+        assert rival == 412, "a majority had accepted the change before its rival was proposed"
 
 
 @pytest.mark.parametrize(("proposer", "silent"), [("a", "bc"), ("b", "ac"), ("c", "ab")])
 def test_change_is_acknowledged_only_after_majority_synced(proposer, silent):
-    """Two disks promise, and never return from the write of what was accepted: no majority holds the order on disk."""
+    """Two disks write promises but stall on accepted values: no majority has the change on disk."""
 
     async def scene(registers):
         def on_call(source, target, message):
@@ -151,42 +151,42 @@
     assert play(scene) == (503, 200)
 
 
-# Many at once
+# Concurrent changes
 
 
 def test_eight_concurrent_changes_are_answered_in_time_and_one_wins():
     async def scene(registers):
         clock = asyncio.get_running_loop().time
-        began_s = clock()
+        started_s = clock()
         answers = await asyncio.gather(
             *(answer(registers.members["abc"[n % 3]], 7 + n, 0, b"order %d" % n) for n in range(8))
         )
-        took_s = clock() - began_s
-        return answers, took_s, accepted_change_count(await registers.members["a"].propose(read, WAIT_S))
+        elapsed_s = clock() - started_s
+        return answers, elapsed_s, accepted_change_count(await registers.members["a"].propose(read, WAIT_S))
 
-    answers, took_s, taken = play(scene)
+    answers, elapsed_s, accepted_count = play(scene)
     assert answers.count(200) == 1 and set(answers) == {200, 412}
-    assert taken == 1 and took_s <= ANSWER_S
+    assert accepted_count == 1 and elapsed_s <= ANSWER_S
 
 
 def test_changes_queued_behind_stuck_change_time_out_unproposed():
-    """Proposals of one process take turns. Those still waiting when their time is over get no clear answer; nothing
-    was sent for them, and each is taken once when it comes again."""
+    """Proposals of one process are serialized. Those still queued at their timeout get a 503 without any message having
+    been sent, and each is accepted at most once when it is sent again."""
 
     async def scene(registers):
         registers.network.cut("a")
         clock = asyncio.get_running_loop().time
-        began_s = clock()
+        started_s = clock()
         answers = await asyncio.gather(*(answer(registers.members["a"], 7 + n, 0, b"order %d" % n) for n in range(8)))
-        took_s = clock() - began_s
+        elapsed_s = clock() - started_s
         registers.network.join()
         member = registers.members["a"]
-        after = [await answer(member, 7 + n, 0, b"order %d" % n) for n in range(8)]
-        return answers, took_s, after
+        repeated_answers = [await answer(member, 7 + n, 0, b"order %d" % n) for n in range(8)]
+        return answers, elapsed_s, repeated_answers
 
-    answers, took_s, after = play(scene)
-    assert set(answers) == {503} and took_s == pytest.approx(ANSWER_S, abs=0.01)
-    assert after.count(200) == 1 and set(after) == {200, 412}
+    answers, elapsed_s, repeated_answers = play(scene)
+    assert set(answers) == {503} and elapsed_s == pytest.approx(ANSWER_S, abs=0.01)
+    assert repeated_answers.count(200) == 1 and set(repeated_answers) == {200, 412}
 
 
 def test_resent_change_is_acknowledged_after_timeout_with_accepts_in_flight():
@@ -203,10 +203,10 @@
 
 
 def test_rejection_for_unchosen_value_is_withheld():
-    """One member accepted a rival that no majority holds. Where that value must be finished first, the order is
-    refused for the chosen rival; where it isn't met, the order is taken: never both, never neither."""
+    """One member accepted a rival value that no majority has. If a ballot reads that value, it has to complete it and
+    the change is rejected; otherwise the change is accepted. It is always exactly one of the two."""
 
-    async def scene(registers, meets):
+    async def scene(registers, reads_rival):
         def on_call(source, target, message):
             if message["type"] == "register.accept" and source == "a":
                 raise RpcError("connect", target)
@@ -214,7 +214,7 @@
         registers.network.on_call = on_call
         assert await answer(registers.members["a"], 7, 0, b"rival", 0.1) == 503
         registers.network.on_call = lambda source, target, message: None
-        registers.network.down = {"c"} if meets else {"a"}
+        registers.network.down = {"c"} if reads_rival else {"a"}
         first = await answer(registers.members["b"], 7, 0, b"order")
         registers.network.down = {"a"}
         return first, await answer(registers.members["c"], 7, 0, b"order")
@@ -223,7 +223,7 @@
     assert play(lambda registers: scene(registers, False)) == (200, 200)
 
 
-# Orders to empty a machine
+# Retirement of a machine
 
 
 def retire(name):
--- a/tests/controlplane/test_platform_list_reader.py
+++ b/tests/controlplane/test_platform_list_reader.py
@@ -1,4 +1,4 @@
-"""When the platform's list is read, and how old the directory is."""
+"""When the platform's list is read, and the age of the directory."""
 
 from dewpin.cluster.receivers import DirectoryVersion, Receiver
 from dewpin.controlplane.platform_list_reader import (
@@ -11,7 +11,7 @@
 
 DRAIN_S = 4.0
 PERIOD_S = DRAIN_S / READS_PER_DRAIN_TIME
-ONE = Receiver("1", "service", "10.1.0.1:80", "east", 8)
+RECEIVER = Receiver("1", "service", "10.1.0.1:80", "east", 8)
 
 
 class Clock:
@@ -21,20 +21,20 @@
         return self.now_s
 
 
-def made(member="a"):
+def create_reader(member="a"):
     clock = Clock()
     return PlatformListReader(member, DRAIN_S, clock), clock
 
 
 def test_reading_is_due_before_first_reading():
-    reader, _ = made()
+    reader, _ = create_reader()
     assert reader.age_s() == UNKNOWN_AGE_S
     assert reader.is_due(True) and reader.is_due(False)
 
 
 def test_assigned_reader_reads_each_period_and_others_when_stale():
-    reader, clock = made()
-    reader.apply_listing([ONE], clock())
+    reader, clock = create_reader()
+    reader.apply_listing([RECEIVER], clock())
     clock.now_s += 0.99 * PERIOD_S
     assert not reader.is_due(True)
     clock.now_s += 0.02 * PERIOD_S
@@ -44,24 +44,24 @@
 
 
 def test_list_age_counts_from_start_of_reading():
-    reader, clock = made()
-    began_s = clock()
+    reader, clock = create_reader()
+    started_s = clock()
     clock.now_s += 0.4
-    reader.apply_listing([ONE], began_s)
+    reader.apply_listing([RECEIVER], started_s)
     assert round(reader.age_s(), 6) == 0.4
 
 
 def test_wait_ends_when_reading_is_due_and_checks_role_meanwhile():
-    reader, clock = made()
-    reader.apply_listing([ONE], clock())
+    reader, clock = create_reader()
+    reader.apply_listing([RECEIVER], clock())
     assert reader.wait_s(True) == PERIOD_S / CHECKS_PER_PERIOD
     clock.now_s += 0.9 * PERIOD_S
     assert round(reader.wait_s(True), 6) == round(0.1 * PERIOD_S, 6)
 
 
 def test_age_of_other_process_counts_only_for_same_version():
-    reader, clock = made()
-    reader.apply_update(DirectoryVersion(5, "b"), [ONE], clock() - 2.0)
+    reader, clock = create_reader()
+    reader.apply_update(DirectoryVersion(5, "b"), [RECEIVER], clock() - 2.0)
     assert reader.age_s() == 2.0
     reader.record_read_time(DirectoryVersion(5, "c"), clock() - 0.1)
     reader.record_read_time(DirectoryVersion(4, "b"), clock() - 0.1)
@@ -74,9 +74,9 @@
 
 
 def test_newer_directory_brings_its_age_even_if_read_earlier():
-    reader, clock = made()
-    reader.apply_listing([ONE], clock())
-    assert reader.apply_update(DirectoryVersion(5, "b"), [ONE], clock() - 1.5)
+    reader, clock = create_reader()
+    reader.apply_listing([RECEIVER], clock())
+    assert reader.apply_update(DirectoryVersion(5, "b"), [RECEIVER], clock() - 1.5)
     assert reader.age_s() == 1.5
-    assert not reader.apply_update(DirectoryVersion(4, "b"), [ONE], clock())
+    assert not reader.apply_update(DirectoryVersion(4, "b"), [RECEIVER], clock())
     assert reader.age_s() == 1.5
--- a/tests/controlplane/test_repeated_requests.py
+++ b/tests/controlplane/test_repeated_requests.py
@@ -206,7 +206,7 @@
                 number: len(fleet.control_servers[number].leases.live(asyncio.get_running_loop().time()))
                 for number in (1, 2, 3)
             }
-            assert fleet.went_back == []
+            assert fleet.regressed_senders == []
             assert fleet.is_whole(1, 2, 3)
             return live
         finally:
--- a/tests/controlplane/test_senders_and_control_servers.py
+++ b/tests/controlplane/test_senders_and_control_servers.py
@@ -1,5 +1,5 @@
-"""Senders' agents and control servers together: how soon a configuration or a drain is in force, whatever control
-server is lost."""
+"""Cluster agents of senders with control servers: the time until a configuration or a drain is in force, whichever
+control server is lost."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 
 
 class Fleet(World):
-    """Three control servers and some senders; `generations` and `drained` are as each sender has them."""
+    """Three control servers and some senders; `generations` and `drained` hold the state known to each sender."""
 
     def __init__(self, rng):
         super().__init__()
@@ -24,7 +24,7 @@
         self.agents = {}
         self.generations = {}
         self.drained = {}
-        self.went_back = []
+        self.regressed_senders = []
 
     def sender_settings(self, number):
         return parse_settings(
@@ -48,8 +48,8 @@
             self.sender_settings(number),
             self.network.client(f"10.5.0.{number}:7381"),
             random.Random(self.rng.random()),
-            lambda state: self.take_state(number, state),
-            lambda directory: self.take_receivers(number, directory),
+            lambda state: self.record_state(number, state),
+            lambda directory: self.record_receivers(number, directory),
             asyncio.get_running_loop().time,
             Platform(self, f"sender {number}"),
         )
@@ -57,26 +57,26 @@
         self.agents[number] = agent
         agent.start()
 
-    def take_state(self, number, state):
+    def record_state(self, number, state):
         generation = state["configuration"]["generation"] if state["configuration"] else 0
         if generation < self.generations[number]:
-            self.went_back.append(number)
+            self.regressed_senders.append(number)
         self.generations[number] = generation
 
     def is_ready(self, number):
-        """Whether a sender would tell clients to come, as the program of a sender decides it."""
+        """Return whether a sender would report itself as ready, by the rule of the sender process."""
         agent = self.agents[number]
         return agent.has_control_plane_contact and agent.confirmation.is_confirmed and self.generations[number] > 0
 
-    def reaches_only(self, number, *control):
-        """Cuts a sender off from all control processes and senders but these control processes."""
+    def restrict_to(self, number, *control):
+        """Cut a sender off from all control servers and senders except these control servers."""
         own = self.agents[number].address if number in self.agents else f"10.5.0.{number}:7381"
-        kept = {self.address(one) for one in control}
-        self.network.cuts |= {frozenset((own, other)) for other in self.network.handlers if other not in kept}
+        reachable = {self.address(one) for one in control}
+        self.network.cuts |= {frozenset((own, other)) for other in self.network.handlers if other not in reachable}
 
-    def take_receivers(self, number, directory):
-        known = directory.receivers.get("i-1")
-        self.drained[number] = known is not None and known.draining
+    def record_receivers(self, number, directory):
+        receiver = directory.receivers.get("i-1")
+        self.drained[number] = receiver is not None and receiver.draining
 
     async def stop(self):
         for agent in self.agents.values():
@@ -86,7 +86,7 @@
 
 
 def play(seed, scene):
-    async def whole():
+    async def run_fleet():
         rng = random.Random(seed)
         fleet = Fleet(rng)
         await fleet.begin()
@@ -97,16 +97,16 @@
         await asyncio.sleep(4.0 + rng.random())
         try:
             result = await scene(fleet, rng)
-            assert fleet.went_back == []
+            assert fleet.regressed_senders == []
             return result
         finally:
             await fleet.stop()
 
-    return run(whole())
+    return run(run_fleet())
 
 
-async def lose(fleet, trouble, number):
-    """Loses one control server in some way."""
+async def inject_fault(fleet, trouble, number):
+    """Inject a fault into one control server."""
     if trouble == "kill":
         await fleet.kill(number)
     if trouble == "freeze":
@@ -123,12 +123,12 @@
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_configuration_is_in_force_at_all_senders_within_bound(seed, trouble):
-    """The control server that acknowledged it is lost right after; it may go on alone with what it has."""
+    """The control server that acknowledged it is lost right after; it may continue in isolation with its state."""
 
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
         await fleet.put(number, 8, 7)
-        await lose(fleet, trouble, number)
+        await inject_fault(fleet, trouble, number)
         return await fleet.until(lambda: set(fleet.generations.values()) == {8})
 
     assert play(seed, scene) < APPLY_S
@@ -139,7 +139,7 @@
 def test_configuration_is_in_force_within_bound_while_control_server_is_down(seed, trouble):
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
-        await lose(fleet, trouble, number)
+        await inject_fault(fleet, trouble, number)
         await asyncio.sleep(6.0)
         await fleet.put(1 + number % 3, 8, 7)
         return await fleet.until(lambda: set(fleet.generations.values()) == {8})
@@ -150,10 +150,10 @@
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("seed", SEEDS)
 def test_drain_is_known_at_all_senders_within_bound(seed, trouble):
-    """The control server that reads the list is lost just before the list shows it."""
+    """The control server that reads the list is lost just before the list shows the drain."""
 
     async def scene(fleet, rng):
-        await lose(fleet, trouble, reader_of(fleet))
+        await inject_fault(fleet, trouble, reader_of(fleet))
         drain(fleet)
         return await fleet.until(lambda: all(fleet.drained.values()))
 
@@ -181,7 +181,7 @@
 
 def test_new_sender_beside_partitioned_control_server_has_current_state_within_bound():
     async def scene(fleet, rng):
-        await lose(fleet, "cut_from_control_servers", 1)
+        await inject_fault(fleet, "cut_from_control_servers", 1)
         await fleet.put(2, 8, 7)
         await asyncio.sleep(6.0)
         fleet.start_sender(SENDERS + 1)
@@ -191,40 +191,40 @@
 
 
 CUT_S = 20.0
-NEWCOMER = SENDERS + 1
+NEW_SENDER = SENDERS + 1
 
 
-async def watched(fleet, seconds, look):
-    """What `look` returns from moment to moment."""
-    seen = []
+async def sample(fleet, seconds, probe):
+    """Return the results of `probe`, sampled every 20 ms of simulated time."""
+    samples = []
     for _ in range(int(seconds / 0.02)):
         await asyncio.sleep(0.02)
-        seen.append(look())
-    return seen
+        samples.append(probe())
+    return samples
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_new_sender_with_only_isolated_control_server_is_not_ready(seed):
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
-        await lose(fleet, "cut_from_control_servers", number)
-        fleet.reaches_only(NEWCOMER, number)
+        await inject_fault(fleet, "cut_from_control_servers", number)
+        fleet.restrict_to(NEW_SENDER, number)
         if rng.random() < 0.5:
             await asyncio.sleep(rng.uniform(0.0, 2.0))
-            fleet.start_sender(NEWCOMER)
+            fleet.start_sender(NEW_SENDER)
             await fleet.put(1 + number % 3, 8, 7)
         else:
             await fleet.put(1 + number % 3, 8, 7)
             await asyncio.sleep(rng.uniform(0.0, 2.0))
-            fleet.start_sender(NEWCOMER)
-        seen = await watched(fleet, CUT_S, lambda: (fleet.is_ready(NEWCOMER), fleet.generations[NEWCOMER]))
-        assert not any(ready and generation != 8 for ready, generation in seen)
-        assert not any(ready for ready, _ in seen)
-        own = fleet.agents[NEWCOMER].address
+            fleet.start_sender(NEW_SENDER)
+        samples = await sample(fleet, CUT_S, lambda: (fleet.is_ready(NEW_SENDER), fleet.generations[NEW_SENDER]))
+        assert not any(ready and generation != 8 for ready, generation in samples)
+        assert not any(ready for ready, _ in samples)
+        own = fleet.agents[NEW_SENDER].address
         fleet.network.cuts -= {frozenset((own, fleet.address(other))) for other in (1, 2, 3)}
-        took_s = await fleet.until(lambda: fleet.is_ready(NEWCOMER))
-        assert fleet.generations[NEWCOMER] == 8
-        return took_s
+        elapsed_s = await fleet.until(lambda: fleet.is_ready(NEW_SENDER))
+        assert fleet.generations[NEW_SENDER] == 8
+        return elapsed_s
 
     assert play(seed, scene) < APPLY_S
 
@@ -233,26 +233,26 @@
 def test_new_sender_is_ready_at_once_while_one_control_server_is_isolated(seed):
     async def scene(fleet, rng):
         number = rng.choice([1, 2, 3])
-        await lose(fleet, "cut_from_control_servers", number)
+        await inject_fault(fleet, "cut_from_control_servers", number)
         await fleet.put(1 + number % 3, 8, 7)
         await asyncio.sleep(rng.uniform(0.0, 4.0))
-        fleet.start_sender(NEWCOMER)
-        took_s = await fleet.until(lambda: fleet.is_ready(NEWCOMER))
-        assert fleet.generations[NEWCOMER] == 8
-        return took_s
+        fleet.start_sender(NEW_SENDER)
+        elapsed_s = await fleet.until(lambda: fleet.is_ready(NEW_SENDER))
+        assert fleet.generations[NEW_SENDER] == 8
+        return elapsed_s
 
     assert play(seed, scene) < 0.75
 
 
 def test_sender_left_with_isolated_control_server_serves_and_answers_no_404():
     async def scene(fleet, rng):
-        await lose(fleet, "cut_from_control_servers", 3)
-        fleet.reaches_only(1, 3)
+        await inject_fault(fleet, "cut_from_control_servers", 3)
+        fleet.restrict_to(1, 3)
         agent = fleet.agents[1]
         await fleet.until(lambda: not agent.is_state_current())
         await fleet.put(1, 8, 7)
-        seen = await watched(fleet, CUT_S, lambda: (fleet.is_ready(1), agent.is_state_current()))
-        assert seen == [(True, False)] * len(seen)
+        samples = await sample(fleet, CUT_S, lambda: (fleet.is_ready(1), agent.is_state_current()))
+        assert samples == [(True, False)] * len(samples)
         fleet.network.join()
         return await fleet.until(lambda: agent.is_state_current() and fleet.generations[1] == 8)
 
@@ -261,41 +261,41 @@
 
 def test_sender_state_is_current_in_normal_operation():
     async def scene(fleet, rng):
-        return await watched(fleet, 30.0, lambda: all(agent.is_state_current() for agent in fleet.agents.values()))
+        return await sample(fleet, 30.0, lambda: all(agent.is_state_current() for agent in fleet.agents.values()))
 
     assert all(play(4, scene))
 
 
 def test_sender_state_age_counts_from_request_to_majority():
-    """There and back between sender and control process, and between that and the majority."""
+    """The age includes the round trips from the sender to a control server and from there to a majority."""
     latency_s = 0.05
 
     async def scene(fleet, rng):
         fleet.network.latency_s = latency_s
         await asyncio.sleep(3.0)
         now_s = asyncio.get_running_loop().time
-        seen = await watched(
+        samples = await sample(
             fleet, 10.0, lambda: min(agent.confirmation.age_s(now_s()) for agent in fleet.agents.values())
         )
-        return min(seen)
+        return min(samples)
 
     assert play(6, scene) >= 4 * latency_s - 1e-6
 
 
 def test_sender_with_unconfirmed_state_relays_nothing():
-    """A child of a sender that is cut off leaves it, and one that is left with it alone is never ready."""
+    """A child abandons a sender that is cut off, and a new sender that reaches only that one never becomes ready."""
 
     async def scene(fleet, rng):
-        fleet.reaches_only(1)
+        fleet.restrict_to(1)
         parent = fleet.agents[1]
         await asyncio.sleep(3.0)
-        fleet.start_sender(NEWCOMER)
-        child = fleet.agents[NEWCOMER]
-        fleet.reaches_only(NEWCOMER)
+        fleet.start_sender(NEW_SENDER)
+        child = fleet.agents[NEW_SENDER]
+        fleet.restrict_to(NEW_SENDER)
         fleet.network.cuts -= {frozenset((child.address, parent.address))}
         child.knowledge.sources.set_parents([parent.address])
-        seen = await watched(fleet, 5.0, lambda: child.confirmation.is_confirmed)
-        return any(seen), child.knowledge.system_state.complete
+        samples = await sample(fleet, 5.0, lambda: child.confirmation.is_confirmed)
+        return any(samples), child.knowledge.system_state.complete
 
     assert play(5, scene) == (False, None)
 
--- a/tests/controlplane/test_stable_names.py
+++ b/tests/controlplane/test_stable_names.py
@@ -1,4 +1,4 @@
-"""Names that an upgrade must find unchanged: files in the data folder, and words on the wire between mixed releases."""
+"""Names that must not change between releases: files in the data directory, and wire names used in mixed operation."""
 
 from dewpin.cluster.receivers import DirectoryVersion
 from dewpin.cluster.relay_messages import LeaseGrant
--- a/tests/controlplane/test_state_freshness_random.py
+++ b/tests/controlplane/test_state_freshness_random.py
@@ -73,7 +73,7 @@
         for work in works:
             work.cancel()
         await fleet.until(lambda: all(self.is_well(number) for number in fleet.agents), 6.0)
-        assert fleet.went_back == []
+        assert fleet.regressed_senders == []
         await fleet.stop()
         return self.observer
 
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -1,4 +1,4 @@
-"""The control server's database: durable writes, failures of the disk, damage, versions of the schema."""
+"""Database of a control server: durable writes, disk failures, damage, schema versions."""
 
 import asyncio
 import shutil
@@ -116,16 +116,16 @@
 def test_unresponsive_disk_does_not_block_the_event_loop(storage):
     import threading
 
-    go_on = threading.Event()
+    resume = threading.Event()
 
     async def scene():
-        slow = asyncio.ensure_future(storage.transact(lambda connection: go_on.wait(10)))
+        slow = asyncio.ensure_future(storage.transact(lambda connection: resume.wait(10)))
         turns = 0
         while turns < 1000:
             await asyncio.sleep(0)
             turns += 1
         assert not slow.done()
-        go_on.set()
+        resume.set()
         return await slow
 
     assert asyncio.run(scene()) is True
@@ -135,31 +135,31 @@
     import threading
 
     now_s = [100.0]
-    begun, go_on = threading.Event(), threading.Event()
+    started, resume = threading.Event(), threading.Event()
     storage = Storage(tmp_path / "data", log=lambda text: None, clock=lambda: now_s[0])
 
     def stall(connection):
-        begun.set()
-        return go_on.wait(10)
+        started.set()
+        return resume.wait(10)
 
     async def scene():
         slow = asyncio.ensure_future(storage.transact(stall))
-        await asyncio.to_thread(begun.wait, 10)
+        await asyncio.to_thread(started.wait, 10)
         now_s[0] += MAX_COMMIT_S
-        patient = asyncio.ensure_future(storage.write(put("patient")))
+        waiting = asyncio.ensure_future(storage.write(put("patient")))
         await asyncio.sleep(0)
         now_s[0] += 0.1
         with pytest.raises(StorageError, match="is unresponsive"):
             await storage.write(put("late"))
-        go_on.set()
-        await asyncio.gather(slow, patient)
+        resume.set()
+        await asyncio.gather(slow, waiting)
         await storage.write(put("after"))
         return await storage.query("SELECT name FROM meta WHERE name IN ('patient', 'late', 'after') ORDER BY name")
 
     try:
         assert asyncio.run(scene()) == [("after",), ("patient",)]
     finally:
-        go_on.set()
+        resume.set()
         storage.close()
 
 
@@ -185,33 +185,33 @@
 def test_file_that_is_no_database_is_set_aside(tmp_path):
     first = read_incarnation(tmp_path)
     (tmp_path / DATABASE_NAME).write_bytes(b"not a database at all" * 1000)
-    logged = []
-    opened = Storage(tmp_path, log=logged.append)
+    messages = []
+    opened = Storage(tmp_path, log=messages.append)
     try:
         assert opened.incarnation != first
-        assert "damaged" in logged[0]
+        assert "damaged" in messages[0]
         assert [path for path in tmp_path.iterdir() if ".damaged-" in path.name]
     finally:
         opened.close()
 
 
 def test_damage_found_while_running_is_reported_and_set_aside_at_next_start(tmp_path):
-    logged = []
-    opened = Storage(tmp_path, log=logged.append, on_damaged=lambda: logged.append("ended"))
+    messages = []
+    opened = Storage(tmp_path, log=messages.append, on_damaged=lambda: messages.append("on_damaged"))
     first = opened.incarnation
 
-    def broken(connection):
+    def raise_damage(connection):
         raise sqlite3.DatabaseError("database disk image is malformed")
 
     async def scene():
         with pytest.raises(StorageDamagedError):
-            await opened.transact(broken)
+            await opened.transact(raise_damage)
         with pytest.raises(StorageDamagedError):
             await opened.write(put("a"))
 
     asyncio.run(scene())
     opened.close()
-    assert opened.is_damaged and logged[-1] == "ended"
+    assert opened.is_damaged and messages[-1] == "on_damaged"
     assert read_incarnation(tmp_path) != first
 
 
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -1,4 +1,4 @@
-"""A store: epochs, incarnations, expiry, and the copying of records when the view changes."""
+"""A store: epochs, incarnations, expiry, and copying of records during view changes."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
     return {row[0] for row in machine.disk.connection.execute("SELECT turn FROM turns")}
 
 
-async def ask(machine, kind, view, /, **fields):
+async def request(machine, kind, view, /, **fields):
     message = wire.request(kind, view, machine.store.member_id, **fields)
     return await machine.store.handlers[kind](json.loads(json.dumps(message)))
 
@@ -38,10 +38,10 @@
     async def scene():
         world = World(syncs=False)
         for epoch in (0, 2):
-            with pytest.raises(RpcError) as refusal:
-                await ask(world.machines["a"], wire.TURN_HISTORY, StoreView(epoch, ()), program="p", previous="t")
-            assert refusal.value.kind == wire.STALE_EPOCH
-            assert StoreView.from_json(refusal.value.message["view"]) == world.view
+            with pytest.raises(RpcError) as error:
+                await request(world.machines["a"], wire.TURN_HISTORY, StoreView(epoch, ()), program="p", previous="t")
+            assert error.value.kind == wire.STALE_EPOCH
+            assert StoreView.from_json(error.value.message["view"]) == world.view
 
     run(scene())
 
@@ -58,9 +58,9 @@
             (wire.LEDGER_ACCEPT, {"program": "p", "ballot": [1, "s"], "value": {}, "next_ballot": None}),
         ]
         for kind, fields in writes:
-            with pytest.raises(RpcError) as refusal:
-                await ask(store, kind, older, **fields)
-            assert refusal.value.kind == wire.STALE_EPOCH
+            with pytest.raises(RpcError) as error:
+                await request(store, kind, older, **fields)
+            assert error.value.kind == wire.STALE_EPOCH
         assert turns_of(store) == set()
         assert store.disk.connection.execute("SELECT count(*) FROM register_replica").fetchone() == (0,)
 
@@ -70,13 +70,13 @@
 def test_request_for_another_incarnation_is_rejected():
     async def scene():
         world = World()
-        old = world.machines["a"].store.member_id
+        old_member_id = world.machines["a"].store.member_id
         world.machines["a"].start_empty()
         world.machines["a"].store.adopt(world.view)
-        message = wire.request(wire.TURN_HISTORY, world.view, old, program="p", previous="t")
-        with pytest.raises(RpcError) as refusal:
+        message = wire.request(wire.TURN_HISTORY, world.view, old_member_id, program="p", previous="t")
+        with pytest.raises(RpcError) as error:
             await world.machines["a"].store.handlers[wire.TURN_HISTORY](message)
-        assert refusal.value.kind == wire.WRONG_MEMBER
+        assert error.value.kind == wire.WRONG_MEMBER
 
     run(scene())
 
@@ -85,9 +85,11 @@
     async def scene():
         world = World(names="abcdefg")
         program = next(f"p{n}" for n in range(99) if "a-1" not in world.view.stable_replicas(f"p{n}", 3))
-        with pytest.raises(RpcError) as refusal:
-            await ask(world.machines["a"], wire.TURN_PUT, world.view, turns=[record("t", program=program).to_json()])
-        assert refusal.value.kind == wire.NOT_REPLICA
+        with pytest.raises(RpcError) as error:
+            await request(
+                world.machines["a"], wire.TURN_PUT, world.view, turns=[record("t", program=program).to_json()]
+            )
+        assert error.value.kind == wire.NOT_REPLICA
 
     run(scene())
 
@@ -97,7 +99,7 @@
         world = World(names="abcd", in_view="abc", syncs=False)
         changing = StoreView(2, world.members("abc"), world.members("bcd"))
         world.tell(changing, names="a")
-        await ask(world.machines["a"], wire.PULL_LEDGERS, changing, member="d-1", after="", most=10)
+        await request(world.machines["a"], wire.PULL_LEDGERS, changing, member="d-1", after="", most=10)
         world.machines["a"].restart()
         await world.machines["a"].store.load()
         assert world.machines["a"].store.view == changing
@@ -133,9 +135,9 @@
         await store.purge_batch()
         assert await world.client("other").read_history("p", "t2", 1.0) == b"<t1><t2>"
         world.clock_ms += 2_000
-        steps = [await store.purge_batch() for _ in range(3)]
+        purged_counts = [await store.purge_batch() for _ in range(3)]
         assert turns_of(world.machines["a"]) == set()
-        assert steps == [1, 1, 0]
+        assert purged_counts == [1, 1, 0]
         assert world.machines["a"].disk.connection.execute("SELECT count(*) FROM turn_bodies").fetchone() == (0,)
         with pytest.raises(TurnNotFoundError):
             await world.client("third").read_history("p", "t2", 1.0)
@@ -152,8 +154,8 @@
         later = [record("t", program="new", retain_ms=90_000)]
         await disk.transact(lambda connection: turn_table.put(connection, later, now_ms, 0))
         await disk.transact(lambda connection: turn_table.purge(connection, now_ms + 70_000, 10))
-        found = await disk.transact(lambda connection: turn_table.read_history(connection, "new", "t", 100))
-        assert [turn.program for turn in found.turns] == ["new"]
+        page = await disk.transact(lambda connection: turn_table.read_history(connection, "new", "t", 100))
+        assert [turn.program for turn in page.turns] == ["new"]
 
     run(scene())
 
@@ -193,14 +195,14 @@
 # Changes of the view
 
 
-async def change_view(world, following, pause_s=0.0):
-    """Lead the view from its stable members to those of `following`, as the register's owner does."""
+async def change_view(world, next_names, pause_s=0.0):
+    """Change the view from its stable members to those named in `next_names`, as the system register does."""
     stable = world.view.stable
-    changing = StoreView(world.view.epoch + 1, stable, world.members(following))
+    changing = StoreView(world.view.epoch + 1, stable, world.members(next_names))
     world.tell(changing)
-    await world.until(lambda: all(changing.epoch in world.machines[name].synced for name in following))
+    await world.until(lambda: all(changing.epoch in world.machines[name].synced for name in next_names))
     await asyncio.sleep(pause_s)
-    world.tell(StoreView(changing.epoch + 1, world.members(following)))
+    world.tell(StoreView(changing.epoch + 1, world.members(next_names)))
 
 
 def test_replacing_all_stores_loses_nothing():
@@ -278,10 +280,10 @@
 def test_writes_under_the_old_view_fail_once_a_copy_began():
     async def scene():
         world = World(names="abcd", in_view="abc", syncs=False)
-        old = world.view
+        old_view = world.view
         changing = StoreView(2, world.members("abc"), world.members("bcd"))
         for name in "ab":
-            await ask(
+            await request(
                 world.machines[name],
                 wire.PULL_INDEX,
                 changing,
@@ -290,13 +292,13 @@
                 after=["", ""],
                 most=10,
             )
-        refused = 0
+        rejected_count = 0
         for name in "abc":
             try:
-                await ask(world.machines[name], wire.TURN_PUT, old, turns=[record("t").to_json()])
-            except RpcError as refusal:
-                refused += refusal.kind == wire.STALE_EPOCH
-        assert refused == 2
+                await request(world.machines[name], wire.TURN_PUT, old_view, turns=[record("t").to_json()])
+            except RpcError as error:
+                rejected_count += error.kind == wire.STALE_EPOCH
+        assert rejected_count == 2
 
     run(scene())
 
@@ -306,7 +308,7 @@
     async def scene():
         world = World(names="abcdef", in_view="abc", delay_s=0.004)
         clients = [world.client(f"s{number}", seed=100 * seed + number) for number in range(3)]
-        kept, granted, stop = [], {}, asyncio.Event()
+        stored, granted, stop = [], {}, asyncio.Event()
 
         async def write(client, number):
             previous, step = None, 0
@@ -315,21 +317,21 @@
                 name = f"{program}.{step}"
                 step += 1
                 await client.store_turn(turn(name, previous, program), 5.0)
-                kept.append((program, name))
+                stored.append((program, name))
                 previous = name
                 try:
-                    held = await client.reserve("shared", f"{name}.r", 7, 700, 5.0)
+                    reservation = await client.reserve("shared", f"{name}.r", 7, 700, 5.0)
                 except BudgetExceededError:
                     continue
-                granted[held.turn_id] = 7
+                granted[reservation.turn_id] = 7
                 if step % 3 == 0:
-                    client.settle(held, 3)
-                    granted[held.turn_id] = 3
+                    client.settle(reservation, 3)
+                    granted[reservation.turn_id] = 3
 
         writers = [asyncio.ensure_future(write(client, number)) for number, client in enumerate(clients)]
         await asyncio.sleep(0.05 + 0.01 * seed)
-        for following in ("bcd", "def", "dea"):
-            await change_view(world, following, pause_s=0.02 * seed)
+        for next_names in ("bcd", "def", "dea"):
+            await change_view(world, next_names, pause_s=0.02 * seed)
             await asyncio.sleep(0.05)
         stop.set()
         await asyncio.gather(*writers)
@@ -339,16 +341,16 @@
             world.machines[name].up = False
         world.machines["ade"[seed % 3]].up = False
         reader = world.client("reader", seed=seed)
-        for program, name in kept:
+        for program, name in stored:
             assert (await reader.read_history(program, name, 2.0)).endswith(f"<{name}>".encode())
         spent = sum(granted.values())
         assert spent <= 700
-        room = 700 - spent
-        if room:
-            await reader.reserve("shared", "last", room, 700, 2.0)
+        remaining = 700 - spent
+        if remaining:
+            await reader.reserve("shared", "last", remaining, 700, 2.0)
         with pytest.raises(BudgetExceededError):
             await reader.reserve("shared", "over", 1, 700, 2.0)
-        assert len(kept) > 10
+        assert len(stored) > 10
 
     run(scene())
 
@@ -398,7 +400,7 @@
         fetched = []
         for name in "abc":
             handlers = world.machines[name].store.handlers
-            handlers[wire.PULL_TURNS] = noting_turns(handlers[wire.PULL_TURNS], fetched)
+            handlers[wire.PULL_TURNS] = recording_turns(handlers[wire.PULL_TURNS], fetched)
         await change_view(world, "bcd")
         assert sorted(fetched) == sorted(turns_of(world.machines["d"]))
         assert len(fetched) == 40
@@ -406,10 +408,10 @@
     run(scene())
 
 
-def noting_turns(handler, fetched):
-    async def note(message):
-        answer = await handler(message)
-        fetched.extend(record.turn for record in TurnsReply.decode(answer).records)
-        return answer
+def recording_turns(handler, fetched):
+    async def record_turns(message):
+        reply = await handler(message)
+        fetched.extend(record.turn for record in TurnsReply.decode(reply).records)
+        return reply
 
-    return note
+    return record_turns
--- a/tests/controlplane/test_store_copy.py
+++ b/tests/controlplane/test_store_copy.py
@@ -1,4 +1,4 @@
-"""The copying of turns for a change of the view: its messages between releases, faults on the way, load on the disk."""
+"""Copying of turns during a view change: messages between releases, faults during the transfer, load on the disk."""
 
 import asyncio
 
@@ -17,8 +17,8 @@
 RETAIN_MS = 60_000
 
 
-async def filled(turns=40, body=EVERY_BYTE):
-    """A world whose stores a, b and c hold `turns` turns, and d none."""
+async def world_with_turns(turns=40, body=EVERY_BYTE):
+    """Return a world whose stores a, b and c hold `turns` turns, and d none."""
     world = World(names="abcd", in_view="abc")
     client = world.client()
     for number in range(turns):
@@ -30,7 +30,7 @@
 
 
 def change(world):
-    """Begin the change in which d takes the place of a."""
+    """Start the view change that replaces a by d."""
     world.machines["a"].up = False
     world.tell(StoreView(world.view.epoch + 1, world.members("abc"), world.members("bcd")))
 
@@ -45,7 +45,7 @@
 
 
 def wrap(world, names, kind, wrapped):
-    """Let `wrapped(handler, message)` answer the requests of `kind` at the machines of `names`."""
+    """Make `wrapped(handler, message)` answer the requests of `kind` at the machines `names`."""
     for name in names:
         handlers = world.machines[name].store.handlers
         handler = handlers[kind]
@@ -54,15 +54,15 @@
 
 def test_bodies_are_copied_exactly_as_raw_bytes():
     async def scene():
-        world = await filled()
+        world = await world_with_turns()
         raw = []
 
-        async def noting(handler, message):
+        async def recording(handler, message):
             answer = await handler(message)
             raw.append("raw" in answer and "turns" not in answer)
             return answer
 
-        wrap(world, "bc", wire.PULL_TURNS, noting)
+        wrap(world, "bc", wire.PULL_TURNS, recording)
         change(world)
         await until_copied(world)
         assert bodies_of(world.machines["d"]) == bodies_of(world.machines["b"])
@@ -74,14 +74,14 @@
 
 def test_source_of_earlier_release_replies_in_json():
     async def scene():
-        world = await filled()
+        world = await world_with_turns()
 
-        async def earlier(handler, message):
+        async def without_raw_bodies(handler, message):
             answer = await handler({key: value for key, value in message.items() if key != "raw_bodies"})
             assert "raw" not in answer
             return answer
 
-        wrap(world, "bc", wire.PULL_TURNS, earlier)
+        wrap(world, "bc", wire.PULL_TURNS, without_raw_bodies)
         change(world)
         await until_copied(world)
         assert bodies_of(world.machines["d"]) == bodies_of(world.machines["b"])
@@ -89,7 +89,7 @@
     run(scene())
 
 
-def cut_short(answer):
+def truncated(answer):
     return {**answer, "raw": answer["raw"][:-1]}
 
 
@@ -97,27 +97,27 @@
     return {key: value for key, value in answer.items() if key != "rows"}
 
 
-def never_asked_for(answer):
+def with_unrequested_turn(answer):
     return {**answer, "rows": [["other", "p", None, 1, 0, len(answer["raw"])]]}
 
 
-@pytest.mark.parametrize("spoil", [cut_short, without_rows, never_asked_for])
+@pytest.mark.parametrize("spoil", [truncated, without_rows, with_unrequested_turn])
 def test_unreadable_reply_is_requested_again(spoil):
     async def scene():
-        world = await filled()
-        spoilt = []
+        world = await world_with_turns()
+        corrupted = []
 
-        async def spoiling(handler, message):
+        async def corrupting(handler, message):
             answer = await handler(message)
-            if len(spoilt) < 4:
-                spoilt.append(1)
+            if len(corrupted) < 4:
+                corrupted.append(1)
                 return spoil(answer)
             return answer
 
-        wrap(world, "bc", wire.PULL_TURNS, spoiling)
+        wrap(world, "bc", wire.PULL_TURNS, corrupting)
         change(world)
         await until_copied(world)
-        assert len(spoilt) == 4
+        assert len(corrupted) == 4
         assert bodies_of(world.machines["d"]) == bodies_of(world.machines["b"])
 
     run(scene())
@@ -127,52 +127,54 @@
     monkeypatch.setattr(turn_copy, "TURNS_PER_REQUEST", 10)
 
     async def scene():
-        world = await filled()
-        asked = []
+        world = await world_with_turns()
+        requested = []
 
-        async def noting(handler, message):
-            asked.extend(turn for turn, _ in message["keys"])
+        async def recording(handler, message):
+            requested.extend(turn for turn, _ in message["keys"])
             answer = await handler(message)
-            if len(asked) == 20:
+            if len(requested) == 20:
                 await asyncio.sleep(3600)
             return answer
 
-        wrap(world, "bc", wire.PULL_TURNS, noting)
+        wrap(world, "bc", wire.PULL_TURNS, recording)
         change(world)
         await world.until(lambda: len(bodies_of(world.machines["d"])) >= 10)
-        kept = {name for name, _, _ in bodies_of(world.machines["d"])}
+        copied = {name for name, _, _ in bodies_of(world.machines["d"])}
         world.machines["d"].sync.stop()
         world.machines["d"].restart()
-        del asked[:]
-        asked.append("of the interrupted copy")
+        del requested[:]
+        requested.append("<interrupted copy>")
         world.tell(StoreView(world.view.epoch + 1, world.members("abc"), world.members("bcd")))
         await until_copied(world)
-        assert kept.isdisjoint(asked)
+        assert copied.isdisjoint(requested)
         assert bodies_of(world.machines["d"]) == bodies_of(world.machines["b"])
 
     run(scene())
 
 
 def test_at_most_one_batch_of_a_copy_waits_for_the_disk(monkeypatch):
-    """A put shares its commit with what waits beside it, so it takes as long as all that."""
+    """A put shares its commit with all other pending writes, so its duration depends on their total size."""
     monkeypatch.setattr(turn_copy, "TURNS_PER_REQUEST", 5)
 
     async def scene():
-        world = await filled(turns=100)
+        world = await world_with_turns(turns=100)
         disk = world.machines["d"].disk
-        transact, waiting, most = disk.transact, [], []
+        transact, pending, batch_counts = disk.transact, [], []
 
         async def slow(work):
-            waiting.append(work)
-            most.append(len([one for one in waiting if "_write_batch" in one.__qualname__]))
+            pending.append(work)
+            batch_counts.append(
+                len([pending_work for pending_work in pending if "_write_batch" in pending_work.__qualname__])
+            )
             await asyncio.sleep(0.05)
-            waiting.remove(work)
+            pending.remove(work)
             return await transact(work)
 
         monkeypatch.setattr(disk, "transact", slow)
         change(world)
         await until_copied(world)
-        assert max(most) == 1
+        assert max(batch_counts) == 1
         assert bodies_of(world.machines["d"]) == bodies_of(world.machines["b"])
 
     run(scene())
@@ -184,7 +186,7 @@
 
 
 class SlowStore:
-    """A store whose disk takes 50 ms for each transaction; `writes`: the turns that each one has written."""
+    """A store whose disk takes 50 ms per transaction; `written`: the turns written by each transaction."""
 
     def __init__(self):
         self.storage = self
@@ -213,7 +215,7 @@
 
     written, took_s = run(scene())
     assert sorted(name for names in written for name in names) == list("abcdef")
-    assert took_s == pytest.approx(0.1)  # the first alone, the other five together
+    assert took_s == pytest.approx(0.1)  # one transaction for the first turn, one for the other five
 
 
 def test_cancelled_writer_leaves_the_turns_of_the_others_to_be_written():
@@ -221,7 +223,7 @@
         store = SlowStore()
         writer = turn_copy.TurnWriter(store)
         tasks = [asyncio.ensure_future(writer.write_fetched(fetched_turn(name))) for name in "abcd"]
-        await asyncio.sleep(0.06)  # `b` writes for all that wait
+        await asyncio.sleep(0.06)  # the call for `b` is writing the turns of all waiting calls
         tasks[1].cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         return [name for names in store.written for name in names], [task.cancelled() for task in tasks]
@@ -235,7 +237,7 @@
     monkeypatch.setattr(turn_transfer, "MAX_BODY_BYTES_PER_REPLY", 1000)
 
     async def scene():
-        world = await filled(turns=20, body=bytes(900))
+        world = await world_with_turns(turns=20, body=bytes(900))
         change(world)
         await until_copied(world)
         assert len(bodies_of(world.machines["d"])) == 20
@@ -244,23 +246,23 @@
 
 
 def test_turns_of_unresponsive_source_are_fetched_from_others():
-    """The source that is asked first, whichever that is, never answers."""
+    """The source that gets the first request never answers, whichever it is."""
 
     async def scene():
-        world = await filled()
-        asked = []
+        world = await world_with_turns()
+        requested = []
 
-        async def silent_if_first(handler, message):
-            asked.append(message["to"])
-            if message["to"] == asked[0]:
+        async def never_answer_if_first(handler, message):
+            requested.append(message["to"])
+            if message["to"] == requested[0]:
                 await asyncio.sleep(3600)
             return await handler(message)
 
-        wrap(world, "bc", wire.PULL_TURNS, silent_if_first)
+        wrap(world, "bc", wire.PULL_TURNS, never_answer_if_first)
         change(world)
         d = world.machines["d"]
         await world.until(lambda: len(bodies_of(d)) == 40)
-        assert len(set(asked)) == 2
+        assert len(set(requested)) == 2
 
     run(scene())
 
@@ -268,7 +270,7 @@
 @pytest.mark.parametrize("held", [0, 3, 200])
 def test_find_missing_of_page_agrees_with_find_missing(held):
     async def scene():
-        world = await filled(turns=held)
+        world = await world_with_turns(turns=held)
         connection = world.machines["b"].disk.connection
         entries = [IndexEntry(f"t{number:04}", f"p{number}", 1) for number in (0, 2, 3, 199, 500)]
         expected = turn_table.find_missing(connection, entries)
--- a/tests/controlplane/test_transfer_messages.py
+++ b/tests/controlplane/test_transfer_messages.py
@@ -1,4 +1,4 @@
-"""The messages by which stores copy from each other, as they go over the wire."""
+"""Wire format of the messages with which stores copy from each other."""
 
 import json
 
@@ -33,7 +33,7 @@
     ),
     (LedgersRequest("m", "p", 500), '{"member": "m", "after": "p", "most": 500}'),
 ]
-ANSWERS = [
+REPLIES = [
     (
         IndexPage(ENTRIES, ("t2", "q")),
         f'{{"type": "store.pulled", "entries": {ENTRIES_TEXT}, "after": ["t2", "q"], "newest": 0}}',
@@ -53,7 +53,7 @@
     assert type(request_).decode(json.loads(text)) == request_
 
 
-@pytest.mark.parametrize(("answer", "text"), ANSWERS, ids=lambda value: type(value).__name__)
+@pytest.mark.parametrize(("answer", "text"), REPLIES, ids=lambda value: type(value).__name__)
 def test_reply_round_trips_through_recorded_text(answer, text):
     assert json.dumps(answer.encode()) == text
     assert type(answer).decode(json.loads(text)) == answer
