--- a/dewpin/controlplane/platform_list_reader.py
+++ b/dewpin/controlplane/platform_list_reader.py
@@ -65,7 +65,7 @@
         return self.period_s if is_assigned else STALE_AFTER_PERIODS * self.period_s
 
     def apply_update(self, version: DirectoryVersion, receivers: Iterable[Receiver], read_at_s: float) -> bool:
-        """Merge the directory of another process, read at `read_at_s`; return whether it is newer than the own one."""
+        """Merge the directory of another process, read at `read_at_s`; return whether it is newer than this one."""
         if not self.directory.apply_update(version, receivers):
             return False
         self._read_at_s = read_at_s
