--- a/tests/controlplane/test_state_freshness_random.py
+++ b/tests/controlplane/test_state_freshness_random.py
@@ -73,7 +73,7 @@
         for task in tasks:
             task.cancel()
         await fleet.until(lambda: all(self.is_up_to_date(number) for number in fleet.agents), 6.0)
-        assert fleet.went_back == []
+        assert fleet.regressed_senders == []
         await fleet.stop()
         return self.observer
 
