--- a/dewpin/dataplane/programs/__init__.py
+++ b/dewpin/dataplane/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Conversation state of agent programs: the client of the stores' turns and budget ledgers."""
+"""Conversation state of agent programs: the store client for turns and budget ledgers."""
--- a/dewpin/dataplane/programs/errors.py
+++ b/dewpin/dataplane/programs/errors.py
@@ -1,7 +1,7 @@
-"""The errors that the client of the stores raises.
+"""Exceptions of the store client.
 
-A `ProgramStoreError` is a `TierError`: the request handler makes a response of it through the table of
-`dewpin.cluster.errors`. A `StaleViewError` stays within this package.
+A `ProgramStoreError` is a `TierError`, which the request handler maps to a response through the table in
+`dewpin.cluster.errors`. A `StaleViewError` does not leave this package.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 
 
 class ProgramStoreError(TierError):
-    """Base of the errors of a `ProgramStore`; `detail` says which limit or which turn is concerned."""
+    """Base class of the exceptions of a `ProgramStore`; `detail` names the limit or the turn concerned."""
 
 
 class BudgetExceededError(ProgramStoreError):
-    """The budget of the program does not have room for the most tokens that this turn may generate."""
+    """The remaining budget of the program is less than the maximum number of tokens that this turn may generate."""
 
     def __init__(self, detail: str = "") -> None:
         super().__init__(ErrorKind.BUDGET_SPENT, detail)
 
 
 class TurnNotFoundError(ProgramStoreError):
-    """It is certain that no such turn is stored."""
+    """The turn is certainly not stored."""
 
     def __init__(self, detail: str = "") -> None:
         super().__init__(ErrorKind.TURN_UNKNOWN, detail)
 
 
 class StoreUnavailableError(ProgramStoreError):
-    """Too few stores replied in time; whether the operation took effect is unknown."""
+    """Too few stores replied before the time-out; it is unknown whether the operation took effect."""
 
     def __init__(self, detail: str = "") -> None:
         super().__init__(ErrorKind.STORE_UNAVAILABLE, detail)
 
 
 class StaleViewError(DataplaneError):
-    """A newer store view is known: what was started under the older one has to be started again."""
+    """A newer store view is known; an operation that was started under the older view must be restarted."""
--- a/dewpin/dataplane/programs/history_cache.py
+++ b/dewpin/dataplane/programs/history_cache.py
@@ -1,4 +1,4 @@
-"""A cache of turns that are known to be durable, limited by size and age; all threads of a sender use it."""
+"""A thread-safe cache of durable turns, limited by size and age; shared by all threads of a sender."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 DEFAULT_MAX_BYTES = 8 * 1024 * 1024
 _ENTRY_OVERHEAD_BYTES = 300
-"""Approximate memory of an entry besides its content."""
+"""Approximate memory overhead of an entry in addition to its content."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachedTurn:
-    """One turn of a conversation. It never becomes outdated, since turns are immutable.
+    """One turn of a conversation. Turns are immutable, so a cached turn never becomes stale.
 
-    previous_id: the turn that it continues, None for the first of a conversation.
-    content: input and output joined.
+    previous_id: id of the turn that it continues; None for the first turn of a conversation.
+    content: the concatenated input and output.
     """
 
     previous_id: str | None
@@ -26,9 +26,9 @@
 
 
 class HistoryCache:
-    """The most recently used turns, by program and turn id.
+    """LRU cache of turns, keyed by program and turn id.
 
-    Invariant: `_size_bytes` is the sum over all entries of content and `_ENTRY_OVERHEAD_BYTES`.
+    Invariant: `_size_bytes` is the sum of `len(content) + _ENTRY_OVERHEAD_BYTES` over all entries.
     """
 
     def __init__(self, max_bytes: int = DEFAULT_MAX_BYTES, clock_s: Callable[[], float] = time.monotonic) -> None:
@@ -39,7 +39,7 @@
         self._lock = threading.Lock()
 
     def put(self, program: str, turn_id: str, turn: CachedTurn, max_age_s: float) -> None:
-        """Add a turn that a majority of the program's replicas has stored, for at most `max_age_s`."""
+        """Cache a turn, which a majority of the program's replicas must have stored, for at most `max_age_s`."""
         with self._lock:
             self._remove((program, turn_id))
             self._entries[(program, turn_id)] = (turn, self._clock_s() + max_age_s)
@@ -48,7 +48,7 @@
                 self._remove(next(iter(self._entries)))
 
     def get(self, program: str, turn_id: str) -> CachedTurn | None:
-        """Return a turn, or None where it is not cached or has expired."""
+        """Return a cached turn; None if it is not cached or has expired."""
         with self._lock:
             entry = self._entries.get((program, turn_id))
             if entry is None:
@@ -61,7 +61,7 @@
             return turn
 
     def complete_history(self, program: str, last_turn_id: str) -> bytes | None:
-        """Return the conversation that ends with a turn, oldest turn first; None if any turn of it is not cached."""
+        """Return the conversation up to a turn, oldest turn first; None unless all of its turns are cached."""
         contents: list[bytes] = []
         turn_id: str | None = last_turn_id
         while turn_id is not None:
--- a/dewpin/dataplane/programs/ledger.py
+++ b/dewpin/dataplane/programs/ledger.py
@@ -1,6 +1,7 @@
-"""The budget ledger of a program: the value of its register, and the changes to it, as pure functions.
+"""The budget ledger of a program: the value of its register and the pure functions that change it.
 
-The turn's id makes each change idempotent: made again after an unclear outcome, it finds that it is made already.
+Each change is idempotent, because it is identified by the turn's id: repeated after an unknown outcome, it has no
+further effect.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 
 
 class Ledger(TypedDict):
-    """A program's tokens. The keys are those of the messages to the stores and of their database.
+    """A program's token counts. The keys are part of the store protocol and of the stores' database schema.
 
     spent: tokens used by settled turns.
-    open: the reserved tokens of each turn that is not settled, by turn id.
+    open: tokens reserved for each turn that is not settled, by turn id.
     """
 
     spent: int
@@ -23,23 +24,23 @@
 
 
 Change = Callable[[Ledger | None], Ledger | None]
-"""Maps the current value (None before the first change) to the next one; the same object stands for no change."""
+"""Maps the current value (None before the first change) to the next one; returns the same object for no change."""
 
 
 def committed_tokens(ledger: Ledger | None) -> int:
-    """Return the tokens that are spent or may yet be."""
+    """Return the number of tokens that are spent or reserved."""
     return 0 if ledger is None else ledger["spent"] + sum(ledger["open"].values())
 
 
 def can_reserve(ledger: Ledger | None, turn_id: str, max_tokens: int, budget: int) -> bool:
-    """Return whether the budget has room for `max_tokens` more, or they are reserved for the turn already."""
+    """Return whether the remaining budget allows `max_tokens`, or tokens are already reserved for the turn."""
     if ledger is not None and turn_id in ledger["open"]:
         return True
     return committed_tokens(ledger) + max_tokens <= budget
 
 
 def reserve(turn_id: str, max_tokens: int, budget: int) -> Change:
-    """Return the change that reserves `max_tokens` for a turn; it raises BudgetExceededError."""
+    """Create a change that reserves `max_tokens` for a turn; it raises BudgetExceededError."""
 
     def change(ledger: Ledger | None) -> Ledger | None:
         if ledger is not None and turn_id in ledger["open"]:
@@ -55,19 +56,19 @@
 
 
 def settle(turn_id: str, used_tokens: int) -> Change:
-    """Return the change that replaces the reservation of a turn by the tokens that it used."""
+    """Create a change that replaces the reservation of a turn by the tokens that it used."""
 
     def change(ledger: Ledger | None) -> Ledger | None:
         if ledger is None or turn_id not in ledger["open"]:
             return ledger
-        still_open = {other: reserved for other, reserved in ledger["open"].items() if other != turn_id}
-        return Ledger(spent=ledger["spent"] + used_tokens, open=still_open)
+        remaining = {other: reserved for other, reserved in ledger["open"].items() if other != turn_id}
+        return Ledger(spent=ledger["spent"] + used_tokens, open=remaining)
 
     return change
 
 
 def settle_then(used_by_turn: Mapping[str, int], change: Change) -> Change:
-    """Return the change that first settles the given turns and then makes `change`."""
+    """Create a change that settles the given turns before it applies `change`."""
     settlements = [settle(turn_id, used_tokens) for turn_id, used_tokens in used_by_turn.items()]
 
     def combined(ledger: Ledger | None) -> Ledger | None:
@@ -79,5 +80,5 @@
 
 
 def read(ledger: Ledger | None) -> Ledger | None:
-    """Change nothing: a read, which completes a change that another sender left unfinished."""
+    """Return the ledger unchanged: the change of a read, which completes an unfinished change of another sender."""
     return ledger
--- a/dewpin/dataplane/programs/ledger_ballot.py
+++ b/dewpin/dataplane/programs/ledger_ballot.py
@@ -1,7 +1,8 @@
-"""Ballots for budget ledgers: which replica of a program is asked what, and what is promised for the next ballot.
+"""Ballots for budget ledgers: the requests to each replica of a program, and the promises for the next ballot.
 
-A ledger is the value of a register (CASPaxos) for each program, over the program's replicas. A sender whose value is
-chosen is promised its next ballot along with it, so that its next change of the same program skips the prepare phase.
+The ledger of a program is the value of a CASPaxos register on the program's replicas. A replica that accepts a sender's
+value also promises the sender's next ballot, so that the sender's next change of the same ledger skips the prepare
+phase.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 from dewpin.dataplane.programs.ledger import Ledger
 
 MAX_PROMISES = 4000
-"""Number of programs whose promise is remembered."""
+"""Maximum number of programs for which a promise is kept."""
 
 ReplicaSet = frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class _Promise:
-    """What the replicas of a program have promised this sender.
+    """A promise of a program's replicas to this sender.
 
-    epoch: the store view under which they did.
-    ballot: the ballot that they promised for the next change.
-    value: the ledger as this sender has last seen it chosen.
+    epoch: epoch of the store view under which it was given.
+    ballot: the promised ballot, to be used by the next change.
+    value: the last chosen ledger that this sender has seen.
     value_ballot: the ballot under which that value was accepted.
     """
 
@@ -42,7 +43,7 @@
 
 
 def ledger_reply(message: Message) -> Reply:
-    """Return a replica's reply to a prepare or an accept; raises MalformedMessageError."""
+    """Decode a replica's reply to a prepare or accept request; raises MalformedMessageError."""
     try:
         return decode_reply(message)
     except (KeyError, TypeError, ValueError) as error:
@@ -50,11 +51,11 @@
 
 
 class LedgerBallot:
-    """One ballot for the ledger of a program, under one store view. It does no I/O.
+    """One ballot for the ledger of a program under one store view, without I/O.
 
-    quorum_sets: the replica sets that each have to give a majority.
+    quorum_sets: the replica sets, of each of which a majority is required.
     proposal: the state machine of the proposer.
-    next_ballot: the ballot that is to be promised along with the accept.
+    next_ballot: the ballot to be promised by the replicas that accept.
     """
 
     def __init__(
@@ -72,16 +73,16 @@
         self.next_ballot = next_ballot
 
     def start(self) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
-        """Return the first requests, by member; none where a promise makes a read unnecessary: it has ended then."""
+        """Return the first requests, by member; empty if a promise makes a read unnecessary, which ends the ballot."""
         return self._by_member(self.proposal.start())
 
     def receive(self, member: str, reply: Reply) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
-        """Process a replica's reply; return the requests that follow, by member."""
+        """Process a replica's reply; return the resulting requests, by member."""
         return self._by_member(self.proposal.receive(member, reply))
 
     @property
     def has_ended(self) -> bool:
-        """Whether its outcome is known."""
+        """Whether the outcome is known."""
         return self.proposal.result is not None
 
     def _by_member(self, requests: Iterable[Request]) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
@@ -89,9 +90,9 @@
 
 
 class PiggybackedBallot:
-    """A ballot whose requests are sent along with another write to the same replicas.
+    """A ballot whose accept requests are piggybacked on another write to the same replicas.
 
-    It begins with its accept phase, so it needs a promise.
+    It starts with the accept phase and therefore requires a promise.
     """
 
     def __init__(self, ballot: LedgerBallot) -> None:
@@ -101,7 +102,7 @@
         }
 
     def accept_for(self, member: str, view: StoreView) -> LedgerAcceptRequest | None:
-        """Return what a write under `view` takes along to a member; None if the ballot is of another view."""
+        """Return the request to piggyback on a write to a member; None if the ballot is of another view than `view`."""
         return self._accepts.get(member) if view.epoch == self._ballot.view.epoch else None
 
     def receive(self, member: str, reply: Reply) -> None:
@@ -110,9 +111,9 @@
 
 
 class LedgerProposer:
-    """Numbers the ballots of one sender and remembers what the replicas have promised it.
+    """Numbers the ballots of one sender and keeps the promises that it received.
 
-    Invariant: `_counter` is at least that of each ballot that this sender has used or heard of.
+    Invariant: `_counter` is at least the counter of each ballot that this sender has used or learned of.
     """
 
     def __init__(self, replica_count: int, proposer_id: str, wall_clock_ms: Callable[[], int]) -> None:
@@ -123,16 +124,16 @@
         self._promises: OrderedDict[str, _Promise] = OrderedDict()
 
     def has_promise(self, program: str, view: StoreView) -> bool:
-        """Return whether the next change of a program can skip the prepare phase."""
+        """Return whether the next change of a program's ledger can skip the prepare phase."""
         promise = self._promises.get(program)
         return promise is not None and promise.epoch == view.epoch
 
     def forget_promise(self, program: str) -> None:
-        """Let the next ballot of a program begin with the prepare phase."""
+        """Drop the promise for a program, so that its next ballot starts with the prepare phase."""
         self._promises.pop(program, None)
 
     def begin_ballot(self, program: str, view: StoreView, change: ledger.Change) -> LedgerBallot:
-        """Return the next ballot, which uses up the promise of the last one."""
+        """Create the next ballot for a program; it consumes the promise of the previous one."""
         promise = self._promises.pop(program, None)
         if promise is not None and promise.epoch != view.epoch:
             promise = None
@@ -151,31 +152,31 @@
         return LedgerBallot(program, view, quorum_sets, proposal, next_ballot)
 
     def end_ballot(self, ballot: LedgerBallot) -> Result | None:
-        """Return how a ballot ended, None if that is unknown; remember the promise that comes with the result."""
+        """Return the result of a ballot, None if it is unknown; keep the promise that was given with the result."""
         result = ballot.proposal.result
         if result is None:
             return None
         self._counter = max(self._counter, result.ballot.counter)
         epoch, number = ballot.view.epoch, ballot.proposal.ballot
         if result.outcome in (Outcome.CHOSEN, Outcome.CONFIRMED):
-            self._remember(ballot.program, _Promise(epoch, ballot.next_ballot, result.value, number))
+            self._keep_promise(ballot.program, _Promise(epoch, ballot.next_ballot, result.value, number))
         elif result.outcome is Outcome.UNCHANGED:
-            self._remember(ballot.program, _Promise(epoch, number, result.value, result.ballot))
+            self._keep_promise(ballot.program, _Promise(epoch, number, result.value, result.ballot))
         return result
 
     def _new_ballot(self) -> Ballot:
-        """Return a ballot above all that this sender has used or heard of."""
+        """Create a ballot above all that this sender has used or learned of."""
         self._counter = max(self._counter + 1, self._wall_clock_ms())
         return Ballot(self._counter, self._proposer_id)
 
-    def _remember(self, program: str, promise: _Promise) -> None:
+    def _keep_promise(self, program: str, promise: _Promise) -> None:
         self._promises[program] = promise
         while len(self._promises) > MAX_PROMISES:
             self._promises.popitem(last=False)
 
 
 def _to_store_request(request: Request, program: str) -> LedgerPrepareRequest | LedgerAcceptRequest:
-    """Return the message to a store that contains a proposal's request."""
+    """Convert a request of a proposal to the message to a store."""
     body = request.body
     if isinstance(body, Accept):
         return LedgerAcceptRequest(program, body.ballot, body.value, body.next_ballot)
--- a/dewpin/dataplane/programs/ledger_client.py
+++ b/dewpin/dataplane/programs/ledger_client.py
@@ -1,4 +1,4 @@
-"""A sender's access to budget ledgers: a compare-and-swap register for each program, over the program's replicas."""
+"""Reads and changes budget ledgers: one compare-and-swap register per program, replicated over its stores."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 from dewpin.dataplane.programs.timeouts import run_with_timeout
 
 SETTLEMENT_TIMEOUT_S = 60.0
-"""For how long a settlement is retried; after that the whole reservation counts as used for good."""
+"""How long a settlement is retried; after this time the whole reservation permanently counts as used."""
 FIRST_BACKOFF_S = 0.005
 MAX_BACKOFF_S = 0.1
 _OUTCOMES_WITH_CHANGE_MADE = (Outcome.CHOSEN, Outcome.UNCHANGED)
-"""The change is made, and the ledger's value is known."""
+"""Outcomes after which the change has been made and the ledger's value is known."""
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
 class _ProgramLock:
-    """Serializes the changes that this sender makes to one program's ledger; dropped once it has no users."""
+    """Serializes this sender's changes to the ledger of one program; removed once it has no users."""
 
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     users: int = 0
 
 
 class LedgerClient:
-    """Changes ledgers, under ballots of one sender (`proposer_id`); each program lives on `replica_count` stores.
+    """Reads and changes ledgers with ballots of one sender (`proposer_id`); each program has `replica_count` replicas.
 
-    `_pending_settlements` has the tokens used by each turn that is not settled yet, by program and turn id. The next
-    change of the program settles all of them, whichever change that is.
+    `_pending_settlements` holds the tokens used by each turn that is still to be settled, by program and turn id. The
+    next change of the program's ledger settles all of them, whatever its purpose.
     """
 
     def __init__(
@@ -66,28 +66,28 @@
         self._pending_settlements: dict[str, dict[str, int]] = {}
 
     async def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError, StoreUnavailableError."""
+        """Reserve tokens of the program's budget for a turn; raises BudgetExceededError or StoreUnavailableError."""
         reservation = Reservation(program, turn_id, max_tokens)
         try:
             await run_with_timeout(self._reserve(program, turn_id, max_tokens, budget), timeout_s)
         except BudgetExceededError:
             raise
-        except BaseException:  # the reservation may have been made, but its turn does not run: give it back
+        except BaseException:  # the reservation may have been made although the turn will not run: release it
             self.settle(reservation, 0)
             raise
         return reservation
 
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
-        """Replace a reservation by the tokens that were used, in the background or with the program's next change."""
+        """Replace a reservation by the tokens used, in the background or with the program's next ledger change."""
         self._pending_settlements.setdefault(reservation.program, {})[reservation.turn_id] = used_tokens
         self._background.start(self._settle(reservation))
 
     @contextlib.asynccontextmanager
     async def piggybacked_settlement(self, settlement: Settlement | None) -> AsyncIterator[PiggybackedBallot | None]:
-        """Provide a ballot that settles, to be sent along with a write to the program's replicas.
+        """Provide a ballot that makes the settlement, to be piggybacked on a write to the program's replicas.
 
-        None where there is nothing to settle or the ballot cannot be sent along. What is not settled when the block
-        ends is settled in the background.
+        Provides None if there is no settlement or the ballot cannot be piggybacked. A settlement that is still pending
+        at the end of the block is made in the background.
         """
         if settlement is None:
             yield None
@@ -103,7 +103,7 @@
 
     @contextlib.asynccontextmanager
     async def _piggybacked_ballot(self, program: str) -> AsyncIterator[PiggybackedBallot | None]:
-        """Provide a ballot that begins with its accept phase; None without a promise, or during another change."""
+        """Provide a ballot that starts with the accept phase; None without a promise or during another change."""
         view = self._views.newest
         if view is None or program in self._locks or not self._proposer.has_promise(program, view):
             yield None
@@ -119,9 +119,9 @@
                     self._forget_settlements(program, settlements)
 
     async def read(self, program: str) -> Ledger | None:
-        """Return the ledger as a majority has it; a change that another sender left unfinished is completed.
+        """Read the ledger from a majority; this completes an unfinished change of another sender.
 
-        A remembered promise would answer with the value that this sender has seen last: the read asks the replicas.
+        The read drops the kept promise first: it would yield the value last seen by this sender, which may be outdated.
         """
         async with self._locked(program):
             self._proposer.forget_promise(program)
@@ -132,9 +132,9 @@
             try:
                 await self.change(program, ledger.reserve(turn_id, max_tokens, budget))
                 return
-            except BudgetExceededError:  # the value may be one that was never chosen: only a read proves it
-                proven = await self.read(program)
-                if not ledger.can_reserve(proven, turn_id, max_tokens, budget):
+            except BudgetExceededError:  # the value may never have been chosen: only a read confirms it
+                confirmed = await self.read(program)
+                if not ledger.can_reserve(confirmed, turn_id, max_tokens, budget):
                     raise
 
     async def _settle(self, reservation: Reservation) -> None:
@@ -147,7 +147,7 @@
             self._forget_settlements(program, [turn_id])
 
     def _forget_settlements(self, program: str, turn_ids: Iterable[str]) -> None:
-        """Remove settlements that are made, or given up."""
+        """Remove settlements that were made or abandoned."""
         pending = self._pending_settlements.get(program, {})
         for turn_id in turn_ids:
             pending.pop(turn_id, None)
@@ -155,9 +155,9 @@
             self._pending_settlements.pop(program, None)
 
     async def change(self, program: str, change: ledger.Change, only_if_unsettled: str | None = None) -> Ledger | None:
-        """Make a change of the program's ledger, in as many ballots as it takes; return the chosen value.
+        """Change the program's ledger, with as many ballots as necessary; return the chosen value.
 
-        With `only_if_unsettled`, a turn id, nothing is done if an earlier change has settled that turn.
+        If `only_if_unsettled` is a turn id, nothing is done if an earlier change has already settled that turn.
         """
         async with self._locked(program):
             pending = self._pending_settlements.get(program, {})
@@ -167,7 +167,7 @@
 
     @contextlib.asynccontextmanager
     async def _locked(self, program: str) -> AsyncIterator[None]:
-        """Keep the other changes that this sender makes to a program's ledger waiting."""
+        """Hold the lock that serializes this sender's changes to a program's ledger."""
         lock = self._locks.setdefault(program, _ProgramLock())
         lock.users += 1
         try:
@@ -194,21 +194,21 @@
                 return value
             if result is not None and result.outcome is Outcome.CONFIRMED:
                 continue
-            if result is not None and had_promise:  # another sender changed the ledger since: no reason to back off yet
+            if result is not None and had_promise:  # another sender has changed the ledger: retry without backoff once
                 continue
             await asyncio.sleep(backoff_s * (0.5 + self._rng.random()))
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _run_ballot(self, program: str, view: StoreView, change: ledger.Change) -> Result | None:
-        """Run one ballot; None if its outcome is unknown."""
+        """Run one ballot and return its result; None if the outcome is unknown."""
         ballot = self._proposer.begin_ballot(program, view, change)
         await self._exchange_messages(ballot)
         return self._proposer.end_ballot(ballot)
 
     async def _exchange_messages(self, ballot: LedgerBallot) -> None:
-        """Send the ballot's requests and pass the replies to it, until it ends or no further reply can come."""
-        until_s = asyncio.get_running_loop().time() + SETTLEMENT_TIMEOUT_S
-        with QuorumRound(self._calls, ballot.view, ledger_reply, ballot.quorum_sets, until_s) as quorum_round:
+        """Exchange messages with the replicas until the ballot ends or no further reply is possible."""
+        deadline_s = asyncio.get_running_loop().time() + SETTLEMENT_TIMEOUT_S
+        with QuorumRound(self._calls, ballot.view, ledger_reply, ballot.quorum_sets, deadline_s) as quorum_round:
             quorum_round.ask(ballot.start())
             while not ballot.has_ended and quorum_round.may_get_replies:
                 reply = await quorum_round.next_reply()
--- a/dewpin/dataplane/programs/program_store.py
+++ b/dewpin/dataplane/programs/program_store.py
@@ -1,6 +1,6 @@
-"""What the request path needs of the stores: budgets and turns of agent programs.
+"""Interface of the request path to the stores: budgets and turns of agent programs.
 
-`ProgramStore` is a blocking interface that request threads call. Its errors are those of
+`ProgramStore` is a blocking interface for request threads. Its exceptions are defined in
 `dewpin.dataplane.programs.errors`.
 """
 
@@ -10,11 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Tokens that are reserved for one turn in its program's budget.
+    """Tokens of a program's budget that are reserved for one turn.
 
     program: id of the agent program.
-    turn_id: id of the turn, which makes reserving and settling idempotent.
-    max_tokens: the most tokens that the turn may generate.
+    turn_id: id of the turn, by which reserving and settling are idempotent.
+    max_tokens: maximum number of tokens that the turn may generate.
     """
 
     program: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settlement:
-    """The end of a reservation: how many of its tokens the client received."""
+    """The end of a reservation; `used_tokens` is the number of tokens that the client received."""
 
     reservation: Reservation
     used_tokens: int
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TurnStart:
-    """What a turn that continues a conversation needs before it is forwarded.
+    """The result of beginning a turn that continues a conversation.
 
-    history: the conversation so far, as `ProgramStore.read_history` returns it.
+    history: the conversation so far, as returned by `ProgramStore.read_history`.
     """
 
     reservation: Reservation
@@ -43,11 +43,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """A turn that is complete.
+    """A complete turn.
 
-    previous_id: the turn that this one continues, None for the first of a conversation.
-    output: the data of each event, each followed by a line feed.
-    retain_s: for how long the stores have to keep the turn.
+    previous_id: id of the turn that this one continues; None for the first turn of a conversation.
+    output: the data of all events, each followed by a line feed.
+    retain_s: how long the stores must retain the turn.
     """
 
     id: str
@@ -59,13 +59,13 @@
 
 
 class ProgramStore(Protocol):
-    """Budgets and turns. Every method may be called from any thread.
+    """Thread-safe access to budgets and turns.
 
-    Budgets and numbers of tokens are whole tokens. `timeout_s` limits how long a method waits for the stores.
+    Budgets are in tokens. `timeout_s` limits how long a method waits for the stores.
     """
 
     def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve the most tokens that a turn may generate, before it is forwarded.
+        """Reserve the maximum number of tokens that a turn may generate, before it is forwarded.
 
         Raises BudgetExceededError or StoreUnavailableError.
         """
@@ -73,10 +73,10 @@
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
         """Replace a reservation by the tokens that the client received.
 
-        Returns at once; retried in the background."""
+        Returns immediately; the settlement is made, and retried, in the background."""
 
     def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
-        """Return input and output of each turn up to `previous_id`, oldest first.
+        """Return the concatenated input and output of all turns up to `previous_id`, oldest first.
 
         Raises TurnNotFoundError or StoreUnavailableError.
         """
@@ -84,13 +84,13 @@
     def begin_turn(
         self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
     ) -> TurnStart:
-        """Reserve and read the conversation history concurrently.
+        """Reserve tokens and read the conversation history concurrently.
 
-        Raises what either of them raises; the reservation is given back then.
+        Raises the exceptions of both operations; the reservation is released in that case.
         """
 
     def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Store a turn, which is durable when this returns; raises StoreUnavailableError.
+        """Store a turn durably; raises StoreUnavailableError.
 
-        The settlement is sent along and retried in the background, whether the turn is stored or not.
+        The settlement is sent with the turn and retried in the background, even if the turn cannot be stored.
         """
--- a/dewpin/dataplane/programs/quorum_round.py
+++ b/dewpin/dataplane/programs/quorum_round.py
@@ -1,9 +1,9 @@
-"""A round of calls that asks no more replicas than a quorum needs, and the others once that takes too long.
+"""A round of calls to the replicas required for a quorum, with hedged requests to the others after a delay.
 
-Of each replica set the nearest majority is asked first, and beside it the replicas that are due for a probe. The others
-are asked (hedged requests) as soon as one of the first fails or takes longer than the slowest of them usually does. To
-the protocol, a request that is never made is like one that the network lost, so what holds for a round that asks all
-replicas holds for this one.
+The nearest majority of each replica set is asked first, together with the replicas that are due for a probe. The others
+are sent hedged requests as soon as a call to one of the first fails, or when the hedge delay, a multiple of the latency
+of the slowest of them, has passed. For the protocol, a request that is never sent is equivalent to one that the network
+lost, so the guarantees of a round that asks all replicas apply to this one, too.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from dewpin.dataplane.programs.replica_calls import ReplicaCalls, ReplicaReply, ReplicaRound
 
 HEDGE_LATENCY_FACTOR = 3.0
-"""The others are asked after so many times the latency of the slowest replica that was asked."""
+"""The hedge delay is the expected latency of the slowest replica asked first, multiplied by this factor."""
 MIN_HEDGE_DELAY_S = 0.02
 MAX_HEDGE_DELAY_S = 0.2
 
@@ -28,14 +28,14 @@
 
 
 class QuorumRound(Generic[Content]):
-    """Asks the nearest majorities of the quorum sets, and then the other members; a context manager.
+    """Context manager that asks the nearest majorities of the quorum sets first and the other members later.
 
-    calls, view, decode, continues_after_end: as of `ReplicaRound`.
-    quorum_sets: the replica sets of which a majority each is wanted.
-    until_s: end of all retries, by the loop's clock.
-    replica_round: the calls themselves; it ends with the block.
+    calls, view, decode, continues_after_end: see `ReplicaRound`.
+    quorum_sets: the replica sets, of each of which a majority is required.
+    deadline_s: when retries end, in seconds of the loop's clock.
+    replica_round: the underlying calls; it ends with the block.
 
-    Invariant: `_deferred` holds the requests of the last `ask` that were not sent to anybody yet.
+    Invariant: `_deferred` holds the requests of the last `ask` that have not been sent.
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         view: StoreView,
         decode: Callable[[Message], Content],
         quorum_sets: Sequence[ReplicaSet],
-        until_s: float,
+        deadline_s: float,
         continues_after_end: bool = False,
     ) -> None:
         self.replica_round = ReplicaRound(calls, view, decode, self._ask_deferred, continues_after_end)
         self._health = calls.health
         self._quorum_sets = quorum_sets
         self._members: frozenset[str] = frozenset().union(*quorum_sets)
-        self._until_s = until_s
+        self._deadline_s = deadline_s
         self._deferred: Mapping[str, SenderRequest] = {}
         self._awaited: set[str] = set()
         self._hedge_at_s = 0.0
@@ -65,39 +65,39 @@
 
     @property
     def may_get_replies(self) -> bool:
-        """Whether a further reply may come."""
+        """Whether further replies are possible."""
         return bool(self.replica_round.unanswered or self._deferred)
 
     def ask(self, requests: Mapping[str, SenderRequest]) -> None:
-        """Send requests, by member id, to the nearest members; the deferred ones of the last call are dropped."""
+        """Send requests, by member id, to the nearest members first; drop those deferred by the previous call."""
         if not requests:
             return
         now_s = asyncio.get_running_loop().time()
         ranked = self._health.nearest_first(self.replica_round.view, self._members, now_s)
-        nearest = nearest_majorities(self._quorum_sets, ranked)
-        probed = self._health.claim_due_probes(requests.keys() - nearest, now_s)
-        first = {member: request for member, request in requests.items() if member in nearest or member in probed}
+        preferred = nearest_majorities(self._quorum_sets, ranked)
+        probed = self._health.claim_due_probes(requests.keys() - preferred, now_s)
+        first = {member: request for member, request in requests.items() if member in preferred or member in probed}
         self._deferred = {member: request for member, request in requests.items() if member not in first}
-        latency_s = max((self._health.expected_latency_s(member, now_s) for member in nearest), default=0.0)
+        latency_s = max((self._health.expected_latency_s(member, now_s) for member in preferred), default=0.0)
         delay_s = min(MAX_HEDGE_DELAY_S, max(MIN_HEDGE_DELAY_S, HEDGE_LATENCY_FACTOR * latency_s))
         self._hedge_at_s = now_s + delay_s
-        self._awaited = set(nearest)
+        self._awaited = set(preferred)
         self._send(first)
 
     async def next_reply(self) -> ReplicaReply[Content]:
-        """Return the next reply. Raises StaleViewError once any member is known to have a newer view."""
+        """Wait for the next reply; raises StaleViewError once a newer view is known."""
         if self._deferred and self.replica_round.unanswered:
             try:
                 async with asyncio.timeout_at(self._hedge_at_s):
-                    return self._checked(await self.replica_round.next_reply())
+                    return self._hedge_if_failed(await self.replica_round.next_reply())
             except TimeoutError:
                 for member in self._awaited:
                     self._health.record_failure(member, self._hedge_at_s)
         self._ask_deferred()
-        return self._checked(await self.replica_round.next_reply())
+        return self._hedge_if_failed(await self.replica_round.next_reply())
 
-    def _checked(self, reply: ReplicaReply[Content]) -> ReplicaReply[Content]:
-        """Return the reply, after asking the other members if it stands for a failure."""
+    def _hedge_if_failed(self, reply: ReplicaReply[Content]) -> ReplicaReply[Content]:
+        """Return the reply; send the deferred requests first if the call failed."""
         self._awaited.discard(reply.member)
         if reply.content is None:
             self._ask_deferred()
@@ -110,11 +110,11 @@
 
     def _send(self, requests: Mapping[str, SenderRequest]) -> None:
         for member, request in requests.items():
-            self.replica_round.ask([member], request, self._until_s)
+            self.replica_round.ask([member], request, self._deadline_s)
 
 
 def nearest_majorities(quorum_sets: Sequence[ReplicaSet], ranked: Sequence[str]) -> Collection[str]:
-    """Return members that make a majority of each set, chosen by their rank; the sets share as many as they can."""
+    """Choose the highest-ranked members that form a majority of each set; members of several sets count for each."""
     chosen: set[str] = set()
     for members in quorum_sets:
         missing = majority(len(members)) - len(chosen & members)
--- a/dewpin/dataplane/programs/replica_calls.py
+++ b/dewpin/dataplane/programs/replica_calls.py
@@ -1,8 +1,8 @@
-"""Calls of a sender to the replicas of a program: concurrent, each retried while its reply is of use.
+"""Concurrent calls of a sender to the replicas of a program, each retried while its reply is needed.
 
-The owner of a `ReplicaRound` chooses which members to ask (see `quorum_round`) and when it has enough replies. The
-round delivers replies as they arrive. With `continues_after_end`, the calls that are unanswered when the owner is done
-continue in the background, so that a slow replica neither delays the owner nor misses the record.
+The owner of a `ReplicaRound` decides which members to ask (see `quorum_round`) and when it has enough replies. The
+round delivers replies as they arrive. With `continues_after_end`, calls that are unanswered at the end of the round
+continue in the background, so that a slow replica neither delays the owner nor misses the write.
 """
 
 from __future__ import annotations
@@ -28,26 +28,26 @@
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 1.0
 MALFORMED_REPLY = "malformed_answer"
-"""Kind of the RpcError that stands for a reply that cannot be decoded."""
+"""Kind of the RpcError for a reply that cannot be decoded."""
 
 log = logging.getLogger(__name__)
 Content = TypeVar("Content")
-"""What the decoded reply of a round is."""
+"""Type of the decoded replies of a round."""
 
 
 class RpcCaller(Protocol):
-    """The part of an RpcClient that is needed here."""
+    """The interface of `RpcClient` that this module uses."""
 
     async def call(self, address: str, message: Message, timeout_s: float) -> Message:
-        """Return the reply; raises RpcError."""
+        """Send a request and return the reply; raises RpcError."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaReply(Generic[Content]):
-    """How the call to one member ended.
+    """The result of a call to one member.
 
-    content: the decoded reply, None if the call failed for good.
-    has_newer_view: whether it failed because a newer store view is known.
+    content: the decoded reply; None if the call failed permanently.
+    has_newer_view: whether the call failed because a newer store view is known.
     """
 
     member: str
@@ -57,18 +57,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _EncodedRequest:
-    """A request's type and fields, encoded once for all members that are asked."""
+    """The type and fields of a request, encoded once for all members."""
 
     kind: str
     fields: Message
 
     def for_member(self, view: StoreView, member: str, includes_view: bool) -> Message:
-        """Return the message for one member, with the view itself where the member's view is older."""
+        """Return the message to one member; `includes_view` adds the view itself, for a member with an older one."""
         return RequestHeader(view.epoch, member, view if includes_view else None).encode(self.kind, self.fields)
 
 
 class ReplicaCalls:
-    """Makes the calls of a process at `location`, and measures how long each member takes (`health`)."""
+    """Makes the calls of a process at `location` and tracks the health of each member (`health`)."""
 
     def __init__(self, rpc: RpcCaller, views: StoreViewTracker, rng: random.Random, location: str = "") -> None:
         self._rpc = rpc
@@ -78,10 +78,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(
-        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, until_s: float
+        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, deadline_s: float
     ) -> None:
-        """Call one member, with retries until `until_s` of the loop's clock; the round gets exactly one reply."""
-        self._tasks.add(asyncio.ensure_future(self._run(replica_round, member, request, until_s)))
+        """Start a call to one member, with retries until `deadline_s`; the round gets exactly one `ReplicaReply`."""
+        self._tasks.add(asyncio.ensure_future(self._run(replica_round, member, request, deadline_s)))
 
     def close(self) -> None:
         """Cancel all calls."""
@@ -89,16 +89,16 @@
             task.cancel()
 
     async def _run(
-        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, until_s: float
+        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, deadline_s: float
     ) -> None:
         reply: ReplicaReply[Content] = ReplicaReply(member, None)
         try:
-            content = await self._call_with_retries(replica_round, member, request, until_s)
+            content = await self._call_with_retries(replica_round, member, request, deadline_s)
             reply = ReplicaReply(member, content)
         except StaleViewError:
             reply = ReplicaReply(member, None, has_newer_view=True)
         except RpcError:
-            pass  # one replica without a reply is normal: the owner of the round counts the others
+            pass  # a replica that does not reply is tolerated: the owner of the round counts the replies of the others
         except Exception as error:
             log.exception("replica_calls.fault", extra={"member": member, "why": repr(error)})
         finally:
@@ -106,20 +106,20 @@
             forget_current_task(self._tasks)
 
     async def _call_with_retries(
-        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, until_s: float
+        self, replica_round: ReplicaRound[Content], member: str, request: _EncodedRequest, deadline_s: float
     ) -> Content:
-        """Return the member's decoded reply.
+        """Call a member until it replies and return the decoded reply.
 
-        Raises StaleViewError, or RpcError when the time is over, the round has ended or the member rejects the request
-        as malformed.
+        Raises StaleViewError, or RpcError if the deadline has passed, the round has ended or the member rejects the
+        request as malformed.
         """
         loop = asyncio.get_running_loop()
         backoff_s = FIRST_BACKOFF_S
         includes_view = False
         while True:
-            self._check_epoch(replica_round.view)
+            self._raise_if_stale(replica_round.view)
             started_s = loop.time()
-            timeout_s = min(ATTEMPT_TIMEOUT_S, until_s - started_s)
+            timeout_s = min(ATTEMPT_TIMEOUT_S, deadline_s - started_s)
             if timeout_s <= 0:
                 raise RpcError("timeout", member)
             try:
@@ -132,8 +132,8 @@
                     raise
                 if error.kind == wire.STALE_EPOCH:
                     self._adopt_view_of(error)
-                    self._check_epoch(replica_round.view)
-                    if not includes_view:  # the store's view is older: it takes the newer one from the next request
+                    self._raise_if_stale(replica_round.view)
+                    if not includes_view:  # the store's view is older: the next attempt includes the newer one
                         includes_view = True
                         continue
                 if replica_round.has_ended and not replica_round.continues_after_end:
@@ -152,7 +152,7 @@
         includes_view: bool,
         timeout_s: float,
     ) -> Content:
-        """Return the decoded reply to one attempt; raises RpcError, also for a reply that cannot be decoded."""
+        """Make one attempt and return the decoded reply; raises RpcError, also if the reply cannot be decoded."""
         view = replica_round.view
         message = request.for_member(view, member, includes_view)
         reply = await self._rpc.call(view.members[member].address, message, timeout_s)
@@ -162,31 +162,31 @@
             log.error("replica_calls.malformed_answer", extra={"member": member, "why": str(error)})
             raise RpcError(MALFORMED_REPLY, str(error)) from error
 
-    def _check_epoch(self, view: StoreView) -> None:
+    def _raise_if_stale(self, view: StoreView) -> None:
         newest = self._views.newest
         if newest is not None and newest.epoch > view.epoch:
             raise StaleViewError
 
     def _adopt_view_of(self, error: RpcError) -> None:
-        """Adopt the view that a store sent when it rejected an epoch."""
+        """Adopt the view that a store included in its rejection of an older epoch."""
         view = error.message.get("view")
         if view is not None:
             self._views.adopt(StoreView.from_json(view))
 
 
-def _do_nothing() -> None:
-    """Ignore a failed attempt."""
+def _ignore_failure() -> None:
+    """Default of `on_failure`: ignore a failed attempt."""
 
 
 class ReplicaRound(Generic[Content]):
-    """The replies of several members to one question under one view; a context manager that ends with its block.
-
-    view: the store view under which members are asked.
-    decode: makes a reply's content of its message; raises MalformedMessageError.
-    on_failure: called when an attempt at a member fails, although it is retried.
-    continues_after_end: whether members that have not replied are asked on after the round has ended.
-    replies: each member that was asked appears in it exactly once.
-    unanswered: number of members that were asked and whose reply was not taken by `next_reply`.
+    """The replies of several members to requests under one view; a context manager that ends with its block.
+
+    view: the store view of the requests.
+    decode: decodes the message of a reply; raises MalformedMessageError.
+    on_failure: called for each failed attempt, even if it is retried.
+    continues_after_end: whether calls that are unanswered at the end of the round continue to be retried.
+    replies: receives exactly one reply for each member that was asked.
+    unanswered: number of members that were asked and whose reply `next_reply` has not returned.
     has_ended: whether the owner has left the block.
     """
 
@@ -195,7 +195,7 @@
         calls: ReplicaCalls,
         view: StoreView,
         decode: Callable[[Message], Content],
-        on_failure: Callable[[], None] = _do_nothing,
+        on_failure: Callable[[], None] = _ignore_failure,
         continues_after_end: bool = False,
     ) -> None:
         self.view = view
@@ -207,15 +207,15 @@
         self.unanswered = 0
         self._calls = calls
 
-    def ask(self, members: Iterable[str], request: SenderRequest, until_s: float) -> None:
-        """Ask further members, with retries until `until_s` of the loop's clock."""
+    def ask(self, members: Iterable[str], request: SenderRequest, deadline_s: float) -> None:
+        """Send a request to further members, with retries until `deadline_s` of the loop's clock."""
         encoded = _EncodedRequest(request.kind, request.fields())
         for member in members:
             self.unanswered += 1
-            self._calls.start(self, member, encoded, until_s)
+            self._calls.start(self, member, encoded, deadline_s)
 
     async def next_reply(self) -> ReplicaReply[Content]:
-        """Return the next reply. Raises StaleViewError once any member is known to have a newer view."""
+        """Wait for the next reply; raises StaleViewError once a newer view is known."""
         reply = await self.replies.get()
         self.unanswered -= 1
         if reply.has_newer_view:
--- a/dewpin/dataplane/programs/replica_health.py
+++ b/dewpin/dataplane/programs/replica_health.py
@@ -1,9 +1,9 @@
-"""What a sender knows of the replicas from its own calls: which ones reply, and how fast.
+"""Health and latency of the replicas, as observed by a sender's own calls.
 
 All times are in seconds of the event loop's clock.
 
-A replica is *healthy* once it has replied, and until a call to it fails or exceeds its time. Quorum rounds rely on
-healthy replicas first; the others are probed now and then, with requests that nobody waits for.
+A replica is *healthy* from its first reply until a call to it fails or exceeds the hedge delay. Quorum rounds prefer
+healthy replicas; the others are probed periodically, with requests whose replies are not waited for.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 LATENCY_WEIGHT = 0.2
 """Weight of a new sample in the exponentially weighted moving average of a replica's latency."""
 LATENCY_HALF_LIFE_S = 5.0
-"""How fast a latency is forgotten without new samples, so that a replica that was slow is tried again."""
+"""Half-life of a latency without new samples; the decay lets a formerly slow replica be tried again."""
 OTHER_ZONE_FACTOR = 2.0
-"""A replica of another zone ranks as if its latency were so many times as long."""
+"""The latency of a replica in another zone is multiplied by this factor for ranking."""
 MIN_LATENCY_S = 0.001
-"""Replicas with a lower latency rank as equally near."""
+"""Replicas with a lower latency rank equally."""
 PROBE_PERIOD_S = 2.0
-"""Minimum time between two probes of a replica."""
+"""Minimum interval between two probes of a replica."""
 
 
 @dataclass(slots=True)
 class _ReplicaRecord:
-    """What is known of one replica.
+    """The observations of one replica.
 
-    tie_breaker: orders replicas of which as much is known, differently at each sender.
+    tie_breaker: random order of replicas that rank equally, which differs between senders.
     latency_s: moving average as of `measured_at_s`; 0 before the first reply.
-    has_replied: whether it ever did.
-    is_suspected: whether a call has failed since its last reply.
-    probed_at_s: when it was last probed or failed.
+    has_replied: whether it has replied at least once.
+    is_suspected: whether a call has failed since the last reply.
+    probed_at_s: time of the last probe or failure.
     """
 
     tie_breaker: float
@@ -47,7 +47,7 @@
 
 
 class ReplicaHealth:
-    """The replicas that were called so far, by member id, as seen from a process at `location`."""
+    """The health of the replicas called so far, by member id, as observed from a process at `location`."""
 
     def __init__(self, location: str, rng: random.Random) -> None:
         self._location = location
@@ -55,7 +55,7 @@
         self._records: dict[str, _ReplicaRecord] = {}
 
     def record_reply(self, member: str, latency_s: float, now_s: float) -> None:
-        """Record that a replica replied after `latency_s`."""
+        """Record a reply and its latency."""
         record = self._record(member)
         average_s = self.expected_latency_s(member, now_s) if record.has_replied else latency_s
         record.latency_s = average_s + LATENCY_WEIGHT * (latency_s - average_s)
@@ -64,27 +64,27 @@
         record.is_suspected = False
 
     def record_failure(self, member: str, now_s: float) -> None:
-        """Record that a call to a replica failed, or has had no reply for too long."""
+        """Record that a call to a replica failed or exceeded the hedge delay."""
         record = self._record(member)
         record.is_suspected = True
         record.probed_at_s = now_s
 
     def retain_only(self, members: Collection[str]) -> None:
-        """Forget the replicas that are not among `members`."""
+        """Remove the records of replicas that are not in `members`."""
         for member in self._records.keys() - members:
             del self._records[member]
 
     def expected_latency_s(self, member: str, now_s: float) -> float:
-        """Return how long a replica usually takes to reply, decayed by the age of the samples; 0 if it is unknown."""
+        """Return the average latency of a replica, decayed by the age of the last sample; 0 if it is unknown."""
         record = self._record(member)
         return record.latency_s * math.exp2((record.measured_at_s - now_s) / LATENCY_HALF_LIFE_S)
 
     def nearest_first(self, view: StoreView, members: Iterable[str], now_s: float) -> list[str]:
-        """Return members in the order in which to rely on them.
+        """Return members in order of preference.
 
-        First healthy ones by latency, where those of other zones are penalized, then those that never replied, then
-        suspected ones. Records are made in the order of member ids, so that the random tie breakers of a seeded run
-        repeat.
+        Healthy replicas come first, by latency with a penalty for other zones, then those that have never replied, then
+        suspected ones. Records are created in the order of member ids, which makes the random tie breakers of a seeded
+        run reproducible.
         """
 
         def rank(member: str) -> tuple[bool, bool, float, float]:
@@ -97,7 +97,7 @@
         return sorted(sorted(members), key=rank)
 
     def claim_due_probes(self, members: Iterable[str], now_s: float) -> frozenset[str]:
-        """Return the members that are not healthy and due for a probe; they count as probed now."""
+        """Return the unhealthy members that are due for a probe, and record them as probed at `now_s`."""
         due = frozenset(member for member in members if self._is_probe_due(member, now_s))
         for member in due:
             self._record(member).probed_at_s = now_s
--- a/dewpin/dataplane/programs/store_client.py
+++ b/dewpin/dataplane/programs/store_client.py
@@ -1,6 +1,6 @@
-"""A sender's client of the stores: budget ledgers and turns over the replicas of each program.
+"""A sender's store client: budget ledgers and turns on the replicas of each program.
 
-All of it runs on one event loop; `BlockingStoreClient` makes it available to the threads of requests.
+`StoreClient` runs on one event loop; `BlockingStoreClient` makes it available to request threads.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 from dewpin.dataplane.programs.turn_client import TurnClient
 
 THREAD_WAIT_MARGIN_S = 0.25
-"""How much longer than its time-out a request thread waits for the loop before it takes the loop for blocked."""
+"""How long beyond its time-out a request thread waits before it considers the event loop blocked."""
 _PROPOSER_ID_BYTES = 6
 
 Result = TypeVar("Result")
 
 
 class StoreClient:
-    """The calls of one sender to the stores; the methods do what those of `program_store.ProgramStore` do."""
+    """The store client of one sender; its methods are the asynchronous forms of those of `ProgramStore`."""
 
     def __init__(
         self,
@@ -46,9 +46,9 @@
         wall_clock_ms: Callable[[], int] = lambda: int(time.time() * 1000),
         location: str = "",
     ) -> None:
-        """Make the client of a process at `location`, on a running loop.
+        """Create the client of a process at `location`; requires a running event loop.
 
-        Each program lives on `replica_count` stores (2 f + 1).
+        Each program is replicated on `replica_count` stores (2 f + 1).
         """
         rng = rng or random.Random()
         proposer_id = proposer_id or secrets.token_hex(_PROPOSER_ID_BYTES)
@@ -62,7 +62,7 @@
         self._turns = TurnClient(self._calls, self._views, replica_count, self.cache, self._background)
 
     def adopt(self, view: StoreView) -> None:
-        """Use `view` from now on, if it is newer and has members."""
+        """Adopt `view` if it is newer and has members."""
         if view.stable:
             self._views.adopt(view)
             self._calls.health.retain_only(view.members.keys())
@@ -73,40 +73,40 @@
         self._calls.close()
 
     async def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError, StoreUnavailableError."""
+        """Reserve tokens of the program's budget for a turn; raises BudgetExceededError or StoreUnavailableError."""
         return await self._ledgers.reserve(program, turn_id, max_tokens, budget, timeout_s)
 
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
-        """Replace a reservation by the tokens that were used, in the background or with the program's next change."""
+        """Replace a reservation by the tokens used, in the background or with the program's next ledger change."""
         self._ledgers.settle(reservation, used_tokens)
 
     async def read_ledger(self, program: str) -> Ledger | None:
-        """Return the program's ledger as a majority has it, however long that takes."""
+        """Read the program's ledger from a majority, without a time-out."""
         return await self._ledgers.read(program)
 
     async def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
-        """Return the conversation up to turn `previous_id`. Raises TurnNotFoundError, StoreUnavailableError."""
+        """Return the conversation up to turn `previous_id`; raises TurnNotFoundError or StoreUnavailableError."""
         return await run_with_timeout(self._turns.read_history(program, previous_id), timeout_s)
 
     async def begin_turn(
         self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
     ) -> TurnStart:
-        """Reserve and read the history concurrently. Raises what either raises; the reservation is given back then."""
-        reading = asyncio.ensure_future(self.read_history(program, previous_id, timeout_s))
+        """Reserve and read the history concurrently; a failure of either is raised and releases the reservation."""
+        history_task = asyncio.ensure_future(self.read_history(program, previous_id, timeout_s))
         try:
             reservation = await self.reserve(program, turn_id, max_tokens, budget, timeout_s)
         except BaseException:
-            reading.cancel()
-            await asyncio.gather(reading, return_exceptions=True)
+            history_task.cancel()
+            await asyncio.gather(history_task, return_exceptions=True)
             raise
         try:
-            return TurnStart(reservation, await reading)
+            return TurnStart(reservation, await history_task)
         except BaseException:
             self.settle(reservation, 0)
             raise
 
     async def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Make a turn durable, and settle its reservation with it or later. Raises StoreUnavailableError."""
+        """Store a turn durably, and settle its reservation with it or later; raises StoreUnavailableError."""
         retain_ms = int(turn.retain_s * 1000)
         record = TurnRecord(turn.id, turn.program, turn.previous_id, retain_ms, turn.input, turn.output)
         async with self._ledgers.piggybacked_settlement(settlement) as ballot:
@@ -114,27 +114,27 @@
         self.cache.put(turn.program, turn.id, CachedTurn(turn.previous_id, turn.input + turn.output), turn.retain_s)
 
     async def wait_until_settled(self) -> None:
-        """Return once no settlement and no other background task is pending."""
+        """Wait until no settlement and no other background task is pending."""
         await self._background.wait_until_done()
 
 
 class BlockingStoreClient:
-    """The `ProgramStore` of request threads: passes each call to the loop on which `client` runs, and waits."""
+    """The `ProgramStore` of request threads: runs each operation on the event loop of `client` and waits for it."""
 
     def __init__(self, client: StoreClient, loop: asyncio.AbstractEventLoop) -> None:
         self._client = client
         self._loop = loop
 
     def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError, StoreUnavailableError."""
+        """Reserve tokens of the program's budget for a turn; raises BudgetExceededError or StoreUnavailableError."""
         return self._wait_for(self._client.reserve(program, turn_id, max_tokens, budget, timeout_s), timeout_s)
 
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
-        """Replace a reservation by the tokens that were used; returns at once."""
+        """Replace a reservation by the tokens used; returns immediately."""
         self._loop.call_soon_threadsafe(self._client.settle, reservation, used_tokens)
 
     def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
-        """Return the conversation up to turn `previous_id`. Raises TurnNotFoundError, StoreUnavailableError."""
+        """Return the conversation up to turn `previous_id`; raises TurnNotFoundError or StoreUnavailableError."""
         cached = self._client.cache.complete_history(program, previous_id)
         if cached is not None:
             return cached
@@ -143,24 +143,24 @@
     def begin_turn(
         self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
     ) -> TurnStart:
-        """Reserve and read the history concurrently. Raises what either raises; the reservation is given back then."""
+        """Reserve and read the history concurrently; a failure of either is raised and releases the reservation."""
         cached = self._client.cache.complete_history(program, previous_id)
         if cached is not None:
             return TurnStart(self.reserve(program, turn_id, max_tokens, budget, timeout_s), cached)
-        beginning = self._client.begin_turn(program, turn_id, max_tokens, budget, previous_id, timeout_s)
-        return self._wait_for(beginning, timeout_s)
+        operation = self._client.begin_turn(program, turn_id, max_tokens, budget, previous_id, timeout_s)
+        return self._wait_for(operation, timeout_s)
 
     def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Make a turn durable, and settle its reservation with it or later. Raises StoreUnavailableError."""
+        """Store a turn durably, and settle its reservation with it or later; raises StoreUnavailableError."""
         try:
             self._wait_for(self._client.store_turn(turn, timeout_s, settlement), timeout_s)
         except StoreUnavailableError:
-            if settlement is not None:  # a loop that is blocked for long may not have started the call
+            if settlement is not None:  # a blocked event loop may not have started the call
                 self.settle(settlement.reservation, settlement.used_tokens)
             raise
 
-    def _wait_for(self, work: Coroutine[Any, Any, Result], timeout_s: float) -> Result:
-        future = asyncio.run_coroutine_threadsafe(work, self._loop)
+    def _wait_for(self, operation: Coroutine[Any, Any, Result], timeout_s: float) -> Result:
+        future = asyncio.run_coroutine_threadsafe(operation, self._loop)
         try:
             return future.result(timeout_s + THREAD_WAIT_MARGIN_S)
         except concurrent.futures.TimeoutError:
--- a/dewpin/dataplane/programs/timeouts.py
+++ b/dewpin/dataplane/programs/timeouts.py
@@ -1,4 +1,4 @@
-"""Awaiting with a time limit."""
+"""Time-outs of store operations."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 Result = TypeVar("Result")
 
 
-async def run_with_timeout(work: Coroutine[Any, Any, Result], timeout_s: float) -> Result:
-    """Return what `work` returns; it is cancelled and StoreUnavailableError raised after `timeout_s`."""
+async def run_with_timeout(operation: Coroutine[Any, Any, Result], timeout_s: float) -> Result:
+    """Await `operation`; cancel it and raise StoreUnavailableError after `timeout_s`."""
     try:
         async with asyncio.timeout(timeout_s):
-            return await work
+            return await operation
     except TimeoutError:
         raise StoreUnavailableError(f"no majority of the replicas answered within {timeout_s:.3f} s") from None
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -1,4 +1,4 @@
-"""A sender's access to stored turns: turns are written to a majority of the program's replicas, histories read back."""
+"""Writes turns to a majority of the program's replicas and reads conversation histories."""
 
 from __future__ import annotations
 
@@ -22,32 +22,32 @@
 from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
 
 READ_HEDGE_DELAY_S = 0.06
-"""A read without a reply for so long is sent to further stores."""
+"""A read that has had no reply for this time is also sent to further stores."""
 BACKGROUND_WRITE_S = 10.0
-"""For how long a turn is offered to replicas that have not replied."""
+"""How long the write of a turn is retried at replicas that have not replied."""
 MAX_BACKGROUND_WRITE_BYTES = 8 * 1024 * 1024
-"""Once so many bytes wait for replicas that have not replied, further turns are not offered after their majority."""
+"""While background writes total at least this size, the write of a further turn ends with its majority."""
 READ_RETRY_S = 60.0
-"""For how long one store is asked; the caller of a read gives up earlier."""
+"""How long a read is retried at one store; the caller's time-out is shorter."""
 READ_CACHE_S = 10.0
-"""For how long turns that were read are cached; the time that they are retained for is not known here."""
+"""How long turns that were read are cached; their retention time is unknown to the reader."""
 
 
 @dataclass(frozen=True, slots=True)
 class _StoredReply:
-    """A replica has stored the turns. `ledger_reply`: its reply to the ballot that was sent along, if any."""
+    """A replica has stored the turns; `ledger_reply` is its reply to the piggybacked ballot, if any."""
 
     ledger_reply: Reply | None
 
 
 def _decode_stored_reply(message: Message) -> _StoredReply:
-    """Return a store's reply to a write of turns; raises MalformedMessageError."""
+    """Decode a store's reply to a write of turns; raises MalformedMessageError."""
     stored = PutTurnsReply.decode(message)
     return _StoredReply(None if stored.reply is None else ledger_reply(stored.reply))
 
 
 class TurnClient:
-    """Writes turns and reads conversation histories; each program lives on `replica_count` stores."""
+    """Writes turns and reads conversation histories; each program has `replica_count` replicas."""
 
     def __init__(
         self,
@@ -65,9 +65,9 @@
         self._background_write_bytes = 0
 
     async def put(self, program: str, records: Sequence[TurnRecord], ballot: PiggybackedBallot | None = None) -> None:
-        """Return once majorities of the program's replicas have stored the turns.
+        """Write turns; return once a majority of each replica set of the program has stored them.
 
-        A ballot that is sent along need not have ended by then. Raises StoreUnavailableError.
+        A piggybacked ballot may not have ended by then. Raises StoreUnavailableError.
         """
         while True:
             view = await self._views.wait_for_view()
@@ -87,10 +87,10 @@
             for member in sorted(frozenset().union(*quorum_sets))
         }
         size_bytes = sum(len(record.input) + len(record.output) for record in records)
-        until_s = asyncio.get_running_loop().time() + BACKGROUND_WRITE_S
+        deadline_s = asyncio.get_running_loop().time() + BACKGROUND_WRITE_S
         stored: set[str] = set()
         continues = self._background_write_bytes < MAX_BACKGROUND_WRITE_BYTES
-        with QuorumRound(self._calls, view, _decode_stored_reply, quorum_sets, until_s, continues) as quorum_round:
+        with QuorumRound(self._calls, view, _decode_stored_reply, quorum_sets, deadline_s, continues) as quorum_round:
             quorum_round.ask(requests)
             while not has_majorities(quorum_sets, stored):
                 if not quorum_round.may_get_replies:
@@ -105,7 +105,7 @@
             self._background.start(self._track_background_write(quorum_round.replica_round, size_bytes))
 
     async def _track_background_write(self, replica_round: ReplicaRound[_StoredReply], size_bytes: int) -> None:
-        """Count the bytes of a write as waiting until all replicas have replied."""
+        """Include a write in the size of the background writes until all replicas have replied."""
         self._background_write_bytes += size_bytes
         try:
             while replica_round.unanswered:
@@ -116,10 +116,10 @@
             self._background_write_bytes -= size_bytes
 
     async def read_history(self, program: str, previous_id: str) -> bytes:
-        """Return input and output of each turn up to `previous_id`, oldest first.
+        """Return the concatenated input and output of all turns up to `previous_id`, oldest first.
 
-        Turns of another program, which this one continues, are first stored as turns of this program. Raises
-        TurnNotFoundError, StoreUnavailableError.
+        Turns of another program that this one continues are first copied to this program. Raises TurnNotFoundError or
+        StoreUnavailableError.
         """
         records: list[TurnRecord] = []
         copies: list[TurnRecord] = []
@@ -149,7 +149,7 @@
         return b"".join(reversed(contents))
 
     async def _read_turns(self, program: str, last_id: str) -> HistoryPage:
-        """Return turns that end with `last_id`, newest first, from whichever store has them."""
+        """Read a page of turns that starts with `last_id`, newest first, from any store that has them."""
         while True:
             view = await self._views.wait_for_view()
             try:
@@ -159,22 +159,22 @@
 
 
 class _HistoryRead:
-    """One read of turns under one view, which asks further stores while nobody replies.
+    """One read of turns under one view; it asks further stores while no store replies.
 
-    Invariant: `_remaining_groups` holds the groups of members that were not asked yet, in the order to ask them.
+    Invariant: `_remaining_groups` holds the groups of members that have not been asked, in the order to ask them.
     """
 
     def __init__(self, calls: ReplicaCalls, view: StoreView, replica_count: int, program: str, last_id: str) -> None:
         self._view = view
         self._replica_count = replica_count
         self._last_id = last_id
-        self._until_s = asyncio.get_running_loop().time() + READ_RETRY_S
+        self._deadline_s = asyncio.get_running_loop().time() + READ_RETRY_S
         self._request = HistoryRequest(program, last_id)
         self._remaining_groups = _groups_to_ask(calls, view, program, replica_count)
         self._round = ReplicaRound(calls, view, HistoryPage.from_json, self._ask_next_group)
 
     async def run(self) -> HistoryPage:
-        """Return the turns. Raises TurnNotFoundError, StoreUnavailableError, StaleViewError."""
+        """Return the turns; raises TurnNotFoundError, StoreUnavailableError or StaleViewError."""
         without_turn: set[str] = set()
         with self._round as replica_round:
             while len(self._view.stable) - len(without_turn) > self._view.max_unreachable(self._replica_count):
@@ -198,23 +198,23 @@
 
     def _ask_next_group(self) -> None:
         if self._remaining_groups and not self._round.has_ended:
-            self._round.ask(self._remaining_groups.pop(0), self._request, self._until_s)
+            self._round.ask(self._remaining_groups.pop(0), self._request, self._deadline_s)
 
 
 def _groups_to_ask(calls: ReplicaCalls, view: StoreView, program: str, replica_count: int) -> list[list[str]]:
-    """Return which members to ask, one group after the other.
+    """Return the groups of members in the order to ask them.
 
-    First single replicas, nearest first, so many that one of them has what a majority has; then the other replicas;
-    then all other stores.
+    The first groups are single replicas, nearest first, and form a majority, so that at least one of them has each
+    durable turn; then follow the other replicas as one group and all other stores as another.
     """
     now_s = asyncio.get_running_loop().time()
     replicas = calls.health.nearest_first(view, view.stable_replicas(program, replica_count), now_s)
-    single_count = majority(len(replicas))
+    majority_count = majority(len(replicas))
     others = [member for member in view.stable_ids if member not in replicas]
-    groups = [[member] for member in replicas[:single_count]]
-    return [group for group in (*groups, replicas[single_count:], others) if group]
+    groups = [[member] for member in replicas[:majority_count]]
+    return [group for group in (*groups, replicas[majority_count:], others) if group]
 
 
 def _copy_for(program: str, record: TurnRecord) -> TurnRecord:
-    """Return a turn of another program as a turn of `program`, which continues it."""
+    """Convert a turn of another program to a turn of `program`, which continues it."""
     return TurnRecord(record.turn, program, record.previous, record.retain_ms, record.input, record.output)
--- a/dewpin/dataplane/programs/turns.py
+++ b/dewpin/dataplane/programs/turns.py
@@ -1,9 +1,9 @@
-"""Turns of agent programs: their budget, the history that they continue, and storing them.
+"""Turns of agent programs: budget, conversation history and storage.
 
-A turn is a request on a stream route that carries `Budget`, or whose route retains turns. The most tokens that it may
-generate are reserved before it is forwarded, and what the client received is settled afterwards. A retained turn
-carries only its new input; the receiver gets the conversation history and then that input. A turn whose response is
-complete is stored before the end of that response goes to the client.
+A turn is a request on a stream route that has a `Budget` header, or whose route retains turns. The maximum number of
+tokens that it may generate is reserved before it is forwarded; afterwards the number that the client received is
+settled. The request of a retained turn contains only the new input; the receiver gets the conversation history followed
+by that input. A turn with a complete response is stored before the end of the response is sent to the client.
 """
 
 from collections.abc import Callable
@@ -20,23 +20,23 @@
 BUDGET_HEADER = "budget"
 
 BEGIN_TIMEOUT_S = 1.0
-"""How long the stores may take before a turn is forwarded; a rejection serves the client better than a longer wait."""
+"""Time-out of the store operations before a turn is forwarded; a rejection is better than a longer wait."""
 CUT_OFF_BEGIN_TIMEOUT_S = 0.15
-"""The same while this sender is cut off from the control plane."""
+"""As `BEGIN_TIMEOUT_S`, while this sender is cut off from the control plane."""
 MIN_STORE_TIMEOUT_S = 0.05
-"""Storing a complete turn gets at least so long, even if the request's time is over."""
+"""Minimum time-out of storing a complete turn, even if the request's deadline has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class TurnPlan:
-    """What a request needs of the stores.
+    """The store operations that a request requires.
 
-    program: id of the agent program; that of the turn where the request names none.
-    previous_id: the turn that this one continues, None for the first of a conversation.
-    budget: tokens that the program may use in all; None where the turn has no budget.
-    max_tokens: the most tokens that the turn may generate; 0 without a budget.
+    program: id of the agent program; the turn's id if the request names no program.
+    previous_id: id of the turn that this one continues; None for the first turn of a conversation.
+    budget: total number of tokens that the program may use; None if the turn has no budget.
+    max_tokens: maximum number of tokens that the turn may generate; 0 without a budget.
     is_retained: whether the turn is stored, for `retain_s`.
-    tokens_per_event: how many tokens an event of the response stands for.
+    tokens_per_event: number of tokens for which an event of the response counts.
     """
 
     turn_id: str
@@ -50,7 +50,7 @@
 
 
 def plan_turn(request: Request, route: Route, service: Service) -> TurnPlan | None:
-    """Return what a request needs of the stores, None if it is no turn; raises TierError if a header is invalid."""
+    """Return the plan of a turn; None if the request is not a turn. Raises TierError if a header is invalid."""
     budget = request.headers.get(BUDGET_HEADER)
     if not route.is_stream or (budget is None and not route.retained):
         return None
@@ -68,9 +68,9 @@
 
 
 class OpenTurn:
-    """A turn in progress; `settle` has to be called when it ends, however it does.
+    """A turn in progress; `settle` must be called at its end, also after an error.
 
-    body: what is sent to the receiver; complete once `begin` has returned.
+    body: the request body for the receiver; includes the history once `begin` has returned.
     """
 
     def __init__(self, store: ProgramStore, plan: TurnPlan, request: Request) -> None:
@@ -83,7 +83,7 @@
         self.body = request.body
 
     def begin(self, time_left_s: Callable[[], float], is_cut_off: bool = False) -> None:
-        """Reserve the budget and read the history.
+        """Reserve tokens and read the history, as the plan requires.
 
         Raises BudgetExceededError, TurnNotFoundError or StoreUnavailableError.
         """
@@ -103,13 +103,13 @@
         self.body = history + self._request.body
 
     def record_event(self, event: Event) -> None:
-        """Record an event that is about to be sent to the client."""
+        """Record an event before it is sent to the client."""
         self._event_count += 1
         if self._plan.is_retained:
             self._output.append(event.data or b"")
 
     def store(self, timeout_s: float) -> None:
-        """Store the turn, whose response is complete; raises StoreUnavailableError if it may not be durable."""
+        """Store the turn, whose response must be complete; raises StoreUnavailableError if it may not be durable."""
         plan = self._plan
         if not plan.is_retained:
             return
@@ -118,13 +118,13 @@
         self._store.store_turn(turn, max(MIN_STORE_TIMEOUT_S, timeout_s), self._claim_settlement())
 
     def settle(self) -> None:
-        """Tell the stores how many tokens the client received, unless that was done already."""
+        """Settle the tokens that the client received, unless a settlement has already been sent to the stores."""
         settlement = self._claim_settlement()
         if settlement is not None:
             self._store.settle(settlement.reservation, settlement.used_tokens)
 
     def _claim_settlement(self) -> Settlement | None:
-        """Return the turn's settlement; only the first call returns one."""
+        """Return the turn's settlement on the first call, None on later ones."""
         reservation, self._reservation = self._reservation, None
         if reservation is None:
             return None
@@ -132,7 +132,7 @@
 
 
 def _parse_max_tokens(request: Request) -> int:
-    """Return the second number of the header: the most tokens that the turn may generate."""
+    """Return the second number of the header: the maximum number of tokens that the turn may generate."""
     numbers = (request.headers.get(TOKEN_USAGE) or "").split(",")
     if len(numbers) != 2:
         raise TierError(ErrorKind.BAD_REQUEST, "X-Dewpin-Token-Usage has to hold two numbers")
