--- a/dewpin/dataplane/__init__.py
+++ b/dewpin/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: the sender that takes clients' requests and forwards them to receivers."""
+"""The data plane: the sender, which forwards clients' requests to receivers."""
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m dewpin.dataplane`: a sender, which reads the settings file that DEWPIN_BOOT names."""
+"""`python3 -m dewpin.dataplane`: runs a sender with the settings file named by DEWPIN_BOOT."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 from dewpin.dataplane.stop_signal import StopSignal
 
 NOT_READY_NOTICE_S = 2.2
-"""How long new connections are accepted after SIGTERM: until the platform has seen that this sender is not ready."""
+"""How long new connections are accepted after SIGTERM: until the platform has detected that the sender is not ready."""
 DRAIN_MARGIN_S = 0.7
-"""How long before the end of the grace period requests in progress are aborted, so that the process can end itself."""
+"""Requests in progress are aborted this long before the end of the grace period, so that the process can exit."""
 MAX_DRAIN_MARGIN_SHARE = 0.125
-"""Greatest share of the grace period that the margin takes: a request may be aborted in its last sixth only."""
+"""Maximum margin as a share of the grace period: a request may be aborted only in the last sixth of the period."""
 MAX_SETTLE_TIME_S = 1.0
-"""How long a sender without requests still waits for its settlements and the release of its lease."""
+"""How long a sender without requests waits for pending settlements and the release of its lease."""
 
 
 class Sender:
-    """One sender process: the thread of the cluster agent, the servers for clients and the platform, the settings file.
+    """One sender process: agent thread, servers for clients and platform, and settings watch.
 
-    state: what the sender knows of the cluster.
-    agent_thread: cluster agent and client of the stores.
+    state: the sender's view of the cluster.
+    agent_thread: runs the cluster agent and the store client.
     stop_signal: set by SIGTERM and SIGINT.
-    reload_requested: set by SIGHUP; the settings file is read at once.
+    reload_requested: set by SIGHUP, to read the settings file immediately.
 
-    Must be made on the main thread, as `StopSignal`.
+    Must be created on the main thread, like `StopSignal`.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -51,7 +51,7 @@
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
-        The readiness server answers until the process ends, so that the platform is told not to send clients here.
+        The readiness server runs until the process exits, so that the platform learns that this sender is not ready.
         """
         settings = self._settings
         store = self.agent_thread.start()
@@ -59,7 +59,7 @@
         readiness = ReadinessServer(self.is_ready)
         ingress.start(split_address(settings.listen["front"]))
         readiness.start(split_address(settings.listen["ready"]))
-        threading.Thread(target=self._follow_settings, name="settings", daemon=True).start()
+        threading.Thread(target=self._watch_settings, name="settings", daemon=True).start()
         self.stop_signal.wait()
         grace_s = settings.bounds.grace_s
         grace_ends_s = time.monotonic() + grace_s
@@ -67,14 +67,14 @@
         self.agent_thread.stop(min(MAX_SETTLE_TIME_S, grace_ends_s - time.monotonic()))
 
     def is_ready(self) -> bool:
-        """Return whether clients may be sent here: no stop has begun, and the sender knows enough of the cluster."""
+        """Return whether the sender is ready: it is not stopping and knows enough about the cluster."""
         agent = self.agent_thread.agent
         if self.stop_signal.is_set() or agent is None:
             return False
         return sender_readiness.is_ready(self.state, agent)
 
-    def _follow_settings(self) -> None:
-        """Apply changes of the settings file, at once after SIGHUP and soon without."""
+    def _watch_settings(self) -> None:
+        """Apply changes of the settings file, immediately after SIGHUP and otherwise at the next poll."""
         watch = SettingsWatch(os.environ[BOOT_VARIABLE], self._settings)
         while not self.stop_signal.is_set():
             self.reload_requested.wait(POLL_PERIOD_S)
@@ -85,12 +85,12 @@
 
 
 def drain_s(grace_s: float) -> float:
-    """Return for how long after SIGTERM requests in progress may go on."""
+    """Return how long requests in progress may continue after SIGTERM."""
     return grace_s - min(DRAIN_MARGIN_S, MAX_DRAIN_MARGIN_SHARE * grace_s)
 
 
 def main() -> int:
-    """Run the sender; does not return, since the process ends without waiting for daemon threads."""
+    """Run the sender; does not return, since the process exits without waiting for daemon threads."""
     settings = settings_or_exit()
     logs.configure(settings.log_level, settings.node_name, settings.role)
     sender = Sender(settings)
--- a/dewpin/dataplane/agent_thread.py
+++ b/dewpin/dataplane/agent_thread.py
@@ -1,4 +1,4 @@
-"""The thread of a sender's asyncio loop, on which the cluster agent and the client of the stores run."""
+"""The thread of a sender's asyncio event loop, which runs the cluster agent and the store client."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class AgentThread:
-    """Owns the loop and what runs on it.
+    """Owns the event loop, the cluster agent and the store client.
 
     agent: the cluster agent; None until it has started.
-    store_client: the client of the stores; None until it was made.
+    store_client: the store client; None until it has been created.
 
-    The methods may be called from any thread. Sockets are left to the end of the process, which follows `stop`.
+    The methods are thread-safe. Sockets stay open until the process exits, which follows `stop`.
     """
 
     def __init__(self, settings: Settings, state: ClusterState) -> None:
@@ -36,26 +36,26 @@
         self._state = state
         self._loop = asyncio.new_event_loop()
         self._has_started = threading.Event()
-        self._starting: asyncio.Task[None] | None = None
+        self._start_task: asyncio.Task[None] | None = None
 
     def start(self) -> BlockingStoreClient:
-        """Start the thread; return the store for request threads once everything runs.
+        """Start the thread; return the store client for request threads once the agent has started.
 
-        Raises RuntimeError if that takes too long.
+        Raises RuntimeError after `LOOP_START_TIMEOUT_S`.
         """
         threading.Thread(target=self._run_loop, name="agent", daemon=True).start()
         if not self._has_started.wait(LOOP_START_TIMEOUT_S):
-            raise RuntimeError("the agent's loop did not start")
+            raise RuntimeError("the cluster agent did not start in time")
         assert self.store_client is not None
         return BlockingStoreClient(self.store_client, self._loop)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Let the agent use changed settings."""
+        """Pass changed settings to the agent."""
         if self.agent is not None:
             self._loop.call_soon_threadsafe(self.agent.apply_settings, settings)
 
     def stop(self, timeout_s: float) -> None:
-        """Release the lease and wait for pending settlements, `timeout_s` at most."""
+        """Release the lease and wait for pending settlements, for at most `timeout_s`."""
         stopped = asyncio.run_coroutine_threadsafe(self._stop(), self._loop)
         try:
             stopped.result(max(0.0, timeout_s))
@@ -64,7 +64,7 @@
 
     def _run_loop(self) -> None:
         asyncio.set_event_loop(self._loop)
-        self._starting = self._loop.create_task(self._start())
+        self._start_task = self._loop.create_task(self._start())
         self._loop.run_forever()
 
     async def _start(self) -> None:
@@ -91,7 +91,7 @@
         self._has_started.set()
 
     async def _stop(self) -> None:
-        """Release the lease and settle the last turns, whose programs would else keep their maximum reserved."""
+        """Release the lease and settle the last turns, whose maximum tokens would otherwise stay reserved."""
         settled = self.store_client.wait_until_settled() if self.store_client is not None else asyncio.sleep(0)
         stopped = self.agent.stop() if self.agent is not None else asyncio.sleep(0)
         await asyncio.gather(stopped, settled)
--- a/dewpin/dataplane/cluster_state_updater.py
+++ b/dewpin/dataplane/cluster_state_updater.py
@@ -1,4 +1,4 @@
-"""Puts what the cluster agent learns in force for the request threads and the client of the stores."""
+"""Passes the updates of the cluster agent to the request threads and the store client."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class ClusterStateUpdater:
-    """Writes `state`; `adopt_view` is called with each store view that has members. Used on the agent's loop alone."""
+    """Updates `state`; calls `adopt_view` with each store view that has members. Only for the agent's event loop."""
 
     def __init__(self, state: ClusterState, adopt_view: Callable[[StoreView], None]) -> None:
         self._state = state
         self._adopt_view = adopt_view
 
     def update_system_state(self, state: StateJson) -> None:
-        """Put the store view and the configuration of a system state in force."""
+        """Apply the store view and the configuration of a system state."""
         view = StoreView.from_json(state["stores"])
         if view.stable:
             self._state.store_view = view
@@ -33,13 +33,13 @@
             return
         try:
             self._state.configuration = parse_configuration(stored["body"].encode())
-        except InvalidConfigurationError as error:  # it was checked before it was agreed on: a fault of ours
+        except InvalidConfigurationError as error:  # it was validated before it was chosen: an internal error
             log.error("sender.configuration_invalid", extra={"faults": error.lines()})
 
     def update_receivers(self, directory: ReceiverDirectory) -> None:
-        """Put a list of receivers in force."""
+        """Apply a list of receivers."""
         self._state.receivers = directory.by_service()
 
     def update_sender_count(self, sender_count: int) -> None:
-        """Use this number of live senders."""
+        """Apply the number of live senders."""
         self._state.sender_count = sender_count
--- a/dewpin/dataplane/errors.py
+++ b/dewpin/dataplane/errors.py
@@ -1,4 +1,4 @@
-"""Base class of the exceptions that the modules of the data plane raise among themselves.
+"""Base class of the exceptions that are raised and handled within the data plane.
 
 ::
 
@@ -11,10 +11,10 @@
     ├── upstream.outcome.IncompleteResponseError
     └── upstream.receiver_socket.RequestNotSentError         also a ConnectionError
 
-An error that is reported to a client is a `cluster.errors.TierError` instead; those of the stores' client are
-`programs.errors.ProgramStoreError`s.
+Errors that are reported to clients are subclasses of `cluster.errors.TierError` instead; those of the store client are
+subclasses of `programs.errors.ProgramStoreError`.
 """
 
 
 class DataplaneError(Exception):
-    """An error that one module of the data plane raises and another one handles."""
+    """An exception that one module of the data plane raises and another one handles."""
--- a/dewpin/dataplane/membership/__init__.py
+++ b/dewpin/dataplane/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The sender's membership of the cluster: lease, relay tree, configuration and receiver list."""
+"""The sender's cluster membership: lease, relay tree, configuration and receiver list."""
--- a/dewpin/dataplane/membership/cluster_agent.py
+++ b/dewpin/dataplane/membership/cluster_agent.py
@@ -1,8 +1,8 @@
-"""A sender's membership of the cluster: its lease, its position in the relay tree, and what it learns there.
+"""A sender's cluster membership: its lease, its position in the relay tree and the updates that it receives.
 
-The agent runs on an asyncio loop in a thread of its own. Updates arrive from a parent in the relay tree
-(`relay_subscription`); the answers to the renewals of the lease, which the control servers give in turn, show what the
-parent has missed (`lease_renewer`). Both apply updates to the same `ClusterKnowledge`.
+The agent runs on an asyncio event loop in a dedicated thread. Updates arrive from a parent in the relay tree
+(`relay_subscription`). The lease is renewed at the control servers in rotation, and their grants reveal updates that
+the parent has missed (`lease_renewer`). Both apply updates to the same `ClusterKnowledge`.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 log = logging.getLogger(__name__)
 
 STEP_ERROR_BACKOFF_S = 0.5
-"""Back-off after a step that raised an unexpected exception."""
+"""Delay before a step that raised an unexpected exception is repeated."""
 
 
 class ClusterAgent:
-    """Keeps what a sender knows of the cluster current. It owns its tasks from `start` to `stop`.
+    """Keeps a sender's knowledge of the cluster up to date. It owns its tasks from `start` to `stop`.
 
     settings: the current settings of the process.
-    address: where this sender answers requests of senders below in the relay tree.
+    address: the address at which this sender serves its children in the relay tree.
     knowledge: the system state and the list of receivers.
-    on_state, on_receivers, on_sender_count: called on the agent's loop when that has changed.
-    clock: monotonic, in seconds.
+    on_state, on_receivers, on_sender_count: called on the agent's event loop after a change of the respective value.
+    clock: returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -83,41 +83,41 @@
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of requests of the senders below in the relay tree."""
+        """The request handlers for the children in the relay tree."""
         return self.knowledge.handlers
 
     @property
     def directory(self) -> ReceiverDirectory:
-        """The receivers that this sender knows."""
+        """The known receivers."""
         return self._receiver_list.directory
 
     @property
     def confirmation(self) -> StateConfirmation:
-        """As of when a majority has confirmed the system state."""
+        """The confirmation of the system state by a majority."""
         return self.knowledge.confirmation
 
     @property
     def has_control_plane_contact(self) -> bool:
-        """Whether a control server answered a renewal lately; False where this sender is cut off."""
+        """Whether a control server has recently answered a renewal; False means that this sender is cut off."""
         return self._lease.has_control_plane_contact
 
     def is_state_current(self) -> bool:
-        """Return whether a majority has confirmed the state within the time that a change has to come into force.
+        """Return whether a majority has confirmed the state within the time limit for applying a change.
 
-        A change that is not in such a state was not acknowledged before that time.
+        A change that is missing from such a state was acknowledged within that time limit, if at all.
         """
         return self.knowledge.is_current()
 
     def receiver_list_age_s(self) -> float:
-        """Return how long ago the list that the receivers come from was read, by this sender or another process."""
+        """Return the time since the receiver list was read from the platform, by this sender or another process."""
         return self._receiver_list.age_s()
 
     def start(self) -> None:
-        """Start to renew the lease and to subscribe to updates. Must be called on the agent's loop."""
+        """Start to renew the lease and to subscribe to updates; must be called on the agent's event loop."""
         self._tasks = [
-            asyncio.ensure_future(_repeat("_renew_and_pause", self._lease.renew_and_wait)),
-            asyncio.ensure_future(_repeat("_watch", self._subscription.watch)),
-            asyncio.ensure_future(_repeat("_guard_list", self._check_receiver_list)),
+            asyncio.ensure_future(_run_repeatedly("_renew_and_pause", self._lease.renew_and_wait)),
+            asyncio.ensure_future(_run_repeatedly("_watch", self._subscription.watch)),
+            asyncio.ensure_future(_run_repeatedly("_guard_list", self._check_receiver_list)),
         ]
 
     async def stop(self) -> None:
@@ -128,7 +128,7 @@
         await self._lease.release()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use the seeds and the platform's address of a changed settings file; what the start has bound stays."""
+        """Apply the reloadable settings of a changed file, such as seeds and platform address; the others stay."""
         self.settings = reloaded(self.settings, settings)
         self._control_servers.set_seeds(self._seed_addresses())
 
@@ -140,16 +140,16 @@
         return self.settings.bounds.config_apply_ms / 1000
 
     async def _check_receiver_list(self) -> None:
-        """Read the platform's list where no control server provides it in time."""
+        """Read the platform's list if no control server provides a recent one."""
         await self._receiver_list.wait_for_next_check(self.settings)
         if self.knowledge.system_state.complete is not None:
             await self._receiver_list.read_if_stale(self.settings, self._lease.sender_count)
 
 
-async def _repeat(name: str, step: Callable[[], Awaitable[None]]) -> None:
-    """Run a step again and again; an unexpected exception is logged and does not end the other steps.
+async def _run_repeatedly(name: str, step: Callable[[], Awaitable[None]]) -> None:
+    """Run a step in an endless loop; an unexpected exception is logged and ends neither this step nor the others.
 
-    name: the step's name in the log.
+    name: name of the step in log records.
     """
     while True:
         try:
--- a/dewpin/dataplane/membership/cluster_knowledge.py
+++ b/dewpin/dataplane/membership/cluster_knowledge.py
@@ -1,4 +1,4 @@
-"""What a sender knows of the cluster, how updates change it, and how it is relayed to the senders below."""
+"""A sender's knowledge of the cluster: applies updates and relays them to the children in the relay tree."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class ClusterKnowledge:
-    """The system state and the list of receivers of one sender.
-
-    sources: where updates and bodies come from.
-    system_state: the system state, which may lack a body that is being fetched.
-    receiver_list: the receivers.
-    confirmation: as of when a majority has confirmed the system state.
-    on_state: called with each system state that comes into force.
-    max_age_s: returns the age beyond which the state is not relayed any more.
-    clock: monotonic, in seconds.
+    """The system state and the receiver list of one sender.
+
+    sources: the sources of updates and bodies.
+    system_state: the system state, whose body may still be being fetched.
+    receiver_list: the known receivers.
+    confirmation: the confirmation of the system state by a majority.
+    on_state: called with each system state that takes effect.
+    max_age_s: returns the maximum age of a confirmed state that is relayed.
+    clock: returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
 
     @property
     def handlers(self) -> dict[str, Handler]:
-        """The handlers of requests of the senders below in the relay tree."""
+        """The request handlers for the children in the relay tree."""
         return {RELAY_WATCH: self._relay.handle_watch, RELAY_BODY: self._pages.handle}
 
     def stop(self) -> None:
-        """Cancel the fetch of a body."""
+        """Cancel the fetch of a configuration body."""
         self._fetch.stop()
 
     def is_current(self) -> bool:
@@ -63,36 +63,36 @@
         return self.confirmation.age_s(self._clock()) <= self._max_age_s()
 
     def is_behind(self, grant: LeaseGrant) -> bool:
-        """Return whether the grantor of a lease has a newer state or list."""
+        """Return whether the control server that granted a lease has a newer state or receiver list."""
         receivers_version = self.receiver_list.directory.version
         return grant.state_version > self.system_state.newest_version or grant.receivers_version > receivers_version
 
     def watch_request(self, is_long_poll: bool) -> WatchRequest:
-        """Return the request for what is newer than this; with `is_long_poll` the reply waits for the next update."""
+        """Create a request for newer updates; with `is_long_poll`, the reply waits until there is one."""
         state = self.system_state
         return WatchRequest(state.newest_version, self.receiver_list.directory.version, is_long_poll, state.generation)
 
     def apply_update(self, update: RelayUpdate, asked_s: float) -> None:
-        """Apply the answer to a watch. Ages count from `asked_s`, since the answer may have been delayed on its way.
+        """Apply the reply to a watch. Ages count from `asked_s`, the time of the request: the reply may be delayed.
 
-        Raises KeyError or ValueError for a state that cannot be used.
+        Raises KeyError or ValueError if the state is malformed.
         """
         has_changed = False
         if update.state is not None and self.system_state.update(update.state):
-            self._put_in_force()
+            self._apply_newest_state()
             has_changed = True
         list_read_s = asked_s - update.list_age_s
         if update.receivers is not None and self.receiver_list.apply_copy(
             update.receivers_version, update.receivers, list_read_s
         ):
             has_changed = True
-        self.receiver_list.record_reading(update.receivers_version, list_read_s)
+        self.receiver_list.record_read_time(update.receivers_version, list_read_s)
         self.confirmation.confirm(asked_s - update.knowledge_age_s)
         if has_changed:
             self._relay.announce()
 
-    def _put_in_force(self) -> None:
-        """Put the newest state in force as far as it is here, and fetch the body that it lacks."""
+    def _apply_newest_state(self) -> None:
+        """Apply the newest state as far as it is available, and fetch its body if it is missing."""
         self.confirmation.set_complete(self.system_state.is_complete)
         self._on_state(self.system_state.effective)
         self._fetch.fetch(self.system_state.missing_body)
@@ -100,7 +100,7 @@
 
     def _add_body(self, digest: str, body: str) -> None:
         if self.system_state.add_body(digest, body):
-            self._put_in_force()
+            self._apply_newest_state()
             self._relay.announce()
 
     def _known_body(self, digest: str) -> KnownBody | None:
--- a/dewpin/dataplane/membership/cluster_state.py
+++ b/dewpin/dataplane/membership/cluster_state.py
@@ -1,7 +1,7 @@
-"""What a sender knows of the cluster, as request threads read it.
+"""A sender's view of the cluster, as read by request threads.
 
 The cluster agent updates it from its own thread. Each attribute holds an immutable value that is replaced as a whole,
-so a reader takes the value once and works on it without a lock.
+so a reader fetches the value once and needs no lock.
 """
 
 from collections.abc import Callable, Mapping
@@ -15,15 +15,14 @@
 
 
 class ClusterState:
-    """The newest values that this sender has received.
+    """The latest values that this sender has received.
 
-    configuration: None until one has been received.
-    receivers: by the name of their service.
-    store_view: None until one with members has been received.
-    sender_count: number of live senders, this one included; 0 while it is unknown.
+    configuration: the configuration in effect; None until one has been received.
+    receivers: the known receivers, by service name.
+    store_view: the latest store view with members; None until one has been received.
+    sender_count: number of live senders, including this one; 0 if it is unknown.
     is_cut_off: returns whether this sender considers itself cut off from the control plane.
-    is_current: returns whether a majority has confirmed the configuration within the time that a new one has to come
-        into force.
+    is_current: returns whether a majority has confirmed the configuration within the time limit for applying a change.
     """
 
     __slots__ = ("configuration", "is_current", "is_cut_off", "receivers", "sender_count", "store_view")
--- a/dewpin/dataplane/membership/local_system_state.py
+++ b/dewpin/dataplane/membership/local_system_state.py
@@ -1,7 +1,7 @@
-"""The system state that a sender has.
+"""The system state of a sender.
 
-A new state may arrive without the body of its configuration, which is fetched then. Until it is here, the former
-configuration stays in force with everything else of the new state.
+A new state may arrive without the body of its configuration, which is then fetched separately. Until the body is
+available, the previous configuration stays in effect, together with all other parts of the new state.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 
 class LocalSystemState:
-    """The newest system state, and the newest one that is complete.
+    """The newest system state and the newest complete one.
 
-    newest: the newest state that was received; None before the first.
-    complete: the newest state whose configuration is here with its body; None before the first.
+    newest: the newest received state; None before the first one.
+    complete: the newest state whose configuration has its body; None before the first one.
 
-    Invariant: they are the same object unless the body of `newest` is missing.
+    Invariant: both are the same object unless the body of `newest` is missing.
     """
 
     def __init__(self) -> None:
@@ -25,22 +25,22 @@
 
     @property
     def newest_version(self) -> int:
-        """The version of the newest state; -1 before the first."""
+        """The version of the newest state; -1 before the first one."""
         return int(self.newest["version"]) if self.newest is not None else -1
 
     @property
     def is_complete(self) -> bool:
-        """Whether the newest state is complete."""
+        """Whether the newest state has its body."""
         return self.complete is self.newest
 
     @property
     def generation(self) -> int:
-        """The generation of the configuration whose body is here; 0 without one."""
+        """The generation of the newest configuration that has its body; 0 without one."""
         return generation_of(self.complete)
 
     @property
     def missing_body(self) -> BodyName | None:
-        """The body that the newest state lacks, None if it is complete."""
+        """Identifies the missing body of the newest state; None if the state is complete."""
         if self.newest is None or self.is_complete:
             return None
         configuration = self.newest["configuration"]
@@ -48,7 +48,7 @@
 
     @property
     def effective(self) -> StateJson:
-        """The newest state, with the last complete configuration in place of one whose body is missing."""
+        """The newest state, with the last complete configuration instead of one whose body is missing."""
         assert self.newest is not None
         if self.is_complete:
             return self.newest
@@ -56,16 +56,16 @@
         return {**self.newest, "configuration": configuration}
 
     def body_of(self, digest: str) -> str | None:
-        """Return the body with that digest, None if another one or none is here."""
+        """Return the configuration body with this digest; None if it is not available."""
         configuration = self.complete.get("configuration") if self.complete is not None else None
         if configuration is None or configuration.get("digest") != digest:
             return None
         return str(configuration["body"])
 
     def update(self, state: StateJson) -> bool:
-        """Use a received state if it is newer, or completes the newest one; return whether it was used.
+        """Adopt a received state if it is newer or completes the newest one; return whether it was adopted.
 
-        Raises KeyError or ValueError for a state that cannot be used.
+        Raises KeyError or ValueError if the state is malformed.
         """
         state = self._with_known_body(state)
         completes = has_body(state) and not self.is_complete and state["version"] == self.newest_version
@@ -79,7 +79,7 @@
         return True
 
     def add_body(self, digest: str, body: str) -> bool:
-        """Add a body that was checked; return whether it was the missing one."""
+        """Add a verified body; return whether it was the missing one."""
         if self.newest is None or self.missing_body is None or self.missing_body.digest != digest:
             return False
         self.newest = self.complete = _with_body(self.newest, body)
--- a/dewpin/dataplane/membership/relay_subscription.py
+++ b/dewpin/dataplane/membership/relay_subscription.py
@@ -1,4 +1,4 @@
-"""The subscription to updates: a watch at one parent in the relay tree, and the choice of another one when it fails."""
+"""The subscription to updates: watches one parent in the relay tree and switches to another source if it fails."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 WATCH_TIMEOUT_S = 1.7
 WATCH_RETRY_S = 0.05
 FAILED_SOURCE_RETRY_S = 3.0
-"""How long a source that failed is not watched."""
+"""How long a failed source is avoided."""
 
 
 class RelaySubscription:
-    """Watches the nearest source that has not failed lately, and applies its updates.
+    """Watches the nearest source that has not failed recently, and applies its updates.
 
-    retry_all_s: returns the pause before a source is tried again when all have failed.
-    clock: monotonic, in seconds.
+    retry_all_s: returns the delay before the next watch if all sources have failed.
+    clock: returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._failed_until_s: dict[str, float] = {}
 
     async def watch(self) -> None:
-        """Wait for one answer and apply it; after a failure, pause before the next watch."""
+        """Wait for one reply and apply it; after a failure, wait before the next watch."""
         source, asked_s = self._choose_source(), self._clock()
         try:
             request = self._knowledge.watch_request(is_long_poll=True)
@@ -55,7 +55,7 @@
             await asyncio.sleep(WATCH_RETRY_S if has_others else self._retry_all_s())
 
     def _choose_source(self) -> str:
-        """Return the first source that has not failed lately, the last one if all have."""
+        """Return the first source that has not failed recently; the last source if all have."""
         now_s = self._clock()
         self._failed_until_s = {source: until_s for source, until_s in self._failed_until_s.items() if until_s > now_s}
         sources = [*self._sources.parents(), *self._sources.control_servers()]
--- a/dewpin/dataplane/membership/sender_readiness.py
+++ b/dewpin/dataplane/membership/sender_readiness.py
@@ -1,4 +1,4 @@
-"""Whether a sender knows enough of the cluster to serve clients."""
+"""Readiness of a sender: whether it knows enough about the cluster to serve clients."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def is_ready(state: ClusterState, agent: ClusterAgent) -> bool:
-    """Return whether clients may be sent to this sender.
+    """Return whether this sender is ready for client requests.
 
-    A control server has to answer it, a majority has to have confirmed its state since the start, and it has to know a
-    configuration, receivers and stores.
+    It must have contact with a control server, a majority must have confirmed its state since the start, and it must
+    know a configuration, receivers and stores.
     """
     if not agent.has_control_plane_contact or not agent.confirmation.is_confirmed:
         return False
--- a/dewpin/dataplane/membership/state_confirmation.py
+++ b/dewpin/dataplane/membership/state_confirmation.py
@@ -1,4 +1,4 @@
-"""As of when a majority has confirmed the system state that this sender has."""
+"""Tracks until which time a majority has confirmed that the sender's system state was the newest."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class StateConfirmation:
-    """The times of confirmations, in seconds of the monotonic clock; `started_s` is when this sender started.
+    """The times of confirmations, in seconds of the monotonic clock; `started_s` is the start of this sender.
 
-    The newest state may lack its body for a while. A confirmation of it confirms the complete state only where the two
+    The newest state may lack its body for some time. Its confirmation applies to the complete state only if both states
     are the same.
 
-    Invariant: the complete state is never confirmed later than the newest one.
+    Invariant: the confirmation time of the complete state is never later than that of the newest state.
     """
 
     def __init__(self, started_s: float) -> None:
@@ -21,12 +21,12 @@
         self._is_complete = True
 
     def confirm(self, as_of_s: float) -> None:
-        """Record that no state newer than the newest one here was chosen before `as_of_s`."""
+        """Record that no state newer than this sender's newest one was chosen before `as_of_s`."""
         self._newest_confirmed_s = max(self._newest_confirmed_s, as_of_s)
         self.set_complete(self._is_complete)
 
     def set_complete(self, is_complete: bool) -> None:
-        """Record whether the newest state is complete."""
+        """Record whether the newest state is complete, that is, has its body."""
         self._is_complete = is_complete
         if is_complete:
             self._complete_confirmed_s = self._newest_confirmed_s
@@ -37,9 +37,9 @@
         return self._complete_confirmed_s >= self._started_s
 
     def age_s(self, now_s: float) -> float:
-        """Return how long ago the complete state was certainly the newest; infinite before the first confirmation."""
+        """Return the time since the complete state was last confirmed as the newest; infinite before that."""
         return now_s - self._complete_confirmed_s
 
     def newest_age_s(self, now_s: float) -> float:
-        """Return the same of the newest state, which may be incomplete."""
+        """Return the time since the newest state, which may be incomplete, was last confirmed; infinite before that."""
         return now_s - self._newest_confirmed_s
--- a/dewpin/dataplane/membership/update_sources.py
+++ b/dewpin/dataplane/membership/update_sources.py
@@ -1,4 +1,4 @@
-"""Where a sender gets updates and configuration bodies from: parents in the relay tree, then control servers."""
+"""The sources of updates and configuration bodies: first the parents in the relay tree, then the control servers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UpdateSources:
-    """The parents that the last lease named, and the list of control servers. `clock` is monotonic, in seconds."""
+    """The parents listed in the last grant, and the control servers; `clock` returns the monotonic time in seconds."""
 
     def __init__(self, control_servers: ControlServerList, clock: Callable[[], float]) -> None:
         self._control_servers = control_servers
@@ -16,13 +16,13 @@
         self._parents: list[str] = []
 
     def set_parents(self, parents: Iterable[str]) -> None:
-        """Use these senders as parents, the nearest first."""
+        """Set the parents in the relay tree, nearest first."""
         self._parents = list(parents)
 
     def parents(self) -> list[str]:
-        """Return the senders above this one in the relay tree, the nearest first."""
+        """Return the parents in the relay tree, nearest first."""
         return self._parents
 
     def control_servers(self) -> list[str]:
-        """Return the control servers: the usable ones first, then all of them."""
+        """Return the usable control servers, followed by all of them."""
         return [*self._control_servers.usable(self._clock()), *self._control_servers.all()]
--- a/dewpin/dataplane/metrics.py
+++ b/dewpin/dataplane/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of the requests that a sender handles."""
+"""Request counters of a sender."""
 
 from dataclasses import dataclass, fields
 
@@ -7,21 +7,21 @@
 class RequestMetrics:
     """Counters since the start of the process.
 
-    They are incremented without a lock, because a lock would cost more than an exact count is worth: two threads that
-    increment a counter at the same moment may count as one.
+    They are incremented without a lock, which would cost more than exact counts are worth: concurrent increments of a
+    counter by two threads may count as one.
 
     Attributes:
-        requests: requests that were read from clients.
-        forwarded: requests that got the response of a receiver.
-        not_executed: requests that got an error which promises that they have not run.
-        unknown_effect: requests that got an error although they may have run.
+        requests: requests read from clients.
+        forwarded: requests answered with the response of a receiver.
+        not_executed: requests answered with an error that guarantees that they were not executed.
+        unknown_effect: requests answered with an error although they may have been executed.
         not_routed: requests that match no route.
-        invalid: requests that were rejected as invalid, without the promise above.
-        attempts: slots at receivers that a request was sent to, or should have been.
+        invalid: requests rejected as invalid, without the guarantee of `not_executed`.
+        attempts: calls to receivers, including those whose request could not be sent.
         rejections_without_id: rejections without a request id on a reused connection, which prove nothing.
-        connects: connections to receivers that were attempted.
-        resumed_streams: event streams that were resumed at another receiver.
-        incomplete_streams: event streams whose end the client did not get.
+        connects: connection attempts to receivers.
+        resumed_streams: event streams resumed at another receiver.
+        incomplete_streams: event streams whose end was not sent to the client.
     """
 
     requests: int = 0
--- a/dewpin/dataplane/stop_signal.py
+++ b/dewpin/dataplane/stop_signal.py
@@ -1,8 +1,8 @@
-"""SIGTERM and SIGINT as something that the main thread can wait for, whichever thread the system delivers them to.
+"""Lets the main thread wait for SIGTERM and SIGINT, whichever thread the kernel delivers them to.
 
-Python runs signal handlers on the main thread alone. A main thread that sleeps on a lock is not woken by a signal that
-another thread received, so the handler could run much later, or never. The bytes that Python writes to the wake-up
-descriptor at the moment of delivery wake it.
+Python runs signal handlers only on the main thread. A main thread that is blocked on a lock is not woken by a signal
+delivered to another thread, so the handler could run much later or never. Therefore the main thread reads from a pipe
+whose other end is the wake-up descriptor, to which Python writes a byte at delivery.
 """
 
 import os
@@ -14,10 +14,10 @@
 
 
 class StopSignal:
-    """Whether the process has received a signal to stop.
+    """Records whether the process has received a stop signal.
 
-    Must be made on the main thread, which then calls `wait`. It is meant to last as long as the process, so its pipe
-    is never closed.
+    Must be created on the main thread, which then calls `wait`. It lives as long as the process, so its pipe is never
+    closed.
     """
 
     def __init__(self) -> None:
@@ -29,10 +29,10 @@
             signal.signal(number, lambda *_: self._received.set())
 
     def is_set(self) -> bool:
-        """Return whether a signal to stop was received."""
+        """Return whether a stop signal was received."""
         return self._received.is_set()
 
     def wait(self) -> None:
-        """Return once a signal to stop was received."""
+        """Block until a stop signal is received."""
         while not self._received.is_set():
             os.read(self._reader, READ_SIZE_BYTES)
