--- a/tests/dataplane/agent_world.py
+++ b/tests/dataplane/agent_world.py
@@ -1,4 +1,4 @@
-"""A cluster agent among scripted control servers and parents in the relay tree, in simulated time."""
+"""Harness for the cluster agent: scripted control servers and relay parents, in simulated time."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 APPLY_S = 2.0
 DRAIN_S = 3.0
-CALM_S = 10.0
+IDLE_PERIOD_S = 10.0
 
 
 def control_server_address(number):
@@ -42,23 +42,23 @@
 
 
 class Source:
-    """A control server, or a sender above in the relay tree: what it knows, and whether it answers."""
+    """A scripted control server or relay parent: its state, its receiver list and its faults."""
 
-    def __init__(self, world, address):
-        self.world = world
+    def __init__(self, harness, address):
+        self.harness = harness
         self.address = address
         self.up = True
         self.frozen = False
         self.state_version = 1
         self.directory = ReceiverDirectory()
         self.directory.apply_listing([receiver()], "r")
-        self.read_s = None  # when the list was read; None: just now
+        self.read_s = None  # time at which the list was read; None for just now
         self.parents = []
         self.senders = 4
-        self.names = None  # the control servers that it names; None: all
-        self.refuses = False  # answers that it reaches no majority
-        self.told_version = None  # the version that its grants tell; None: the one that it has
-        self.news_age_s = 0.0  # how long ago a majority confirmed what its news tell
+        self.listed_control_servers = None  # the control servers that its grants list; None for all
+        self.refuses = False  # whether it refuses requests because it reaches no majority
+        self.granted_version = None  # the state version in its grants; None for its own
+        self.update_age_s = 0.0  # time since a majority confirmed the state in its updates; None omits the field
         self.latency_s = 0.002
         self.changed = asyncio.Event()
 
@@ -73,7 +73,7 @@
         self.changed = asyncio.Event()
 
     def age_s(self):
-        return 0.1 if self.read_s is None else self.world.now_s - self.read_s
+        return 0.1 if self.read_s is None else self.harness.now_s - self.read_s
 
     async def answer(self, message):
         kind = message["type"]
@@ -83,64 +83,66 @@
             return {
                 "type": "lease.granted",
                 "duration_s": 3.2,
-                "state_version": self.told_version or self.state_version,
+                "state_version": self.granted_version or self.state_version,
                 "receivers_version": self.directory.version,
                 "list_age_s": self.age_s(),
                 "parents": self.parents,
-                "keepers": self.names if self.names is not None else self.world.control_server_addresses,
+                "keepers": self.listed_control_servers
+                if self.listed_control_servers is not None
+                else self.harness.control_server_addresses,
                 "senders": self.senders,
             }
         if kind == "lease.release":
             return {"type": "lease.released"}
-        return await self.news(message)
+        return await self.update(message)
 
-    async def news(self, message):
-        if message["wait"] and not self.has_news(message):
+    async def update(self, message):
+        if message["wait"] and not self.has_update(message):
             try:
                 await asyncio.wait_for(self.changed.wait(), WATCH_HEARTBEAT_S)
             except TimeoutError:
                 pass
-        news = {
+        update = {
             "type": "relay.news",
             "receivers_version": self.directory.version,
             "list_age_s": self.age_s(),
         }
-        if self.news_age_s is not None:
-            news["knowledge_age_s"] = self.news_age_s
+        if self.update_age_s is not None:
+            update["knowledge_age_s"] = self.update_age_s
         if self.state_version > message["state_version"]:
-            news["state"] = {"version": self.state_version}
+            update["state"] = {"version": self.state_version}
         if self.directory.version > DirectoryVersion(*message["receivers_version"]):
-            news["receivers"] = self.directory.to_records()
-        return news
+            update["receivers"] = self.directory.to_records()
+        return update
 
-    def has_news(self, message):
-        newer = self.directory.version > DirectoryVersion(*message["receivers_version"])
-        return newer or self.state_version > message["state_version"]
+    def has_update(self, message):
+        has_newer_list = self.directory.version > DirectoryVersion(*message["receivers_version"])
+        return has_newer_list or self.state_version > message["state_version"]
 
 
-class World:
-    """The agent under test, its sources by address, and the platform's list."""
+class AgentHarness:
+    """The agent under test with its sources, by address; also stands for the agent's RPC client and platform reader."""
 
     def __init__(self, control_servers=3, seeds=(1, 2, 3), rate_per_s=44.0):
         self.control_server_addresses = [control_server_address(number) for number in range(1, control_servers + 1)]
         self.sources = {address: Source(self, address) for address in self.control_server_addresses}
         self.calls = []
-        self.own_readings = []
-        self.platform = [receiver()]
-        self.platform_down = False
+        self.direct_reads = []
+        self.platform_list = [receiver()]
+        self.is_platform_down = False
         self.states = []
         self.on_state = lambda state: self.states.append(state["version"])
-        self.drained = []
-        self.counts = []
+        self.draining_flags = []
+        self.sender_counts = []
         self.agent = ClusterAgent(
             settings(seeds, rate_per_s),
             self,
             random.Random(5),
             lambda state: self.on_state(state),
-            lambda directory: self.drained.append([one.draining for one in directory.receivers.values()]),
+            lambda directory: self.draining_flags.append([one.draining for one in directory.receivers.values()]),
             lambda: self.now_s,
             self,
-            self.counts.append,
+            self.sender_counts.append,
         )
 
     @property
@@ -162,7 +164,7 @@
         return parent
 
     async def call(self, address, message, timeout_s):
-        """The client's part."""
+        """Deliver a call of the agent (RPC client)."""
         self.calls.append((self.now_s, address, message["type"]))
         source = self.sources.get(address)
         if source is None or not source.up:
@@ -184,31 +186,31 @@
         return answer
 
     async def read(self, address):
-        """The platform's part."""
-        self.own_readings.append((self.now_s, address))
-        if self.platform_down:
+        """Return the platform's list (platform reader)."""
+        self.direct_reads.append((self.now_s, address))
+        if self.is_platform_down:
             raise PlatformUnavailableError("down")
-        return list(self.platform)
+        return list(self.platform_list)
 
-    async def until(self, condition, most_s=10.0):
-        began_s = self.now_s
+    async def wait_until(self, condition, timeout_s=10.0):
+        started_s = self.now_s
         while not condition():
             await asyncio.sleep(0.005)
-            assert self.now_s - began_s < most_s, f"not within {most_s} s"
-        return self.now_s - began_s
+            assert self.now_s - started_s < timeout_s, f"condition not met within {timeout_s} s"
+        return self.now_s - started_s
 
-    def count(self, kind, since_s=0.0):
-        return sum(1 for at_s, _, named in self.calls if named == kind and at_s >= since_s)
+    def count_calls(self, kind, since_s=0.0):
+        return sum(1 for called_at_s, _, call_kind in self.calls if call_kind == kind and called_at_s >= since_s)
 
 
-def play(scene, **fields):
-    async def whole():
-        world = World(**fields)
-        world.agent.start()
-        await world.until(lambda: world.states and world.drained)
+def run_with_agent(scenario, **fields):
+    async def run_scenario():
+        harness = AgentHarness(**fields)
+        harness.agent.start()
+        await harness.wait_until(lambda: harness.states and harness.draining_flags)
         try:
-            return await scene(world)
+            return await scenario(harness)
         finally:
-            await world.agent.stop()
+            await harness.agent.stop()
 
-    return run(whole())
+    return run(run_scenario())
--- a/tests/dataplane/peers.py
+++ b/tests/dataplane/peers.py
@@ -1,4 +1,4 @@
-"""Scripted receivers, clients and stores for the tests of the data plane; they are driven by events and never sleep."""
+"""Scripted receivers, clients and stores for the data plane tests; they are event-driven and never sleep."""
 
 import fcntl
 import json
@@ -22,14 +22,14 @@
 )
 
 PATIENCE_S = 10.0
-"""Bounds every wait of a test, so that a fault makes it fail instead of hang."""
+"""Limit of each wait in a test, so that a fault makes the test fail instead of hang."""
 
 HOST = "tier.example"
 SERVICE = "workers"
 
 
 class ReceivedRequest:
-    """A request as a scripted receiver has read it."""
+    """A request read by a scripted receiver."""
 
     def __init__(self, head: bytes, body: bytes) -> None:
         self.line, *fields = head.decode("latin-1").split("\r\n")
@@ -51,7 +51,7 @@
         sock.settimeout(PATIENCE_S)
 
     def read_request(self) -> ReceivedRequest | None:
-        """Return the next request with its Content-Length body, or None once the caller has closed the connection."""
+        """Read the next request with its Content-Length body; return None once the caller has closed the connection."""
         while b"\r\n\r\n" not in self._buffer:
             received = self._socket.recv(65536)
             if not received:
@@ -69,12 +69,12 @@
         self._socket.sendall(data)
 
     def wait_until_taken(self) -> None:
-        """Wait until the caller's system has acknowledged all that was sent, so that a reset cannot overtake it."""
+        """Wait until the peer's TCP stack has acknowledged all sent data, so that a reset cannot discard any of it."""
         while struct.unpack("i", fcntl.ioctl(self._socket.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0]:
             os.sched_yield()
 
     def wait_for_close(self) -> bool:
-        """Return whether the caller closes the connection."""
+        """Wait for the caller; return whether it closes or resets the connection instead of sending data."""
         try:
             return self._socket.recv(1) == b""
         except ConnectionError:
@@ -93,7 +93,7 @@
 
 
 class Listener:
-    """Accepts connections and serves each on a thread of its own."""
+    """Accepts connections and serves each in a separate thread."""
 
     def __init__(self, id: str, zone: str, capacity: int) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -103,7 +103,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        # A close alone does not wake the thread that accepts.
+        # Closing the socket alone does not wake the thread that is blocked in accept().
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
@@ -121,7 +121,7 @@
 
 
 class ScriptedReceiver(Listener):
-    """Serves each request by the next script; the last script serves all that follow."""
+    """Serves each request with the next script; the last script serves all remaining requests."""
 
     def __init__(self, *scripts: Script, id: str = "i-1", zone: str = "here", capacity: int = 4) -> None:
         self._scripts = list(scripts)
@@ -146,7 +146,7 @@
 
 
 class RawReceiver(Listener):
-    """Passes each connection to a script that reads it itself."""
+    """Passes each connection to a script, which reads the requests itself."""
 
     def __init__(self, script: Callable[[socket.socket], None], id: str = "i-1") -> None:
         self._script = script
@@ -158,7 +158,7 @@
 
 
 def read_head(sock: socket.socket) -> ReceivedRequest:
-    """Read a head byte by byte, so that nothing of the body is read."""
+    """Read a request head byte by byte, so that no part of the body is consumed."""
     data = b""
     while not data.endswith(b"\r\n\r\n"):
         data += sock.recv(1)
@@ -167,7 +167,7 @@
 
 @contextmanager
 def receivers(*scripted: ScriptedReceiver):
-    """Close the receivers at the end."""
+    """Provide the receivers of scripted ones, which are closed at the end of the block."""
     try:
         yield [each.receiver for each in scripted]
     finally:
@@ -176,7 +176,7 @@
 
 
 def head(request: ReceivedRequest, status: str = "200 OK", *fields: str, signed: bool = True) -> bytes:
-    """Return the head of a response to a request, without framing fields."""
+    """Return the head of a response, without framing fields and the final empty line."""
     lines = [f"HTTP/1.1 {status}", f"X-Dewpin-Request-Id: {request.id}", *fields]
     if signed:
         lines.append(f"X-Dewpin-Response-Signature: signed-{request.id}")
@@ -184,7 +184,7 @@
 
 
 def full_response(body: bytes = b"done", status: str = "200 OK", *fields: str, signed: bool = True) -> Script:
-    """Return a script that responds with a complete body."""
+    """Create a script that responds with a complete body."""
 
     def respond(connection: PeerConnection, request: ReceivedRequest) -> None:
         length = f"Content-Length: {len(body)}"
@@ -194,7 +194,7 @@
 
 
 def rejection(*fields: str) -> Script:
-    """Return a script that rejects a request because the receiver is full."""
+    """Create a script that rejects a request because the receiver has no free slot."""
     return full_response(b"", "503 Service Unavailable", "X-Dewpin-Not-Executed: 1", *fields, signed=False)
 
 
@@ -226,7 +226,7 @@
 
 
 def stream(*parts: bytes, is_complete: bool = True) -> Script:
-    """Return a script that sends parts as chunks, and the last chunk if `is_complete`."""
+    """Create a script that sends the parts as chunks, followed by the last chunk if `is_complete`."""
 
     def respond(connection: PeerConnection, request: ReceivedRequest) -> bool:
         connection.send(stream_head(request) + b"".join(chunk(part) for part in parts) + (END if is_complete else b""))
@@ -236,7 +236,7 @@
 
 
 def configuration(kind: str = "idempotent", retries: int = 2, **fields: object) -> Configuration:
-    """Return a configuration with one route at `/`."""
+    """Create a configuration with a single route at `/`."""
     route = {
         "name": "route",
         "hostname": HOST,
@@ -261,13 +261,13 @@
     request_id: str = "r-1",
     client: Client | None = None,
 ) -> Request:
-    """Return a request as the ingress server passes it to the handler."""
-    given = [("Host", HOST), ("X-Dewpin-Request-Id", request_id), ("Content-Length", str(len(body))), *fields]
-    return Request(method, target, Headers(given), body, now, client)
+    """Create a request as the ingress server passes it to the request handler."""
+    header_fields = [("Host", HOST), ("X-Dewpin-Request-Id", request_id), ("Content-Length", str(len(body))), *fields]
+    return Request(method, target, Headers(header_fields), body, now, client)
 
 
 class DisconnectingClient:
-    """The sender's end of a connection whose client can disconnect."""
+    """A client that can disconnect; stands for the sender's end of its connection."""
 
     def __init__(self) -> None:
         self.ours, self.theirs = socket.socketpair()
@@ -286,7 +286,7 @@
 
 
 class MemoryStore:
-    """A program store in memory that records its calls; the operations in `fails` raise StoreUnavailable."""
+    """An in-memory program store that records its calls; operations in `fails` raise StoreUnavailableError."""
 
     def __init__(self, fails: Sequence[str] = ()) -> None:
         self.fails = set(fails)
@@ -313,8 +313,8 @@
         turn = self.turns.get(previous_id)
         if turn is None or turn.program != program:
             raise TurnNotFoundError
-        before = self.read_history(program, turn.previous_id, timeout_s) if turn.previous_id is not None else b""
-        return before + turn.input + turn.output
+        earlier = self.read_history(program, turn.previous_id, timeout_s) if turn.previous_id is not None else b""
+        return earlier + turn.input + turn.output
 
     def begin_turn(
         self, program: str, turn_id: str, max_tokens: int, budget: int, previous_id: str, timeout_s: float
--- a/tests/dataplane/test_body_fetch.py
+++ b/tests/dataplane/test_body_fetch.py
@@ -1,4 +1,4 @@
-"""The fetch of a configuration's body, from a source with scripted calls."""
+"""The fetch of a configuration body from a source with scripted replies."""
 
 import asyncio
 
@@ -19,26 +19,26 @@
 
 
 class Client:
-    """Answers with the whole body after calls that fail with the faults given."""
+    """Raises the given exceptions, one for each call, then responds with the whole body."""
 
-    def __init__(self, faults):
-        self.faults = faults
+    def __init__(self, errors):
+        self.errors = errors
 
     async def call(self, address, message, timeout_s):
         await asyncio.sleep(0.01)
-        if self.faults:
-            raise self.faults.pop(0)
+        if self.errors:
+            raise self.errors.pop(0)
         return BodyPage(BODY, len(BODY)).encode()
 
 
 def test_unexpected_exception_does_not_end_the_fetch():
-    async def scene():
-        name, taken = BodyName(configuration_digest(BODY.encode(), 3), 3), []
-        client = Client([OSError("no descriptor is left"), RuntimeError("a fault of the program")])
+    async def scenario():
+        name, completed = BodyName(configuration_digest(BODY.encode(), 3), 3), []
+        client = Client([OSError("no free file descriptor"), RuntimeError("internal error")])
         clock = asyncio.get_running_loop().time
-        fetch = BodyFetch(client, "me", Sources(), lambda: None, lambda digest, body: taken.append(body), clock)
+        fetch = BodyFetch(client, "me", Sources(), lambda: None, lambda digest, body: completed.append(body), clock)
         fetch.fetch(name)
         await asyncio.sleep(5.0)
-        return taken
+        return completed
 
-    assert run(scene()) == [BODY]
+    assert run(scenario()) == [BODY]
--- a/tests/dataplane/test_graceful_shutdown.py
+++ b/tests/dataplane/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: how long requests in progress have after SIGTERM, and what is done before the process exits."""
+"""Graceful shutdown: how long requests in progress may continue after SIGTERM, and what is done before the exit."""
 
 import asyncio
 import threading
@@ -25,40 +25,41 @@
         self.is_stopped = True
 
 
-class SlowStores:
-    """Settles after some iterations of the loop, as after replies of replicas; never with `dark`."""
+class SlowStoreClient:
+    """Settles after some iterations of the event loop, as after replies of replicas; never if `is_unresponsive`."""
 
-    def __init__(self, dark=False):
-        self.dark = dark
+    def __init__(self, is_unresponsive=False):
+        self.is_unresponsive = is_unresponsive
         self.is_settled = False
 
     async def wait_until_settled(self):
         for _ in range(50):
             await asyncio.sleep(0)
-        if self.dark:
+        if self.is_unresponsive:
             await asyncio.Event().wait()
         self.is_settled = True
 
 
-def stopped_sender(stores, left_s):
-    """Return the agent of a sender with these stores, stopped with `left_s` of its grace left."""
+def stop_sender(store_client, time_left_s):
+    """Stop a sender with this store client and `time_left_s` of its grace period left; return its agent."""
     agent_thread = AgentThread(None, ClusterState())
-    agent_thread.agent, agent_thread.store_client = Agent(), stores
+    agent_thread.agent, agent_thread.store_client = Agent(), store_client
     loop = agent_thread._loop
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
-    agent_thread.stop(left_s)
+    agent_thread.stop(time_left_s)
     loop.call_soon_threadsafe(loop.stop)
     thread.join()
     return agent_thread.agent
 
 
 def test_last_turns_are_settled_before_process_exits():
-    """Otherwise the reservations of these turns would stay in their programs' budgets, and 402 would come too soon."""
-    stores = SlowStores()
-    assert stopped_sender(stores, 1.0).is_stopped
-    assert stores.is_settled
+    """Otherwise the reservations of these turns would stay in the budgets of their programs, which would get 402 too
+    early."""
+    store_client = SlowStoreClient()
+    assert stop_sender(store_client, 1.0).is_stopped
+    assert store_client.is_settled
 
 
 def test_unresponsive_stores_do_not_delay_exit():
-    assert stopped_sender(SlowStores(dark=True), 0.02).is_stopped
+    assert stop_sender(SlowStoreClient(is_unresponsive=True), 0.02).is_stopped
--- a/tests/dataplane/test_program_continuation.py
+++ b/tests/dataplane/test_program_continuation.py
@@ -1,4 +1,4 @@
-"""Programs that loop or stop and come back within the time for which their turns are kept."""
+"""Programs that loop, or that pause and continue within the retention time of their turns."""
 
 import pytest
 from dataplane.peers import MemoryStore, ScriptedReceiver, event, receivers, stream
@@ -9,19 +9,19 @@
 from dewpin.dataplane.programs.errors import BudgetExceededError
 from dewpin.dataplane.programs.program_store import Turn
 
-BUDGET, MOST, TOKENS_PER_EVENT = 100, 40, 10
+BUDGET, MAX_TOKENS, TOKENS_PER_EVENT = 100, 40, 10
 
 
 def test_program_keeps_history_and_budget_after_a_restart_of_all_processes():
-    """Settled turns count what they used; the one whose sender died under way counts its most."""
+    """Settled turns count with the tokens that they used; a turn whose sender crashed counts with its maximum."""
 
-    async def scene():
+    async def scenario():
         world = World()
         before = world.client("before")
-        for name, previous, used in (("t1", None, 30), ("t2", "t1", 20)):
-            held = await before.reserve("p", name, MOST, BUDGET, 1.0)
-            await before.store_turn(Turn(name, "p", previous, f"<{name}".encode(), b">", 60.0), 1.0)
-            before.settle(held, used)
+        for turn_id, previous_id, used_tokens in (("t1", None, 30), ("t2", "t1", 20)):
+            reservation = await before.reserve("p", turn_id, MAX_TOKENS, BUDGET, 1.0)
+            await before.store_turn(Turn(turn_id, "p", previous_id, f"<{turn_id}".encode(), b">", 60.0), 1.0)
+            before.settle(reservation, used_tokens)
         await before.wait_until_settled()
         await before.reserve("p", "t3", 10, BUDGET, 1.0)
         world.clock_ms += 59_000
@@ -38,26 +38,27 @@
             await after.reserve("p", "t5", 1, BUDGET, 1.0)
         return await after.read_history("p", "t2", 1.0)
 
-    assert run(scene()) == b"<t1><t2>"
+    assert run(scenario()) == b"<t1><t2>"
 
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_looping_program_is_stopped_by_its_budget_at_any_sender(whole):
-    """Two senders over the same stores; tokens of answers that broke off count as well. Nothing runs after the 402."""
+    """Two senders use the same stores. Tokens of incomplete responses count as well, and nothing is executed after the
+    first 402."""
     store = MemoryStore()
     peers = [ScriptedReceiver(stream(event(1), event(2), is_complete=whole), id=name) for name in ("i-1", "i-2")]
-    handed_on, statuses = 0, []
-    with receivers(*peers) as listed:
-        senders = [RequestHandlerHarness(listed, store, kind="stream", retained=True) for _ in range(2)]
+    forwarded_tokens, statuses = 0, []
+    with receivers(*peers) as served:
+        senders = [RequestHandlerHarness(served, store, kind="stream", retained=True) for _ in range(2)]
         for number in range(12):
             sender = senders[number % 2]
             sender.calls = number
-            answer = sender(("Program", "p"), ("Budget", str(BUDGET)), ("X-Dewpin-Token-Usage", f"5,{MOST}"))
-            statuses.append(answer.status)
-            body, _ = read(answer)
-            handed_on += TOKENS_PER_EVENT * body.count(b"id: ")
-    refused = statuses.index(402)
-    assert set(statuses[refused:]) == {402}
-    assert handed_on <= BUDGET
-    assert handed_on + MOST > BUDGET
-    assert sum(len(peer.requests) for peer in peers) == refused
+            response = sender(("Program", "p"), ("Budget", str(BUDGET)), ("X-Dewpin-Token-Usage", f"5,{MAX_TOKENS}"))
+            statuses.append(response.status)
+            body, _ = read(response)
+            forwarded_tokens += TOKENS_PER_EVENT * body.count(b"id: ")
+    first_rejected = statuses.index(402)
+    assert set(statuses[first_rejected:]) == {402}
+    assert forwarded_tokens <= BUDGET
+    assert forwarded_tokens + MAX_TOKENS > BUDGET
+    assert sum(len(peer.requests) for peer in peers) == first_rejected
--- a/tests/dataplane/test_quorum_round.py
+++ b/tests/dataplane/test_quorum_round.py
@@ -1,4 +1,4 @@
-"""Rounds that ask the nearest majority first: whom they ask, and when they ask the others."""
+"""Quorum rounds: the replicas asked first, and when the others are asked."""
 
 import asyncio
 import itertools
@@ -30,12 +30,12 @@
     assert set(nearest_majorities([frozenset("abc"), frozenset("abd")], list("dabc"))) == {"a", "b"}
 
 
-def asked(world, kind="turn.put"):
+def asked_machines(world, kind="turn.put"):
     return sorted(name for name, machine in world.machines.items() if kind in machine.seen)
 
 
 def test_other_replicas_are_asked_after_the_hedge_delay():
-    async def scene():
+    async def scenario():
         world = World(names="abcde", losses=2)
         world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
         client = world.client(location="r/near")
@@ -44,36 +44,36 @@
         for machine in world.machines.values():
             del machine.seen[:]
         world.machines["a"].frozen = world.machines["b"].frozen = True
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         await client.store_turn(turn("t"), 1.0)
-        return asked(world), asyncio.get_running_loop().time() - began_s
+        return asked_machines(world), asyncio.get_running_loop().time() - started_s
 
-    names, took_s = run(scene())
+    names, took_s = run(scenario())
     assert names == ["c", "d", "e"]
     assert MIN_HEDGE_DELAY_S <= took_s < MIN_HEDGE_DELAY_S + 0.01
 
 
 def test_other_replicas_are_asked_at_once_after_a_malformed_reply():
-    async def scene():
+    async def scenario():
         world = World()
 
-        async def refuse(message):
-            return {"type": "none of the answers"}
+        async def respond_malformed(message):
+            return {"type": "unknown reply"}
 
-        world.machines["a"].store.handlers["turn.put"] = refuse
+        world.machines["a"].store.handlers["turn.put"] = respond_malformed
         client = world.client()
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         await client.reserve("p", "t", 5, 10, 1.0)
         await client.store_turn(turn("t"), 1.0)
-        return asyncio.get_running_loop().time() - began_s
+        return asyncio.get_running_loop().time() - started_s
 
-    assert run(scene()) < MAX_HEDGE_DELAY_S
+    assert run(scenario()) < MAX_HEDGE_DELAY_S
 
 
 def test_hedge_delay_grows_with_the_latency_of_the_replicas():
-    """All replicas of a busy tier are slow: to ask more of them would make them slower."""
+    """If all replicas are slow because of high load, asking more of them would only add to the load."""
 
-    async def scene():
+    async def scenario():
         world = World(names="abcde", losses=2, delay_s=0.03)
         client = world.client()
         for number in range(10):
@@ -81,39 +81,39 @@
         await client.wait_until_settled()
         return {name: machine.seen.count("turn.put") for name, machine in world.machines.items()}
 
-    counts = run(scene())
-    assert sum(counts.values()) <= 10 * 3 + 2
+    put_counts = run(scenario())
+    assert sum(put_counts.values()) <= 10 * 3 + 2
 
 
 def test_budget_holds_for_senders_with_different_nearest_majorities():
-    async def scene():
+    async def scenario():
         world = World(names="abcde", losses=2)
         world.tell_locations({name: f"r/{name}" for name in "abcde"})
         clients = [
             world.client(f"sender-{name}", seed=number, location=f"r/{name}") for number, name in enumerate("abcde")
         ]
-        taken = 0
+        committed_tokens = 0
         for number in range(40):
             client = clients[number % len(clients)]
             try:
                 reservation = await client.reserve("p", f"t{number}", 10, 100, 1.0)
-            except Exception as refusal:
-                assert type(refusal).__name__ == "BudgetExceededError"
+            except Exception as error:
+                assert type(error).__name__ == "BudgetExceededError"
                 continue
-            taken += 10
+            committed_tokens += 10
             client.settle(reservation, 5)
             await client.wait_until_settled()
-            taken -= 5
+            committed_tokens -= 5
         ledger = await clients[0].read_ledger("p")
-        return taken, ledger
+        return committed_tokens, ledger
 
-    taken, ledger = run(scene())
-    assert ledger == {"spent": taken, "open": {}}
-    assert 90 < taken <= 100
+    committed_tokens, ledger = run(scenario())
+    assert ledger == {"spent": committed_tokens, "open": {}}
+    assert 90 < committed_tokens <= 100
 
 
-def test_silent_replica_is_probed_until_it_replies_and_delays_nothing():
-    async def scene():
+def test_unresponsive_replica_is_probed_until_it_replies_and_delays_no_write():
+    async def scenario():
         world = World()
         client = world.client()
         await client.store_turn(turn("before"), 1.0)
@@ -121,27 +121,27 @@
         world.machines["a"].frozen = True
         longest_s = 0.0
         for number in range(30):
-            began_s = asyncio.get_running_loop().time()
+            started_s = asyncio.get_running_loop().time()
             await client.store_turn(turn(f"t{number}"), 1.0)
             if number > 1:
-                longest_s = max(longest_s, asyncio.get_running_loop().time() - began_s)
+                longest_s = max(longest_s, asyncio.get_running_loop().time() - started_s)
             await asyncio.sleep(0.5)
         world.machines["a"].frozen = False
         for number in range(30, 40):
             await client.store_turn(turn(f"t{number}"), 1.0)
             await asyncio.sleep(0.5)
         world.machines["b"].up = False
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         await client.store_turn(turn("last"), 1.0)
-        return longest_s, asyncio.get_running_loop().time() - began_s
+        return longest_s, asyncio.get_running_loop().time() - started_s
 
-    longest_s, last_s = run(scene())
+    longest_s, last_s = run(scenario())
     assert longest_s < MIN_HEDGE_DELAY_S
     assert last_s < MIN_HEDGE_DELAY_S
 
 
 def test_new_replica_is_relied_on_only_after_its_first_reply():
-    async def scene():
+    async def scenario():
         world = World(names="abcd", in_view="abc")
         client = world.client()
         await client.store_turn(turn("before"), 1.0)
@@ -150,15 +150,15 @@
         view = StoreView(2, world.members("abd"))
         world.tell(view)
         client.adopt(view)
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         await client.store_turn(turn("t"), 1.0)
-        return asyncio.get_running_loop().time() - began_s
+        return asyncio.get_running_loop().time() - started_s
 
-    assert run(scene()) < MIN_HEDGE_DELAY_S
+    assert run(scenario()) < MIN_HEDGE_DELAY_S
 
 
-def test_health_of_a_former_member_is_forgotten():
-    async def scene():
+def test_health_of_a_former_member_is_removed():
+    async def scenario():
         world = World(names="abcd", in_view="abc")
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
@@ -168,11 +168,11 @@
         client.adopt(StoreView(world.view.epoch + 1, world.members("bcd"), None))
         return set(health._records) <= {member.id for member in world.members("bcd")}
 
-    assert run(scene())
+    assert run(scenario())
 
 
 def test_other_replicas_are_asked_at_once_after_a_refused_connection():
-    async def scene():
+    async def scenario():
         world = World(names="abcde", losses=2, delay_s=0.05)
         world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
         client = world.client(location="r/near")
@@ -180,9 +180,9 @@
             await client.store_turn(turn(f"t{number}"), 1.0)
         await client.wait_until_settled()
         world.machines["a"].up = False
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         await client.store_turn(turn("t"), 1.0)
-        return asyncio.get_running_loop().time() - began_s
+        return asyncio.get_running_loop().time() - started_s
 
-    refused_s, answered_s = 0.05, 0.05
-    assert run(scene()) < refused_s + answered_s + 0.02
+    refusal_s, reply_s = 0.05, 0.05
+    assert run(scenario()) < refusal_s + reply_s + 0.02
--- a/tests/dataplane/test_readiness_while_stopping.py
+++ b/tests/dataplane/test_readiness_while_stopping.py
@@ -1,10 +1,10 @@
-"""Senders that are stopped, one or many at once, are soon no longer ready for the platform."""
+"""A sender that receives a stop signal is not ready from then on, also if several are stopped at once."""
 
 import subprocess
 import sys
 
 SENDERS = 3
-QUESTIONS = 5
+CHECKS = 5
 
 PROGRAM = """
 import http.client, os, signal, threading
@@ -21,32 +21,33 @@
 server.start(("127.0.0.1", 0))
 connection = http.client.HTTPConnection(*server.address, timeout=10)
 
-def ask():
+def check():
     connection.request("GET", ReadinessServer.PATH)
-    answer = connection.getresponse()
-    answer.read()
-    return answer.status
+    response = connection.getresponse()
+    response.read()
+    return response.status
 
-def be_stopped():
-    print(ask(), flush=True)
+def stop_and_check():
+    print(check(), flush=True)
     sys.stdin.readline()
     os.kill(os.getpid(), signal.SIGTERM)
-    while ask() == 200:
+    while check() == 200:
         pass
-    print(*[ask() for _ in range(QUESTIONS)], flush=True)
+    print(*[check() for _ in range(CHECKS)], flush=True)
 
 import sys
-asking = threading.Thread(target=be_stopped, daemon=True)
-asking.start()
+checking = threading.Thread(target=stop_and_check, daemon=True)
+checking.start()
 sender.stop_signal.wait()
-asking.join(10)
+checking.join(10)
 """
 
 
 def test_senders_stopped_together_are_unready_at_once():
-    """Two checks in a row without a 200 make a sender unready; checks concurrent with the signal may still get one."""
-    program = PROGRAM.replace("QUESTIONS", str(QUESTIONS))
-    running = [
+    """The platform considers a sender unready after two consecutive checks without 200. Checks that are concurrent with
+    the signal may still get 200."""
+    program = PROGRAM.replace("CHECKS", str(CHECKS))
+    processes = [
         subprocess.Popen(
             [sys.executable, "-c", program],
             stdin=subprocess.PIPE,
@@ -56,11 +57,11 @@
         )
         for _ in range(SENDERS)
     ]
-    for each in running:
-        assert each.stdout.readline() == "200\n", each.stderr.read()
-    for each in running:
-        each.stdin.write("stop\n")
-        each.stdin.flush()
-    for each in running:
-        output, errors = each.communicate(timeout=30)
-        assert output.split() == ["503"] * QUESTIONS, errors
+    for process in processes:
+        assert process.stdout.readline() == "200\n", process.stderr.read()
+    for process in processes:
+        process.stdin.write("stop\n")
+        process.stdin.flush()
+    for process in processes:
+        output, errors = process.communicate(timeout=30)
+        assert output.split() == ["503"] * CHECKS, errors
--- a/tests/dataplane/test_sender_count.py
+++ b/tests/dataplane/test_sender_count.py
@@ -1,4 +1,4 @@
-"""The number of live senders, from counts of several control servers."""
+"""The estimated number of live senders, from the counts of several control servers."""
 
 from dewpin.dataplane.membership.sender_count import SETTLING_SHARE, SenderCount
 
--- a/tests/dataplane/test_sender_logs.py
+++ b/tests/dataplane/test_sender_logs.py
@@ -1,4 +1,4 @@
-"""Events of a sender's life: each is one line of JSON at the tier's own handler."""
+"""Life-cycle events of a sender: each is logged as one JSON line by the tier's log handler."""
 
 import asyncio
 import json
@@ -17,14 +17,14 @@
 
 @pytest.fixture
 def log_lines():
-    """Configures the logs at the default level; gives a function that returns the lines written so far."""
-    reading, writing = os.pipe()
-    os.set_blocking(reading, False)
-    handler = logs.configure("notice", "front-1", "sender", writing)
+    """Configure logging at the default level; provide a function that returns the lines written since its last call."""
+    read_fd, write_fd = os.pipe()
+    os.set_blocking(read_fd, False)
+    handler = logs.configure("notice", "front-1", "sender", write_fd)
 
     def read():
         try:
-            return [json.loads(line) for line in os.read(reading, 1 << 16).splitlines()]
+            return [json.loads(line) for line in os.read(read_fd, 1 << 16).splitlines()]
         except BlockingIOError:
             return []
 
@@ -33,8 +33,8 @@
     logger.removeHandler(handler)
     logger.propagate = True
     logger.setLevel(logging.NOTSET)
-    os.close(reading)
-    os.close(writing)
+    os.close(read_fd)
+    os.close(write_fd)
 
 
 def test_faulty_configuration_is_logged_as_one_line_with_all_its_faults(log_lines):
@@ -47,12 +47,12 @@
 
 
 def test_stop_before_the_last_turns_are_settled_is_logged(log_lines):
-    thread = AgentThread(SimpleNamespace(), ClusterState())
+    agent_thread = AgentThread(SimpleNamespace(), ClusterState())
     settled = asyncio.Event()
-    thread.store_client = SimpleNamespace(wait_until_settled=settled.wait)
-    thread._start = lambda: asyncio.sleep(0)
-    threading.Thread(target=thread._run_loop, daemon=True).start()
-    thread.stop(0.05)
-    thread._loop.call_soon_threadsafe(thread._loop.stop)
+    agent_thread.store_client = SimpleNamespace(wait_until_settled=settled.wait)
+    agent_thread._start = lambda: asyncio.sleep(0)
+    threading.Thread(target=agent_thread._run_loop, daemon=True).start()
+    agent_thread.stop(0.05)
+    agent_thread._loop.call_soon_threadsafe(agent_thread._loop.stop)
     (line,) = log_lines()
     assert line["event"] == "sender.not_wound_up" and line["level"] == "WARNING"
--- a/tests/dataplane/test_sender_readiness.py
+++ b/tests/dataplane/test_sender_readiness.py
@@ -1,4 +1,4 @@
-"""When a sender is ready: it has contact to the control plane, and a majority has confirmed its state."""
+"""Readiness of a sender: it needs contact with the control plane and a state confirmed by a majority."""
 
 import random
 from types import SimpleNamespace
@@ -22,9 +22,9 @@
 
 
 def test_sender_without_answered_renewals_loses_control_plane_contact():
-    clock, told = Clock(), settings()
+    clock, current_settings = Clock(), settings()
     agent = ClusterAgent(
-        told,
+        current_settings,
         None,
         random.Random(1),
         lambda state: None,
@@ -34,7 +34,7 @@
     )
     assert not agent.has_control_plane_contact
     agent._lease._apply_grant(LeaseGrant(3.0, -1, NO_VERSION, 0.0, (), (), 1))
-    period_s = renewal_period_s(told)
+    period_s = renewal_period_s(current_settings)
     clock.now_s += (MISSED_RENEWALS_UNTIL_CUT_OFF - 0.5) * period_s
     assert agent.has_control_plane_contact
     clock.now_s += period_s
@@ -54,17 +54,21 @@
     ],
 )
 def test_sender_is_ready_only_if_all_conditions_hold(missing, is_ready):
-    has = {name: name != missing for name in ("configuration", "receivers", "store_view", "has_control_plane_contact")}
+    present = {
+        name: name != missing for name in ("configuration", "receivers", "store_view", "has_control_plane_contact")
+    }
     state = ClusterState(
-        configuration=object() if has["configuration"] else None,
-        receivers={"engines": (object(),)} if has["receivers"] else {},
-        store_view=object() if has["store_view"] else None,
+        configuration=object() if present["configuration"] else None,
+        receivers={"engines": (object(),)} if present["receivers"] else {},
+        store_view=object() if present["store_view"] else None,
     )
     confirmation = SimpleNamespace(is_confirmed=missing != "is_confirmed")
     sender = SimpleNamespace(
         state=state,
         agent_thread=SimpleNamespace(
-            agent=SimpleNamespace(has_control_plane_contact=has["has_control_plane_contact"], confirmation=confirmation)
+            agent=SimpleNamespace(
+                has_control_plane_contact=present["has_control_plane_contact"], confirmation=confirmation
+            )
         ),
         stop_signal=SimpleNamespace(is_set=lambda: missing == "running"),
     )
--- a/tests/dataplane/test_stop_signal.py
+++ b/tests/dataplane/test_stop_signal.py
@@ -1,4 +1,4 @@
-"""A signal to stop wakes the main thread, whichever thread it is delivered to."""
+"""A stop signal wakes the main thread, whichever thread it is delivered to."""
 
 import subprocess
 import sys
@@ -13,14 +13,14 @@
 assert not stop.is_set()
 signal.signal(signal.SIGHUP, lambda *_: None)
 
-def take_signals():
-    waiting.wait()
+def receive_signals():
+    may_signal.wait()
     for number in (signal.SIGHUP, signal.{name}):
         signal.pthread_kill(threading.get_ident(), number)
 
-waiting = threading.Event()
-threading.Thread(target=take_signals, daemon=True).start()
-waiting.set()
+may_signal = threading.Event()
+threading.Thread(target=receive_signals, daemon=True).start()
+may_signal.set()
 stop.wait()
 assert stop.is_set()
 print("stopped")
@@ -30,5 +30,5 @@
 @pytest.mark.parametrize("name", ["SIGTERM", "SIGINT"])
 def test_signal_delivered_to_another_thread_wakes_the_main_thread(name):
     program = PROGRAM.format(name=name)
-    done = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, timeout=30, check=False)
-    assert (done.returncode, done.stdout) == (0, "stopped\n"), done.stderr
+    result = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, timeout=30, check=False)
+    assert (result.returncode, result.stdout) == (0, "stopped\n"), result.stderr
--- a/tests/dataplane/test_store_client.py
+++ b/tests/dataplane/test_store_client.py
@@ -1,4 +1,4 @@
-"""The client of the stores: turns written and read by quorums, under faults and changes of the store view."""
+"""The store client: quorum writes and reads of turns, under faults and changes of the store view."""
 
 import asyncio
 import threading
@@ -24,7 +24,7 @@
 
 
 def test_history_is_complete_when_read_by_another_sender():
-    async def scene():
+    async def scenario():
         world = World()
         first, second = world.client("one"), world.client("two")
         await first.store_turn(turn("t1", body=bytes(range(256))), 1.0)
@@ -32,11 +32,11 @@
         await first.store_turn(turn("t3", "t2"), 1.0)
         return await second.read_history("p", "t3", 1.0)
 
-    assert run(scene()) == b"<t1" + bytes(range(256)) + b"><t2><t3>"
+    assert run(scenario()) == b"<t1" + bytes(range(256)) + b"><t2><t3>"
 
 
 def test_history_is_read_from_cache_by_the_sender_that_stored_it():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
@@ -44,13 +44,13 @@
         history = await client.read_history("p", "t2", 1.0)
         return history, [kind for machine in world.machines.values() for kind in machine.seen]
 
-    history, seen = run(scene())
+    history, seen = run(scenario())
     assert history == b"<t1><t2>"
     assert "turn.chain" not in seen
 
 
 def test_two_turns_can_continue_the_same_turn():
-    async def scene():
+    async def scenario():
         world = World()
         client, other = world.client("one"), world.client("two")
         await client.store_turn(turn("t1"), 1.0)
@@ -58,31 +58,31 @@
         await client.store_turn(turn("right", "t1"), 1.0)
         return await other.read_history("p", "left", 1.0), await other.read_history("p", "right", 1.0)
 
-    assert run(scene()) == (b"<t1><left>", b"<t1><right>")
+    assert run(scenario()) == (b"<t1><left>", b"<t1><right>")
 
 
 @pytest.mark.parametrize("fault", ["up", "frozen", "loses_answers"])
-def test_unmet_faulty_replica_delays_operations_by_one_hedge_at_most(fault):
-    async def scene():
+def test_replica_that_fails_before_its_first_call_delays_operations_by_one_hedge_at_most(fault):
+    async def scenario():
         world = World()
         setattr(world.machines["a"], fault, fault != "up")
         client, reader = world.client("one"), world.client("two")
         started_s = now_s()
         await client.reserve("p", "t1", 10, 100, 1.0)
         await client.store_turn(turn("t1"), 1.0)
-        written = now_s() - started_s
+        write_s = now_s() - started_s
         started_s = now_s()
         assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
-        return written, now_s() - started_s
+        return write_s, now_s() - started_s
 
-    written, read = run(scene())
-    assert written < 0.02 + (0.0 if fault == "up" else MIN_HEDGE_DELAY_S)
-    assert read < (0.02 if fault == "up" else 0.1)
+    write_s, read_s = run(scenario())
+    assert write_s < 0.02 + (0.0 if fault == "up" else MIN_HEDGE_DELAY_S)
+    assert read_s < (0.02 if fault == "up" else 0.1)
 
 
 @pytest.mark.parametrize("fault", ["up", "frozen", "loses_answers"])
 def test_replica_known_to_be_faulty_delays_no_operation(fault):
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client("one")
         await client.store_turn(turn("before"), 1.0)
@@ -93,11 +93,11 @@
         await client.store_turn(turn("t1"), 1.0)
         return now_s() - started_s
 
-    assert run(scene()) < 0.02
+    assert run(scenario()) < 0.02
 
 
 def test_replica_that_was_slow_is_used_again_after_a_while():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client("one")
         world.machines["a"].frozen = True
@@ -112,11 +112,11 @@
         await client.store_turn(turn("last"), 1.0)
         return now_s() - started_s
 
-    assert run(scene()) < 0.02
+    assert run(scenario()) < 0.02
 
 
 def test_write_is_sent_to_the_nearest_majority_only():
-    async def scene():
+    async def scenario():
         world = World(names="abcde", losses=2)
         locations = {"a": "r/far", "b": "r/near", "c": "r/far", "d": "r/near", "e": "r/near"}
         world.tell_locations(locations)
@@ -130,22 +130,22 @@
             await client.wait_until_settled()
         return {name: machine.seen.count("turn.put") for name, machine in world.machines.items()}
 
-    assert run(scene()) == {"a": 0, "b": 20, "c": 0, "d": 20, "e": 20}
+    assert run(scenario()) == {"a": 0, "b": 20, "c": 0, "d": 20, "e": 20}
 
 
 def test_read_is_sent_to_one_replica_only_if_it_has_the_turn():
-    async def scene():
+    async def scenario():
         world = World(names="abcde", losses=2)
         writer, reader = world.client("one"), world.client("two")
         await writer.store_turn(turn("t1"), 1.0)
         assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
         return sum(machine.seen.count("turn.chain") for machine in world.machines.values())
 
-    assert run(scene()) == 1
+    assert run(scenario()) == 1
 
 
 def test_write_stored_by_a_minority_fails_and_is_not_cached():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         for name in "bc":
@@ -154,22 +154,22 @@
             await client.store_turn(turn("t1"), 0.5)
         return client.cache.get("p", "t1")
 
-    assert run(scene()) is None
+    assert run(scenario()) is None
 
 
 def test_read_finds_turn_that_the_first_replica_lacks():
-    async def scene():
+    async def scenario():
         world = World()
         world.machines["a"].refuses = {"turn.put"}
         await world.client("one").store_turn(turn("t1"), 1.0)
         histories = {await world.client("two", seed).read_history("p", "t1", 1.0) for seed in range(10)}
         return histories, "turn.chain" in world.machines["a"].seen
 
-    assert run(scene()) == ({b"<t1>"}, True)
+    assert run(scenario()) == ({b"<t1>"}, True)
 
 
 def test_history_is_read_from_several_replicas_if_one_lacks_a_turn():
-    async def scene():
+    async def scenario():
         world = World()
         writer = world.client("one")
         await writer.store_turn(turn("t1"), 1.0)
@@ -179,11 +179,11 @@
         await writer.store_turn(turn("t3", "t2"), 1.0)
         return await world.client("two").read_history("p", "t3", 1.0)
 
-    assert run(scene()) == b"<t1><t2><t3>"
+    assert run(scenario()) == b"<t1><t2><t3>"
 
 
 def test_turn_is_written_to_an_unreachable_replica_once_it_returns():
-    async def scene():
+    async def scenario():
         world = World()
         world.machines["a"].up = False
         await world.client().store_turn(turn("t1"), 1.0)
@@ -192,11 +192,11 @@
         await asyncio.sleep(2.0)
         return "turn.put" in world.machines["a"].seen
 
-    assert run(scene())
+    assert run(scenario())
 
 
 def test_turn_is_reported_not_found_only_by_a_majority():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
@@ -207,14 +207,14 @@
         with pytest.raises(StoreUnavailableError):
             await client.read_history("p", "never", 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 def test_program_continues_turn_of_another_program_on_its_own_replicas():
-    async def scene():
+    async def scenario():
         world = World(names="abcdefg")
         writer, reader = world.client("one"), world.client("two")
-        old, new = (
+        old_program, new_program = (
             "p0",
             next(
                 f"p{n}"
@@ -222,24 +222,24 @@
                 if not world.view.stable_replicas(f"p{n}", 3) & world.view.stable_replicas("p0", 3)
             ),
         )
-        await writer.store_turn(turn("t1", program=old), 1.0)
-        history = await reader.read_history(new, "t1", 1.0)
+        await writer.store_turn(turn("t1", program=old_program), 1.0)
+        history = await reader.read_history(new_program, "t1", 1.0)
         holders = [
             machine.store.member_id
             for machine in world.machines.values()
             if machine.disk.connection.execute(
-                "SELECT 1 FROM turns WHERE turn = 't1' AND program = ?", (new,)
+                "SELECT 1 FROM turns WHERE turn = 't1' AND program = ?", (new_program,)
             ).fetchone()
         ]
-        return history, len(holders), set(holders) <= world.view.stable_replicas(new, 3)
+        return history, len(holders), set(holders) <= world.view.stable_replicas(new_program, 3)
 
-    history, holders, are_replicas = run(scene())
+    history, holders, are_replicas = run(scenario())
     assert history == b"<t1>"
     assert holders >= 2 and are_replicas
 
 
 def test_turn_not_found_among_many_stores_needs_all_but_a_minority():
-    async def scene():
+    async def scenario():
         world = World(names="abcdefg")
         client = world.client()
         world.machines["g"].up = False
@@ -249,11 +249,11 @@
         with pytest.raises(StoreUnavailableError):
             await client.read_history("p", "never", 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 def test_call_without_a_store_view_ends_by_time_out():
-    async def scene():
+    async def scenario():
         world = World()
         client = StoreClient(world.link("x"), 3)
         started_s = now_s()
@@ -261,41 +261,41 @@
             await client.store_turn(turn("t1"), 0.5)
         return now_s() - started_s
 
-    assert run(scene()) == pytest.approx(0.5)
+    assert run(scenario()) == pytest.approx(0.5)
 
 
-# Changes of the view
+# View changes
 
 
 def test_sender_adopts_newer_view_from_a_rejection():
-    async def scene():
+    async def scenario():
         world = World(syncs=False)
         client = world.client()
         world.tell(StoreView(2, world.view.stable))
         await client.store_turn(turn("t1"), 1.0)
         return await client.read_history("p", "t1", 1.0)
 
-    assert run(scene()) == b"<t1>"
+    assert run(scenario()) == b"<t1>"
 
 
 def test_store_adopts_newer_view_from_a_request():
-    async def scene():
+    async def scenario():
         world = World(syncs=False)
         world.tell(StoreView(2, world.view.stable), names="a")
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
         await asyncio.sleep(1.0)
-        asked = {machine.store.view.epoch for machine in world.machines.values() if "turn.put" in machine.seen}
+        put_epochs = {machine.store.view.epoch for machine in world.machines.values() if "turn.put" in machine.seen}
         world.machines["b"].up = False
         await client.store_turn(turn("t2"), 1.0)
         await asyncio.sleep(1.0)
-        return asked, {machine.store.view.epoch for machine in world.machines.values()}
+        return put_epochs, {machine.store.view.epoch for machine in world.machines.values()}
 
-    assert run(scene()) == ({2}, {2})
+    assert run(scenario()) == ({2}, {2})
 
 
 def test_wiped_store_does_not_prove_that_a_turn_is_missing():
-    async def scene():
+    async def scenario():
         world = World()
         writer = world.client("one")
         world.machines["a"].refuses = {"turn.put"}
@@ -308,11 +308,11 @@
         world.machines["c"].frozen = False
         return await world.client("two").read_history("p", "t1", 1.0)
 
-    assert run(scene()) == b"<t1>"
+    assert run(scenario()) == b"<t1>"
 
 
 def test_write_during_a_view_change_needs_majorities_of_both_views():
-    async def scene():
+    async def scenario():
         world = World(names="abcdef", in_view="abc", syncs=False)
         world.tell(StoreView(2, world.members("abc"), world.members("def")))
         for name in "ef":
@@ -326,7 +326,7 @@
         await client.store_turn(turn("t1"), 1.0)
         await client.reserve("p", "t2", 10, 100, 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 # The blocking client
@@ -338,10 +338,10 @@
     thread.start()
     try:
 
-        async def make():
+        async def make_client():
             return World().client()
 
-        client = asyncio.run_coroutine_threadsafe(make(), loop).result(5)
+        client = asyncio.run_coroutine_threadsafe(make_client(), loop).result(5)
         store = BlockingStoreClient(client, loop)
         reservation = store.reserve("p", "t1", 10, 10, 5.0)
         with pytest.raises(BudgetExceededError):
@@ -369,31 +369,31 @@
     assert cache.get("p", "t9") is None
 
 
-# Beginning a turn that continues another one
+# Turns that continue a conversation
 
 
 def test_beginning_a_turn_reserves_and_reads_concurrently():
-    async def scene():
+    async def scenario():
         world = World(delay_s=0.02)
         await world.client("one").store_turn(turn("t1"), 1.0)
         client = world.client("two")
-        began_s = now_s()
+        started_s = now_s()
         start = await client.begin_turn("p", "t2", 10, 100, "t1", 1.0)
-        took_s = now_s() - began_s
-        began_s = now_s()
+        took_s = now_s() - started_s
+        started_s = now_s()
         await world.client("three").reserve("q", "t", 10, 100, 1.0)
-        return start.history, start.reservation.max_tokens, took_s, now_s() - began_s
+        return start.history, start.reservation.max_tokens, took_s, now_s() - started_s
 
-    history, max_tokens, both_s, reserve_s = run(scene())
+    history, max_tokens, begin_s, reserve_s = run(scenario())
     assert (history, max_tokens) == (b"<t1>", 10)
-    assert both_s < reserve_s + 0.005
+    assert begin_s < reserve_s + 0.005
 
 
 @pytest.mark.parametrize(
     ("previous", "budget", "error"), [("never", 100, TurnNotFoundError), ("t1", 5, BudgetExceededError)]
 )
-def test_failed_beginning_of_a_turn_gives_its_reservation_back(previous, budget, error):
-    async def scene():
+def test_failure_to_begin_a_turn_releases_its_reservation(previous, budget, error):
+    async def scenario():
         world = World()
         client = world.client("one")
         await client.store_turn(turn("t1"), 1.0)
@@ -402,12 +402,12 @@
         await asyncio.sleep(1.0)
         return await client.read_ledger("p")
 
-    ledger = run(scene())
+    ledger = run(scenario())
     assert ledger is None or ledger == {"spent": 0, "open": {}}
 
 
-def test_timed_out_beginning_of_a_turn_gives_its_reservation_back():
-    async def scene():
+def test_time_out_in_beginning_a_turn_releases_its_reservation():
+    async def scenario():
         world = World()
         await world.client("one").store_turn(turn("t1"), 1.0)
         for machine in world.machines.values():
@@ -418,19 +418,19 @@
         await client.wait_until_settled()
         return await client.read_ledger("p")
 
-    assert run(scene()) == {"spent": 0, "open": {}}
+    assert run(scenario()) == {"spent": 0, "open": {}}
 
 
 @pytest.mark.filterwarnings("error")
 def test_settlement_of_a_call_that_a_blocked_loop_did_not_start_is_made_later(monkeypatch):
-    """Its turn may not be durable, but what it used has to be counted."""
+    """The turn may not be durable, but the tokens that it used must be counted."""
     monkeypatch.setattr(store_client, "THREAD_WAIT_MARGIN_S", 0.0)
     settled = []
 
     class Client:
         async def store_turn(self, turn, timeout_s, settlement):
             await asyncio.sleep(0)
-            raise AssertionError("the call goes on after its thread gave it up")
+            raise AssertionError("the call continues after its thread has timed out")
 
         def settle(self, reservation, used_tokens):
             settled.append((reservation.turn_id, used_tokens))
--- a/tests/dataplane/test_store_client_budgets.py
+++ b/tests/dataplane/test_store_client_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of programs at the stores: reserved, settled, taken back, and never passed."""
+"""Program budgets at the stores: reservations, settlements and releases, and the limit that is never exceeded."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 
 
 def test_budget_can_be_reserved_to_the_last_token():
-    async def scene():
+    async def scenario():
         client = World().client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         await client.reserve("p", "t2", 40, 100, 1.0)
@@ -24,11 +24,11 @@
         with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t4", 1, 100, 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 def test_next_ledger_change_of_the_same_sender_skips_the_prepare_phase():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         client.settle(await client.reserve("p", "t1", 10, 100, 1.0), 10)
@@ -39,11 +39,11 @@
         await client.wait_until_settled()
         return sorted(machine.seen for machine in world.machines.values())
 
-    assert run(scene()) == [[], ["ledger.accept", "ledger.accept"], ["ledger.accept", "ledger.accept"]]
+    assert run(scenario()) == [[], ["ledger.accept", "ledger.accept"], ["ledger.accept", "ledger.accept"]]
 
 
 def test_concurrent_reservations_of_two_senders_stay_within_the_budget():
-    async def scene():
+    async def scenario():
         world = World()
         clients = [world.client(f"s{number}", seed=number) for number in range(4)]
         results = await asyncio.gather(
@@ -52,30 +52,30 @@
         )
         return sorted(type(result).__name__ for result in results)
 
-    assert run(scene()) == ["BudgetExceededError"] * 10 + ["Reservation"] * 10
+    assert run(scenario()) == ["BudgetExceededError"] * 10 + ["Reservation"] * 10
 
 
-def test_rejected_turn_gives_its_tokens_back():
-    async def scene():
+def test_rejected_turn_releases_its_tokens():
+    async def scenario():
         client = World().client()
         client.settle(await client.reserve("p", "t1", 100, 100, 1.0), 0)
         return await client.reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()) == Reservation("p", "t2", 100)
+    assert run(scenario()) == Reservation("p", "t2", 100)
 
 
 def test_reservation_of_a_crashed_sender_stays_counted():
-    async def scene():
+    async def scenario():
         world = World()
         await world.client("dead").reserve("p", "t1", 60, 100, 1.0)
         with pytest.raises(BudgetExceededError):
             await world.client("alive").reserve("p", "t2", 60, 100, 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 def test_outdated_ledger_value_does_not_cause_a_budget_error():
-    async def scene():
+    async def scenario():
         world = World()
         one, two = world.client("one"), world.client("two")
         reservation = await one.reserve("p", "t1", 100, 100, 1.0)
@@ -85,11 +85,11 @@
         await one.wait_until_settled()
         return await two.reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()).turn_id == "t2"
+    assert run(scenario()).turn_id == "t2"
 
 
-def test_reservation_with_unknown_outcome_is_given_back():
-    async def scene():
+def test_reservation_with_unknown_outcome_is_released():
+    async def scenario():
         world = World()
         client = world.client()
         for machine in world.machines.values():
@@ -101,58 +101,58 @@
         await client.wait_until_settled()
         return await world.client("other").reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()).turn_id == "t2"
+    assert run(scenario()).turn_id == "t2"
 
 
 def test_sender_that_crashes_between_prepare_and_accept_blocks_nobody():
-    async def scene():
+    async def scenario():
         world = World()
         for machine in world.machines.values():
             machine.refuses = {"ledger.accept"}
-        dying = world.client("dying")
+        crashing = world.client("dying")
         with pytest.raises(StoreUnavailableError):
-            await dying.reserve("p", "t1", 10, 100, 0.2)
-        dying.close()
+            await crashing.reserve("p", "t1", 10, 100, 0.2)
+        crashing.close()
         for machine in world.machines.values():
             machine.refuses = set()
         return await world.client("alive").reserve("p", "t2", 100, 100, 1.0)
 
-    assert run(scene()).turn_id == "t2"
+    assert run(scenario()).turn_id == "t2"
 
 
-async def accepted_by_one(world, name):
-    """Let a sender die whose reservation of 60 tokens only one replica accepted."""
+async def let_one_replica_accept(world, name):
+    """Crash a sender whose reservation of 60 tokens was accepted by only one replica."""
     others = [machine for machine in world.machines.values() if machine.name != name]
     for machine in others:
         machine.refuses = {"ledger.accept"}
-    dying = world.client("dying")
+    crashing = world.client("dying")
     with pytest.raises(StoreUnavailableError):
-        await dying.reserve("p", "t1", 60, 100, 0.2)
-    dying.close()
+        await crashing.reserve("p", "t1", 60, 100, 0.2)
+    crashing.close()
     assert "ledger.accept" in world.machines[name].seen
     for machine in others:
         machine.refuses = set()
 
 
-def test_change_accepted_by_a_minority_is_completed_by_the_next_ballot_that_meets_it():
-    async def scene():
+def test_change_accepted_by_a_minority_is_completed_by_the_next_ballot_that_finds_it():
+    async def scenario():
         world = World()
-        await accepted_by_one(world, "a")
+        await let_one_replica_accept(world, "a")
         world.machines["b"].up = False
-        with pytest.raises(BudgetExceededError):  # what `a` accepted was met, finished, and counts from now on
+        with pytest.raises(BudgetExceededError):  # the ballot completes the change that `a` accepted, which now counts
             await world.client("alive", seed=2).reserve("p", "t2", 60, 100, 1.0)
         world.machines["b"].up = True
         world.machines["a"].up = False
         with pytest.raises(BudgetExceededError):
             await world.client("third", seed=3).reserve("p", "t3", 60, 100, 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 def test_change_accepted_by_a_minority_is_lost_once_another_is_chosen():
-    async def scene():
+    async def scenario():
         world = World()
-        await accepted_by_one(world, "a")
+        await let_one_replica_accept(world, "a")
         world.machines["a"].up = False
         await world.client("alive", seed=2).reserve("p", "t2", 60, 100, 1.0)
         world.machines["a"].up = True
@@ -164,11 +164,11 @@
                 await third.reserve("p", "t3", 60, 100, 1.0)
             world.machines[absent].up = True
 
-    run(scene())
+    run(scenario())
 
 
 def test_full_disk_of_one_replica_is_tolerated_and_of_two_fails_operations():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         world.machines["a"].disk.full = True
@@ -186,28 +186,28 @@
         with pytest.raises(BudgetExceededError):
             await client.reserve("p", "t4", 1, 100, 1.0)
 
-    run(scene())
+    run(scenario())
 
 
 def test_ledger_read_asks_the_replicas_despite_a_remembered_promise():
-    async def scene():
+    async def scenario():
         world = World()
         one, two = world.client("one"), world.client("two")
         await one.reserve("p", "t1", 60, 100, 1.0)
         await two.reserve("p", "t2", 20, 100, 1.0)
         return await one.read_ledger("p")
 
-    assert run(scene()) == {"spent": 0, "open": {"t1": 60, "t2": 20}}
+    assert run(scenario()) == {"spent": 0, "open": {"t1": 60, "t2": 20}}
 
 
 async def store_with_settlement(client, name, previous=None, max_tokens=60, used=7, budget=100):
-    """Let a turn be reserved, kept and settled at once."""
+    """Reserve tokens for a turn, and store it together with its settlement."""
     reservation = await client.reserve("p", name, max_tokens, budget, 1.0)
     await client.store_turn(turn(name, previous), 1.0, Settlement(reservation, used))
 
 
 def test_settlement_is_piggybacked_on_the_write_of_its_turn():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
@@ -220,11 +220,11 @@
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
         return client
 
-    run(scene())
+    run(scenario())
 
 
 def test_promise_of_a_piggybacked_settlement_is_used_by_the_next_turn():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         await store_with_settlement(client, "t1")
@@ -234,11 +234,11 @@
         await client.wait_until_settled()
         return sorted(machine.seen for machine in world.machines.values())
 
-    assert run(scene()) == [[], ["ledger.accept", "turn.put"], ["ledger.accept", "turn.put"]]
+    assert run(scenario()) == [[], ["ledger.accept", "turn.put"], ["ledger.accept", "turn.put"]]
 
 
 def test_settlement_is_made_in_the_background_if_another_sender_changed_the_ledger():
-    async def scene():
+    async def scenario():
         world = World()
         one, two = world.client("one"), world.client("two")
         reservation = await one.reserve("p", "t1", 60, 100, 1.0)
@@ -247,11 +247,11 @@
         await one.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": 20}}
 
-    run(scene())
+    run(scenario())
 
 
 def test_settlement_is_made_even_if_its_turn_cannot_be_stored():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
@@ -263,11 +263,11 @@
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
         client.close()
 
-    run(scene())
+    run(scenario())
 
 
 def test_stores_of_an_earlier_release_store_the_turn_and_are_settled_in_the_background():
-    async def scene():
+    async def scenario():
         world = World()
         for machine in world.machines.values():
             put = machine.store.handlers["turn.put"]
@@ -284,11 +284,11 @@
         assert await reader.read_ledger("p") == {"spent": 7, "open": {}}
         assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
 
-    run(scene())
+    run(scenario())
 
 
 def test_settlement_during_another_change_of_the_same_sender_is_made_by_that_change():
-    async def scene():
+    async def scenario():
         world = World()
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
@@ -298,26 +298,26 @@
         await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {"t2": other.max_tokens}}
 
-    run(scene())
+    run(scenario())
 
 
 def test_settlement_is_made_under_the_new_view_if_the_view_changes_meanwhile():
-    async def scene():
+    async def scenario():
         world = World(names=("a", "b", "c", "d"), in_view=("a", "b", "c"))
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
-        changing = StoreView(2, world.view.stable, world.members("abd"))
-        world.tell(changing)
+        next_view = StoreView(2, world.view.stable, world.members("abd"))
+        world.tell(next_view)
         await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
 
-    run(scene())
+    run(scenario())
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_piggybacked_settlements_of_many_senders_add_up(seed):
-    async def scene():
+    async def scenario():
         world = World()
         rng = random.Random(seed)
         clients = [world.client(f"s{number}", seed=number) for number in range(4)]
@@ -333,28 +333,28 @@
             await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": sum(range(20)), "open": {}}
 
-    run(scene())
+    run(scenario())
 
 
 def test_ballot_is_not_piggybacked_under_a_newer_view():
-    """Its majorities are those of the view that its promises were given under."""
+    """A ballot needs majorities of the view under which its promises were given."""
 
-    async def scene():
+    async def scenario():
         world = World(names=("a", "b", "c", "d"), in_view=("a", "b", "c"))
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         world.tell(StoreView(2, world.view.stable, world.members("abd")))
-        carried = []
+        puts = []
         for machine in world.machines.values():
             put = machine.store.handlers["turn.put"]
 
-            def noted(message, put=put):
-                carried.append((message["epoch"], "accept" in message))
+            def record_put(message, put=put):
+                puts.append((message["epoch"], "accept" in message))
                 return put(message)
 
-            world.network.handlers[machine.address] = {**machine.store.handlers, "turn.put": noted}
+            world.network.handlers[machine.address] = {**machine.store.handlers, "turn.put": record_put}
         await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
-        return set(carried)
+        return set(puts)
 
-    assert run(scene()) == {(1, True), (2, False)}
+    assert run(scenario()) == {(1, True), (2, False)}
