--- a/tests/dataplane/call_endings.py
+++ b/tests/dataplane/call_endings.py
@@ -102,7 +102,7 @@
 
     def script(connection: PeerConnection, received: ReceivedRequest) -> bool:
         connection.send(build(received))
-        connection.wait_until_taken()
+        connection.wait_until_acknowledged()
         connection.reset()
         return True
 
--- a/tests/dataplane/peers.py
+++ b/tests/dataplane/peers.py
@@ -68,7 +68,7 @@
     def send(self, data: bytes) -> None:
         self._socket.sendall(data)
 
-    def wait_until_taken(self) -> None:
+    def wait_until_acknowledged(self) -> None:
         """Wait until the peer's TCP stack has acknowledged all sent data, so that a reset cannot discard any of it."""
         while struct.unpack("i", fcntl.ioctl(self._socket.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0]:
             os.sched_yield()
@@ -270,19 +270,19 @@
     """A client that can disconnect; stands for the sender's end of its connection."""
 
     def __init__(self) -> None:
-        self.ours, self.theirs = socket.socketpair()
+        self.sender_end, self.client_end = socket.socketpair()
 
     def fileno(self) -> int:
-        return self.ours.fileno()
+        return self.sender_end.fileno()
 
     def has_disconnected(self) -> bool:
         try:
-            return self.ours.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+            return self.sender_end.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
         except BlockingIOError:
             return False
 
     def disconnect(self) -> None:
-        self.theirs.close()
+        self.client_end.close()
 
 
 class MemoryStore:
--- a/tests/dataplane/test_client_disconnects.py
+++ b/tests/dataplane/test_client_disconnects.py
@@ -30,7 +30,7 @@
 def client():
     disconnecting_client = DisconnectingClient()
     yield disconnecting_client
-    disconnecting_client.ours.close()
+    disconnecting_client.sender_end.close()
 
 
 class PendingResponse:
--- a/tests/dataplane/test_early_responses.py
+++ b/tests/dataplane/test_early_responses.py
@@ -53,7 +53,7 @@
         if received.id != "r-1":
             return
         if then == "resets":
-            PeerConnection(sock).wait_until_taken()
+            PeerConnection(sock).wait_until_acknowledged()
             PeerConnection(sock).reset()
         else:
             assert response_checked.wait(PATIENCE_S)
@@ -80,7 +80,7 @@
 
     def respond_early(sock):
         sock.sendall(close_delimited(read_head(sock)))
-        PeerConnection(sock).wait_until_taken()
+        PeerConnection(sock).wait_until_acknowledged()
         PeerConnection(sock).reset()
 
     first, second = RawReceiver(respond_early), second_receiver()
--- a/tests/dataplane/test_receiver_client.py
+++ b/tests/dataplane/test_receiver_client.py
@@ -225,7 +225,7 @@
 
 def test_client_that_sends_more_is_not_disconnected(call):
     client = DisconnectingClient()
-    client.theirs.send(b"GET / HTTP/1.1")
+    client.client_end.send(b"GET / HTTP/1.1")
     with receivers(ScriptedReceiver(full_response())) as (receiver,):
         assert call(receiver, client=client).outcome is Outcome.SUCCESS
 
--- a/tests/dataplane/test_unsent_requests.py
+++ b/tests/dataplane/test_unsent_requests.py
@@ -87,7 +87,7 @@
 
     def respond_and_reset_idle_connection(connection, received):
         connection.send(chunked(received))
-        connection.wait_until_taken()
+        connection.wait_until_acknowledged()
         connection.reset()
         was_reset.set()
         return True
