--- a/dewpin/lab/__init__.py
+++ b/dewpin/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: simulated time and network, and a load test of real senders. No sender ever imports it."""
+"""Simulated time and network, and a load test of real senders. Never imported by a running sender."""
--- a/dewpin/lab/event_loop.py
+++ b/dewpin/lab/event_loop.py
@@ -1,8 +1,7 @@
 """An event loop in simulated time.
 
-Time passes only when nothing is left to do at the present instant, and then jumps to the next timer. The loop opens no
-socket and reads no clock. It owns the time, the order of everything that happens, the random source and the digest of a
-run.
+Time advances only when nothing is due, and then jumps to the next timer. The loop opens no socket and reads no clock.
+It owns the time, the order of all events, the random source and the digest of a run.
 """
 
 import asyncio
@@ -17,16 +16,16 @@
 
 from .machine import CURRENT_MACHINE, Machine
 
-KEPT_EVENTS = 40  # for the message of a failure
-MIN_SWEEP = 100  # cancelled timers and finished tasks are swept out above so many, once they are half of all
+MAX_LAST_EVENTS = 40  # shown in the message of a StalledError
+MIN_CLEANUP_SIZE = 100  # above it cancelled timers and finished tasks are removed, once they are half of all
 
 
 class StalledError(Exception):
-    """Nothing will ever happen again, and something still waits."""
+    """No call and no timer is pending, but the run has not ended."""
 
 
 class ScheduledCall(asyncio.TimerHandle):
-    """A call that is due, at once or at a time, with the machine whose work it is."""
+    """A call that is due at once or at a time, with the machine that made it."""
 
     __slots__ = ("_machine",)
 
@@ -39,7 +38,7 @@
         machine: Machine | None,
         context: Context,
     ) -> None:
-        # What asyncio's own sets, but for its look at the debugging mode: this is the busiest place of a run.
+        # Sets what asyncio.TimerHandle sets, without its check of the debug mode: this is the hot path of a run.
         self._loop, self._when, self._callback, self._args = loop, when, callback, arguments
         self._machine, self._context = machine, context
         self._cancelled = self._scheduled = False
@@ -65,52 +64,52 @@
     """The event loop.
 
     Attributes:
-        now: the simulated time in seconds; `time` gives it by the clock of the machine that asks.
+        now: the simulated time in seconds; `time` returns it by the clock of the calling machine.
         random: the random source of the run.
-        last_events: the latest of what was recorded.
-        errors: of callbacks, which asyncio's loop would only log.
+        last_events: the latest recorded events.
+        errors: exceptions of callbacks, which asyncio's loop would only log.
     """
 
     def __init__(self, seed: int = 0, start_time: float = 0.0) -> None:
         super().__init__()
         self.now = start_time
         self.random = random.Random(seed)
-        self.last_events = deque[str](maxlen=KEPT_EVENTS)
+        self.last_events = deque[str](maxlen=MAX_LAST_EVENTS)
         self.errors: list[str] = []
         self._ready = deque[ScheduledCall]()
-        self._timers: list[tuple[float, int, ScheduledCall]] = []  # a heap; of two due at once the first set runs first
+        self._timers: list[tuple[float, int, ScheduledCall]] = []  # a heap, by due time, then by order of creation
         self._timer_count = 0
         self._cancelled_timers = 0
-        self._started_tasks: list[asyncio.Task[Any]] = []  # kept, so that a killed machine's are never closed
-        self._sweep_tasks_at = MIN_SWEEP
+        self._started_tasks: list[asyncio.Task[Any]] = []  # keeps tasks of killed machines from garbage collection
+        self._task_cleanup_size = MIN_CLEANUP_SIZE
         self._hash = xxhash.xxh3_128()
         self.set_exception_handler(
             lambda _, context: self.errors.append(f"{context['message']}: {context.get('exception')!r}")
         )
 
-    # -- the record of a run ------------------------------------------------------------------------------------------
+    # -- event record -------------------------------------------------------------------------------------------------
 
-    def record(self, *words: Any) -> None:
-        """Record an event: part of the digest, and of the message if the run fails."""
-        line = f"{self.now:.6f} " + " ".join(map(str, words))
+    def record(self, *fields: Any) -> None:
+        """Record an event: part of the digest, and of the message of a StalledError."""
+        line = f"{self.now:.6f} " + " ".join(map(str, fields))
         self._hash.update(line.encode())
         self.last_events.append(line)
 
     def digest(self) -> str:
-        """Return a digest of all events: equal for runs with the same events at the same times in the same order."""
+        """Return a digest of all events, equal for runs with the same events at the same times in the same order."""
         return self._hash.hexdigest()
 
     # -- scheduling ---------------------------------------------------------------------------------------------------
 
     def time(self) -> float:
-        """Return the time by the clock of the machine that asks."""
+        """Return the time in seconds by the clock of the calling machine."""
         machine = CURRENT_MACHINE.get()
         return self.now if machine is None else self.now * machine.clock_rate
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., Any], *arguments: Any, context: Context | None = None
     ) -> Any:
-        """Part of asyncio's loop; `when` is by the clock of the machine whose work it is."""
+        """Part of asyncio's loop; `when` is by the clock of the calling machine."""
         machine, context = self._owner(context)
         due = when if machine is None else when / machine.clock_rate
         self._timer_count += 1
@@ -138,24 +137,24 @@
         """Part of asyncio's loop."""
         task: asyncio.Task[Any] = super().create_task(coro, **options)
         self._started_tasks.append(task)
-        if len(self._started_tasks) > self._sweep_tasks_at:
+        if len(self._started_tasks) > self._task_cleanup_size:
             self._started_tasks = [started for started in self._started_tasks if not started.done()]
-            self._sweep_tasks_at = 2 * len(self._started_tasks) + MIN_SWEEP
+            self._task_cleanup_size = 2 * len(self._started_tasks) + MIN_CLEANUP_SIZE
         return task
 
     def run_soon(self, calls: Iterable[ScheduledCall]) -> None:
-        """Run calls that fell due in a pause, in their order, except those that are cancelled before."""
+        """Run calls that fell due during a pause, in order, except those that are cancelled before they run."""
         self._ready.extend(calls)
 
-    def run(self, work: Coroutine[Any, Any, Any], timeout_seconds: float = 3600.0) -> Any:
-        """Run the experiment's own coroutine to its end and return its result.
+    def run(self, coroutine: Coroutine[Any, Any, Any], timeout_seconds: float = 3600.0) -> Any:
+        """Run a coroutine that belongs to no machine to its end and return its result.
 
-        Raises StalledError, or TimeoutError after so many simulated seconds.
+        Raises StalledError, or TimeoutError after `timeout_seconds` of simulated time.
         """
 
         async def run_with_timeout() -> Any:
             async with asyncio.timeout(timeout_seconds):
-                return await work
+                return await coroutine
 
         asyncio.set_event_loop(self)
         try:
@@ -165,18 +164,18 @@
 
     @staticmethod
     def _owner(context: Context | None) -> tuple[Machine | None, Context]:
-        context = copy_context() if context is None else context  # an empty context is false, and is meant
+        context = copy_context() if context is None else context  # an empty context is falsy but must be used
         return context.get(CURRENT_MACHINE), context
 
-    # -- what BaseEventLoop asks of its kinds -------------------------------------------------------------------------
+    # -- overrides of BaseEventLoop -----------------------------------------------------------------------------------
 
     def _run_once(self) -> None:
-        """Run what is due now; where that is nothing, the time jumps to the next timer first."""
+        """Run what is due now; if nothing is, advance the time to the next timer first."""
         timers, ready = self._timers, self._ready
         self._drop_cancelled()
         if not ready and not self._stopping:  # type: ignore[attr-defined]
             if not timers:
-                raise StalledError("nothing will ever happen again; last: " + "; ".join(self.last_events))
+                raise StalledError("no call or timer is pending; last events: " + "; ".join(self.last_events))
             self.now = max(self.now, timers[0][0])
         until = self.now + self._clock_resolution  # type: ignore[attr-defined]
         while timers and timers[0][0] < until:
@@ -193,7 +192,7 @@
         while timers and timers[0][2]._cancelled:
             heappop(timers)[2]._scheduled = False
             self._cancelled_timers -= 1
-        if MIN_SWEEP < len(timers) < 2 * self._cancelled_timers:
+        if MIN_CLEANUP_SIZE < len(timers) < 2 * self._cancelled_timers:
             timers[:] = [timer for timer in timers if not timer[2]._cancelled]
             heapify(timers)
             self._cancelled_timers = 0
--- a/dewpin/lab/machine.py
+++ b/dewpin/lab/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: a process whose work can be killed and paused, and which lives by its own clock."""
+"""A simulated machine: a process that can be killed and paused, with a clock of its own."""
 
 import asyncio
 from collections import deque
@@ -7,34 +7,34 @@
 from typing import Any, Protocol
 
 CURRENT_MACHINE: "ContextVar[Machine | None]" = ContextVar("machine", default=None)
-"""The machine whose work runs now; None: work of the experiment itself or of the network."""
+"""The machine whose code runs now; None: code of the test itself or of the network."""
 
 
 class MachineLoop(Protocol):
-    """What a machine needs of the event loop that runs its work."""
+    """What a machine needs of its event loop."""
 
     def create_task(self, coro: Any) -> "asyncio.Task[Any]":
         """Start a task."""
 
-    def record(self, *words: Any) -> None:
+    def record(self, *fields: Any) -> None:
         """Record an event of the run."""
 
     def run_soon(self, calls: Any) -> None:
-        """Run calls that were held."""
+        """Run calls that fell due during a pause."""
 
 
 class Machine:
     """A simulated process.
 
     Attributes:
-        loop: the event loop that runs its work.
-        name: for the record of the run.
-        clock_rate: seconds of its monotonic clock in one of the simulated time's.
-        alive: it was not killed.
-        paused: its work is held until it is resumed.
-        held_calls: what fell due in a pause, in its order.
-        on_killed: called when it is killed, for what the operating system would give back.
-        context: the context that its work runs in.
+        loop: the event loop that runs it.
+        name: its name in recorded events.
+        clock_rate: seconds that its monotonic clock advances in one second of simulated time.
+        alive: whether it has not been killed.
+        paused: whether its calls are held until it is resumed.
+        held_calls: calls that fell due during a pause, in order.
+        on_killed: functions called when it is killed, to release what the operating system would release.
+        context: the context that its code runs in.
     """
 
     def __init__(self, loop: MachineLoop, name: str, clock_rate: float = 1.0) -> None:
@@ -48,16 +48,16 @@
         self.context = copy_context()
         self.context.run(CURRENT_MACHINE.set, self)
 
-    def start(self, work: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
-        """Run a coroutine as this machine's."""
-        return self.context.run(self.loop.create_task, work)
+    def start(self, coroutine: Coroutine[Any, Any, Any]) -> "asyncio.Task[Any]":
+        """Run a coroutine on this machine."""
+        return self.context.run(self.loop.create_task, coroutine)
 
     def call(self, function: Callable[..., Any], *arguments: Any) -> Any:
-        """Call a function as this machine's, at once."""
+        """Call a function on this machine, at once."""
         return self.context.run(function, *arguments)
 
     def kill(self) -> None:
-        """Do as SIGKILL does: nothing of it runs any more, not even what is in a `finally`."""
+        """Simulate SIGKILL: none of its code runs any more, not even a `finally` block."""
         if self.alive:
             self.loop.record("kill", self.name)
             self.alive = False
@@ -67,12 +67,12 @@
                 function()
 
     def pause(self) -> None:
-        """Do as SIGSTOP does."""
+        """Simulate SIGSTOP."""
         self.loop.record("pause", self.name)
         self.paused = True
 
     def resume(self) -> None:
-        """Do as SIGCONT does: what fell due in the pause runs now, in its order."""
+        """Simulate SIGCONT: calls that fell due during the pause run now, in order."""
         self.loop.record("resume", self.name)
         self.paused = False
         held_calls, self.held_calls = self.held_calls, deque()
--- a/dewpin/lab/network.py
+++ b/dewpin/lab/network.py
@@ -1,6 +1,6 @@
-"""A network in simulated time: connections in memory between machines, and the faults on the way.
+"""A network in simulated time: in-memory connections between machines, with fault injection.
 
-No socket is opened, and a byte that was lost is never delivered later.
+No socket is opened, and lost bytes are never delivered later.
 """
 
 import asyncio
@@ -17,18 +17,18 @@
 
 
 class AddressFault(Enum):
-    """What becomes of new connections to an address."""
+    """How new connections to an address fail."""
 
     REFUSED = "refused"
-    SILENT = "silent"  # nothing is ever answered
+    SILENT = "silent"  # never answered
 
 
 class SimulatedListener:
-    """What listens at an address, in the place of asyncio's Server.
+    """A listener at an address; replaces asyncio.Server.
 
     Attributes:
-        machine: its owner; None: the experiment itself.
-        protocol_factory: makes the protocol of each connection.
+        machine: its owner; None: the test itself.
+        protocol_factory: creates the protocol of each connection.
     """
 
     def __init__(
@@ -58,15 +58,15 @@
 
 
 class SimulatedNetwork:
-    """All machines' network.
+    """The network between all machines.
 
     Attributes:
         loop: the event loop.
-        listeners: by their addresses.
-        transports: both ends of the connections that there are.
-        address_faults: what becomes of new connections to an address.
-        link_between: gives the conditions from one address to another, asked for each new connection.
-        user_timeout_s: TCP_USER_TIMEOUT of every connection; None: none.
+        listeners: all listeners by address.
+        transports: both ends of every open connection.
+        address_faults: faults of new connections, by address.
+        link_between: returns the conditions from one address to another; called for each new connection.
+        user_timeout_s: TCP_USER_TIMEOUT of every connection; None: disabled.
     """
 
     def __init__(self, loop: SimulatedEventLoop) -> None:
@@ -80,11 +80,11 @@
         self._transport_count = 0
 
     def call_at(self, when: float, function: Callable[..., Any], *arguments: Any) -> None:
-        """Have the network's own work done, which is no machine's."""
+        """Schedule a call of the network itself, which belongs to no machine."""
         self.loop.call_at(when, function, *arguments, context=Context())
 
     def listen(self, address: Address, protocol_factory: Callable[[], Any]) -> SimulatedListener:
-        """Listen for the machine that asks; OSError where something listens already."""
+        """Listen for the calling machine; raises OSError if the address is in use."""
         if address in self.listeners:
             raise OSError(98, f"address in use: {address}")
         machine = CURRENT_MACHINE.get()
@@ -96,38 +96,38 @@
     async def connect(
         self, address: Address, protocol_factory: Callable[[], Any], host: str = "127.0.0.1"
     ) -> tuple[SimulatedTransport, Any]:
-        """Open a connection of the machine that asks, from this host.
+        """Open a connection of the calling machine, from `host`.
 
-        Raises OSError where it is refused; takes for ever where nothing is answered.
+        Raises OSError if it is refused; never returns if there is no answer.
         """
         machine = CURRENT_MACHINE.get()
         local = (host, self._next_port)
         self._next_port += 1
-        there, back = self.link_between(local, address), self.link_between(address, local)
+        outbound, inbound = self.link_between(local, address), self.link_between(address, local)
         is_silent = self.address_faults.get(address) == AddressFault.SILENT
-        if is_silent or there.drops_all or back.drops_all or there.is_cut or back.is_cut:
+        if is_silent or outbound.drops_all or inbound.drops_all or outbound.is_cut or inbound.is_cut:
             await asyncio.get_running_loop().create_future()
-        await asyncio.sleep(there.latency_s)
+        await asyncio.sleep(outbound.latency_s)
         listener = self.listeners.get(address)
         if listener is None or self.address_faults.get(address) == AddressFault.REFUSED:
-            await asyncio.sleep(back.latency_s)
+            await asyncio.sleep(inbound.latency_s)
             raise ConnectionRefusedError(111, f"connect call failed {address}")
         is_silent = self.address_faults.get(address) == AddressFault.SILENT
         if listener.machine is not None and listener.machine.paused and is_silent:
             await asyncio.get_running_loop().create_future()
-        ours = self._make_transport(machine, local, address, there)
-        theirs = self._make_transport(listener.machine, address, local, back)
-        ours.other, theirs.other = theirs, ours
-        self.loop.record(ours.name(), "connects")
-        make = listener.protocol_factory
-        theirs.protocol = theirs.machine.call(make) if theirs.machine else make()
-        theirs.call_as_owner(theirs.protocol.connection_made, theirs)
-        await asyncio.sleep(back.latency_s)
-        if ours.is_dead:
+        client_end = self._make_transport(machine, local, address, outbound)
+        server_end = self._make_transport(listener.machine, address, local, inbound)
+        client_end.other, server_end.other = server_end, client_end
+        self.loop.record(client_end.name(), "connects")
+        accepted_factory = listener.protocol_factory
+        server_end.protocol = server_end.machine.call(accepted_factory) if server_end.machine else accepted_factory()
+        server_end.call_as_owner(server_end.protocol.connection_made, server_end)
+        await asyncio.sleep(inbound.latency_s)
+        if client_end.has_ended:
             raise ConnectionResetError(104, "Connection reset by peer")
-        protocol = ours.protocol = protocol_factory()
-        protocol.connection_made(ours)
-        return ours, protocol
+        protocol = client_end.protocol = protocol_factory()
+        protocol.connection_made(client_end)
+        return client_end, protocol
 
     def _make_transport(
         self, machine: Machine | None, local: Address, remote: Address, link: LinkConditions
@@ -136,17 +136,17 @@
         transport = SimulatedTransport(self, machine, local, remote, link, self._transport_count)
         self.transports.add(transport)
         if machine is not None:
-            machine.on_killed.append(transport.vanish)
+            machine.on_killed.append(transport.close_after_kill)
         return transport
 
     def deliver_held(self) -> None:
-        """Deliver what cuts held and is still wanted; to be called after links were joined again."""
+        """Deliver what cut links held on connections that still exist; to be called after links were restored."""
         for transport in sorted(self.transports, key=lambda transport: transport.number):
             if transport.has_held_deliveries and not transport.link.is_cut:
                 transport.send_held()
 
     def reset_connection(self, transport: SimulatedTransport) -> None:
-        """Break a connection from outside: both ends see a reset."""
+        """Reset a connection at both ends, as a fault of the network."""
         for end in (transport, transport.other):
             if end is not None:
                 end.call_as_owner(end.receive_reset)
--- a/dewpin/lab/transport.py
+++ b/dewpin/lab/transport.py
@@ -1,4 +1,4 @@
-"""One end of a connection in the simulated network: what asyncio's transports would show to a protocol."""
+"""One end of a connection in the simulated network, which behaves as asyncio's transports do towards a protocol."""
 
 import asyncio
 from collections import deque
@@ -9,7 +9,7 @@
 
 from .machine import Machine
 
-WINDOW_BYTES = 65536  # in flight or unread by the other side, beyond which a writer's own buffer fills
+WINDOW_BYTES = 65536  # in flight or unread at the other end; beyond it the writer's buffer fills
 DEFAULT_HIGH_WATER_BYTES = 65536
 DEFAULT_LATENCY_S = 0.0002
 
@@ -22,7 +22,7 @@
     now: float
     random: Random
 
-    def record(self, *words: Any) -> None:
+    def record(self, *fields: Any) -> None:
         """Record an event of the run."""
 
     def call_soon(self, callback: Callable[..., Any], *args: Any, context: Any = None) -> Any:
@@ -40,18 +40,18 @@
         """The event loop."""
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> Any:
-        """Have a call made as the network's own work."""
+        """Schedule a call of the network itself."""
 
 
 class LinkConditions:
-    """How bytes go in one direction; both ends of a connection have one. It is changed while it is in use.
+    """The conditions of one direction of a connection; may be changed while in use.
 
     Attributes:
-        latency_s: one way.
-        drops_all: bytes and ends vanish without a word.
-        max_piece_bytes: bytes at most in one delivery; 0: as written.
-        is_cut: nothing arrives; what its sender still wants to send arrives once the link is joined again, as with
-            TCP (`SimulatedNetwork.deliver_held`).
+        latency_s: one-way latency.
+        drops_all: whether bytes, EOF and resets are silently dropped.
+        max_piece_bytes: maximum bytes in one delivery; 0: as written.
+        is_cut: whether nothing arrives; what is still to be sent arrives once the link is restored, as with TCP
+            (`SimulatedNetwork.deliver_held`).
     """
 
     __slots__ = ("latency_s", "drops_all", "max_piece_bytes", "is_cut")
@@ -69,7 +69,7 @@
         self.is_cut = is_cut
 
     def arrival_s(self, now_s: float, size: int) -> float:
-        """Return when `size` bytes that are written now arrive; a link with a rate takes longer for more."""
+        """Return when `size` bytes written now arrive; a link with limited bandwidth may override this."""
         return now_s + self.latency_s
 
 
@@ -77,13 +77,13 @@
     """One end of a connection, owned by the machine that opened or accepted it.
 
     Attributes:
-        machine: its owner; None: the experiment itself.
+        machine: its owner; None: the test itself.
         local, remote: the addresses.
-        link: the direction from here to the other end.
+        link: conditions of the direction from this end to the other.
         other: the other end.
-        protocol: what is told of bytes and ends; None while the connection is being made.
-        number: of this end; its hash, so that sets of them have one order in every run.
-        is_dead: the connection has ended here.
+        protocol: receives the events of the connection; None while the connection is being established.
+        number: number of this end, used as its hash so that sets iterate in the same order in every run.
+        has_ended: whether the connection has ended at this end.
     """
 
     def __init__(
@@ -103,12 +103,12 @@
         self.number = number
         self.other: SimulatedTransport | None = None
         self.protocol: Any = None
-        self.is_dead = False
+        self.has_ended = False
         self._network = network
         self._loop = network.loop
-        self._write_buffer = deque[bytes]()  # written, while the window is full
+        self._write_buffer = deque[bytes]()  # written but not sent, as the window is full
         self._write_buffer_bytes = 0
-        self._bytes_in_flight = 0  # or unread by the other side
+        self._bytes_in_flight = 0  # or unread at the other end
         self._unread = deque[bytes]()
         self._is_eof_written = False
         self._is_eof_received = False
@@ -117,8 +117,8 @@
         self._is_writing_paused = False
         self._high_water_bytes = DEFAULT_HIGH_WATER_BYTES
         self._low_water_bytes = DEFAULT_HIGH_WATER_BYTES // 4
-        self._last_arrival_at = 0.0  # of what was sent so far: nothing overtakes it
-        self._held_deliveries = deque[Callable[[SimulatedTransport], None]]()  # did not get through a link that is cut
+        self._last_arrival_at = 0.0  # of all that was sent so far, so that order is kept
+        self._held_deliveries = deque[Callable[[SimulatedTransport], None]]()  # stopped by a cut link
         self._is_user_timeout_running = False
 
     def __hash__(self) -> int:
@@ -128,7 +128,7 @@
         return self is other
 
     def name(self) -> str:
-        """Return its addresses, for the record of the run."""
+        """Return both addresses, for recorded events."""
         return f"{self.local[0]}:{self.local[1]}>{self.remote[0]}:{self.remote[1]}"
 
     # -- asyncio's transport ------------------------------------------------------------------------------------------
@@ -139,7 +139,7 @@
 
     def is_closing(self) -> bool:
         """Part of asyncio's transport."""
-        return self._is_closing or self.is_dead
+        return self._is_closing or self.has_ended
 
     def set_protocol(self, protocol: Any) -> None:
         """Part of asyncio's transport."""
@@ -174,7 +174,7 @@
 
     def write(self, data: Any) -> None:
         """Part of asyncio's transport."""
-        if self.is_dead or self._is_closing or self._is_eof_written or not data:
+        if self.has_ended or self._is_closing or self._is_eof_written or not data:
             return
         self._write_buffer.append(bytes(data))
         self._write_buffer_bytes += len(data)
@@ -194,27 +194,27 @@
             self._send_buffered()
 
     def close(self) -> None:
-        """Part of asyncio's transport: what is written still leaves, then the end."""
+        """Part of asyncio's transport: what was written is still sent, then EOF."""
         if self.is_closing():
             return
         self._is_closing = True
         self._is_eof_written = True
         self._send_buffered()
         if not self._write_buffer:
-            self._lose(None)
+            self._end(None)
 
     def abort(self) -> None:
-        """Part of asyncio's transport: what has not left is lost, and the other end sees a reset."""
-        if self.is_dead:
+        """Part of asyncio's transport: what was not sent is lost, and the other end receives a reset."""
+        if self.has_ended:
             return
         self._is_closing = True
         self._send_reset()
-        self._lose(None)
+        self._end(None)
 
     # -- sending ------------------------------------------------------------------------------------------------------
 
     def _send_buffered(self) -> None:
-        """Send what the window lets through, in pieces as the link has them."""
+        """Send what the window permits, split as the link requires."""
         while self._write_buffer and self._bytes_in_flight < WINDOW_BYTES:
             data = self._write_buffer.popleft()
             max_piece = self.link.max_piece_bytes
@@ -226,14 +226,14 @@
             self._write_buffer_bytes -= len(data)
             self._bytes_in_flight += len(data)
             self._send(partial(SimulatedTransport._receive, data=data), len(data))
-        if self._is_eof_written and not self._write_buffer and not self.is_dead:
+        if self._is_eof_written and not self._write_buffer and not self.has_ended:
             self._send(SimulatedTransport._receive_eof)
         if self._is_writing_paused and self._write_buffer_bytes <= self._low_water_bytes:
             self._is_writing_paused = False
             self._loop.call_soon(self.protocol.resume_writing)
 
     def _send(self, delivery: Callable[["SimulatedTransport"], None], size: int = 0) -> None:
-        """Have `delivery`, of `size` bytes, called with the other end when it arrives there."""
+        """Schedule `delivery`, of `size` bytes: it is called with the other end on arrival."""
         if self.link.drops_all:
             return
         self._last_arrival_at = max(self._last_arrival_at, self.link.arrival_s(self._loop.now, size))
@@ -249,35 +249,35 @@
             return
         if other.link.is_cut:
             self._start_user_timeout()
-        if other.is_dead:
-            if not self.is_dead:  # nobody is there any more
+        if other.has_ended:
+            if not self.has_ended:  # the other end has closed
                 self._network.call_at(self._loop.now + self.link.latency_s, self.receive_reset)
             return
         delivery(other)
 
     @property
     def has_held_deliveries(self) -> bool:
-        """Whether something did not get through a link that is or was cut."""
+        """Whether a link that is or was cut holds deliveries."""
         return bool(self._held_deliveries)
 
     def send_held(self) -> None:
-        """Send what a cut held, in its order: the link is joined again."""
+        """Send what a cut held, in order, after the link was restored."""
         held_deliveries, self._held_deliveries = self._held_deliveries, deque()
         for delivery in held_deliveries:
             self._send(delivery)
 
     def _start_user_timeout(self) -> None:
-        """Do as TCP_USER_TIMEOUT does: data that is not acknowledged for so long ends the connection at its sender."""
+        """Simulate TCP_USER_TIMEOUT: data that stays unacknowledged for so long ends the connection at its sender."""
         timeout_s = self._network.user_timeout_s
         if timeout_s is not None and not self._is_user_timeout_running:
             self._is_user_timeout_running = True
-            self._network.call_at(self._loop.now + timeout_s, self._end_user_timeout)
+            self._network.call_at(self._loop.now + timeout_s, self._expire_user_timeout)
 
-    def _end_user_timeout(self) -> None:
+    def _expire_user_timeout(self) -> None:
         self._is_user_timeout_running = False
-        if not self.is_dead and self.other is not None and (self.link.is_cut or self.other.link.is_cut):
+        if not self.has_ended and self.other is not None and (self.link.is_cut or self.other.link.is_cut):
             self._is_closing = True
-            self._lose(TimeoutError(110, "Connection timed out"))
+            self._end(TimeoutError(110, "Connection timed out"))
 
     # -- receiving ----------------------------------------------------------------------------------------------------
 
@@ -291,7 +291,7 @@
             self.call_as_owner(self._deliver_to_protocol)
 
     def _deliver_to_protocol(self) -> None:
-        """Give the protocol what arrived, as far as it reads."""
+        """Pass what arrived to the protocol, unless it has paused reading."""
         while self._unread and not self._is_reading_paused and not self.is_closing():
             data = self._unread.popleft()
             self._loop.record(self.name(), "reads", len(data))
@@ -308,58 +308,58 @@
 
     def _fill_buffer(self, protocol: asyncio.BufferedProtocol, data: bytes) -> None:
         buffer: Any = protocol.get_buffer(len(data))
-        taken = min(len(buffer), len(data))
-        buffer[:taken] = data[:taken]
-        if taken < len(data):
-            self._unread.appendleft(data[taken:])
-        self._acknowledge(taken)
-        protocol.buffer_updated(taken)
+        copied = min(len(buffer), len(data))
+        buffer[:copied] = data[:copied]
+        if copied < len(data):
+            self._unread.appendleft(data[copied:])
+        self._acknowledge(copied)
+        protocol.buffer_updated(copied)
 
     def _acknowledge(self, size: int) -> None:
-        """Let the other end's window go on."""
-        if self.other is not None and not self.other.is_dead:
+        """Free `size` bytes of the other end's window."""
+        if self.other is not None and not self.other.has_ended:
             self.other._bytes_in_flight -= size
             if self.other._write_buffer:
                 self._network.call_at(self._loop.now, self.other._send_buffered)
 
-    # -- ends ---------------------------------------------------------------------------------------------------------
+    # -- end of the connection ----------------------------------------------------------------------------------------
 
     def receive_reset(self) -> None:
-        """End with a reset."""
-        if not self.is_dead:
+        """End the connection with a reset."""
+        if not self.has_ended:
             self._is_closing = True
-            self._lose(ConnectionResetError(104, "Connection reset by peer"))
+            self._end(ConnectionResetError(104, "Connection reset by peer"))
 
     def _send_reset(self) -> None:
         if self.other is not None and not self.link.drops_all:
             self._network.call_at(max(self._loop.now + self.link.latency_s, self._loop.now), self._arrive_reset)
 
     def _arrive_reset(self) -> None:
-        """A reset is sent once: through a link that is cut it is lost."""
+        """Deliver a reset. It is sent once, so a cut link loses it."""
         if not self.link.is_cut and self.other is not None:
             self.other.receive_reset()
 
-    def _lose(self, error: Exception | None) -> None:
-        if self.is_dead:
+    def _end(self, error: Exception | None) -> None:
+        if self.has_ended:
             return
-        self.is_dead = True
+        self.has_ended = True
         self._write_buffer.clear()
         self._write_buffer_bytes = 0
         self._unread.clear()
         self._loop.record(self.name(), "ends", type(error).__name__)
         self._network.transports.discard(self)
-        if self.protocol is not None:  # else it is still being made, and `connect` fails
+        if self.protocol is not None:  # else it is still being established, and `connect` fails
             self.call_as_owner(self.protocol.connection_lost, error)
 
-    def vanish(self) -> None:
-        """End as the operating system ends it for a machine that was killed: nothing of the machine's runs."""
-        if not self.is_dead:
-            self.is_dead = True
+    def close_after_kill(self) -> None:
+        """Close as the operating system does for a killed process: the protocol of this end is not called."""
+        if not self.has_ended:
+            self.has_ended = True
             self._network.transports.discard(self)
             self._send_reset()
 
     def call_as_owner(self, function: Callable[..., Any], *arguments: Any) -> None:
-        """Call a function soon, as work of the machine that owns this end."""
+        """Call a function soon, on the machine that owns this end."""
         if self.machine is None:
             self._loop.call_soon(function, *arguments)
         else:
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network against asyncio's own promises, and its failures."""
+"""The simulated network: asyncio's guarantees for connections, and injected faults."""
 
 import asyncio
 import random
@@ -10,228 +10,246 @@
 from dewpin.lab.network import AddressFault, SimulatedNetwork
 from dewpin.lab.transport import LinkConditions
 
-AT = ("10.0.0.1", 80)
+SERVER_ADDRESS = ("10.0.0.1", 80)
 
 
-class Kept(asyncio.BufferedProtocol):
-    """Keeps what came; `scratch` is small, so that one delivery takes several turns."""
+class RecordingProtocol(asyncio.BufferedProtocol):
+    """Records received data and events. `buffer` is small, so that one delivery needs several calls."""
 
     def __init__(self):
-        self.came, self.lost, self.ended, self.full, self.transport = bytearray(), [], False, 0, None
-        self.scratch = bytearray(1000)
+        self.received, self.lost, self.has_eof, self.write_pauses, self.transport = bytearray(), [], False, 0, None
+        self.buffer = bytearray(1000)
 
     def connection_made(self, transport):
         self.transport = transport
 
     def get_buffer(self, sizehint):
-        return memoryview(self.scratch)
+        return memoryview(self.buffer)
 
     def buffer_updated(self, nbytes):
-        self.came += self.scratch[:nbytes]
+        self.received += self.buffer[:nbytes]
 
     def eof_received(self):
-        self.ended = True
+        self.has_eof = True
 
     def pause_writing(self):
-        self.full += 1
+        self.write_pauses += 1
 
     def resume_writing(self):
-        self.full -= 1
+        self.write_pauses -= 1
 
     def connection_lost(self, error):
         self.lost.append(type(error).__name__ if error else None)
 
 
-def play(scene, seed=1):
+def run_scenario(scenario, seed=1):
     loop = SimulatedEventLoop(seed)
     network = SimulatedNetwork(loop)
 
-    async def whole():
-        server, client, theirs = Machine(loop, "server"), Machine(loop, "client"), []
+    async def run():
+        server, client, accepted = Machine(loop, "server"), Machine(loop, "client"), []
 
         def accept():
-            theirs.append(Kept())
-            return theirs[-1]
+            accepted.append(RecordingProtocol())
+            return accepted[-1]
 
-        server.call(network.listen, AT, accept)
+        server.call(network.listen, SERVER_ADDRESS, accept)
 
         async def connect():
-            task = client.start(network.connect(AT, Kept))
+            task = client.start(network.connect(SERVER_ADDRESS, RecordingProtocol))
             await asyncio.wait([task])
             return task.result()[1]
 
-        return await scene(loop, network, server, client, connect, theirs)
+        return await scenario(loop, network, server, client, connect, accepted)
 
-    result = loop.run(whole())
+    result = loop.run(run())
     assert not loop.errors, loop.errors
     return result, loop.digest()
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_bytes_come_whole_and_in_order_however_they_are_cut_and_a_close_lets_them_arrive(seed):
-    async def scene(loop, network, server, client, connect, theirs):
-        dice = random.Random(seed)
-        network.link_between = lambda *_: LinkConditions(latency_s=0.01, max_piece_bytes=dice.choice((0, 1, 7, 3000)))
-        mine, sent = await connect(), bytearray()
+def test_bytes_arrive_complete_and_in_order_in_pieces_of_any_size_also_after_a_close(seed):
+    async def scenario(loop, network, server, client, connect, accepted):
+        rng = random.Random(seed)
+        network.link_between = lambda *_: LinkConditions(latency_s=0.01, max_piece_bytes=rng.choice((0, 1, 7, 3000)))
+        protocol, sent = await connect(), bytearray()
         for _ in range(30):
-            part = dice.randbytes(dice.choice((1, 40, 5000)))
-            sent += part
-            mine.transport.write(part)
-        mine.transport.close()
-        mine.transport.write(b"too late")
+            data = rng.randbytes(rng.choice((1, 40, 5000)))
+            sent += data
+            protocol.transport.write(data)
+        protocol.transport.close()
+        protocol.transport.write(b"too late")
         await asyncio.sleep(5.0)
-        (other,) = theirs
-        assert other.came == sent and other.ended and other.lost == [None] == mine.lost and not network.transports
+        (server_protocol,) = accepted
+        assert (
+            server_protocol.received == sent
+            and server_protocol.has_eof
+            and server_protocol.lost == [None] == protocol.lost
+            and not network.transports
+        )
 
-    assert play(scene, seed) == play(scene, seed)
+    assert run_scenario(scenario, seed) == run_scenario(scenario, seed)
 
 
-def test_who_does_not_read_fills_the_writers_buffer_and_nothing_is_lost():
-    async def scene(loop, network, server, client, connect, theirs):
-        mine = await connect()
+def test_paused_reading_fills_the_writers_buffer_and_loses_nothing():
+    async def scenario(loop, network, server, client, connect, accepted):
+        protocol = await connect()
         await asyncio.sleep(0.01)
-        theirs[0].transport.pause_reading()
+        accepted[0].transport.pause_reading()
         for _ in range(40):
-            mine.transport.write(b"x" * 10_000)
+            protocol.transport.write(b"x" * 10_000)
         await asyncio.sleep(60.0)
-        assert mine.full == 1 and theirs[0].came == b"" and mine.transport.get_write_buffer_size() > 300_000
-        theirs[0].transport.resume_reading()
+        assert (
+            protocol.write_pauses == 1
+            and accepted[0].received == b""
+            and protocol.transport.get_write_buffer_size() > 300_000
+        )
+        accepted[0].transport.resume_reading()
         await asyncio.sleep(1.0)
-        assert mine.full == 0 and len(theirs[0].came) == 400_000 and mine.transport.get_write_buffer_size() == 0
+        assert (
+            protocol.write_pauses == 0
+            and len(accepted[0].received) == 400_000
+            and protocol.transport.get_write_buffer_size() == 0
+        )
         server.pause()
-        mine.transport.write(b"y" * 100)
+        protocol.transport.write(b"y" * 100)
         await asyncio.sleep(10.0)
-        assert len(theirs[0].came) == 400_000
+        assert len(accepted[0].received) == 400_000
         server.resume()
         await asyncio.sleep(0.1)
-        assert len(theirs[0].came) == 400_100
+        assert len(accepted[0].received) == 400_100
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_aborts_and_kills_are_seen_as_resets_and_a_dead_machine_hears_nothing():
-    async def scene(loop, network, server, client, connect, theirs):
-        one, two = await connect(), await connect()
+def test_abort_and_kill_reset_the_other_end_and_a_killed_machine_receives_nothing():
+    async def scenario(loop, network, server, client, connect, accepted):
+        aborted, other = await connect(), await connect()
         await asyncio.sleep(0.01)
-        one.transport.write(b"lost")
-        one.transport.abort()
+        aborted.transport.write(b"lost")
+        aborted.transport.abort()
         await asyncio.sleep(0.01)
-        assert theirs[0].lost == ["ConnectionResetError"] and one.lost == [None]
+        assert accepted[0].lost == ["ConnectionResetError"] and aborted.lost == [None]
         server.kill()
         await asyncio.sleep(0.01)
-        assert two.lost == ["ConnectionResetError"] and theirs[1].lost == []
+        assert other.lost == ["ConnectionResetError"] and accepted[1].lost == []
         with pytest.raises(ConnectionRefusedError):
             await connect()
-        network.listen(AT, Kept)  # another takes the address over
+        network.listen(SERVER_ADDRESS, RecordingProtocol)  # another listener may use the address now
         await connect()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_refused_silent_and_half_open():
-    async def scene(loop, network, server, client, connect, theirs):
-        network.address_faults[AT] = AddressFault.REFUSED
+def test_refused_silent_and_half_open_connections():
+    async def scenario(loop, network, server, client, connect, accepted):
+        network.address_faults[SERVER_ADDRESS] = AddressFault.REFUSED
         with pytest.raises(ConnectionRefusedError):
             await connect()
-        network.address_faults[AT] = AddressFault.SILENT
+        network.address_faults[SERVER_ADDRESS] = AddressFault.SILENT
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(connect(), 30.0)
-        del network.address_faults[AT]
-        mine = await connect()
+        del network.address_faults[SERVER_ADDRESS]
+        protocol = await connect()
         await asyncio.sleep(0.01)
-        mine.transport.link.drops_all = True  # one direction is cut off: the other goes on
-        mine.transport.write(b"into the void")
-        theirs[0].transport.write(b"still heard")
+        protocol.transport.link.drops_all = True  # only one direction drops
+        protocol.transport.write(b"dropped")
+        accepted[0].transport.write(b"received")
         await asyncio.sleep(100.0)
-        assert theirs[0].came == b"" and mine.came == b"still heard" and not mine.lost and not theirs[0].lost
-        mine.transport.abort()
+        assert (
+            accepted[0].received == b""
+            and protocol.received == b"received"
+            and not protocol.lost
+            and not accepted[0].lost
+        )
+        protocol.transport.abort()
         await asyncio.sleep(100.0)
-        assert theirs[0].lost == []  # nothing is said: it stays open and silent
-        theirs[0].transport.write(b"?")
+        assert accepted[0].lost == []  # the reset is dropped, so it stays open
+        accepted[0].transport.write(b"?")
         await asyncio.sleep(1.0)
-        assert theirs[0].lost == ["ConnectionResetError"]
+        assert accepted[0].lost == ["ConnectionResetError"]
         other = await connect()
         await asyncio.sleep(0.01)
         network.reset_connection(other.transport)
         await asyncio.sleep(0.01)
-        assert other.lost == theirs[1].lost == ["ConnectionResetError"]
+        assert other.lost == accepted[1].lost == ["ConnectionResetError"]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_an_address_is_one_listeners_and_a_half_closed_connection_still_answers():
-    async def scene(loop, network, server, client, connect, theirs):
+def test_address_has_one_listener_and_a_half_closed_connection_still_responds():
+    async def scenario(loop, network, server, client, connect, accepted):
         with pytest.raises(OSError, match="in use"):
-            network.listen(AT, Kept)
+            network.listen(SERVER_ADDRESS, RecordingProtocol)
 
-        class Answers(Kept):
+        class RespondingProtocol(RecordingProtocol):
             def eof_received(self):
                 self.transport.write(b"answer")
                 self.transport.close()
                 return True
 
-        network.listeners[AT].protocol_factory = Answers
-        mine = await connect()
-        mine.transport.write(b"question")
-        mine.transport.write_eof()
+        network.listeners[SERVER_ADDRESS].protocol_factory = RespondingProtocol
+        protocol = await connect()
+        protocol.transport.write(b"question")
+        protocol.transport.write_eof()
         await asyncio.sleep(1.0)
-        assert mine.came == b"answer" and mine.ended and mine.lost == [None]
+        assert protocol.received == b"answer" and protocol.has_eof and protocol.lost == [None]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_what_a_cut_held_up_arrives_in_its_order_once_the_way_is_joined():
-    ways = {}
+def test_data_held_by_a_cut_arrives_in_order_once_the_link_is_restored():
+    links = {}
 
-    async def scene(loop, network, server, client, connect, theirs):
-        network.link_between = lambda local, peer: ways.setdefault(local[0], LinkConditions())
-        mine = await connect()
-        ways["127.0.0.1"].is_cut = True
-        for piece in (b"one ", b"two ", b"three"):
-            client.call(mine.transport.write, piece)
+    async def scenario(loop, network, server, client, connect, accepted):
+        network.link_between = lambda local, remote: links.setdefault(local[0], LinkConditions())
+        protocol = await connect()
+        links["127.0.0.1"].is_cut = True
+        for data in (b"one ", b"two ", b"three"):
+            client.call(protocol.transport.write, data)
         await asyncio.sleep(1.0)
-        before = bytes(theirs[0].came)
-        ways["127.0.0.1"].is_cut = False
+        before = bytes(accepted[0].received)
+        links["127.0.0.1"].is_cut = False
         network.deliver_held()
         await asyncio.sleep(1.0)
-        return before, bytes(theirs[0].came)
+        return before, bytes(accepted[0].received)
 
-    assert play(scene)[0] == (b"", b"one two three")
+    assert run_scenario(scenario)[0] == (b"", b"one two three")
 
 
 @pytest.mark.parametrize("direction", ["127.0.0.1", "10.0.0.1"])
-def test_a_sender_without_a_word_for_the_user_timeout_gives_the_connection_up(direction):
-    """One way is enough: without acknowledgements the sender can't know that its bytes arrived."""
-    ways = {}
+def test_connection_without_acknowledgements_ends_at_its_sender_after_the_user_timeout(direction):
+    """A cut in either direction suffices: without acknowledgements the sender cannot know that its bytes arrived."""
+    links = {}
 
-    async def scene(loop, network, server, client, connect, theirs):
+    async def scenario(loop, network, server, client, connect, accepted):
         network.link_between, network.user_timeout_s = (
-            lambda local, peer: ways.setdefault(local[0], LinkConditions()),
+            lambda local, remote: links.setdefault(local[0], LinkConditions()),
             2.0,
         )
-        mine = await connect()
-        ways[direction].is_cut = True
-        client.call(mine.transport.write, b"x")
+        protocol = await connect()
+        links[direction].is_cut = True
+        client.call(protocol.transport.write, b"x")
         await asyncio.sleep(1.9)
-        before = list(mine.lost)
+        before = list(protocol.lost)
         await asyncio.sleep(0.2)
-        ways[direction].is_cut = False
+        links[direction].is_cut = False
         network.deliver_held()
         await asyncio.sleep(1.0)
-        return before, mine.lost, bytes(theirs[0].came)
+        return before, protocol.lost, bytes(accepted[0].received)
 
-    assert play(scene)[0] == ([], ["TimeoutError"], b"" if direction == "127.0.0.1" else b"x")
+    assert run_scenario(scenario)[0] == ([], ["TimeoutError"], b"" if direction == "127.0.0.1" else b"x")
 
 
-def test_a_connection_that_is_reset_while_it_is_made_fails_at_its_maker():
-    """Seen to fail: there is no protocol yet that could be told."""
+def test_reset_while_connecting_fails_the_connect_call():
+    """The client has no protocol yet that could be notified, so a reset at this time was lost."""
 
-    async def scene(loop, network, server, client, connect, theirs):
-        network.link_between = lambda local, peer: LinkConditions(latency_s=0.5)
-        making = asyncio.ensure_future(connect())
+    async def scenario(loop, network, server, client, connect, accepted):
+        network.link_between = lambda local, remote: LinkConditions(latency_s=0.5)
+        connecting = asyncio.ensure_future(connect())
         await asyncio.sleep(0.7)
         network.reset_connection(next(iter(network.transports)))
-        await asyncio.wait([making])
-        return type(making.exception()).__name__
+        await asyncio.wait([connecting])
+        return type(connecting.exception()).__name__
 
-    assert play(scene)[0] == "ConnectionResetError"
+    assert run_scenario(scenario)[0] == "ConnectionResetError"
