--- a/dewpin/lab/fleet/__init__.py
+++ b/dewpin/lab/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""A load test with fault injection: real senders, with agents, receivers, clients and links of our own on loopback.
+"""A load test with fault injection: real senders, with simulated agents, receivers, clients and links on loopback.
 
-An extra of the laboratory; docs/fleet.md says how to use it.
+docs/fleet.md describes its use.
 """
--- a/dewpin/lab/fleet/agents.py
+++ b/dewpin/lab/fleet/agents.py
@@ -1,4 +1,4 @@
-"""The platform's agents, one for each sender: the endpoint list with its updates, and the notices."""
+"""Simulated agents of the platform, one per sender: they serve the endpoint list with updates and receive notices."""
 
 import asyncio
 import json
@@ -15,13 +15,13 @@
 from .result_collector import ResultCollector
 
 AGENT_NETWORK = 2
-MAX_UPDATE_DELAY_MS = 300.0  # until an agent has an update; drawn for each agent
+MAX_UPDATE_DELAY_MS = 300.0  # until an agent has an update; the delay of each agent is random
 
 OnNotice = Callable[[Submission, str, float], None]
-"""Called with: the submission that a notice ends, the notice's outcome, the ms after which to submit it again."""
+"""Called with the submission that a notice ends, the outcome in the notice, and the delay of a resubmission in ms."""
 
 _Watch = tuple[HttpConnection, int]
-"""A watch that waits for an update: its connection, and the revision that its sender knows."""
+"""A pending long poll for an update: its connection, and the revision that its sender knows."""
 
 
 class Agent:
@@ -29,10 +29,10 @@
 
     Attributes:
         sender: number of its sender.
-        port: where it listens.
+        port: its listener.
         link: its link to the sender.
-        revision: of the list that it has.
-        watches: requests that wait for an update.
+        revision: revision of its list.
+        watches: pending long polls.
     """
 
     def __init__(self, sender: int) -> None:
@@ -47,8 +47,8 @@
     """All agents.
 
     Attributes:
-        agents: by the senders' numbers.
-        rejects_list_requests: discovery is down: requests for the list get a 503.
+        agents: all agents, indexed by the numbers of their senders.
+        rejects_list_requests: whether discovery is down, so that requests for the list get a 503.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self.agents = [Agent(sender) for sender in range(sender_count)]
         self.rejects_list_requests = False
         self._receivers = receivers
-        self._changed: list[Receiver] = []  # the n-th change made revision n + 1; an update has the present state
+        self._changed_receivers: list[Receiver] = []  # change n made revision n + 1; updates send the current state
         self._collector = collector
         self._random = random_source
         self._clock = clock
@@ -74,32 +74,32 @@
         for agent in self.agents:
             await agent.port.open(
                 lambda agent=agent: HttpConnection(  # type: ignore[misc]
-                    agent.link, lambda connection, request: self._take_request(agent, connection, request)
+                    agent.link, lambda connection, request: self._handle_request(agent, connection, request)
                 )
             )
 
     def close(self) -> None:
-        """Close all listeners, and the connections of watches."""
+        """Close all listeners, and the connections of pending long polls."""
         for agent in self.agents:
             agent.port.close()
             for connection, _ in agent.watches:
                 connection.transport.abort()
 
     def initial_list(self, sender: int) -> dict[str, Any]:
-        """Return the endpoint list of the start, in the form of the agent's JSON."""
+        """Return the endpoint list at the start of the test, in the agent's JSON format."""
         members = [self._member(receiver, sender) for receiver in self._receivers.receivers if receiver.since_ms <= 0.0]
         return {"revision": 1, "complete": True, "members": members}
 
-    def change(self, receiver: Receiver, phase: ReceiverPhase) -> None:
-        """Update the list: every agent has it some moments later, each at its own time."""
+    def update_phase(self, receiver: Receiver, phase: ReceiverPhase) -> None:
+        """Update the list; each agent has the update after a random delay of its own."""
         receiver.phase = phase
-        self._changed.append(receiver)
-        revision = len(self._changed) + 1
+        self._changed_receivers.append(receiver)
+        revision = len(self._changed_receivers) + 1
         for agent in self.agents:
             delay_seconds = self._random.uniform(0.0, MAX_UPDATE_DELAY_MS) / 1000.0
-            asyncio.get_running_loop().call_later(delay_seconds, self._take_update, agent, revision)
+            asyncio.get_running_loop().call_later(delay_seconds, self._apply_update, agent, revision)
 
-    def _take_update(self, agent: Agent, revision: int) -> None:
+    def _apply_update(self, agent: Agent, revision: int) -> None:
         agent.revision = max(agent.revision, revision)
         for connection, known_revision in agent.watches:
             self._send_list(agent, connection, known_revision)
@@ -118,9 +118,9 @@
             "up_since_ms": 0,
         }
 
-    def _take_request(self, agent: Agent, connection: HttpConnection, request: HttpRequest) -> None:
+    def _handle_request(self, agent: Agent, connection: HttpConnection, request: HttpRequest) -> None:
         if request.path.startswith("/v1/notices"):
-            self._take_notices(request.body)
+            self._handle_notices(request.body)
             connection.respond(204)
             return
         status = 503 if self.rejects_list_requests else 200
@@ -139,7 +139,7 @@
         wait_seconds = float(parameters.get("wait", 0)) / 1000.0
         asyncio.get_running_loop().call_later(wait_seconds, self._end_watch, agent, watch)
 
-    def _take_notices(self, body: bytes) -> None:
+    def _handle_notices(self, body: bytes) -> None:
         for line in body.splitlines():
             notice = json.loads(line)
             outcome = notice["outcome"]
@@ -152,11 +152,11 @@
             self._send_list(agent, *watch)
 
     def _send_list(self, agent: Agent, connection: HttpConnection, known_revision: int | None) -> None:
-        """Send what changed since a revision, or the whole list."""
+        """Send the changes since a revision, or the whole list if it is None."""
         if known_revision is None:
             listed = [receiver for receiver in self._receivers.receivers if receiver.phase != ReceiverPhase.LEFT]
         else:
-            listed = list(dict.fromkeys(self._changed[max(0, known_revision - 1) : agent.revision - 1]))
+            listed = list(dict.fromkeys(self._changed_receivers[max(0, known_revision - 1) : agent.revision - 1]))
         update = {
             "revision": agent.revision,
             "complete": known_revision is None,
@@ -164,5 +164,5 @@
         }
         for receiver in listed:
             if receiver.phase != ReceiverPhase.ACTIVE:
-                self._collector.drains_known.setdefault((agent.sender, receiver.name), self._clock.now_ms())
+                self._collector.drain_notified_ms.setdefault((agent.sender, receiver.name), self._clock.now_ms())
         connection.respond(200, json.dumps(update).encode())
--- a/dewpin/lab/fleet/clients.py
+++ b/dewpin/lab/fleet/clients.py
@@ -1,11 +1,11 @@
-"""The clients: messages that are submitted at random times, and submitted again where a sender rejects them."""
+"""Simulated clients: they submit messages at random times, and resubmit those that a sender rejects."""
 
 import random
 from collections.abc import Sequence
 
 from .http_connection import HttpResponse, request_once
 from .load_clock import LoadClock
-from .records import DEFERRED_NOTICE, MessageEnd, Submission
+from .records import DEFERRED_NOTICE, MessageOutcome, Submission
 from .result_collector import ResultCollector
 from .scenario import Scenario
 from .sender_process import SenderProcess
@@ -17,7 +17,7 @@
 
 
 class Clients:
-    """Submits the load's messages. All arrivals are drawn ahead and wait for no response."""
+    """Submits the messages of the load. Arrival times are drawn in advance and do not depend on responses."""
 
     def __init__(
         self,
@@ -35,10 +35,10 @@
         self._timeline = timeline
         self._senders = senders
         self._random = random_source
-        self._submission_counts: dict[int, int] = {}  # by message
+        self._submission_counts: dict[int, int] = {}  # by number of the message
 
-    def plan_arrivals(self) -> None:
-        """Plan the submission of each message."""
+    def schedule_submissions(self) -> None:
+        """Schedule the first submission of each message."""
         load = self._load
         effects, shares = list(load.class_shares), list(load.class_shares.values())
         at_ms, message = 0.0, 0
@@ -47,7 +47,7 @@
             destination = self._random.randrange(self._destination_count)
             key = f"k{destination}.{self._random.randrange(load.ordering_keys)}" if effect == "unsafe" else ""
             expires_at_ms = at_ms + load.lifetime_ms
-            self._timeline.plan(
+            self._timeline.schedule(
                 at_ms, self._submit, message, effect, destination, key, expires_at_ms, self._random.random()
             )
             message += 1
@@ -55,15 +55,15 @@
     async def _submit(
         self, message: int, effect: str, destination: int, key: str, expires_at_ms: float, sender_choice: float
     ) -> None:
-        """Submit a message once, to the sender that `sender_choice`, between 0 and 1, chooses."""
+        """Submit a message once, to the sender selected by `sender_choice`, a number from 0 to 1."""
         at_ms = self._clock.now_ms()
         self._collector.first_submissions_ms.setdefault(message, at_ms)
         count = self._submission_counts[message] = self._submission_counts.get(message, 0) + 1
         listed = [sender for sender in self._senders if sender.is_listed]
-        if key:  # one sender has all messages of a key while it runs
+        if key:  # all messages of a key go to one sender while it runs
             sender_choice = random.Random(key).random()
         if not listed or at_ms > expires_at_ms:
-            self._collector.record_ending(message, MessageEnd.REJECTED, at_ms)
+            self._collector.record_outcome(message, MessageOutcome.REJECTED, at_ms)
             return
         sender = listed[int(sender_choice * len(listed))]
         submission = Submission(
@@ -75,34 +75,34 @@
             destination=destination,
             submitted_at_ms=at_ms,
             expires_at_ms=expires_at_ms,
-            order=self._timeline.planned_count,
+            order=self._timeline.scheduled_count,
         )
         self._collector.submissions[submission.submission_id] = submission
         response = await request_once(sender.address, _format_request(submission), RESPONSE_TIMEOUT_SECONDS)
-        self._take_response(submission, response)
+        self._handle_response(submission, response)
 
-    def _take_response(self, submission: Submission, response: HttpResponse | None) -> None:
+    def _handle_response(self, submission: Submission, response: HttpResponse | None) -> None:
         now_ms = self._clock.now_ms()
         if response and response.status in (200, 202):
             submission.accepted_at_ms = now_ms
             if submission.delivered_at_ms is not None:
-                self.take_delivery(submission)
+                self.handle_delivery(submission)
             return
         if response is None and submission.effect == "unsafe":
-            # It may have been accepted: whether it was executed can't be known.
-            self._collector.record_ending(submission.message, MessageEnd.UNKNOWN, now_ms)
+            # It may have been accepted, so whether it was executed is unknown.
+            self._collector.record_outcome(submission.message, MessageOutcome.UNKNOWN, now_ms)
             return
         retry_after_ms = float(response.fields.get("retry-after", 0.0)) * 1000.0 if response else 0.0
-        self._submit_again(submission, retry_after_ms)
+        self._schedule_resubmission(submission, retry_after_ms)
 
-    def _submit_again(self, submission: Submission, retry_after_ms: float) -> None:
+    def _schedule_resubmission(self, submission: Submission, retry_after_ms: float) -> None:
         now_ms = self._clock.now_ms()
         message = submission.message
         if self._submission_counts[message] > self._load.max_resubmissions:
-            self._collector.record_ending(message, MessageEnd.REJECTED, now_ms)
+            self._collector.record_outcome(message, MessageOutcome.REJECTED, now_ms)
             return
         at_ms = now_ms + max(retry_after_ms, MIN_RETRY_PAUSE_MS) * self._random.uniform(*RETRY_PAUSE_FACTORS)
-        self._timeline.plan(
+        self._timeline.schedule(
             at_ms,
             self._submit,
             message,
@@ -113,20 +113,20 @@
             self._random.random(),
         )
 
-    def take_delivery(self, submission: Submission) -> None:
-        """Take that a receiver has responded with 200 to a call of this submission."""
+    def handle_delivery(self, submission: Submission) -> None:
+        """Record that a receiver responded with 200 to a call of this submission."""
         if submission.accepted_at_ms is not None and not self._collector.is_delivered(submission.message):
             delivered_at_ms = submission.delivered_at_ms or self._clock.now_ms()
-            self._collector.record_ending(submission.message, MessageEnd.DELIVERED, delivered_at_ms)
+            self._collector.record_outcome(submission.message, MessageOutcome.DELIVERED, delivered_at_ms)
 
-    def take_notice(self, submission: Submission, outcome: str, retry_after_ms: float) -> None:
-        """Take a notice that ends this submission."""
+    def handle_notice(self, submission: Submission, outcome: str, retry_after_ms: float) -> None:
+        """Handle a notice that ends this submission."""
         if submission.accepted_at_ms is None or self._collector.is_delivered(submission.message):
             return
         if outcome == DEFERRED_NOTICE:
-            self._submit_again(submission, retry_after_ms)
+            self._schedule_resubmission(submission, retry_after_ms)
         else:
-            self._collector.record_ending(submission.message, MessageEnd.FAILED, self._clock.now_ms())
+            self._collector.record_outcome(submission.message, MessageOutcome.FAILED, self._clock.now_ms())
 
 
 def _format_request(submission: Submission) -> bytes:
--- a/dewpin/lab/fleet/datagram_proxies.py
+++ b/dewpin/lab/fleet/datagram_proxies.py
@@ -1,7 +1,7 @@
-"""Proxies for datagrams between real processes: each direction can be cut, lossy, late or duplicate them by itself.
+"""Proxies for datagrams between real processes, with separate faults for each direction: cuts, loss, delay, duplicates.
 
-There is one socket for each ordered pair of parties. A party reaches another at the socket of that pair, and sees what
-the other sends come from the socket of the reverse pair.
+There is one socket for each ordered pair of processes. A process sends to another at the socket of that pair, and
+receives the other's datagrams from the socket of the reverse pair.
 """
 
 import asyncio
@@ -10,11 +10,11 @@
 
 
 class DatagramProxies:
-    """The proxies between all parties.
+    """The proxies between all processes.
 
     Attributes:
-        links: by (from, to); their attributes are changed while they are in use.
-        addresses: where each party really listens.
+        links: the proxies by (sender, recipient); their attributes may be changed while they are in use.
+        addresses: the address at which each process listens.
     """
 
     def __init__(self, names: list[str], seed: int = 1) -> None:
@@ -24,7 +24,7 @@
         self._random = random.Random(seed)
 
     async def open(self) -> None:
-        """Open the socket of each pair."""
+        """Open a socket for each pair."""
         loop = asyncio.get_running_loop()
         for pair in permutations(self.names, 2):
             _, self.links[pair] = await loop.create_datagram_endpoint(
@@ -32,11 +32,11 @@
             )
 
     def peers_of(self, name: str) -> dict[str, tuple[str, int]]:
-        """Return the addresses at which this party reaches the others."""
+        """Return the addresses at which a process reaches the others."""
         return {other: self.links[name, other].address for other in self.names if other != name}
 
     def set_address(self, name: str, address: tuple[str, int]) -> None:
-        """Forward to this address what is sent to a party from now on."""
+        """Forward datagrams for a process to this address from now on."""
         self.addresses[name] = address
         for other in self.names:
             if other != name:
@@ -45,12 +45,12 @@
                 link.reverse = self.links[name, other]
 
     def cut(self, senders: list[str], recipients: list[str]) -> None:
-        """Let nothing through from these to those; the other direction stays as it is."""
+        """Drop all datagrams from `senders` to `recipients`; the reverse direction is unchanged."""
         for pair, link in self.links.items():
             link.is_cut = link.is_cut or (pair[0] in senders and pair[1] in recipients)
 
     def heal(self) -> None:
-        """End all faults."""
+        """Remove all faults."""
         for link in self.links.values():
             link.is_cut = False
             link.loss_share = link.duplicate_share = link.max_lag_ms = 0.0
@@ -62,15 +62,15 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """One direction between two parties.
+    """One direction between two processes.
 
     Attributes:
-        is_cut: nothing gets through.
+        is_cut: whether all datagrams are dropped.
         loss_share: share of the datagrams that are lost.
-        duplicate_share: share of those that arrive twice.
-        max_lag_ms: the longest delay; each datagram's is drawn.
-        target: where the recipient listens; None: it is not known yet.
-        reverse: the proxy whose address the recipient knows the sender by.
+        duplicate_share: share of the other datagrams that arrive twice.
+        max_lag_ms: maximum delay; the delay of each datagram is random.
+        target: address of the recipient; None: not known yet.
+        reverse: the proxy whose address the recipient uses for the sender.
         address: of this proxy's socket.
     """
 
@@ -91,7 +91,7 @@
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data: bytes, address: tuple[str, int]) -> None:
-        """Part of asyncio's protocol: forward a datagram, as the faults allow."""
+        """Part of asyncio's protocol: forwards a datagram, subject to the faults."""
         if self.is_cut or self.target is None or self._random.random() < self.loss_share:
             return
         for _ in range(1 + (self._random.random() < self.duplicate_share)):
--- a/dewpin/lab/fleet/environment.py
+++ b/dewpin/lab/fleet/environment.py
@@ -1,4 +1,4 @@
-"""The environment of the senders under test: receivers, agents and the links between."""
+"""The simulated environment of the senders under test: receivers, agents and links."""
 
 import random
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class Environment:
-    """What senders see around them. It owns every listening socket and connection of the test.
+    """All simulated parties that senders connect to. It owns every listening socket and connection of the test.
 
     Attributes:
         receivers: all receivers.
@@ -27,13 +27,13 @@
         on_delivered: Callable[[Submission], None],
         on_notice: OnNotice,
     ) -> None:
-        """Make an environment.
+        """Create an environment.
 
         Args:
             scenario: the load test.
-            collector: records what is seen here.
-            clock: the test's.
-            on_delivered: called when a receiver has responded with 200 to a message's call.
+            collector: records what receivers and agents observe.
+            clock: clock of the test.
+            on_delivered: called when a receiver has responded with 200 to a call of a submission.
             on_notice: called with each notice.
         """
         self._scenario = scenario
--- a/dewpin/lab/fleet/errors.py
+++ b/dewpin/lab/fleet/errors.py
@@ -2,8 +2,8 @@
 
 
 class SenderStartError(RuntimeError):
-    """A sender's process ended or was not ready in time."""
+    """The process of a sender ended, or was not ready in time."""
 
 
 class DescriptorLimitError(OSError):
-    """The limit of descriptors is too low for the scenario."""
+    """The limit on open file descriptors is too low for the scenario."""
--- a/dewpin/lab/fleet/fault_injector.py
+++ b/dewpin/lab/fleet/fault_injector.py
@@ -1,4 +1,4 @@
-"""Fault injection: what each kind of fault does to senders, receivers, links and discovery, and how it ends."""
+"""Fault injection: the effects of each kind of fault on senders, receivers, links and discovery, and their end."""
 
 import asyncio
 import random
@@ -11,16 +11,16 @@
 from .environment import Environment
 from .faulty_link import FROM, TO, FaultyLink
 from .load_clock import LoadClock
-from .receiver_model import LONG_AGO_MS, ReceiverStatus
+from .receiver_model import FULLY_WARM_SINCE_MS, ReceiverStatus
 from .receivers import Receiver, ReceiverPhase
 from .records import SenderEvent
 from .result_collector import ResultCollector
 from .scenario import CutDirection, Fault, FaultKind, Scenario
 from .sender_process import SenderProcess
 
-DRAIN_SECONDS = 1.0  # from leaving to left
+DRAIN_SECONDS = 1.0  # from phase LEAVING to LEFT
 
-ChoiceT = TypeVar("ChoiceT")
+TargetT = TypeVar("TargetT")
 StartSender = Callable[[SenderProcess], Awaitable[None]]
 
 
@@ -37,7 +37,7 @@
         start_sender: StartSender,
         random_source: random.Random,
     ) -> None:
-        """Make an injector; `start_sender` starts a sender's process and waits until it is ready."""
+        """Create an injector; `start_sender` starts a sender's process and waits until it is ready."""
         self._discovery_delay_seconds = scenario.senders.discovery_delay_ms / 1000.0
         self._environment = environment
         self._collector = collector
@@ -48,8 +48,8 @@
         self._process_locks = {sender.number: asyncio.Lock() for sender in senders}
 
     async def inject(self, fault: Fault) -> None:
-        """Inject a fault and end it when its time is over."""
-        senders = self._choose_share(self._senders, fault.senders)
+        """Inject a fault, and end it after its duration."""
+        senders = self._sample_share(self._senders, fault.senders)
         if fault.kind in (FaultKind.KILL, FaultKind.TERM):
             await asyncio.gather(*(self._end_process(sender, fault) for sender in senders))
         elif fault.kind == FaultKind.STOP:
@@ -64,12 +64,12 @@
             receivers = self._choose_receivers(fault)
             await self._fail_receivers(fault, receivers, self._links_between(senders, receivers))
 
-    # -- what a fault is injected into --------------------------------------------------------------------------------
+    # -- selection of targets -----------------------------------------------------------------------------------------
 
-    def _choose_share(self, candidates: Sequence[ChoiceT], share: float) -> list[ChoiceT]:
+    def _sample_share(self, targets: Sequence[TargetT], share: float) -> list[TargetT]:
         if not share:
             return []
-        return self._random.sample(candidates, min(len(candidates), max(1, round(share * len(candidates)))))
+        return self._random.sample(targets, min(len(targets), max(1, round(share * len(targets)))))
 
     def _choose_receivers(self, fault: Fault) -> list[Receiver]:
         active = self._environment.receivers.active()
@@ -77,12 +77,12 @@
             return [receiver for receiver in active if receiver.zone == fault.zone]
         if fault.destinations:
             destinations = range(len(self._environment.receivers.quotas))
-            chosen = self._choose_share(destinations, fault.destinations)
+            chosen = self._sample_share(destinations, fault.destinations)
             return [receiver for receiver in active if receiver.destination in chosen]
-        return self._choose_share(active, fault.receivers)
+        return self._sample_share(active, fault.receivers)
 
     def _links_between(self, senders: list[SenderProcess], receivers: list[Receiver]) -> list[FaultyLink]:
-        """Return the links between these; where either is empty, those of all."""
+        """Return the links between these; an empty list stands for all."""
         all_receivers = self._environment.receivers
         groups = sorted({all_receivers.group_of(sender.number) for sender in senders or self._senders})
         return [receiver.links[group] for receiver in receivers or all_receivers.receivers for group in groups]
@@ -92,43 +92,43 @@
     async def _suspend(self, senders: list[SenderProcess], seconds: float) -> None:
         for sender in senders:
             sender.send_signal(signal.SIGSTOP)
-            self._record_life(sender, SenderEvent.KILLED)
+            self._record_event(sender, SenderEvent.KILLED)
         await asyncio.sleep(seconds)
         for sender in senders:
             sender.send_signal(signal.SIGCONT)
-            self._record_life(sender, SenderEvent.READY)
+            self._record_event(sender, SenderEvent.READY)
 
     async def _end_process(self, sender: SenderProcess, fault: Fault) -> None:
-        """End a sender's process, and start it again after the fault's time.
+        """End a sender's process, and start it again after the fault's duration.
 
-        A sender that an earlier fault has ended is ended once it is ready again: a process that still starts has no
-        handler for SIGTERM yet, and a second start beside it would take over from it.
+        A sender that an earlier fault has ended is only ended again once it is ready: a starting process has no SIGTERM
+        handler yet, and a second process started beside it would take over from it.
         """
         async with self._process_locks[sender.number]:
-            await self._end_running_process(sender, fault)
+            await self._end_ready_process(sender, fault)
 
-    async def _end_running_process(self, sender: SenderProcess, fault: Fault) -> None:
+    async def _end_ready_process(self, sender: SenderProcess, fault: Fault) -> None:
         loop = asyncio.get_running_loop()
         sender.send_signal(signal.SIGTERM if fault.kind == FaultKind.TERM else signal.SIGKILL)
-        self._record_life(sender, SenderEvent.KILLED)
+        self._record_event(sender, SenderEvent.KILLED)
         if not fault.keeps_folder or not fault.seconds:
-            self._record_life(sender, SenderEvent.FOLDER_LOST)
-        clients_notice_at = loop.time() + self._discovery_delay_seconds
+            self._record_event(sender, SenderEvent.FOLDER_LOST)
+        delisted_at = loop.time() + self._discovery_delay_seconds
         assert sender.process
         await asyncio.to_thread(sender.process.wait)
-        back_at = loop.time() + fault.seconds
-        if not fault.seconds or back_at > clients_notice_at:
-            await asyncio.sleep(max(0.0, clients_notice_at - loop.time()))
+        restart_at = loop.time() + fault.seconds
+        if not fault.seconds or restart_at > delisted_at:
+            await asyncio.sleep(max(0.0, delisted_at - loop.time()))
             sender.is_listed = False
         if not fault.seconds:
             return
-        await asyncio.sleep(max(0.0, back_at - loop.time()))
+        await asyncio.sleep(max(0.0, restart_at - loop.time()))
         if not fault.keeps_folder:
             await asyncio.to_thread(shutil.rmtree, sender.state_folder, True)
         await self._start_sender(sender)
 
-    def _record_life(self, sender: SenderProcess, event: SenderEvent) -> None:
-        self._collector.record_life(sender.number, self._clock.now_ms(), event)
+    def _record_event(self, sender: SenderProcess, event: SenderEvent) -> None:
+        self._collector.record_sender_event(sender.number, self._clock.now_ms(), event)
 
     # -- the endpoint list --------------------------------------------------------------------------------------------
 
@@ -137,14 +137,14 @@
         for destination in range(len(receivers.quotas)):
             for _ in range(count_per_destination):
                 receiver = await receivers.add(destination, self._clock.now_ms())
-                agents.change(receiver, ReceiverPhase.ACTIVE)
+                agents.update_phase(receiver, ReceiverPhase.ACTIVE)
 
     async def _remove_receivers(self, receivers: list[Receiver]) -> None:
         for receiver in receivers:
-            self._environment.agents.change(receiver, ReceiverPhase.LEAVING)
+            self._environment.agents.update_phase(receiver, ReceiverPhase.LEAVING)
         await asyncio.sleep(DRAIN_SECONDS)
         for receiver in receivers:
-            self._environment.agents.change(receiver, ReceiverPhase.LEFT)
+            self._environment.agents.update_phase(receiver, ReceiverPhase.LEFT)
 
     async def _reject_list_requests(self, seconds: float) -> None:
         self._environment.agents.rejects_list_requests = True
@@ -156,7 +156,7 @@
     async def _fail_receivers(self, fault: Fault, receivers: list[Receiver], links: list[FaultyLink]) -> None:
         for receiver in receivers:
             self._fail_receiver(fault, receiver)
-        with self._changed_rate_limits(fault, receivers):
+        with self._scaled_rate_limits(fault, receivers):
             for link in links:
                 _fail_link(fault, link)
             await asyncio.sleep(fault.seconds)
@@ -178,13 +178,13 @@
     async def _recover_receiver(self, fault: Fault, receiver: Receiver) -> None:
         if fault.kind in (FaultKind.DOWN, FaultKind.COLD, FaultKind.HANG):
             is_warm = fault.kind == FaultKind.DOWN
-            receiver.model.recover(LONG_AGO_MS if is_warm else self._clock.now_ms())
+            receiver.model.recover(FULLY_WARM_SINCE_MS if is_warm else self._clock.now_ms())
             if fault.kind != FaultKind.HANG:
                 await self._environment.receivers.open_ports(receiver)
         receiver.model.slowdown = 1.0
 
     @contextmanager
-    def _changed_rate_limits(self, fault: Fault, receivers: list[Receiver]) -> Iterator[None]:
+    def _scaled_rate_limits(self, fault: Fault, receivers: list[Receiver]) -> Iterator[None]:
         destinations = {receiver.destination for receiver in receivers} if fault.kind == FaultKind.LIMIT else set()
         quotas = [self._environment.receivers.quotas[destination] for destination in destinations]
         for quota in quotas:
--- a/dewpin/lab/fleet/faulty_link.py
+++ b/dewpin/lab/fleet/faulty_link.py
@@ -1,4 +1,4 @@
-"""The link between one sender and another party, with its faults: bytes are held, late or lost with the connection."""
+"""The link between a sender and another party, with faults: data is held or delayed, or connections are reset."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,34 +11,34 @@
 
 
 class FaultyLink:
-    """The faults of a link; one object for both directions, changed while it is in use.
+    """The faults of a link, for both directions; may be changed while in use.
 
     Attributes:
         lag_ms: delay each way.
-        cut_directions: the directions (to our side, from it) in which nothing gets through until `heal`.
-        reset_share: share of the calls whose connection is reset.
+        cut_directions: the directions (to the simulated party, from it) in which all data is held until `heal`.
+        reset_share: share of the calls that end with a reset of their connection.
     """
 
-    __slots__ = ("lag_ms", "cut_directions", "reset_share", "_held_steps")
+    __slots__ = ("lag_ms", "cut_directions", "reset_share", "_held_deliveries")
 
     def __init__(self) -> None:
         self.lag_ms = 0.0
         self.cut_directions: set[CutDirection] = set()
         self.reset_share = 0.0
-        self._held_steps: list[Callable[[], Any]] = []
+        self._held_deliveries: list[Callable[[], Any]] = []
 
-    def carry(self, direction: CutDirection, step: Callable[[], Any]) -> None:
-        """Call `step` once its bytes are over: at once, late, or when the link is healed."""
+    def transmit(self, direction: CutDirection, deliver: Callable[[], Any]) -> None:
+        """Call `deliver` when its data arrives: at once, after the delay, or when the link is healed."""
         if direction in self.cut_directions:
-            self._held_steps.append(partial(self.carry, direction, step))
+            self._held_deliveries.append(partial(self.transmit, direction, deliver))
         elif self.lag_ms:
-            asyncio.get_running_loop().call_later(self.lag_ms / 1000.0, step)
+            asyncio.get_running_loop().call_later(self.lag_ms / 1000.0, deliver)
         else:
-            step()
+            deliver()
 
     def heal(self) -> None:
-        """End a cut: what it held gets through now."""
+        """End a cut and deliver what it held."""
         self.cut_directions.clear()
-        held_steps, self._held_steps = self._held_steps, []
-        for step in held_steps:
-            step()
+        held_deliveries, self._held_deliveries = self._held_deliveries, []
+        for deliver in held_deliveries:
+            deliver()
--- a/dewpin/lab/fleet/http_connection.py
+++ b/dewpin/lab/fleet/http_connection.py
@@ -1,6 +1,6 @@
-"""The other end of a sender's HTTP, as far as the load test needs it: complete requests in, responses out.
+"""A minimal HTTP server and client for the load test: complete requests in, complete responses out.
 
-It is not the product's parser, so that a fault there is not shared here.
+It does not use the sender's parser, so that a fault of that parser is not present at both ends.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class HttpRequest(NamedTuple):
-    """A request: method, path with its query, fields by lower-case name, body."""
+    """A request: method, path with query, header fields by lower-case name, body."""
 
     method: str
     path: str
@@ -24,14 +24,14 @@
 
 
 class HttpResponse(NamedTuple):
-    """A response's status, and its fields by lower-case name."""
+    """Status of a response, and its header fields by lower-case name."""
 
     status: int
     fields: dict[str, str]
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection that a sender opened, over a link with faults."""
+    """A connection opened by a sender, over a link with faults."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         on_request: Callable[["HttpConnection", HttpRequest], None],
         on_closed: Callable[["HttpConnection"], None] | None = None,
     ) -> None:
-        """Make a connection; `on_request` is called with each complete request, `on_closed` once at the end."""
+        """Create a connection; `on_request` is called with each complete request, `on_closed` once at the end."""
         self.transport: Any = None
         self._link = link
         self._on_request = on_request
@@ -52,14 +52,14 @@
 
     def data_received(self, data: bytes) -> None:
         """Part of asyncio's protocol."""
-        self._link.carry(TO, lambda: self._take(data))
+        self._link.transmit(TO, lambda: self._receive(data))
 
     def connection_lost(self, error: Exception | None) -> None:
         """Part of asyncio's protocol."""
         if self._on_closed:
             self._on_closed(self)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self._buffer += data
         while END_OF_HEAD in self._buffer:
             head, _, rest = self._buffer.partition(END_OF_HEAD)
@@ -84,11 +84,11 @@
             "",
         ]
         content = "\r\n".join(lines).encode() + body
-        self._link.carry(FROM, lambda: self.transport.is_closing() or self.transport.write(content))
+        self._link.transmit(FROM, lambda: self.transport.is_closing() or self.transport.write(content))
 
 
 async def request_once(address: tuple[str, int], request: bytes, timeout_seconds: float) -> HttpResponse | None:
-    """Send a request on a connection of its own; return the response, or None if there was none in time."""
+    """Send a request on a new connection; return the response, or None if none arrived within the time-out."""
     writer = None
     try:
         async with asyncio.timeout(timeout_seconds):
--- a/dewpin/lab/fleet/listening_port.py
+++ b/dewpin/lab/fleet/listening_port.py
@@ -1,4 +1,4 @@
-"""An address of the test's own at which senders reach one party."""
+"""A loopback address at which senders reach a simulated party."""
 
 import asyncio
 import socket
@@ -8,10 +8,10 @@
 
 
 class ListeningPort:
-    """A listener that may be closed, and opened again at the same address.
+    """A listener that can be closed and opened again at the same address.
 
     Attributes:
-        address: host and port; the port is chosen when it is opened first.
+        address: host and port; the port is chosen when it is first opened.
     """
 
     def __init__(self, host: str) -> None:
@@ -19,7 +19,7 @@
         self._server: asyncio.Server | None = None
 
     async def open(self, protocol_factory: Callable[[], asyncio.BaseProtocol]) -> None:
-        """Listen; each connection gets a protocol of this factory."""
+        """Listen; the factory creates the protocol of each connection."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(self.address)
@@ -35,5 +35,5 @@
 
 
 def loopback_host(network: int, number: int) -> str:
-    """Return the host for a party's number in one of the test's networks, 127.NETWORK.x.x."""
+    """Return the host of a party in one of the networks of the test, 127.NETWORK.x.x."""
     return f"127.{network}.{number >> 8}.{number & 255}"
--- a/dewpin/lab/fleet/load_test.py
+++ b/dewpin/lab/fleet/load_test.py
@@ -1,6 +1,6 @@
-"""One load test: starts the senders, plays clients and faults, ends all that it started, and judges the result.
+"""One load test: starts the senders, runs clients and fault injection, ends all processes, and evaluates the result.
 
-It owns the processes, by their ids, and the folder of the test. Whatever happens, none of the processes outlives it.
+It owns the processes and the folder of the test. All processes are ended even if the test fails.
 """
 
 import asyncio
@@ -24,10 +24,10 @@
 from .sender_process import SenderProcess
 from .timeline import Timeline
 
-LAG_CHECK_SECONDS = 0.02  # between two looks at how late the test itself is
+LAG_CHECK_SECONDS = 0.02  # interval of the checks for lag of the test itself
 END_CHECK_MS = 100.0
-END_SLACK_MS = 2000.0  # after the last message's lifetime
-SPARE_DESCRIPTORS = 2000  # beside the listening ones
+END_SLACK_MS = 2000.0  # after the end of the last message's lifetime
+SPARE_DESCRIPTORS = 2000  # besides those that listen
 
 
 class LoadTest:
@@ -44,11 +44,11 @@
         self._collector = ResultCollector(scenario)
         self._clock = LoadClock()
         self._timeline = Timeline(self._clock)
-        self._concurrent_starts = asyncio.Semaphore(os.cpu_count() or 1)  # hundreds at once would make the test late
+        self._start_slots = asyncio.Semaphore(os.cpu_count() or 1)  # hundreds of concurrent starts would delay the test
         random_source = random.Random(scenario.seed + 1)
         self._clients = Clients(scenario, self._collector, self._clock, self._timeline, self.senders, random_source)
         self._environment = Environment(
-            scenario, self._collector, self._clock, self._clients.take_delivery, self._clients.take_notice
+            scenario, self._collector, self._clock, self._clients.handle_delivery, self._clients.handle_notice
         )
         self._fault_injector = FaultInjector(
             scenario,
@@ -61,41 +61,41 @@
         )
 
     async def play(self) -> dict[str, Any]:
-        """Play it whole; return metrics and broken rules. All processes are ended when it returns or raises.
+        """Run the whole test; return metrics and violations. All processes are ended when it returns or raises.
 
-        Raises OSError, or RuntimeError where a sender does not start.
+        Raises OSError, or RuntimeError if a sender does not start or a scheduled step failed.
         """
         try:
             await self._environment.open()
             await asyncio.gather(*(self._start_sender(sender) for sender in self.senders))
-            await self._play_load()
+            await self._run_load()
             end_ms = self._clock.now_ms()
         finally:
-            await self._end()
-        self._collector.judge(end_ms)
+            await self._end_all()
+        self._collector.check_end(end_ms)
         if self._timeline.errors:
             raise RuntimeError("; ".join(self._timeline.errors))
         return self._result()
 
-    async def _play_load(self) -> None:
-        """Play clients and faults, and wait for the ends of all messages as long as they may take."""
+    async def _run_load(self) -> None:
+        """Run clients and fault injection, then wait until all messages have ended or should have."""
         self._clock.start()
-        self._timeline.add_task(asyncio.get_running_loop().create_task(self._watch_lag()))
-        self._clients.plan_arrivals()
+        self._timeline.add_task(asyncio.get_running_loop().create_task(self._record_lags()))
+        self._clients.schedule_submissions()
         for fault in self._scenario.faults:
-            self._timeline.plan(fault.at_seconds * 1000.0, self._fault_injector.inject, fault)
+            self._timeline.schedule(fault.at_seconds * 1000.0, self._fault_injector.inject, fault)
         await self._timeline.run_until(self._scenario.load.seconds * 1000.0)
         submissions = self._collector.submissions.values()
-        last_ms = max((submission.expires_at_ms for submission in submissions), default=0.0)
-        last_ms += END_SLACK_MS + self._scenario.slack_ms
-        while self._clock.now_ms() < last_ms and self._has_work():
-            await self._timeline.run_until(min(last_ms, self._clock.now_ms() + END_CHECK_MS))
+        deadline_ms = max((submission.expires_at_ms for submission in submissions), default=0.0)
+        deadline_ms += END_SLACK_MS + self._scenario.slack_ms
+        while self._clock.now_ms() < deadline_ms and self._has_pending_work():
+            await self._timeline.run_until(min(deadline_ms, self._clock.now_ms() + END_CHECK_MS))
 
-    def _has_work(self) -> bool:
-        return self._collector.has_pending_submissions() or self._timeline.has_steps()
+    def _has_pending_work(self) -> bool:
+        return self._collector.has_pending_submissions() or self._timeline.has_pending_steps()
 
-    async def _watch_lag(self) -> None:
-        """Record how late the test itself is: what it sees then may have happened before."""
+    async def _record_lags(self) -> None:
+        """Record lags of the test itself: what it observes during a lag may have happened earlier."""
         loop = asyncio.get_running_loop()
         while True:
             due_at = loop.time() + LAG_CHECK_SECONDS
@@ -106,15 +106,15 @@
         agents = self._environment.agents
         agent_address = agents.agents[sender.number].port.address
         known_list = agents.initial_list(sender.number)
-        async with self._concurrent_starts:
+        async with self._start_slots:
             await asyncio.to_thread(sender.start, known_list, agent_address)
             await sender.wait_until_ready()
-        self._collector.record_life(sender.number, self._clock.now_ms(), SenderEvent.READY)
+        self._collector.record_sender_event(sender.number, self._clock.now_ms(), SenderEvent.READY)
         sender.is_listed = True
 
-    async def _end(self) -> None:
+    async def _end_all(self) -> None:
         self._timeline.cancel()
-        for sender in self.senders:  # by their ids, and only our own
+        for sender in self.senders:  # by process id, and only processes of this test
             sender.send_signal(signal.SIGKILL)
         for sender in self.senders:
             if sender.process:
@@ -138,29 +138,29 @@
 
 
 def reserve_descriptors(scenario: Scenario) -> None:
-    """Raise the limit of descriptors to what the listening sockets at all receivers need.
+    """Raise the limit on open file descriptors to what the listening sockets of all receivers need.
 
-    Raises DescriptorLimitError, with the number, where that is not allowed.
+    Raises DescriptorLimitError, with the required number, if that is not permitted.
     """
-    joins = sum(max(1, round(fault.times)) for fault in scenario.faults if fault.kind == FaultKind.JOIN)
+    joining_receivers = sum(max(1, round(fault.times)) for fault in scenario.faults if fault.kind == FaultKind.JOIN)
     senders, receivers = scenario.senders, scenario.receivers
     groups = -(-senders.count // senders.senders_per_address)
-    listening = groups * receivers.destinations * (receivers.receivers_per_destination + joins)
-    wanted = listening + 2 * senders.count + SPARE_DESCRIPTORS
+    listening_count = groups * receivers.destinations * (receivers.receivers_per_destination + joining_receivers)
+    needed = listening_count + 2 * senders.count + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft >= wanted:
+    if soft >= needed:
         return
     try:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, max(hard, wanted)))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (needed, max(hard, needed)))
     except (ValueError, OSError):
         raise DescriptorLimitError(
-            f"{wanted} descriptors are needed and {hard} allowed: fewer senders or receivers, "
-            f"more senders.to_an_address, or a higher limit (ulimit -n)"
+            f"{needed} file descriptors are needed but only {hard} are allowed: reduce senders or receivers, "
+            f"increase senders.to_an_address, or raise the limit (ulimit -n)"
         ) from None
 
 
 async def play(scenario: Scenario, folder: Path) -> dict[str, Any]:
-    """Play a scenario in a folder; return its result, which is in `result.json` there, too.
+    """Run a scenario in a folder; return its result, which is also written to `result.json` there.
 
     Raises OSError, RuntimeError.
     """
--- a/dewpin/lab/fleet/member_process.py
+++ b/dewpin/lab/fleet/member_process.py
@@ -1,7 +1,8 @@
-"""A member of the peers' cluster as a process of its own, which reports what it believes of the others.
+"""A member of the peers' cluster as a separate process, which reports its view of the membership.
 
-Its one argument is JSON: name, peers, seeds, period, timeout, taker. It reports to the taker, in datagrams of JSON, its
-address, whom it holds to be there and whom it calls lost. At SIGTERM it leaves and ends.
+Its only argument is a JSON object: name, peers, seeds, period, timeout, taker. It sends reports as JSON datagrams to
+the address `taker`: its own address, the members that it considers active, and those that it declared lost. At SIGTERM
+it leaves the cluster and ends.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 from ...peers.node import PeerNode, boot_time_ms
 
 CHECK_SECONDS = 0.02
-REPORT_EVERY = 25  # checks without news after which it reports again: a datagram may be lost
+REPORT_INTERVAL_CHECKS = 25  # checks without a change until the report is repeated, as a datagram may be lost
 
 
 async def main(settings: dict[str, Any]) -> None:
@@ -34,11 +35,11 @@
     )
     stop_requested = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
-    checks, reported = 0, [""]
+    check_count, reported_active = 0, [""]
     while not stop_requested.is_set():
         lost = [member for member, state in membership.take_changes() if state == MemberState.LOST]
         active = membership.active_members()
-        if lost or active != reported or checks % REPORT_EVERY == 0:
+        if lost or active != reported_active or check_count % REPORT_INTERVAL_CHECKS == 0:
             report = {
                 "name": name,
                 "at": address,
@@ -47,7 +48,7 @@
                 "replaced": membership.is_replaced,
             }
             report_socket.sendto(json.dumps(report).encode(), tuple(settings["taker"]))
-        reported, checks = active, checks + 1
+        reported_active, check_count = active, check_count + 1
         await asyncio.sleep(CHECK_SECONDS)
     node.leave()
     await asyncio.sleep(0)
--- a/dewpin/lab/fleet/metrics.py
+++ b/dewpin/lab/fleet/metrics.py
@@ -1,26 +1,26 @@
-"""The metrics of a load test, in the form of `result.json`."""
+"""The metrics of a load test, in the format of `result.json`."""
 
 import random
 from collections import Counter, defaultdict
 from collections.abc import Sequence
 from typing import Any, NamedTuple
 
-from .records import REJECTION_STATUSES, MessageEnd, ReceivedCall
+from .records import REJECTION_STATUSES, MessageOutcome, ReceivedCall
 from .result_collector import ResultCollector
 
-BURST_MS = 100.0
+BURST_INTERVAL_MS = 100.0
 UNIFORM_DRAWS = 20
 
 
 class ReceiverOrigin(NamedTuple):
-    """A receiver's destination, and the time since when it could be called; 0 or less: from the start on."""
+    """Destination of a receiver, and the time in ms when it joined; 0 or less: before the load began."""
 
     destination: int
     since_ms: float
 
 
 class BalanceRange(NamedTuple):
-    """Calls of the busiest and of the idlest receiver, as multiples of a receiver's even share."""
+    """Calls of the busiest and the idlest receiver, as multiples of an even share."""
 
     busiest: float
     idlest: float
@@ -32,9 +32,9 @@
     """Return the metrics.
 
     Args:
-        collector: the record of the test.
+        collector: the recorded results of the test.
         receivers: all receivers by name.
-        lifetime_ms: of a message; so long a call without a response counts as in flight.
+        lifetime_ms: lifetime of a message; a call without a response counts as in flight for so long.
     """
     calls = collector.calls
     calls_by_receiver: dict[str, int] = dict.fromkeys(receivers, 0)
@@ -44,17 +44,17 @@
     balance, uniform = _balance(counts), _uniform_balance(counts)
     in_flight = _calls_in_flight(calls, lifetime_ms)
     latencies_ms = sorted(
-        ending.at_ms - collector.first_submissions_ms[message]
-        for message, ending in collector.endings.items()
-        if ending.end == MessageEnd.DELIVERED
+        result.at_ms - collector.first_submissions_ms[message]
+        for message, result in collector.message_results.items()
+        if result.outcome == MessageOutcome.DELIVERED
     )
-    end_counts: dict[str, int] = defaultdict(int)
-    for ending in collector.endings.values():
-        end_counts[ending.end.value] += 1
+    outcome_counts: dict[str, int] = defaultdict(int)
+    for result in collector.message_results.values():
+        outcome_counts[result.outcome.value] += 1
     message_count = len(collector.first_submissions_ms)
     return {
         "mails": message_count,
-        "ends": dict(end_counts),
+        "ends": dict(outcome_counts),
         "calls": len(calls),
         "served": sum(call.status == 200 for call in calls),
         "turned_away": sum(call.status in REJECTION_STATUSES for call in calls),
@@ -65,7 +65,7 @@
         "out_p50": _quantile(in_flight, 0.5),
         "out_p99": _quantile(in_flight, 0.99),
         "most_in_100_ms": _largest_burst(calls),
-        "newcomers": _newcomer_rates(receivers, calls_by_receiver, calls),
+        "newcomers": _joined_receiver_rates(receivers, calls_by_receiver, calls),
         "median_ms": _quantile(latencies_ms, 0.5),
         "p99_ms": _quantile(latencies_ms, 0.99),
         "handshakes_a_mail": collector.handshakes / max(1, message_count),
@@ -84,7 +84,7 @@
 def _counts_by_destination(
     receivers: dict[str, ReceiverOrigin], calls_by_receiver: dict[str, int]
 ) -> dict[int, list[int]]:
-    """Return the calls of each receiver that was there from the start on, by destination."""
+    """Return by destination the call counts of the receivers that were present from the start."""
     counts: dict[int, list[int]] = defaultdict(list)
     for name, origin in receivers.items():
         if origin.since_ms <= 0.0:
@@ -103,7 +103,7 @@
 
 
 def _uniform_balance(counts_by_destination: dict[int, list[int]]) -> BalanceRange:
-    """Return the balance that a uniform choice gives on as many calls, a mean of some draws."""
+    """Return the balance of a uniform random choice for the same number of calls, averaged over some draws."""
     random_source = random.Random(1)
     busiest = idlest = 0.0
     for _ in range(UNIFORM_DRAWS):
@@ -117,28 +117,28 @@
 
 
 def _calls_in_flight(calls: list[ReceivedCall], lifetime_ms: float) -> list[int]:
-    """Return the calls in flight at a receiver as each call arrived, itself among them, in order."""
+    """Return for each call how many calls were in flight at its receiver on arrival, itself included; sorted."""
     ends_by_receiver: dict[str, list[float]] = defaultdict(list)
-    depths = []
+    in_flight_counts = []
     for call in calls:
         ends_ms = [end_ms for end_ms in ends_by_receiver[call.receiver] if end_ms > call.at_ms]
         ends_ms.append(call.responded_at_ms or call.at_ms + lifetime_ms)
         ends_by_receiver[call.receiver] = ends_ms
-        depths.append(len(ends_ms))
-    return sorted(depths)
+        in_flight_counts.append(len(ends_ms))
+    return sorted(in_flight_counts)
 
 
 def _largest_burst(calls: list[ReceivedCall]) -> int:
-    bursts: dict[tuple[str, int], int] = defaultdict(int)
+    counts_by_interval: dict[tuple[str, int], int] = defaultdict(int)
     for call in calls:
-        bursts[call.receiver, int(call.at_ms // BURST_MS)] += 1
-    return max(bursts.values(), default=0)
+        counts_by_interval[call.receiver, int(call.at_ms // BURST_INTERVAL_MS)] += 1
+    return max(counts_by_interval.values(), default=0)
 
 
-def _newcomer_rates(
+def _joined_receiver_rates(
     receivers: dict[str, ReceiverOrigin], calls_by_receiver: dict[str, int], calls: list[ReceivedCall]
 ) -> dict[str, float]:
-    """Return the calls a second of each receiver that joined later."""
+    """Return the calls per second of each receiver that joined later."""
     end_ms = max((call.at_ms for call in calls), default=0.0)
     return {
         name: round(calls_by_receiver[name] * 1000.0 / max(1.0, end_ms - origin.since_ms), 2)
--- a/dewpin/lab/fleet/receiver_model.py
+++ b/dewpin/lab/fleet/receiver_model.py
@@ -1,7 +1,7 @@
-"""What receivers can do: one model of concurrency, queue, rate limit, warming up and overload, without I/O or a clock.
+"""A model of receivers: concurrency, queue, rate limit, warm-up and overload, without I/O or a clock.
 
-It is called with each call and the time in ms, and returns what becomes of the call. Random draws come from a seed, so
-that two runs of the same calls end alike.
+It is given each call and the time in ms, and returns the result of the call. Random numbers are seeded, so the same
+calls always have the same results.
 """
 
 import random
@@ -13,12 +13,12 @@
 
 from .scenario import Receivers
 
-LONG_AGO_MS = -1e12
-MIN_INFORMED_SHARE = 2.0 / 3.0  # of the calls that overload a cold receiver, for it to be the senders' fault
+FULLY_WARM_SINCE_MS = -1e12
+MIN_INFORMED_SHARE = 2.0 / 3.0  # of the calls in an overload; above it the overload is the senders' fault
 
 
 class ReceiverStatus(Enum):
-    """Whether a receiver serves."""
+    """Whether a receiver serves calls."""
 
     UP = "up"
     DOWN = "down"
@@ -26,12 +26,12 @@
 
 
 class CallResult(NamedTuple):
-    """What becomes of a call.
+    """The result of a call.
 
     Attributes:
-        status: of the response; 0: there will be none.
-        retry_after_ms: that the response asks to wait.
-        duration_ms: until the response.
+        status: status of the response; 0: there will be no response.
+        retry_after_ms: delay that the response requests before a retry; 0: none.
+        duration_ms: time until the response.
     """
 
     status: int
@@ -40,12 +40,12 @@
 
 
 class Overload(NamedTuple):
-    """The failure of a cold receiver under more calls than it can bear.
+    """The failure of a cold receiver under more calls than it can serve.
 
     Attributes:
-        at_ms: when.
-        multiple: how many times what it can bear.
-        is_senders_fault: most calls came from senders that knew of the outage.
+        at_ms: time of the failure.
+        multiple: the number of calls, as a multiple of the limit.
+        is_senders_fault: whether most calls came from senders that knew of the outage.
     """
 
     at_ms: float
@@ -60,10 +60,10 @@
 
 
 class DestinationQuota:
-    """The rate limit that a destination's receivers share: a count in each second.
+    """The rate limit shared by the receivers of a destination: a count per second.
 
     Attributes:
-        rate_limit: calls a second; 0: no limit.
+        rate_limit: calls per second; 0: no limit.
     """
 
     def __init__(self, rate_limit: float) -> None:
@@ -71,8 +71,8 @@
         self._second = -1
         self._count = 0
 
-    def take(self, now_ms: float) -> float | None:
-        """Count a call; return None if it is within the limit, else the ms until there is capacity again."""
+    def acquire(self, now_ms: float) -> float | None:
+        """Count a call; return None if it is within the limit, else the time in ms until the next call is permitted."""
         second = int(now_ms // 1000.0)
         if second != self._second:
             self._second, self._count = second, 0
@@ -83,12 +83,12 @@
 
 
 class ReceiverModel:
-    """One receiver.
+    """The model of one receiver.
 
     Attributes:
-        status: whether it serves.
-        slowdown: by what its service time is multiplied.
-        overload: its failure under too many calls while it was cold, if there was one; it stays down then.
+        status: whether it serves calls.
+        slowdown: factor by which its service time is multiplied.
+        overload: its failure under too many calls while it was cold; None: none. It stays down after an overload.
     """
 
     def __init__(self, parameters: Receivers, quota: DestinationQuota, seed: int) -> None:
@@ -98,62 +98,62 @@
         self._parameters = parameters
         self._quota = quota
         self._random = random.Random(seed)
-        self._up_since_ms = LONG_AGO_MS
-        self._call_ends_ms: list[float] = []  # of the calls in flight, in order
-        self._recent_calls: deque[_RecentCall] = deque()  # since it came back
-        self._informed_senders: set[int] = set()  # that saw a call fail during the outage
+        self._up_since_ms = FULLY_WARM_SINCE_MS
+        self._call_ends_ms: list[float] = []  # of the calls in flight, sorted
+        self._recent_calls: deque[_RecentCall] = deque()  # since it recovered
+        self._informed_senders: set[int] = set()  # with a failed call during the outage
 
     def fail(self, status: ReceiverStatus) -> None:
-        """Go down or hang from now on."""
+        """Go down or hang."""
         self.status = status
         self.overload = None
         self._call_ends_ms.clear()
         self._informed_senders.clear()
 
     def recover(self, up_since_ms: float) -> None:
-        """Serve again, warming up since this time, unless it is down from an overload."""
+        """Serve again, warming up since `up_since_ms`, unless it is down because of an overload."""
         if not self.overload:
             self.status = ReceiverStatus.UP
             self._up_since_ms = up_since_ms
             self._recent_calls.clear()
 
     def call(self, now_ms: float, sender: int) -> CallResult:
-        """Return what becomes of a call by this sender."""
+        """Return the result of a call by a sender."""
         if self.status == ReceiverStatus.HANGING:
             self._informed_senders.add(sender)
             return CallResult(0)
-        if self.status == ReceiverStatus.DOWN or self._is_overloaded_by(now_ms, sender):
+        if self.status == ReceiverStatus.DOWN or self._check_overload(now_ms, sender):
             self._informed_senders.add(sender)
             return CallResult(503)
         while self._call_ends_ms and self._call_ends_ms[0] <= now_ms:
             del self._call_ends_ms[0]
-        retry_after_ms = self._quota.take(now_ms)
+        retry_after_ms = self._quota.acquire(now_ms)
         capacity = self._capacity(now_ms)
         max_calls = (self._parameters.concurrency + self._parameters.queue_length) * capacity
         if retry_after_ms is None and len(self._call_ends_ms) >= max_calls:
             retry_after_ms = 0.0
         if retry_after_ms is not None:
-            says_how_long = retry_after_ms > 0.0 and self._random.random() < self._parameters.retry_after_share
-            return CallResult(429, retry_after_ms) if says_how_long else CallResult(503)
+            sends_retry_after = retry_after_ms > 0.0 and self._random.random() < self._parameters.retry_after_share
+            return CallResult(429, retry_after_ms) if sends_retry_after else CallResult(503)
         return CallResult(200, duration_ms=self._serve(now_ms, capacity))
 
     def _serve(self, now_ms: float, capacity: float) -> float:
-        """Take a call into service or into the queue; return the ms until its response."""
+        """Start or queue a call; return the time in ms until its response."""
         variation = 1.0 + self._parameters.service_variation * self._random.uniform(-1.0, 1.0)
         service_ms = self._parameters.service_ms * self.slowdown / capacity * variation
         excess = len(self._call_ends_ms) - self._parameters.concurrency
-        start_ms = self._call_ends_ms[excess] if excess >= 0 else now_ms  # once so many calls before it are over
+        start_ms = self._call_ends_ms[excess] if excess >= 0 else now_ms  # once enough earlier calls have ended
         end_ms = start_ms + service_ms
         insort(self._call_ends_ms, end_ms)
         return end_ms - now_ms
 
     def _capacity(self, now_ms: float) -> float:
-        """Return the share of its calls that it can serve at this moment."""
+        """Return the share of its full capacity that is available now."""
         cold = self._parameters.cold_capacity
         return min(1.0, cold + (1.0 - cold) * max(0.0, now_ms - self._up_since_ms) / self._parameters.warm_up_ms)
 
-    def _is_overloaded_by(self, now_ms: float, sender: int) -> bool:
-        """Count a call that reaches a cold receiver; return whether it is down from too many within the window."""
+    def _check_overload(self, now_ms: float, sender: int) -> bool:
+        """Count a call to a cold receiver; return whether too many calls within the window have brought it down."""
         if self.overload:
             return True
         if now_ms - self._up_since_ms > self._parameters.warm_up_ms:
@@ -163,12 +163,12 @@
         while self._recent_calls[0].at_ms < now_ms - window_ms:
             self._recent_calls.popleft()
         full_rate = self._parameters.concurrency * 1000.0 / self._parameters.service_ms
-        bearable = full_rate * self._capacity(now_ms) * window_ms / 1000.0
-        bearable *= self._parameters.overload_multiple
+        max_recent_calls = full_rate * self._capacity(now_ms) * window_ms / 1000.0
+        max_recent_calls *= self._parameters.overload_multiple
         count = len(self._recent_calls)
-        if count <= bearable + 3.0 * sqrt(bearable) + 3.0:
+        if count <= max_recent_calls + 3.0 * sqrt(max_recent_calls) + 3.0:
             return False
         informed_share = sum(call.knew_of_outage for call in self._recent_calls) / count
-        self.overload = Overload(now_ms, count / bearable, informed_share > MIN_INFORMED_SHARE)
+        self.overload = Overload(now_ms, count / max_recent_calls, informed_share > MIN_INFORMED_SHARE)
         self.status = ReceiverStatus.DOWN
         return True
--- a/dewpin/lab/fleet/receivers.py
+++ b/dewpin/lab/fleet/receivers.py
@@ -1,4 +1,4 @@
-"""The receivers: their addresses, their links to the senders, and what becomes of each call."""
+"""Simulated receivers: their addresses, their links to the senders, and the handling of calls."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class ReceiverPhase(StrEnum):
-    """What the endpoint list says of a receiver, in the words of the agent's JSON."""
+    """The state of a receiver in the endpoint list; the values are those of the agent's JSON."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -31,12 +31,12 @@
     """A receiver.
 
     Attributes:
-        name, destination, zone: what the endpoint list says of it.
-        model: what it can do.
-        since_ms: when it joined; 0: it was there from the start on.
-        phase: what the list says of its state.
+        name, destination, zone: as in the endpoint list.
+        model: its capacity and status.
+        since_ms: when it joined; 0: present from the start.
+        phase: its state in the endpoint list.
         ports, links: its address and its link for each group of senders.
-        connections: those that are open.
+        connections: the open connections.
     """
 
     name: str
@@ -53,13 +53,13 @@
 class Receivers:
     """All receivers.
 
-    Each group of senders reaches each receiver at an address of its own, so that every link can fail by itself. A
-    group has one sender, or some where descriptors are short.
+    Each group of senders has a separate address for each receiver, so that links can fail independently. A group has
+    one sender, or several if file descriptors are scarce.
 
     Attributes:
-        receivers: all that ever joined.
+        receivers: all receivers that have ever joined.
         quotas: the rate limit of each destination.
-        senders_per_group: how many senders share an address.
+        senders_per_group: number of senders that share an address.
     """
 
     def __init__(
@@ -97,7 +97,7 @@
         return sender // self.senders_per_group
 
     def active(self) -> list[Receiver]:
-        """Return the receivers that the endpoint list calls active."""
+        """Return the receivers that are active in the endpoint list."""
         return [receiver for receiver in self.receivers if receiver.phase == ReceiverPhase.ACTIVE]
 
     async def open_ports(self, receiver: Receiver) -> None:
@@ -106,7 +106,7 @@
             await port.open(lambda group=group: self._accept(receiver, group))  # type: ignore[misc]
 
     def close_ports(self, receiver: Receiver) -> None:
-        """Refuse connections, and reset those that are open."""
+        """Refuse new connections, and reset the open ones."""
         for port in receiver.ports:
             port.close()
         for connection in list(receiver.connections):
@@ -121,7 +121,7 @@
         self._collector.handshakes += 1
         connection = HttpConnection(
             receiver.links[group],
-            lambda connection, request: self._take_call(receiver, group, connection, request),
+            lambda connection, request: self._handle_call(receiver, group, connection, request),
             lambda closed: receiver.connections.pop(closed, None),
         )
         receiver.connections[connection] = None
@@ -131,7 +131,7 @@
             loop.call_soon(lambda: connection.transport and connection.transport.abort())
         return connection
 
-    def _take_call(self, receiver: Receiver, group: int, connection: HttpConnection, request: HttpRequest) -> None:
+    def _handle_call(self, receiver: Receiver, group: int, connection: HttpConnection, request: HttpRequest) -> None:
         now_ms = self._clock.now_ms()
         submission_id = request.fields.get("req-id", "")
         link_sender = group * self.senders_per_group
@@ -140,9 +140,9 @@
         overload = receiver.model.overload
         if overload and overload.at_ms == now_ms:
             if overload.is_senders_fault:
-                words = f"{receiver.name} fell over at {overload.multiple:.1f} times"
+                description = f"{receiver.name} failed under {overload.multiple:.1f} times its maximum load"
                 self._collector.checker.report(
-                    Rule.NO_OVERLOAD_OF_COLD_RECEIVER, now_ms, call.submission, call.sender, words
+                    Rule.NO_OVERLOAD_OF_COLD_RECEIVER, now_ms, call.submission, call.sender, description
                 )
             self.close_ports(receiver)
             return
@@ -157,7 +157,7 @@
 
     def _respond(self, receiver: Receiver, connection: HttpConnection, call: ReceivedCall, result: CallResult) -> None:
         if connection.transport.is_closing():
-            return  # it was executed, and nobody hears of it
+            return  # executed, but the response is lost
         retry_after_ms = result.retry_after_ms
         self._collector.record_response(call, result.status, retry_after_ms, receiver.destination, self._clock.now_ms())
         fields = {"Retry-After": f"{retry_after_ms / 1000.0:.3f}"} if retry_after_ms else {}
--- a/dewpin/lab/fleet/records.py
+++ b/dewpin/lab/fleet/records.py
@@ -1,23 +1,23 @@
-"""What is recorded of a load test: submissions, calls, the lives of senders. Times are ms since the load began."""
+"""Records of a load test: submissions, calls, events of senders. Times are in ms since the start of the load."""
 
 from dataclasses import dataclass, field
 from enum import Enum, StrEnum
 from typing import Any, NamedTuple
 
 DEFERRED_NOTICE = "handed_back"
-"""The outcome of a notice that lets the client submit the message again, as the platform's wire spells it."""
+"""The outcome in a notice that asks the client to submit the message again, as sent to the platform."""
 
 REJECTION_STATUSES = (429, 503)
-"""Statuses of a response that prove that the receiver did not execute the call."""
+"""Statuses of responses that guarantee that the receiver did not execute the call."""
 
 
-class MessageEnd(StrEnum):
-    """How a message ended for its client."""
+class MessageOutcome(StrEnum):
+    """The outcome of a message for its client."""
 
     DELIVERED = "delivered"
     REJECTED = "refused"
     FAILED = "failed"
-    UNKNOWN = "unknown"  # a sender did not answer, and may have accepted it
+    UNKNOWN = "unknown"  # the sender did not respond and may have accepted it
 
 
 class Rule(StrEnum):
@@ -28,41 +28,41 @@
     NO_CALL_AFTER_DRAIN = "drain"
     NO_CALL_BEFORE_RETRY_AFTER = "wait"
     NO_OVERLOAD_OF_COLD_RECEIVER = "failback"
-    ORDER_OF_A_KEY = "order"
+    KEY_ORDER = "order"
     ONLY_SUBMITTED_MESSAGES = "own"
 
 
 class SenderEvent(Enum):
-    """A change in the life of a sender's process."""
+    """An event of a sender's process."""
 
     KILLED = "killed"  # or stopped
     FOLDER_LOST = "lost"
     READY = "ready"
 
 
-class SenderLifeEvent(NamedTuple):
-    """A sender's event and its time."""
+class TimedSenderEvent(NamedTuple):
+    """An event of a sender's process, and its time."""
 
     at_ms: float
     event: SenderEvent
 
 
-class MessageEnding(NamedTuple):
-    """How a message's last submission ended, and when."""
+class MessageResult(NamedTuple):
+    """The outcome of a message's last submission, and its time."""
 
-    end: MessageEnd
+    outcome: MessageOutcome
     at_ms: float
 
 
 class RetryAfter(NamedTuple):
-    """A response that asked a sender to wait: when it was sent, and until when."""
+    """A retry-after delay requested from a sender: when the response was sent, and the end of the delay."""
 
     sent_at_ms: float
     until_ms: float
 
 
 class Notice(NamedTuple):
-    """A notice: when it came, and its outcome as the wire spells it."""
+    """A notice: its time of arrival, and its outcome as on the wire."""
 
     at_ms: float
     outcome: str
@@ -70,19 +70,19 @@
 
 @dataclass(slots=True, eq=False)
 class Submission:
-    """One submission of a message to a sender; its id is never used twice.
+    """One submission of a message to a sender; its id is unique.
 
     Attributes:
-        submission_id: the id that the sender sees.
+        submission_id: the id sent to the sender.
         message: number of the message.
         sender: number of the sender.
-        effect: of its queue class: safe, keyed or unsafe.
-        ordering_key: messages of one key are delivered in order; empty: none.
+        effect: effect of its queue class: safe, keyed or unsafe.
+        ordering_key: messages with the same key are delivered in order; empty: unordered.
         destination: number of the destination.
-        submitted_at_ms, expires_at_ms: when it was submitted, and when its lifetime ends.
-        order: its place among all submissions.
-        accepted_at_ms: when its client received 202.
-        delivered_at_ms: when the first status line with 200 was written.
+        submitted_at_ms, expires_at_ms: start and end of its lifetime.
+        order: its position among all submissions.
+        accepted_at_ms: when its client received 200 or 202.
+        delivered_at_ms: when a receiver first responded with 200.
         notice: the notice that ended it.
         calls: its calls that reached a receiver.
     """
@@ -104,16 +104,16 @@
 
 @dataclass(slots=True, eq=False)
 class ReceivedCall:
-    """A call that reached a receiver whole.
+    """A call that reached a receiver completely.
 
     Attributes:
-        submission: whose message it carries; None: nobody submitted it.
+        submission: the submission of its message; None: unknown.
         receiver: name of the receiver.
         sender: number of the sender.
         at_ms: when its last byte arrived.
-        may_have_executed: it was not rejected.
-        status: of the response; 0: there was none.
-        responded_at_ms: when the response was sent; 0: it was not.
+        may_have_executed: whether the receiver may have executed it; False once it was rejected.
+        status: status of the response; 0: no response.
+        responded_at_ms: when the response was sent; 0: no response.
     """
 
     submission: Submission | None
@@ -127,14 +127,15 @@
 
 @dataclass(slots=True, eq=False)
 class Violation:
-    """A broken rule.
+    """A violation of a rule.
 
     Attributes:
-        rule: which one.
-        at_ms: when it was seen.
-        submission: the submission that it is about, if there is one.
+        rule: the violated rule.
+        at_ms: when the violation was observed.
+        submission: the submission concerned, if any.
         sender: number of the sender.
         description: what happened.
+        last_events: the latest events of the submission when the violation was observed.
     """
 
     rule: Rule
@@ -148,7 +149,7 @@
         self.last_events = _last_events(self.submission)
 
     def to_json(self) -> dict[str, Any]:
-        """Return it in the form of `result.json`."""
+        """Return the violation in the format of `result.json`."""
         return {
             "rule": self.rule.value,
             "at_ms": round(self.at_ms, 1),
@@ -160,13 +161,13 @@
 
 
 def _last_events(submission: Submission | None, limit: int = 5) -> list[str]:
-    """Return the submission's last events up to now, as lines."""
+    """Return the latest events of a submission as lines of text."""
     if submission is None:
         return []
-    events = [(submission.submitted_at_ms, "handed in")]
-    events += [(call.at_ms, f"called at {call.receiver}: {call.status}") for call in submission.calls]
+    events = [(submission.submitted_at_ms, "submitted")]
+    events += [(call.at_ms, f"call to {call.receiver}: status {call.status}") for call in submission.calls]
     if submission.accepted_at_ms is not None:
-        events.append((submission.accepted_at_ms, "taken on"))
+        events.append((submission.accepted_at_ms, "accepted"))
     if submission.notice:
         events.append((submission.notice.at_ms, submission.notice.outcome))
-    return [f"{at_ms:.0f} {words}" for at_ms, words in sorted(events)[-limit:]]
+    return [f"{at_ms:.0f} {text}" for at_ms, text in sorted(events)[-limit:]]
--- a/dewpin/lab/fleet/result_collector.py
+++ b/dewpin/lab/fleet/result_collector.py
@@ -1,39 +1,39 @@
-"""The record of a load test: what clients, receivers and agents saw. It opens no socket."""
+"""The results of a load test, as observed by clients, receivers and agents. Free of I/O."""
 
 from collections import defaultdict
 
 from .records import (
     REJECTION_STATUSES,
-    MessageEnd,
-    MessageEnding,
+    MessageOutcome,
+    MessageResult,
     Notice,
     ReceivedCall,
     RetryAfter,
     Rule,
     SenderEvent,
-    SenderLifeEvent,
     Submission,
+    TimedSenderEvent,
 )
-from .rule_checker import LEEWAY_MS, RuleChecker
+from .rule_checker import TIMING_TOLERANCE_MS, RuleChecker
 from .scenario import Scenario
 
 NO_RETRY_AFTER = RetryAfter(0.0, 0.0)
 
 
 class ResultCollector:
-    """Records what happens, and has the rules checked.
+    """Records events, and passes them to the rule checker.
 
     Attributes:
-        checker: the rules that were broken.
-        submissions: by their ids.
-        calls: all calls that reached a receiver, in order.
-        lags: end and length in ms of each time in which the test itself was late.
-        drains_known: (sender, receiver): when the sender was sent an update that the receiver drains or is gone.
-        lives: events of each sender's process.
-        list_requests: (time, sender, status) of the requests for the endpoint list.
-        handshakes: connections to receivers.
-        endings: how each message ended; it may still change.
-        first_submissions_ms: when each message was submitted first.
+        checker: finds violations of the rules.
+        submissions: all submissions by id.
+        calls: all calls that reached a receiver, in order of arrival.
+        lags: end and duration in ms of each lag of the test itself.
+        drain_notified_ms: by (sender, receiver): when the sender was sent the update that the receiver drains or left.
+        sender_events: events of the process of each sender.
+        list_requests: (time, sender, status) of each request for the endpoint list.
+        handshakes: number of connections opened to receivers.
+        message_results: result of each message by its number; may still change.
+        first_submissions_ms: time of the first submission of each message.
     """
 
     def __init__(self, scenario: Scenario) -> None:
@@ -41,11 +41,11 @@
         self.submissions: dict[str, Submission] = {}
         self.calls: list[ReceivedCall] = []
         self.lags: list[tuple[float, float]] = []
-        self.drains_known: dict[tuple[int, str], float] = {}
-        self.lives: dict[int, list[SenderLifeEvent]] = defaultdict(list)
+        self.drain_notified_ms: dict[tuple[int, str], float] = {}
+        self.sender_events: dict[int, list[TimedSenderEvent]] = defaultdict(list)
         self.list_requests: list[tuple[float, int, int]] = []
         self.handshakes = 0
-        self.endings: dict[int, MessageEnding] = {}
+        self.message_results: dict[int, MessageResult] = {}
         self.first_submissions_ms: dict[int, float] = {}
         self._retry_afters: dict[tuple[int, int], RetryAfter] = {}  # by sender and destination
 
@@ -54,20 +54,20 @@
     ) -> ReceivedCall:
         """Record a call whose last byte has arrived.
 
-        `link_sender`: the sender by the link that it came on, which may be one of several; whose message it is says
-        more.
+        `link_sender`: the first sender that uses the link of the call. Several senders may share a link, so the sender
+        of the submission takes precedence.
         """
         submission = self.submissions.get(submission_id)
         sender = submission.sender if submission else link_sender
         call = ReceivedCall(submission, receiver, sender, at_ms)
         self.calls.append(call)
         if submission is None or submission.destination != destination:
-            words = f"a call at {receiver} that nobody handed in there"
-            self.checker.report(Rule.ONLY_SUBMITTED_MESSAGES, at_ms, submission, sender, words)
+            description = f"call to {receiver} without a submission to its destination"
+            self.checker.report(Rule.ONLY_SUBMITTED_MESSAGES, at_ms, submission, sender, description)
             return call
-        drain_known_at_ms = self.drains_known.get((sender, receiver))
+        drain_notified_at_ms = self.drain_notified_ms.get((sender, receiver))
         retry_after = self._retry_afters.get((sender, destination), NO_RETRY_AFTER)
-        self.checker.check_call(call, submission, drain_known_at_ms, retry_after)
+        self.checker.check_call(call, submission, drain_notified_at_ms, retry_after)
         submission.calls.append(call)
         return call
 
@@ -84,7 +84,7 @@
             call.submission.delivered_at_ms = at_ms
 
     def record_notice(self, submission_id: str, outcome: str, at_ms: float) -> Submission | None:
-        """Record a notice; return the submission that it ends, the first time that it comes."""
+        """Record a notice; return the submission that it ends, or None if unknown or already ended by a notice."""
         submission = self.submissions.get(submission_id)
         if submission is None or submission.notice:
             return None
@@ -93,31 +93,31 @@
         return submission
 
     def record_lag(self, now_ms: float, lag_ms: float) -> None:
-        """Record that the test itself was late."""
-        if lag_ms > LEEWAY_MS / 2.0:
+        """Record a lag of the test itself, unless it is small."""
+        if lag_ms > TIMING_TOLERANCE_MS / 2.0:
             self.lags.append((now_ms, lag_ms))
 
-    def record_life(self, sender: int, at_ms: float, event: SenderEvent) -> None:
+    def record_sender_event(self, sender: int, at_ms: float, event: SenderEvent) -> None:
         """Record an event of a sender's process."""
-        self.lives[sender].append(SenderLifeEvent(at_ms, event))
+        self.sender_events[sender].append(TimedSenderEvent(at_ms, event))
 
-    def record_ending(self, message: int, end: MessageEnd, at_ms: float) -> None:
-        """Record how a message ended."""
-        self.endings[message] = MessageEnding(end, at_ms)
+    def record_outcome(self, message: int, outcome: MessageOutcome, at_ms: float) -> None:
+        """Record the outcome of a message."""
+        self.message_results[message] = MessageResult(outcome, at_ms)
 
     def is_delivered(self, message: int) -> bool:
         """Return whether a message is recorded as delivered."""
-        ending = self.endings.get(message)
-        return ending is not None and ending.end == MessageEnd.DELIVERED
+        result = self.message_results.get(message)
+        return result is not None and result.outcome == MessageOutcome.DELIVERED
 
     def has_pending_submissions(self) -> bool:
-        """Return whether a sender owes a submission that it accepted an end."""
+        """Return whether an accepted submission has neither been delivered nor ended by a notice."""
         return any(
             submission.accepted_at_ms is not None and submission.delivered_at_ms is None and not submission.notice
             for submission in self.submissions.values()
         )
 
-    def judge(self, end_ms: float) -> None:
-        """Check the rules that are judged at the end; `end_ms`: until when the test listened."""
-        self.checker.check_end(self.submissions.values(), self.lives, end_ms)
-        self.checker.set_uncertain_apart(self.lags)
+    def check_end(self, end_ms: float) -> None:
+        """Check the rules that can only be checked at the end; `end_ms`: end of the recorded time."""
+        self.checker.check_end(self.submissions.values(), self.sender_events, end_ms)
+        self.checker.separate_uncertain(self.lags)
--- a/dewpin/lab/fleet/scenario.py
+++ b/dewpin/lab/fleet/scenario.py
@@ -1,6 +1,6 @@
-"""A load test as a typed TOML file: senders, receivers, how they behave, and which faults are injected when.
+"""A load test as a typed TOML file: senders, receivers, their behaviour, and the faults to inject.
 
-The keys of the file are those that it always had; where the code's names differ, `msgspec.field(name=...)` maps them.
+The keys of the file are part of its format; `msgspec.field(name=...)` maps those that differ from the attributes.
 """
 
 import tomllib
@@ -18,7 +18,7 @@
 
 
 class FaultKind(StrEnum):
-    """What a fault does; `Fault` says how its fields count."""
+    """The kinds of faults; `Fault` describes their effects and the fields that they use."""
 
     KILL = "kill"
     STOP = "stop"
@@ -37,7 +37,7 @@
 
 
 class CutDirection(StrEnum):
-    """The direction in which a cut link lets no bytes through."""
+    """The directions in which a link can be cut."""
 
     TO = "to"
     FROM = "from"
@@ -48,13 +48,13 @@
     """The senders under test.
 
     Attributes:
-        count: how many there are.
-        call_slots: calls that one sender may have in flight.
-        max_open_messages: messages that one sender holds at a time.
-        discovery_delay_ms: so long clients still go to a sender that died.
-        senders_per_address: senders that reach a receiver at one address, and share the faults of that link.
-        odd_command: runs in place of `python -m dewpin run` for the senders in `odd_numbers`.
-        odd_numbers: senders that run `odd_command`.
+        count: number of senders.
+        call_slots: maximum calls in flight of one sender.
+        max_open_messages: maximum messages that one sender holds.
+        discovery_delay_ms: time for which clients still use a sender that has ended.
+        senders_per_address: number of senders that share an address of each receiver, and the faults of that link.
+        alternative_command: run instead of `python -m dewpin run` by the senders in `alternative_senders`.
+        alternative_senders: numbers of the senders that run `alternative_command`.
     """
 
     count: Count = 12
@@ -62,29 +62,29 @@
     max_open_messages: Count = msgspec.field(name="room", default=200)
     discovery_delay_ms: float = msgspec.field(name="front_notices_ms", default=1500.0)
     senders_per_address: Count = msgspec.field(name="to_an_address", default=1)
-    odd_command: list[str] = msgspec.field(name="command", default_factory=list)
-    odd_numbers: list[int] = msgspec.field(name="odd", default_factory=list)
+    alternative_command: list[str] = msgspec.field(name="command", default_factory=list)
+    alternative_senders: list[int] = msgspec.field(name="odd", default_factory=list)
 
 
 class Receivers(msgspec.Struct, forbid_unknown_fields=True):
     """The receivers.
 
     Attributes:
-        destinations: how many destinations there are.
-        receivers_per_destination: how many receivers each has.
-        zones: names of zones, dealt out to the receivers in turn.
-        service_ms: time of one call.
-        service_variation: share of the service time that it varies by, up or down by chance.
-        concurrency: calls that one receiver serves at a time.
-        queue_length: so many more wait.
-        rate_limit: calls a second that a destination takes from all senders; 0: no limit.
-        retry_after_share: share of the rejections that say how long to wait.
-        max_connections: that a receiver takes, idle ones counted; 0: any number.
-        cold_capacity: share of its calls that a receiver can serve right after it comes back.
-        warm_up_ms: until it can serve them all.
-        overload_multiple: so many times what it can bear makes a cold receiver fail again.
-        overload_window_ms: in which its calls are counted for that.
-        drain_grace_ms: for which calls may still reach a receiver that drains.
+        destinations: number of destinations.
+        receivers_per_destination: number of receivers of each destination.
+        zones: names of zones, assigned to the receivers in turn.
+        service_ms: service time of a call.
+        service_variation: maximum random deviation of the service time, as a share of it.
+        concurrency: calls that a receiver serves at the same time.
+        queue_length: calls that wait beyond those.
+        rate_limit: calls per second that a destination accepts from all senders; 0: no limit.
+        retry_after_share: share of the rate limit rejections that have a Retry-After.
+        max_connections: maximum connections of a receiver, idle ones included; 0: no limit.
+        cold_capacity: share of its full capacity that a receiver has right after a recovery.
+        warm_up_ms: time until it has its full capacity.
+        overload_multiple: multiple of its current capacity at which a cold receiver fails again.
+        overload_window_ms: window in which calls are counted for that.
+        drain_grace_ms: time in which calls may still reach a draining receiver.
     """
 
     destinations: Count = 3
@@ -105,17 +105,17 @@
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True):
-    """The clients' messages.
+    """The messages of the clients.
 
     Attributes:
-        rate: messages a second in all.
-        seconds: how long messages are submitted.
-        lifetime_ms: of a message.
-        latency_target_ms: the latency target of each queue class.
-        repeat_window_ms: for which a receiver drops repeats of a message with an idempotency key.
-        class_shares: effect of each queue class (safe, keyed, unsafe) and its share of the messages.
-        ordering_keys: how many keys the messages have whose order is kept.
-        max_resubmissions: after a rejection.
+        rate: total messages per second.
+        seconds: time in which messages are submitted.
+        lifetime_ms: lifetime of a message.
+        latency_target_ms: latency target of each queue class.
+        repeat_window_ms: time in which a receiver drops repetitions of a message with an idempotency key.
+        class_shares: shares of the messages by effect of their queue class (safe, keyed, unsafe).
+        ordering_keys: number of ordering keys per destination.
+        max_resubmissions: maximum resubmissions of a message after rejections.
     """
 
     rate: PositiveNumber = 40.0
@@ -131,16 +131,16 @@
 class Fault(msgspec.Struct, forbid_unknown_fields=True):
     """A fault that is injected into a share of the senders or of the receivers.
 
-    The receivers are those of a share (`receivers`), of a share of the destinations (`destinations`) or of a zone
-    (`zone`). What each kind does:
+    The receivers are a share of all (`receivers`), those of a share of the destinations (`destinations`), or those of a
+    zone (`zone`). Effects of each kind:
 
-    - kill: SIGKILL, back after `seconds` (0: never); without `keeps_folder` on an empty folder.
-    - stop: SIGSTOP for `seconds`. term: SIGTERM, back after `seconds`.
-    - join: `times` more receivers a destination. leave: receivers drain, then are gone.
-    - down: connections are refused; cold: the same, and slowly warm again; hang: calls are taken and never answered.
-    - slow: calls take `times` as long. limit: a destination's rate limit times `times`.
-    - cut: bytes between the senders and receivers are held, in the direction `direction`.
-    - reset: the share `share` of the calls ends in a reset. lag: `lag_ms` more each way.
+    - kill: SIGKILL, restart after `seconds` (0: none); without `keeps_folder` the state folder is emptied first.
+    - stop: SIGSTOP for `seconds`. term: SIGTERM, restart after `seconds`.
+    - join: `times` more receivers per destination. leave: receivers drain, then leave the list.
+    - down: connections are refused; cold: the same, followed by a warm-up; hang: calls are accepted and never answered.
+    - slow: service times are multiplied by `times`. limit: the rate limits of destinations are multiplied by `times`.
+    - cut: data between the senders and receivers is held, in the direction `direction`.
+    - reset: the share `share` of the calls ends with a reset. lag: `lag_ms` of additional delay each way.
     - refuse: discovery rejects requests for the endpoint list.
     """
 
@@ -162,11 +162,11 @@
     """A load test.
 
     Attributes:
-        name: for the result.
-        seed: of all random draws.
-        slack_ms: by which a busy machine may make senders late without breaking a rule.
-        senders, receivers, load: what takes part.
-        faults: what is injected.
+        name: name in the result.
+        seed: seed of all random numbers.
+        slack_ms: additional tolerance of the rules for senders that are late on a busy machine.
+        senders, receivers, load: the parties and the load.
+        faults: the faults to inject.
     """
 
     name: str = "fleet"
@@ -179,7 +179,7 @@
 
 
 def parse_scenario(text: str) -> Scenario:
-    """Return the scenario of a TOML text; ValueError says which key is invalid."""
+    """Parse a scenario in TOML; raises ValueError, which names the invalid key."""
     try:
         return make_scenario(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
@@ -187,7 +187,7 @@
 
 
 def make_scenario(tables: dict[str, Any]) -> Scenario:
-    """Return the scenario of a file's tables; ValueError says which key is invalid."""
+    """Create a scenario from the tables of its file; raises ValueError, which names the invalid key."""
     try:
         scenario = msgspec.convert(tables, Scenario)
     except msgspec.ValidationError as error:
@@ -204,7 +204,7 @@
 
 
 def platform_settings(scenario: Scenario, sender_number: int) -> dict[str, Any]:
-    """Return the settings of a sender's decision module in the platform's form."""
+    """Return the settings of a sender's decision module in the platform's format."""
     senders, receivers, load = scenario.senders, scenario.receivers, scenario.load
     services = [
         {
--- a/dewpin/lab/fleet/sender_process.py
+++ b/dewpin/lab/fleet/sender_process.py
@@ -1,4 +1,4 @@
-"""A sender under test: its process, its folder and its log."""
+"""A sender under test: its process, folder and log."""
 
 import asyncio
 import json
@@ -23,14 +23,14 @@
 
 
 class SenderProcess:
-    """A sender.
+    """A sender under test.
 
     Attributes:
-        number: of the sender.
-        folder: with its configuration, its state and its log.
-        process: the process, once it was started.
-        is_listed: clients still send to it.
-        address: where it listens.
+        number: number of the sender.
+        folder: folder of its configuration, state and log.
+        process: the process; None before the first start.
+        is_listed: whether clients send to it.
+        address: its listen address.
     """
 
     def __init__(self, number: int, scenario: Scenario, folder: Path) -> None:
@@ -47,15 +47,15 @@
         return self.folder / "state"
 
     def start(self, known_list: dict[str, Any], agent_address: tuple[str, int]) -> None:
-        """Start the process; `known_list`: the endpoint list that the platform gives it."""
+        """Start the process; `known_list`: the endpoint list in its configuration."""
         self.folder.mkdir(parents=True, exist_ok=True)
         if not self.address[1]:
             self.address = _free_address(loopback_host(SENDER_NETWORK, self.number))
         configuration_file = self.folder / "config.json"
         configuration_file.write_text(json.dumps(self._configuration(known_list, agent_address)))
         senders = self._scenario.senders
-        is_odd = self.number in senders.odd_numbers
-        command = senders.odd_command if is_odd else [sys.executable, "-m", "dewpin", "run"]
+        is_alternative = self.number in senders.alternative_senders
+        command = senders.alternative_command if is_alternative else [sys.executable, "-m", "dewpin", "run"]
         environment = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "DEWPIN_"))}
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
@@ -80,12 +80,12 @@
         }
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self.process and self.process.poll() is None:
             self.process.send_signal(number)
 
     async def wait_until_ready(self, timeout_seconds: float = START_TIMEOUT_SECONDS) -> None:
-        """Wait until it answers that it is ready; raises SenderStartError if it ends or takes too long."""
+        """Wait until the sender reports itself ready; raises SenderStartError if it ends or is not ready in time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_seconds
         while True:
@@ -93,14 +93,16 @@
             if response and response.status == 200:
                 return
             if self.process is None or self.process.poll() is not None:
-                raise SenderStartError(f"sender {self.number} ended; its log is {self.folder / 'log'}")
+                raise SenderStartError(
+                    f"sender {self.number} ended before it was ready; see its log: {self.folder / 'log'}"
+                )
             if loop.time() > deadline:
-                raise SenderStartError(f"sender {self.number} is not ready after {timeout_seconds} s")
+                raise SenderStartError(f"sender {self.number} was not ready within {timeout_seconds} s")
             await asyncio.sleep(READINESS_POLL_SECONDS)
 
 
 def _free_address(host: str) -> tuple[str, int]:
-    with socket.socket() as unused:
-        unused.bind((host, 0))
-        address: tuple[str, int] = unused.getsockname()
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        address: tuple[str, int] = probe.getsockname()
         return address
--- a/dewpin/lab/fleet/timeline.py
+++ b/dewpin/lab/fleet/timeline.py
@@ -1,4 +1,4 @@
-"""What clients and faults do next: steps at planned times, each run as a task."""
+"""A schedule of the steps of clients and faults; each step is run as a task at its time."""
 
 import asyncio
 import heapq
@@ -11,35 +11,35 @@
 
 
 class Timeline:
-    """Planned steps.
+    """The scheduled steps.
 
     Attributes:
-        planned_count: how many steps were planned so far.
-        errors: of steps that failed; the test goes on to its end, and is reported as failed.
+        scheduled_count: number of steps scheduled so far.
+        errors: messages of failed steps; the test runs to its end and is then reported as failed.
     """
 
     def __init__(self, clock: LoadClock) -> None:
-        self.planned_count = 0
+        self.scheduled_count = 0
         self.errors: list[str] = []
         self._clock = clock
-        self._steps: list[tuple[float, int, Step, tuple[Any, ...]]] = []  # a heap, by time, then by order
+        self._steps: list[tuple[float, int, Step, tuple[Any, ...]]] = []  # a heap, by time, then by order of scheduling
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def plan(self, at_ms: float, step: Step, *arguments: Any) -> None:
-        """Plan a step."""
-        self.planned_count += 1
-        heapq.heappush(self._steps, (at_ms, self.planned_count, step, arguments))
+    def schedule(self, at_ms: float, step: Step, *arguments: Any) -> None:
+        """Schedule a step at a time in ms."""
+        self.scheduled_count += 1
+        heapq.heappush(self._steps, (at_ms, self.scheduled_count, step, arguments))
 
-    def has_steps(self) -> bool:
-        """Return whether steps are planned that have not begun."""
+    def has_pending_steps(self) -> bool:
+        """Return whether any step has not been started yet."""
         return bool(self._steps)
 
     def add_task(self, task: "asyncio.Task[None]") -> None:
-        """Have a task cancelled with the steps at the end."""
+        """Add a task that `cancel` cancels together with the steps."""
         self._tasks.add(task)
 
     async def run_until(self, end_ms: float) -> None:
-        """Begin the steps that fall due until then."""
+        """Start all steps that are due until `end_ms`, and return at that time."""
         while True:
             now_ms = self._clock.now_ms()
             while self._steps and self._steps[0][0] <= now_ms:
--- a/tests/lab/test_fault_injector.py
+++ b/tests/lab/test_fault_injector.py
@@ -1,4 +1,4 @@
-"""Fault injection: faults that hit one sender at a time when an earlier one has not ended yet."""
+"""Fault injection: a second fault of a sender whose earlier fault has not ended yet."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 
 
 class ScriptedSender:
-    """Records what befalls a sender's process; `ready` lets its start end."""
+    """Records signals and starts of a sender's process; setting `ready` completes its start."""
 
     def __init__(self):
         self.number = 0
@@ -31,8 +31,8 @@
         self.history.append("ready")
 
 
-def injector_for(sender):
-    collector = SimpleNamespace(record_life=lambda *_: None)
+def create_injector(sender):
+    collector = SimpleNamespace(record_sender_event=lambda *_: None)
     clock = SimpleNamespace(now_ms=lambda: 0.0)
     scenario = make_scenario({"senders": {"count": 1}})
     return FaultInjector(scenario, None, collector, clock, [sender], sender.start, random.Random(1))
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("first", [FaultKind.KILL, FaultKind.TERM])
 @pytest.mark.parametrize("second", [FaultKind.KILL, FaultKind.TERM])
-def test_sender_that_still_starts_is_ended_once_it_is_ready(first, second):
-    async def scene():
+def test_starting_sender_is_only_ended_again_once_it_is_ready(first, second):
+    async def scenario():
         sender = ScriptedSender()
-        injector = injector_for(sender)
+        injector = create_injector(sender)
         faults = [asyncio.ensure_future(injector.inject(fault(kind))) for kind in (first, second)]
         while "starting" not in sender.history:
             await asyncio.sleep(0.001)
@@ -57,4 +57,4 @@
         await asyncio.gather(*faults)
         return sender.history
 
-    assert asyncio.run(scene()) == ["signal", "starting", "ready"] * 2
+    assert asyncio.run(scenario()) == ["signal", "starting", "ready"] * 2
--- a/tests/lab/test_load_test.py
+++ b/tests/lab/test_load_test.py
@@ -1,4 +1,4 @@
-"""The load test: real senders keep the rules while faults are injected, and it catches those that do not."""
+"""The load test: real senders keep the rules under fault injection, and violations by faulty senders are detected."""
 
 import asyncio
 import json
@@ -29,18 +29,18 @@
 """
 
 
-def senders_with(fault):
-    """The senders of a scenario, the first two of them with a fault in their program."""
+def senders_with_fault(fault):
+    """Settings of six senders, of which the first two run a faulty program."""
     program = fault + "\nfrom dewpin.cli.main import main\nraise SystemExit(main(['run']))"
     return {"count": 6, "command": [sys.executable, "-c", program], "odd": [0, 1]}
 
 
-def result_of(folder, **tables):
+def run_scenario(folder, **tables):
     return asyncio.run(play(make_scenario({"slack_ms": 3000.0} | tables), folder))
 
 
-def test_twelve_senders_keep_the_rules_while_links_and_processes_fail(tmp_path):
-    result = result_of(
+def test_twelve_senders_keep_the_rules_under_link_and_process_faults(tmp_path):
+    result = run_scenario(
         tmp_path,
         senders={"count": 12},
         load={"rate": 40.0, "seconds": 7.0, "classes": {"keyed": 0.5, "safe": 0.2, "unsafe": 0.3}},
@@ -60,22 +60,22 @@
     assert result["breaks"] == []
     metrics = result["figures"]
     assert metrics["ends"]["delivered"] > 0.6 * metrics["mails"] and metrics["mails"] == sum(metrics["ends"].values())
-    assert metrics["list_calls_turned_away"] and set(metrics["newcomers"]) == {f"r{at}" for at in range(12, 18)}
+    assert metrics["list_calls_turned_away"] and set(metrics["newcomers"]) == {f"r{number}" for number in range(12, 18)}
     assert json.loads((tmp_path / "result.json").read_text())["figures"] == metrics
 
 
-def test_senders_that_prefer_the_first_receiver_show_in_the_balance(tmp_path):
-    fleets = [{"count": 6}, senders_with(PREFERS_FIRST_RECEIVER) | {"odd": list(range(6))}]
-    even, herd = (
-        result_of(
-            tmp_path / str(at),
-            senders=fleet,
+def test_senders_that_prefer_the_first_receiver_are_visible_in_the_balance(tmp_path):
+    sender_settings = [{"count": 6}, senders_with_fault(PREFERS_FIRST_RECEIVER) | {"odd": list(range(6))}]
+    balanced, unbalanced = (
+        run_scenario(
+            tmp_path / str(index),
+            senders=senders,
             load={"rate": 60.0, "seconds": 4.0},
             receivers={"destinations": 1, "zones": ["a"]},
         )["figures"]
-        for at, fleet in enumerate(fleets)
+        for index, senders in enumerate(sender_settings)
     )
-    assert herd["idlest"] < 0.3 < even["idlest"] and herd["busiest"] > 1.7 > even["busiest"]
+    assert unbalanced["idlest"] < 0.3 < balanced["idlest"] and unbalanced["busiest"] > 1.7 > balanced["busiest"]
 
 
 @pytest.mark.parametrize(
@@ -100,23 +100,23 @@
         ),
     ],
 )
-def test_a_sender_that_breaks_a_rule_is_caught(tmp_path, fault, rule, tables):
-    tables = {"senders": senders_with(fault), "load": {"rate": 30.0, "seconds": 4.0}} | tables
-    result = result_of(tmp_path, **tables)
+def test_violations_of_a_faulty_sender_are_detected(tmp_path, fault, rule, tables):
+    tables = {"senders": senders_with_fault(fault), "load": {"rate": 30.0, "seconds": 4.0}} | tables
+    result = run_scenario(tmp_path, **tables)
     assert {violation["rule"] for violation in result["breaks"]} == {rule}
     assert {violation["sender"] for violation in result["breaks"]} <= {0, 1}
     assert all(violation["last"] for violation in result["breaks"])
 
 
 def test_all_processes_end_when_a_sender_fails_to_start(tmp_path):
-    exits = [sys.executable, "-c", "raise SystemExit(1)"]
-    scenario = make_scenario({"senders": {"count": 3, "command": exits, "odd": [2]}})
+    failing_command = [sys.executable, "-c", "raise SystemExit(1)"]
+    scenario = make_scenario({"senders": {"count": 3, "command": failing_command, "odd": [2]}})
     load_tests = []
 
-    async def fails():
+    async def run():
         load_tests.append(LoadTest(scenario, tmp_path))
         await load_tests[0].play()
 
     with pytest.raises(SenderStartError, match="sender 2 ended"):
-        asyncio.run(fails())
+        asyncio.run(run())
     assert all(sender.process.poll() is not None for sender in load_tests[0].senders)
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of the load test: what is invalid is reported with its key."""
+"""Scenarios of the load test: an invalid value is reported with its key."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, words",
+    "text, expected",
     [
         ("[load]\nrate = 0", "load.rate"),
         ("[[faults]]\nat = 1\nwhat = 'rain'", "what"),
@@ -16,7 +16,7 @@
         ("[[faults]]\nat = 99\nwhat = 'join'", "after the end"),
     ],
 )
-def test_an_invalid_scenario_is_reported_with_its_key(tmp_path, capsys, text, words):
+def test_invalid_scenario_is_reported_with_its_key(tmp_path, capsys, text, expected):
     file = tmp_path / "s.toml"
     file.write_text(text)
-    assert main(["lab", "fleet", str(file)]) == 2 and words in capsys.readouterr().err
+    assert main(["lab", "fleet", str(file)]) == 2 and expected in capsys.readouterr().err
