--- a/dewpin/standin/__main__.py
+++ b/dewpin/standin/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m dewpin.standin`: the tier on one machine, or one of its stand-ins."""
+"""`python3 -m dewpin.standin`: runs the tier on one machine, or one of its stand-ins."""
 
 import argparse
 import json
@@ -26,7 +26,7 @@
     """Return the parser of all commands."""
     parser = argparse.ArgumentParser(prog="python3 -m dewpin.standin", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    _add_tier_options(commands.add_parser("tier", help="run the whole tier on this machine and show what it does"))
+    _add_tier_options(commands.add_parser("tier", help="run the whole tier on this machine and demonstrate it"))
     _add_platform_options(commands.add_parser("platform", help="run a stand-in platform"))
     _add_receiver_options(commands.add_parser("receiver", help="run a stand-in receiver"))
     return parser
@@ -69,12 +69,12 @@
 
 
 def run_tier_command(options: argparse.Namespace) -> int:
-    """Run the tier and return the exit code; Ctrl-C and SIGTERM end all of its processes."""
+    """Run the tier and return the exit code; Ctrl-C and SIGTERM end all its processes."""
     signal.signal(signal.SIGTERM, _interrupt)
     try:
         run_tier(tier_options(options), _print_line)
     except KeyboardInterrupt:
-        _print_line("interrupted; all processes are ended")
+        _print_line("interrupted; all processes have ended")
     except (DemonstrationError, FolderNotEmptyError, ConditionNotMetError) as error:
         _print_line(f"FAILED: {error}")
         return EXIT_FAILURE
@@ -103,17 +103,17 @@
 
 def _add_tier_options(parser: argparse.ArgumentParser) -> None:
     faults = [fault.value for fault in InjectedFault]
-    parser.add_argument("--keep", action="store_true", help="run on until Ctrl-C")
-    parser.add_argument("--seconds", type=float, help="run on for so long, or until Ctrl-C")
-    parser.add_argument("--kill", choices=faults, help="kill a control server, or kill it and remove its data")
-    parser.add_argument("--folder", type=Path, help="an empty folder for settings, data and logs, which stays")
+    parser.add_argument("--keep", action="store_true", help="keep running until Ctrl-C")
+    parser.add_argument("--seconds", type=float, help="keep running for so many seconds, or until Ctrl-C")
+    parser.add_argument("--kill", choices=faults, help="kill a control server; store: also remove its data")
+    parser.add_argument("--folder", type=Path, help="an empty folder for settings, data and logs; it is kept")
 
 
 def _add_platform_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--listen", required=True, help="ip:port")
     parser.add_argument("--instances", type=Path, required=True, help="JSON file with the receivers to list")
-    parser.add_argument("--lag-ms", type=float, default=0.0, help="delay until the list shows a change")
-    parser.add_argument("--rate", type=float, default=50.0, help="calls per second that the list permits")
+    parser.add_argument("--lag-ms", type=float, default=0.0, help="delay until a change is visible in the list")
+    parser.add_argument("--rate", type=float, default=50.0, help="maximum list calls per second")
     parser.add_argument("--ask-every-s", type=float, default=1.0, help="interval of readiness probes")
     parser.add_argument("--sender", action="append", default=[], help="ip:port of a sender's readiness endpoint")
 
@@ -121,9 +121,9 @@
 def _add_receiver_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--listen", required=True, help="ip:port")
     parser.add_argument("--id", required=True)
-    parser.add_argument("--backend", default="", help="the service that it belongs to")
-    parser.add_argument("--slots", type=int, default=4, help="requests that run at once")
-    parser.add_argument("--queue", type=int, default=4, help="requests that wait for a slot")
+    parser.add_argument("--backend", default="", help="service of the receiver")
+    parser.add_argument("--slots", type=int, default=4, help="maximum concurrent requests")
+    parser.add_argument("--queue", type=int, default=4, help="maximum requests waiting for a slot")
     parser.add_argument("--work-ms", type=float, default=10.0, help="duration of a plain request")
     parser.add_argument("--stream", action="store_true", help="respond with a stream of events")
     parser.add_argument("--event-ms", type=float, default=20.0, help="pause before each event")
--- a/dewpin/standin/address_file.py
+++ b/dewpin/standin/address_file.py
@@ -1,4 +1,4 @@
-"""A file of shell variables with the addresses of a running tier, to be loaded with `. FILE`."""
+"""A file of shell variables with the addresses of a running tier, to be sourced with `. FILE`."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def address_variables(tier: LocalTier) -> dict[str, str]:
-    """Return the variables: the addresses of all machines and the ids of their processes."""
+    """Return the variables: addresses and process ids of all machines, and the address of the platform."""
     variables = {"PLATFORM": tier.platform_address}
     for number, control_server in enumerate(tier.control_servers, 1):
         variables[f"CONTROL_SERVER_{number}"] = control_server.operator_address
--- a/dewpin/standin/addresses.py
+++ b/dewpin/standin/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of a tier: one for each machine, all with the same ports."""
+"""Loopback addresses of a tier: one per machine, with the same ports on all."""
 
 import random
 import socket
@@ -7,7 +7,7 @@
 
 RESERVATION_PORT = 17_379
 RESERVATION_HOST = 254
-"""Last part of the address of the socket that reserves a network."""
+"""Last octet of the address of the socket that reserves a network."""
 NETWORK_COUNT = 254
 MAX_MACHINES = 250
 
@@ -21,22 +21,22 @@
 
 
 class LoopbackNetwork:
-    """The addresses 127.0.N.1 and following, reserved against other tiers on this computer until `close`.
+    """The addresses from 127.0.N.1, reserved against use by other tiers on this computer until `close`.
 
-    A listening socket at the network's last address is the reservation, so it ends with the process at the latest.
+    The reservation is a listening socket at address 254 of the network, so it ends with the process at the latest.
     """
 
     def __init__(self) -> None:
         """Reserve a network; raises AddressesExhaustedError if none is free."""
-        self._taken = 0
+        self._used_count = 0
         self._number, self._reservation = _reserve()
 
     def take_address(self) -> str:
-        """Return the address for one more machine; raises AddressesExhaustedError."""
-        if self._taken >= MAX_MACHINES:
-            raise AddressesExhaustedError(f"all {MAX_MACHINES} addresses of 127.0.{self._number}.0 are taken")
-        self._taken += 1
-        return f"127.0.{self._number}.{self._taken}"
+        """Return the address for another machine; raises AddressesExhaustedError."""
+        if self._used_count >= MAX_MACHINES:
+            raise AddressesExhaustedError(f"all {MAX_MACHINES} addresses of 127.0.{self._number}.0 are in use")
+        self._used_count += 1
+        return f"127.0.{self._number}.{self._used_count}"
 
     def close(self) -> None:
         """Release the network."""
--- a/dewpin/standin/client.py
+++ b/dewpin/standin/client.py
@@ -1,4 +1,4 @@
-"""A stand-in client of the tier: single requests, streams and programs of turns."""
+"""A stand-in client of the tier: single requests, streams, and programs (conversations of several turns)."""
 
 import http.client
 import secrets
@@ -19,8 +19,8 @@
 class ClientRequest:
     """A request of a client.
 
-    fields: header fields besides those that every request has.
-    id: request id; None: one is generated.
+    fields: header fields in addition to those of every request.
+    id: request id; None: generated.
     """
 
     host: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """A complete response; names of header fields are in lower case."""
+    """A complete response; the names of header fields are in lower case."""
 
     request_id: str
     status: int
@@ -42,7 +42,7 @@
 
     @property
     def is_served(self) -> bool:
-        """Return whether a receiver executed the request: the response has its signature."""
+        """Return whether a receiver executed the request: its signature is in the response."""
         return self.status == http.HTTPStatus.OK and SIGNATURE.lower() in self.fields
 
     @property
@@ -55,7 +55,7 @@
     """A response whose body is read event by event; a context manager that closes its connection."""
 
     def __init__(self, sender: str, request: ClientRequest) -> None:
-        """Send the request and read the response's header; raises OSError or HTTPException."""
+        """Send the request and read the header of the response; raises OSError or HTTPException."""
         self.request_id = request.id or secrets.token_hex(8)
         self._connection = http.client.HTTPConnection(*split_address(sender), timeout=SOCKET_TIMEOUT_S)
         fields = {
@@ -91,7 +91,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
     ) -> None:
         """Close the connection."""
         self.close()
@@ -116,14 +116,14 @@
         self._host = host
         self._path = path
         self._budget = budget
-        self._most_tokens = max_tokens
+        self._max_tokens = max_tokens
 
     def next_request(self, text: bytes, fields: Mapping[str, str] | None = None) -> ClientRequest:
-        """Return the request of the next turn, which contains only its new input."""
+        """Return the request of the next turn; its body is only the new input."""
         turn_fields = {
             PROGRAM: self.id,
             BUDGET: str(self._budget),
-            TOKEN_USAGE: f"{len(text.split())},{self._most_tokens}",
+            TOKEN_USAGE: f"{len(text.split())},{self._max_tokens}",
             **(fields or {}),
         }
         if self.last_turn_id is not None:
@@ -131,7 +131,7 @@
         return ClientRequest(self._host, self._path, text, fields=turn_fields)
 
     def run_turn(self, sender: str, text: bytes) -> ClientResponse:
-        """Send the next turn; if it is served, the turn after it continues from it."""
+        """Send the next turn; if it is served, the following turn refers to it."""
         response = send(sender, self.next_request(text))
         if response.is_served:
             self.last_turn_id = response.request_id
--- a/dewpin/standin/demonstration.py
+++ b/dewpin/standin/demonstration.py
@@ -26,7 +26,7 @@
 
 
 class InjectedFault(Enum):
-    """A fault that the demonstration can inject: a control server is killed, or killed and its data removed."""
+    """The faults that the demonstration can inject: kill a control server; kill it and remove its data."""
 
     CONTROL_SERVER = "control_server"
     STORE = "store"
@@ -36,8 +36,8 @@
 class TierOptions:
     """How the tier is run.
 
-    folder: folder of its files, which stays; None: a temporary one.
-    seconds: for how long the tier runs on after the steps.
+    folder: folder of its files, which is kept; None: a temporary folder.
+    seconds: for how long the tier keeps running after the steps.
     fault: the fault to inject; None: none.
     """
 
@@ -47,7 +47,7 @@
 
 
 class Demonstration:
-    """The steps; each reports what it does and the result, a line at a time, to `report`."""
+    """The steps of the demonstration; each calls `report` with single lines about its actions and results."""
 
     def __init__(self, tier: LocalTier, report: Callable[[str], None]) -> None:
         self._tier = tier
@@ -80,9 +80,11 @@
         configuration = sample_configuration(generation, plain_path)
         response = self._tier.operator.put(configuration, self._generation, CONFIGURATION_TIMEOUT_S)
         if response.status != 200:
-            raise DemonstrationError(f"configuration {generation}: {response.status} {response.body!r}")
+            raise DemonstrationError(
+                f"configuration {generation} was not accepted: {response.status} {response.body!r}"
+            )
         self._generation = generation
-        self._report(f"configuration {generation} is acknowledged by {response.control_server}")
+        self._report(f"configuration {generation} was acknowledged by {response.control_server}")
 
     def _show_request(self, path: str) -> None:
         sender = self._tier.senders[0]
@@ -92,16 +94,16 @@
 
     def _show_program(self) -> None:
         self._report(
-            f"program {self._program.id}: a budget of {BUDGET_TOKENS} tokens, {MAX_TOKENS_PER_TURN} a turn at most"
+            f"program {self._program.id}: budget of {BUDGET_TOKENS} tokens, at most {MAX_TOKENS_PER_TURN} per turn"
         )
         for text in TURNS:
             self._check_served(self._run_turn(text))
         self._report(
-            f"the budget does not hold {MAX_TOKENS_PER_TURN} tokens more: a further turn is refused and not run"
+            f"the budget has less than {MAX_TOKENS_PER_TURN} tokens left: another turn is rejected without execution"
         )
         response = self._run_turn(TURN_BEYOND_BUDGET)
         if response.status != 402:
-            raise DemonstrationError(f"the turn beyond the budget got {response.status}")
+            raise DemonstrationError(f"the turn beyond the budget was answered with {response.status} instead of 402")
 
     def _run_turn(self, text: bytes) -> ClientResponse:
         sender = self._tier.senders[0]
@@ -112,7 +114,7 @@
 
     def _check_served(self, response: ClientResponse) -> None:
         if not response.is_served:
-            raise DemonstrationError(f"not served: {response.status} {response.body!r}")
+            raise DemonstrationError(f"request was not served: {response.status} {response.body!r}")
 
     def _inject_fault(self, fault: InjectedFault) -> None:
         first, second = self._tier.control_servers[:2]
@@ -122,20 +124,20 @@
         if fault is InjectedFault.STORE:
             self._tier.wipe(first)
             self._tier.restart([first])
-            self._report(f"wiped the data of {first.name} and started it again")
+            self._report(f"removed the data of {first.name} and restarted it")
             self._tier.wait_until_replaced(first, incarnation)
-            self._report(f"{first.name} takes part as another incarnation and holds a copy of the data")
+            self._report(f"{first.name} is a member with a new incarnation and has a copy of the data")
             second.process.kill()
             self._report(f"killed {second.name}")
         self._put_configuration(CHANGED_PATH)
         for sender in self._tier.senders:
             self._wait_until_served(sender)
-        self._report("the change is in force at both senders")
+        self._report("the change is in force on both senders")
         self._show_request(CHANGED_PATH)
 
     def _wait_until_served(self, sender: Machine) -> None:
         request = ClientRequest(HOST, f"{CHANGED_PATH}item/7", b"where?")
-        condition = f"the change is in force at {sender.name}"
+        condition = f"the change is in force on {sender.name}"
         wait_until(lambda: send(sender.client_address, request).is_served, CONFIGURATION_TIMEOUT_S, condition)
 
 
@@ -161,14 +163,14 @@
             report(tier.logs())
             raise
         if options.seconds > 0:
-            report(f"addresses and process ids are in {write_address_file(tier)}")
+            report(f"addresses and process ids were written to {write_address_file(tier)}")
             _keep_running(options.seconds, report)
         report("ending all processes")
 
 
 def _keep_running(seconds: float, report: Callable[[str], None]) -> None:
     duration = "until Ctrl-C" if seconds == FOREVER else f"for {seconds:g} s or until Ctrl-C"
-    report(f"the tier goes on {duration}")
+    report(f"the tier keeps running {duration}")
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         time.sleep(min(POLL_INTERVAL_S, max(0.0, deadline - time.monotonic())))
--- a/dewpin/standin/errors.py
+++ b/dewpin/standin/errors.py
@@ -10,16 +10,16 @@
 
 
 class ConditionNotMetError(StandinError):
-    """A condition that was awaited did not become true in time, or can no longer become true."""
+    """An awaited condition was not met in time, or can no longer be met."""
 
 
 class DemonstrationError(StandinError):
-    """A step of the demonstration did not have the effect that the tier guarantees."""
+    """A step of the demonstration did not have its guaranteed result."""
 
 
 class FolderNotEmptyError(StandinError):
-    """The folder chosen for the tier has files in it."""
+    """The folder chosen for the tier is not empty."""
 
 
 class UnknownPageTokenError(StandinError):
-    """A page token that the list did not issue, or that has expired."""
+    """A page token that was never issued or has expired."""
--- a/dewpin/standin/http_server.py
+++ b/dewpin/standin/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for the stand-ins, on `http.server` with a thread for each connection."""
+"""A small HTTP server for the stand-ins, based on `http.server`, with a thread per connection."""
 
 import json
 import signal
@@ -14,20 +14,20 @@
 
 
 class HttpServer(ThreadingHTTPServer):
-    """A server that binds without resolving the host's name and stops without waiting for open connections."""
+    """A server that binds without a host name look-up and stops without waiting for open connections."""
 
     daemon_threads = True
     block_on_close = False
     request_queue_size = 256
 
     def server_bind(self) -> None:
-        """Bind to the address as given."""
+        """Bind to the address without a host name look-up."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(self.server_address)
         self.server_address = self.socket.getsockname()
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Ignore it: a client that disconnects is no fault of the stand-in."""
+        """Ignore errors: a client may disconnect at any time."""
 
     @property
     def address(self) -> str:
@@ -57,7 +57,7 @@
         return urlsplit(self.path).path
 
     def read_body(self) -> bytes:
-        """Return the request's body; the tier and the stand-ins send it with a Content-Length."""
+        """Return the request body; the tier and the stand-ins always send a Content-Length."""
         return self.rfile.read(int(self.headers.get("Content-Length") or "0"))
 
     def respond(self, status: int, body: bytes = b"", fields: Iterable[HeaderField] = ()) -> None:
@@ -70,11 +70,11 @@
         self.wfile.write(body)
 
     def respond_json(self, status: int, value: object) -> None:
-        """Write a complete response in JSON."""
+        """Write a complete response with a JSON body."""
         self.respond(status, json.dumps(value).encode(), [("Content-Type", "application/json")])
 
     def log_message(self, format: str, *args: object) -> None:
-        """Write no log."""
+        """Disable the request log."""
 
 
 def wait_for_stop_signal() -> None:
--- a/dewpin/standin/instances.py
+++ b/dewpin/standin/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of receivers: paged, and with a lag behind changes. Free of I/O."""
+"""The platform's list of receivers: paginated, with a delay until changes are visible. Free of I/O."""
 
 from collections import deque
 from dataclasses import dataclass, replace
@@ -11,7 +11,7 @@
 
 
 class InstanceEntry(TypedDict):
-    """A receiver as the list's JSON has it."""
+    """An entry of the list in JSON."""
 
     id: str
     backend: str
@@ -24,7 +24,7 @@
 
 
 class InstancePage(TypedDict):
-    """One page of the list; `next_token` is None on the last one."""
+    """A page of the list; `next_token` is None on the last page."""
 
     instances: list[InstanceEntry]
     next_token: str | None
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """One receiver.
+    """A receiver.
 
-    warm_at_s: end of its warm-up, by the monotonic clock.
+    warm_at_s: end of its warm-up on the monotonic clock.
     """
 
     id: str
@@ -68,7 +68,7 @@
 
 
 class InstanceList:
-    """The list; a change becomes visible `lag_s` after it was made."""
+    """The list of receivers; changes become visible after `lag_s`."""
 
     def __init__(self, lag_s: float = 0.0, page_size: int = PAGE_SIZE) -> None:
         self._lag_s = lag_s
@@ -76,31 +76,35 @@
         self._snapshots = deque([_Snapshot(0, float("-inf"), ())], MAX_SNAPSHOTS)
 
     def put(self, instance: Instance, now_s: float) -> None:
-        """Add a receiver, or replace the one with its id."""
-        others = [one for one in self._latest if one.id != instance.id]
+        """Add a receiver, or replace the receiver with the same id."""
+        others = [other for other in self._latest if other.id != instance.id]
         self._append((*others, instance), now_s)
 
     def drain(self, instance_id: str, now_s: float) -> None:
-        """Mark a receiver as draining; raises KeyError if there is none of this id."""
-        if all(one.id != instance_id for one in self._latest):
+        """Mark a receiver as draining; raises KeyError if the id is unknown."""
+        if all(instance.id != instance_id for instance in self._latest):
             raise KeyError(instance_id)
-        drained = (replace(one, is_draining=True) if one.id == instance_id else one for one in self._latest)
+        drained = (
+            replace(instance, is_draining=True) if instance.id == instance_id else instance for instance in self._latest
+        )
         self._append(tuple(drained), now_s)
 
     def remove(self, instance_id: str, now_s: float) -> None:
         """Remove a receiver from the list."""
-        self._append(tuple(one for one in self._latest if one.id != instance_id), now_s)
+        self._append(tuple(instance for instance in self._latest if instance.id != instance_id), now_s)
 
     def page(self, now_s: float, token: str | None = None, zone: str | None = None) -> InstancePage:
-        """Return a page, the first one without a token; later pages are of the same state as the first.
+        """Return a page, without a token the first; all pages show the state of the list at the first page.
 
         Raises UnknownPageTokenError.
         """
         snapshot, start = (self._visible_snapshot(now_s), 0) if token is None else self._find_page(token)
-        matching = [one for one in snapshot.instances if zone is None or one.zone == zone]
+        matching = [instance for instance in snapshot.instances if zone is None or instance.zone == zone]
         end = start + self._page_size
         next_token = f"p-{snapshot.number}-{end}" if end < len(matching) else None
-        return InstancePage(instances=[one.to_entry(now_s) for one in matching[start:end]], next_token=next_token)
+        return InstancePage(
+            instances=[instance.to_entry(now_s) for instance in matching[start:end]], next_token=next_token
+        )
 
     @property
     def _latest(self) -> tuple[Instance, ...]:
@@ -110,13 +114,13 @@
         self._snapshots.append(_Snapshot(self._snapshots[-1].number + 1, now_s, instances))
 
     def _visible_snapshot(self, now_s: float) -> _Snapshot:
-        old_enough = (one for one in reversed(self._snapshots) if one.changed_at_s <= now_s - self._lag_s)
-        return next(old_enough, self._snapshots[0])
+        visible = (snapshot for snapshot in reversed(self._snapshots) if snapshot.changed_at_s <= now_s - self._lag_s)
+        return next(visible, self._snapshots[0])
 
     def _find_page(self, token: str) -> tuple[_Snapshot, int]:
         try:
             prefix, number, start = token.split("-")
-            snapshot = next(one for one in self._snapshots if one.number == int(number))
+            snapshot = next(snapshot for snapshot in self._snapshots if snapshot.number == int(number))
         except (ValueError, StopIteration):
             raise UnknownPageTokenError(token) from None
         if prefix != "p":
--- a/dewpin/standin/machine.py
+++ b/dewpin/standin/machine.py
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """A control server or a sender with a loopback address of its own.
+    """A control server or a sender, with its own loopback address.
 
-    data_dir: folder of a control server's data; None for a sender.
+    data_dir: data folder of a control server; None for a sender.
     """
 
     name: str
@@ -30,21 +30,23 @@
 
     @property
     def operator_address(self) -> str:
-        """Return the address of a control server's operator API."""
+        """Return the address of the operator API of a control server."""
         return f"{self.ip}:{CONTROL_PORT}"
 
     @property
     def client_address(self) -> str:
-        """Return the address of a sender for clients."""
+        """Return the address at which clients reach a sender."""
         return f"{self.ip}:{FRONT_PORT}"
 
     @property
     def readiness_address(self) -> str:
-        """Return the address of a sender for the platform's readiness probes."""
+        """Return the address at which the platform probes the readiness of a sender."""
         return f"{self.ip}:{READY_PORT}"
 
     def is_ready(self) -> bool:
         """Return whether a sender reports itself ready; raises ConditionNotMetError if its process has ended."""
         if not self.process.is_running:
-            raise ConditionNotMetError(f"{self.name} has ended:\n{self.process.log_tail()}")
+            raise ConditionNotMetError(
+                f"the process of {self.name} has ended; end of its log:\n{self.process.log_tail()}"
+            )
         return is_ready(self.readiness_address)
--- a/dewpin/standin/machine_settings.py
+++ b/dewpin/standin/machine_settings.py
@@ -27,7 +27,7 @@
 ) -> None:
     """Write the settings file of a machine.
 
-    bootstrap: whether this is the first start of the whole tier, when all data folders are empty.
+    bootstrap: whether this is the first start of the whole tier, with empty data folders.
     """
     seeds = [control_server.operator_address for control_server in control_servers]
     tables: dict[str, SettingsTable] = {
--- a/dewpin/standin/operator_client.py
+++ b/dewpin/standin/operator_client.py
@@ -1,4 +1,4 @@
-"""A stand-in operator: puts configurations at the control servers and reads them back."""
+"""A stand-in operator: sends configurations to the control servers and reads them back."""
 
 import http.client
 import json
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorResponse:
-    """The response to a call, and the address of the control server that sent it."""
+    """The response to a call, and the address of the control server that responded."""
 
     status: int
     body: bytes
@@ -31,12 +31,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Return whether the call need not be retried."""
+        """Return whether the response is final, so that the call is not retried."""
         return self.status < FIRST_SERVER_ERROR and self.status not in RETRIED_STATUSES
 
 
 class OperatorClient:
-    """Calls the control servers in turn until one sends a final response."""
+    """Calls the control servers one after another until one sends a final response."""
 
     def __init__(self, control_servers: Sequence[str]) -> None:
         self._control_servers = list(control_servers)
@@ -44,7 +44,7 @@
     def put(
         self, configuration: JsonObject, base: int, timeout_s: float = 10.0, control_servers: Sequence[str] = ()
     ) -> OperatorResponse:
-        """Send a configuration that builds on version `base`; raises ConditionNotMetError without a final response."""
+        """Send a configuration based on version `base`; raises ConditionNotMetError if there is no final response."""
         body = json.dumps(configuration).encode()
         fields = {BASE_VERSION: str(base), "Content-Type": "application/json"}
         return self._call("POST", PUT_PATH, body, fields, timeout_s, control_servers)
@@ -68,7 +68,7 @@
     ) -> OperatorResponse:
         deadline = time.monotonic() + timeout_s
         backoff_s = INITIAL_BACKOFF_S
-        last_failure = "no control server answered"
+        last_failure = "no control server responded"
         while time.monotonic() < deadline:
             for control_server in control_servers or self._control_servers:
                 try:
@@ -81,13 +81,13 @@
                 last_failure = f"{control_server}: {response.status} {response.body.decode(errors='replace')}"
             time.sleep(backoff_s)
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
-        raise ConditionNotMetError(f"{path}: no final answer within {timeout_s:g} s; last: {last_failure}")
+        raise ConditionNotMetError(f"{path}: no final response within {timeout_s:g} s; last failure: {last_failure}")
 
 
 def call_control_server(
     control_server: str, method: str, path: str, body: bytes, fields: dict[str, str]
 ) -> OperatorResponse:
-    """Make one call; raises OSError or HTTPException without a response."""
+    """Make one call; raises OSError or HTTPException if there is no response."""
     connection = http.client.HTTPConnection(*split_address(control_server), timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, body or None, fields)
--- a/dewpin/standin/platform_server.py
+++ b/dewpin/standin/platform_server.py
@@ -1,4 +1,4 @@
-"""A stand-in platform: lists the receivers and probes the readiness of each sender."""
+"""A stand-in platform: serves the list of receivers and probes the readiness of each sender."""
 
 import http.client
 import threading
@@ -17,10 +17,10 @@
 
 
 class PlatformServer:
-    """The platform's HTTP server and the thread that probes the senders.
+    """The platform's HTTP server, and the thread that probes the senders.
 
-    instances, rate: the list and the rate limit of its callers, both guarded by `lock`.
-    health: the results of readiness probes.
+    instances, rate: the list of receivers and the rate limiter of list calls, both guarded by `lock`.
+    health: results of the readiness probes.
     clock: monotonic time in seconds.
     """
 
@@ -60,7 +60,7 @@
 
 
 def is_ready(address: str, timeout_s: float = 1.0) -> bool:
-    """Probe a sender at its readiness address; return whether it responds with 200 in time."""
+    """Probe the readiness address of a sender; return whether it responds with 200 within the time-out."""
     connection = http.client.HTTPConnection(*split_address(address), timeout=timeout_s)
     try:
         connection.request("GET", READY_PATH)
--- a/dewpin/standin/polling.py
+++ b/dewpin/standin/polling.py
@@ -1,4 +1,4 @@
-"""Polling for a condition, with a time-out."""
+"""Waiting for a condition by polling, with a time-out."""
 
 import time
 from collections.abc import Callable
@@ -12,9 +12,9 @@
 
 
 def wait_until(probe: Callable[[], Value | None], timeout_s: float, description: str) -> Value:
-    """Poll until the probe returns a true value, and return that value.
+    """Call the probe until it returns a truthy value, and return that value.
 
-    Raises ConditionNotMetError, which contains the description, after `timeout_s`.
+    Raises ConditionNotMetError, with the description, after `timeout_s`.
     """
     deadline = time.monotonic() + timeout_s
     while True:
--- a/dewpin/standin/processes.py
+++ b/dewpin/standin/processes.py
@@ -1,4 +1,4 @@
-"""Child processes that are signalled and ended by their process ids."""
+"""Child processes, which are signalled only by their process ids."""
 
 import os
 import signal
@@ -13,9 +13,9 @@
 
 
 class ManagedProcess:
-    """A module of this project, run by the same Python interpreter.
+    """A child process that runs a module of this project with the same Python interpreter.
 
-    log_path: file to which its standard output and error are appended.
+    log_path: file to which its standard output and standard error are appended.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
 
     @property
     def pid(self) -> int:
-        """Return the process id; the process must have been started."""
+        """Return the process id; the process must have been started before."""
         assert self._process is not None
         return self._process.pid
 
@@ -40,7 +40,7 @@
 
     def start(self) -> None:
         """Start the process; it must not be running."""
-        assert not self.is_running, f"{self.name} is running"
+        assert not self.is_running, f"{self.name} is already running"
         with self.log_path.open("ab") as output:
             self._process = subprocess.Popen(
                 self._command,
@@ -48,7 +48,7 @@
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=subprocess.STDOUT,
-                start_new_session=True,  # Ctrl-C must only reach the parent, which ends its children
+                start_new_session=True,  # Ctrl-C must reach only the parent, which ends its children
             )
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -57,12 +57,12 @@
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process by SIGKILL and wait for its end."""
+        """Send SIGKILL and wait until the process has ended."""
         self.send_signal(signal.SIGKILL)
         self.wait(TERMINATION_TIMEOUT_S)
 
     def wait(self, timeout_s: float) -> int | None:
-        """Return the exit code; None if the process was never started. Raises subprocess.TimeoutExpired."""
+        """Wait for the end and return the exit code; None if never started. Raises subprocess.TimeoutExpired."""
         return None if self._process is None else self._process.wait(timeout_s)
 
     def log_tail(self, line_count: int = 10) -> str:
@@ -73,7 +73,7 @@
 
 
 def terminate_all(processes: Sequence[ManagedProcess], timeout_s: float = TERMINATION_TIMEOUT_S) -> None:
-    """Send SIGTERM to all processes, and SIGKILL to those that have not ended within the time-out."""
+    """Send SIGTERM to all processes, then SIGKILL to those that do not end within the time-out."""
     for process in processes:
         process.send_signal(signal.SIGTERM)
     for process in processes:
@@ -84,7 +84,7 @@
 
 
 def _python_path() -> str:
-    """Return PYTHONPATH for children: the project and, if they were built, its dependencies."""
+    """Return PYTHONPATH for children: the project, its dependencies if they were built, and the inherited value."""
     folders = [str(ROOT)]
     if DEPENDENCIES.is_dir():
         folders.append(str(DEPENDENCIES))
--- a/dewpin/standin/protocol.py
+++ b/dewpin/standin/protocol.py
@@ -1,4 +1,4 @@
-"""Names on the wire between clients, the tier, receivers and the platform."""
+"""Header fields and paths used between clients, the tier, receivers and the platform."""
 
 REQUEST_ID = "X-Dewpin-Request-Id"
 REQUEST_DEADLINE = "X-Dewpin-Request-Deadline"
@@ -22,9 +22,9 @@
 GET_PATH = "/dewpin/Config.Get"
 
 HOLD_AFTER = "Standin-Hold-After"
-"""Asks a stream receiver to stop after this many events until it is told to go on; sent by tests."""
+"""Makes a stream receiver pause after so many events until it is released; sent only by tests."""
 DRAIN_PATH = "/standin/drain"
 RELEASE_PATH = "/standin/release"
 REQUESTS_PATH = "/standin/requests"
 SENDERS_PATH = "/standin/senders"
-"""Calls of the stand-ins' own, which the tier never makes."""
+"""Calls for tests and operators of the stand-ins, never made by the tier."""
--- a/dewpin/standin/receiver.py
+++ b/dewpin/standin/receiver.py
@@ -1,4 +1,4 @@
-"""A stand-in receiver: of a plain service, or of a stream service that sends events with rising ids."""
+"""A stand-in receiver of a plain service, or of a stream service that sends events with increasing ids."""
 
 import hashlib
 import threading
@@ -37,7 +37,7 @@
 
 
 class ExecutedRequest(TypedDict):
-    """A request that a receiver executed, as it reports it."""
+    """An executed request, as reported by the receiver in JSON."""
 
     id: str
     method: str
@@ -49,8 +49,8 @@
 class ReceiverOptions:
     """Options of a receiver.
 
-    id, backend: its id and the service that it belongs to.
-    slots, max_waiting: how many requests run at once, and how many wait for a slot.
+    id, backend: id of the receiver, and its service.
+    slots, max_waiting: maximum numbers of concurrent requests, and of requests waiting for a slot.
     work_ms: duration of a plain request.
     is_streaming: whether it responds with a stream of events.
     event_ms: pause before each event.
@@ -70,10 +70,10 @@
 class ReceiverServer:
     """The HTTP server of one receiver.
 
-    slots: its slots.
-    is_draining: whether it has been told to drain; it then fails its health check.
-    hold_released: set to let a stream continue that is held by Standin-Hold-After.
-    executed_requests: the newest requests that it executed.
+    slots: the slots for concurrent requests.
+    is_draining: whether the receiver is draining; its health check then fails.
+    hold_released: set to continue a stream paused by Standin-Hold-After.
+    executed_requests: the most recently executed requests.
     """
 
     def __init__(self, address: tuple[str, int], options: ReceiverOptions) -> None:
@@ -165,8 +165,8 @@
 
     def _respond_plain(self, body: bytes) -> None:
         time.sleep(self.receiver.options.work_ms / 1000)
-        done = f"{self.receiver.options.id} did {self.command} {self.path} with {len(body)} bytes\n"
-        self.respond(200, done.encode(), [("Content-Type", "text/plain"), *self._signed_fields()])
+        text = f"{self.receiver.options.id} did {self.command} {self.path} with {len(body)} bytes\n"
+        self.respond(200, text.encode(), [("Content-Type", "text/plain"), *self._signed_fields()])
 
     def _stream(self, body: bytes) -> None:
         self.send_response_only(200)
@@ -180,10 +180,10 @@
 
     def _events(self, body: bytes) -> Iterator[bytes]:
         options = self.receiver.options
-        data_of_events = event_data(body, event_count(self.headers.get(TOKEN_USAGE), options.chunk_size))
+        events = event_data(body, event_count(self.headers.get(TOKEN_USAGE), options.chunk_size))
         resume_after = int(self.headers.get(LAST_EVENT_ID) or "0")
         hold_after = int(self.headers.get(HOLD_AFTER) or "0")
-        for number, data in enumerate(data_of_events[resume_after:], resume_after + 1):
+        for number, data in enumerate(events[resume_after:], resume_after + 1):
             time.sleep(options.event_ms / 1000)
             yield f"id: {number}\ndata: {data}\n\n".encode()
             if number == hold_after:
@@ -197,8 +197,8 @@
         self.respond(status, b"", fields)
 
     def _signed_fields(self) -> list[HeaderField]:
-        stamp = signature(self.receiver.options.id, self.headers[REQUEST_ID])
-        return [(SIGNATURE, stamp), *self._common_fields()]
+        value = signature(self.receiver.options.id, self.headers[REQUEST_ID])
+        return [(SIGNATURE, value), *self._common_fields()]
 
     def _common_fields(self) -> list[HeaderField]:
         fields = [(SERVER_LOAD, self.receiver.load()), ("Keep-Alive", f"timeout={KEEP_ALIVE_TIMEOUT_S}")]
--- a/dewpin/standin/sample_configuration.py
+++ b/dewpin/standin/sample_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that the local tier serves: one route to a plain service, one to a stream service."""
+"""The configuration of the local tier: one route to a plain service and one to a stream service."""
 
 from .operator_client import JsonObject
 
--- a/dewpin/standin/settings_file.py
+++ b/dewpin/standin/settings_file.py
@@ -1,4 +1,4 @@
-"""Writing the settings file (TOML) of a process of the tier."""
+"""Writes settings files (TOML) for processes of the tier."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -9,7 +9,7 @@
 
 
 def render_settings(fields: SettingsTable, tables: Mapping[str, SettingsTable]) -> str:
-    """Return the file's text; strings, numbers and arrays in JSON are valid TOML."""
+    """Return the text of the file; JSON strings, numbers, booleans and arrays are valid TOML."""
     lines = [_line(name, value) for name, value in fields.items()]
     for title, table in tables.items():
         lines += [f"[{title}]", *(_line(name, value) for name, value in table.items())]
@@ -17,7 +17,7 @@
 
 
 def write_settings(path: Path, fields: SettingsTable, tables: Mapping[str, SettingsTable]) -> None:
-    """Write the file."""
+    """Write a settings file."""
     path.write_text(render_settings(fields, tables), encoding="utf-8")
 
 
--- a/dewpin/standin/slot_pool.py
+++ b/dewpin/standin/slot_pool.py
@@ -1,4 +1,4 @@
-"""The slots of a receiver: a limited number of requests run, a few more wait, all others are rejected."""
+"""The slots of a receiver: limits the number of concurrent and of waiting requests."""
 
 import threading
 from collections import deque
@@ -6,7 +6,7 @@
 
 
 class AcquireResult(Enum):
-    """Result of a request for a slot; the values are sent in X-Dewpin-Not-Executed."""
+    """Result of acquiring a slot; the values of failures are sent in X-Dewpin-Not-Executed."""
 
     ACQUIRED = "runs"
     FULL = "full"
@@ -14,10 +14,10 @@
 
 
 class SlotPool:
-    """Grants slots in the order of the requests for them. Safe for use by many threads.
+    """Grants slots in first-in, first-out order. Thread-safe.
 
     capacity: number of slots.
-    max_waiting: number of requests that may wait for a slot.
+    max_waiting: maximum number of requests waiting for a slot.
     running: number of slots in use.
     """
 
@@ -30,28 +30,28 @@
 
     @property
     def waiting(self) -> int:
-        """Return the number of requests that wait for a slot."""
+        """Return the number of requests waiting for a slot."""
         return len(self._waiting)
 
     def acquire(self, timeout_s: float) -> AcquireResult:
-        """Acquire a slot, waiting for up to `timeout_s`; after ACQUIRED the caller must call `release`."""
-        ticket = object()
+        """Acquire a slot, waiting up to `timeout_s`; after ACQUIRED the caller must call `release`."""
+        waiter = object()
         with self._changed:
             if self._is_free() and not self._waiting:
                 self.running += 1
                 return AcquireResult.ACQUIRED
             if len(self._waiting) >= self.max_waiting:
                 return AcquireResult.FULL
-            self._waiting.append(ticket)
-            is_granted = self._changed.wait_for(lambda: self._waiting[0] is ticket and self._is_free(), timeout_s)
-            self._waiting.remove(ticket)
+            self._waiting.append(waiter)
+            is_granted = self._changed.wait_for(lambda: self._waiting[0] is waiter and self._is_free(), timeout_s)
+            self._waiting.remove(waiter)
             if is_granted:
                 self.running += 1
             self._changed.notify_all()
             return AcquireResult.ACQUIRED if is_granted else AcquireResult.TIMED_OUT
 
     def release(self) -> None:
-        """Give an acquired slot back."""
+        """Release an acquired slot."""
         with self._changed:
             self.running -= 1
             self._changed.notify_all()
--- a/dewpin/standin/system_view.py
+++ b/dewpin/standin/system_view.py
@@ -1,4 +1,4 @@
-"""The system state of a control server: register members and stores, read by the tier's internal RPC."""
+"""The system state of a control server (register members and stores), read with the tier's internal RPC."""
 
 import asyncio
 from dataclasses import dataclass
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SystemView:
-    """The incarnations that are register members and stores.
+    """The current register members and stores.
 
     version: version of the system state.
-    members, stores: incarnation by name of the machine.
+    members, stores: incarnations by machine name.
     is_settled: no change of members or stores is in progress.
     """
 
@@ -27,19 +27,19 @@
     is_settled: bool
 
     def has_member(self, machine: str, other_than: str | None = None) -> bool:
-        """Return whether a machine is member and store, with another incarnation than `other_than`."""
+        """Return whether a machine is a member and a store, with an incarnation other than `other_than`."""
         incarnation = self.members.get(machine)
         return incarnation not in (None, other_than) and self.stores.get(machine) == incarnation
 
 
 def read_system_view(control_server_ip: str) -> SystemView | None:
-    """Read the state of a control server; None if it does not reply or has no state yet."""
+    """Read the system state of a control server; return None if it does not reply or has no state yet."""
     try:
         reply = asyncio.run(_fetch_state(f"{control_server_ip}:{FIRST_INTERNAL_PORT}"))
     except RpcError:
         return None
     state = reply.get("state")
-    return None if state is None else _view_of(state)
+    return None if state is None else _parse_state(state)
 
 
 async def _fetch_state(address: str) -> Message:
@@ -56,7 +56,7 @@
         await client.close()
 
 
-def _view_of(state: Message) -> SystemView:
+def _parse_state(state: Message) -> SystemView:
     names = state["names"]
     stores = state["stores"]
     return SystemView(
--- a/dewpin/standin/tier.py
+++ b/dewpin/standin/tier.py
@@ -1,6 +1,6 @@
 """The whole tier on one machine: control servers, senders, the platform and receivers.
 
-Each of them is a process with a loopback address of its own.
+Each is a separate process with its own loopback address.
 """
 
 import json
@@ -30,17 +30,17 @@
 
 
 class LocalTier:
-    """All processes of a tier, with their files in one folder. A context manager that starts and stops them.
+    """A context manager that starts and stops all processes of a tier, with their files in one folder.
 
-    folder: has the folders `settings`, `data` and `logs`.
+    folder: contains the folders `settings`, `data` and `logs`.
     platform_address: address of the stand-in platform.
-    control_servers, senders: the tier's machines.
-    operator: client of the operator's API.
-    receivers: the receivers as the platform lists them.
+    control_servers, senders: the machines of the tier.
+    operator: client of the operator API.
+    receivers: the receivers' entries in the platform's list.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Choose addresses and write the settings files; start nothing yet."""
+        """Choose addresses and write the settings files, without starting processes."""
         self.folder = folder
         self._network = LoopbackNetwork()
         self.platform_address = f"{self._network.take_address()}:{PLATFORM_PORT}"
@@ -62,17 +62,17 @@
         return [self._platform, *self._receiver_processes, *machines]
 
     def start(self) -> None:
-        """Start every process; they may start in any order."""
+        """Start all processes; their order does not matter."""
         for process in self.processes:
             process.start()
 
     def stop(self) -> None:
-        """End every process that is still running and release the addresses."""
+        """End all processes that are still running, and release the addresses."""
         terminate_all(self.processes)
         self._network.close()
 
     def __enter__(self) -> "LocalTier":
-        """Start every process; all of them end with the block."""
+        """Start all processes; they end with the block."""
         try:
             self.start()
         except BaseException:
@@ -81,20 +81,20 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, error_type: type[BaseException] | None, error: BaseException | None, traceback: TracebackType | None
     ) -> None:
-        """End every process."""
+        """End all processes."""
         self.stop()
 
     def wait_until_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
-        """Wait until every sender is ready; raises ConditionNotMetError, at once if one has ended."""
+        """Wait until all senders are ready; raises ConditionNotMetError, at once if a sender has ended."""
         for sender in self.senders:
             wait_until(sender.is_ready, timeout_s, f"{sender.name} is ready")
 
     def settled_view(self) -> SystemView | None:
-        """Return the system state if every running control server has the same one and is part of it.
+        """Return the system state if it is the same on all running control servers and each of them is a member.
 
-        None while the states differ or are being changed.
+        Returns None while the states differ or a change of members or stores is in progress.
         """
         running = [control_server for control_server in self.control_servers if control_server.process.is_running]
         views = [read_system_view(control_server.ip) for control_server in running]
@@ -104,22 +104,22 @@
         return first if all(first.has_member(control_server.name) for control_server in running) else None
 
     def wait_until_settled(self, timeout_s: float = SETTLED_TIMEOUT_S) -> SystemView:
-        """Return the system state once all running control servers have caught up; raises ConditionNotMetError."""
+        """Wait until all running control servers are members; return the system state or raise ConditionNotMetError."""
         return wait_until(self.settled_view, timeout_s, "the control servers' members and stores are settled")
 
     def wait_until_replaced(
         self, control_server: Machine, incarnation: str, timeout_s: float = SETTLED_TIMEOUT_S
     ) -> None:
-        """Wait until another incarnation of a control server is a member; raises ConditionNotMetError."""
+        """Wait until a control server is a member with a new incarnation; raises ConditionNotMetError."""
 
         def is_replaced() -> bool:
             view = self.settled_view()
             return view is not None and view.has_member(control_server.name, other_than=incarnation)
 
-        wait_until(is_replaced, timeout_s, f"{control_server.name} takes part as another incarnation")
+        wait_until(is_replaced, timeout_s, f"{control_server.name} is a member with a new incarnation")
 
     def restart(self, control_servers: Sequence[Machine]) -> None:
-        """Start control servers that have ended, on their stored data."""
+        """Restart control servers that have ended, with their stored data."""
         for control_server in control_servers:
             self.write_settings(control_server, bootstrap=False)
             control_server.process.start()
@@ -130,7 +130,7 @@
         shutil.rmtree(control_server.data_dir)
 
     def write_settings(self, machine: Machine, bootstrap: bool) -> None:
-        """Write a machine's settings; `bootstrap`: this is the first start of the whole tier."""
+        """Write the settings of a machine; `bootstrap`: whether this is the first start of the whole tier."""
         write_machine_settings(machine, self.control_servers, self.platform_address, bootstrap)
 
     def receivers_of(self, service: str) -> list[InstanceEntry]:
--- a/tests/standin/conftest.py
+++ b/tests/standin/conftest.py
@@ -1,4 +1,4 @@
-"""A whole tier of real processes, shared by the tests of one module; each restores it."""
+"""A whole tier of real processes, shared by the tests of a module and restored after each."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 @pytest.fixture(scope="module")
 def running_tier(tmp_path_factory):
-    """Start the tier with a first configuration; afterwards no process of it may be left."""
+    """Start the tier with an initial configuration; at the end check that all its processes have ended."""
     with LocalTier(tmp_path_factory.mktemp("tier")) as tier:
         try:
             assert tier.operator.put(sample_configuration(1), base=0).status == 200
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def tier(running_tier, request):
-    """Give the tier to a test, and restore it afterwards; the logs are printed with a failure."""
+    """Provide the tier and restore it after the test; its logs are part of the output of a failed test."""
     yield running_tier
     print(running_tier.logs())
     running_tier.restart(
--- a/tests/standin/test_processes_and_settings.py
+++ b/tests/standin/test_processes_and_settings.py
@@ -14,7 +14,7 @@
 from dewpin.standin.tier import LocalTier
 
 
-def test_networks_of_two_tiers_share_no_address():
+def test_networks_of_two_tiers_have_no_common_address():
     first, second = LoopbackNetwork(), LoopbackNetwork()
     try:
         assert len({first.take_address(), first.take_address(), second.take_address(), second.take_address()}) == 4
@@ -23,18 +23,18 @@
         second.close()
 
 
-def test_rendered_settings_parse_to_the_same_values():
+def test_rendered_settings_are_parsed_to_the_same_values():
     fields = {"name": 'a "quoted" one', "ports": [1, 2], "on": True, "seeds": ["a:1"], "share": 0.5}
     assert tomllib.loads(render_settings(fields, {"bounds": {"x": 1}})) == {**fields, "bounds": {"x": 1}}
 
 
-def test_written_settings_are_valid_for_the_tier(tmp_path):
+def test_written_settings_are_accepted_by_the_tier(tmp_path):
     tier = LocalTier(tmp_path)
     try:
         control_server, sender = tier.control_servers[0], tier.senders[0]
         settings = load_settings(control_server.settings_path)
         assert settings.bootstrap and settings.data_dir == control_server.data_dir
-        assert settings.seeds == tuple(one.operator_address for one in tier.control_servers)
+        assert settings.seeds == tuple(server.operator_address for server in tier.control_servers)
         tier.write_settings(control_server, bootstrap=False)
         assert not load_settings(control_server.settings_path).bootstrap
         assert load_settings(sender.settings_path).listen == {
@@ -45,21 +45,21 @@
         tier.stop()
 
 
-def test_terminated_process_has_ended_and_its_log_can_be_read(tmp_path):
+def test_terminated_process_has_ended_and_its_log_is_readable(tmp_path):
     process = ManagedProcess("wrong", "dewpin.standin", ["nothing"], tmp_path / "log", {})
     process.start()
     assert process.wait(20.0) == 2
     assert "invalid choice" in process.log_tail()
-    served = ManagedProcess(
+    receiver = ManagedProcess(
         "receiver", "dewpin.standin", ["receiver", "--listen", "127.0.0.1:0", "--id", "i"], tmp_path / "log", {}
     )
-    served.start()
-    terminate_all([process, served])
-    assert not served.is_running
-    served.send_signal(signal.SIGTERM)
+    receiver.start()
+    terminate_all([process, receiver])
+    assert not receiver.is_running
+    receiver.send_signal(signal.SIGTERM)
 
 
-def test_wait_until_raises_after_its_time_out():
+def test_wait_until_raises_after_the_time_out():
     assert wait_until(lambda: "a fact", 0.0, "it") == "a fact"
     with pytest.raises(ConditionNotMetError, match="it: not within 0 s"):
         wait_until(lambda: None, 0.0, "it")
--- a/tests/standin/test_receiver.py
+++ b/tests/standin/test_receiver.py
@@ -1,4 +1,4 @@
-"""A stand-in receiver over real connections: responses to requests that it executes and rejects."""
+"""A stand-in receiver over real connections: responses to executed and to rejected requests."""
 
 import http.client
 import json
@@ -14,16 +14,16 @@
 
 @pytest.fixture
 def start_receiver():
-    """Start receivers that are stopped after the test."""
+    """Return a function that starts a receiver, which is stopped after the test."""
     started = []
 
-    def start_one(**options):
+    def start(**options):
         receiver = ReceiverServer(("127.0.0.1", 0), ReceiverOptions("i-1", "service", work_ms=0, event_ms=0, **options))
         receiver.start()
         started.append(receiver)
         return receiver
 
-    yield start_one
+    yield start
     for receiver in started:
         receiver.hold_released.set()
         receiver.stop()
@@ -31,13 +31,13 @@
 
 def send_request(receiver, path="/a/b", method="POST", body=b"x\n", **fields):
     connection = http.client.HTTPConnection(*receiver.server.server_address, timeout=5.0)
-    named = {"X-Dewpin-Request-Id": "r1", **{name.replace("_", "-"): value for name, value in fields.items()}}
-    connection.request(method, path, body, {name: value for name, value in named.items() if value})
+    headers = {"X-Dewpin-Request-Id": "r1", **{name.replace("_", "-"): value for name, value in fields.items()}}
+    connection.request(method, path, body, {name: value for name, value in headers.items() if value})
     response = connection.getresponse()
     return response, response.read()
 
 
-def test_executed_request_is_signed_and_recorded_by_its_id(start_receiver):
+def test_response_to_an_executed_request_is_signed_and_has_its_id(start_receiver):
     response, body = send_request(start_receiver(), X_Dewpin_Target_Instance="i-1")
     assert response.status == 200 and body == b"i-1 did POST /a/b with 2 bytes\n"
     assert response.headers["X-Dewpin-Request-Id"] == "r1"
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     "fields, status", [({"X_Dewpin_Target_Instance": "i-2"}, 421), ({"X_Dewpin_Request_Id": ""}, 400)]
 )
-def test_rejected_request_has_not_executed_field(start_receiver, fields, status):
+def test_response_to_a_rejected_request_has_the_not_executed_field(start_receiver, fields, status):
     receiver = start_receiver()
     response, _ = send_request(receiver, **fields)
     assert response.status == status and response.headers["X-Dewpin-Not-Executed"]
@@ -57,7 +57,7 @@
     assert not receiver.executed_requests
 
 
-def test_full_receiver_rejects_without_executing(start_receiver):
+def test_full_receiver_rejects_requests_without_executing_them(start_receiver):
     receiver = start_receiver(slots=1, max_waiting=0)
     assert receiver.slots.acquire(0.0) is AcquireResult.ACQUIRED
     response, _ = send_request(receiver)
@@ -67,7 +67,7 @@
     assert send_request(receiver)[0].status == 200
 
 
-def test_request_whose_deadline_passes_in_the_queue_is_rejected(start_receiver):
+def test_request_whose_deadline_passes_while_it_waits_is_rejected(start_receiver):
     receiver = start_receiver(slots=1, max_waiting=1)
     receiver.slots.acquire(0.0)
     response, _ = send_request(receiver, X_Dewpin_Request_Deadline="1")
@@ -97,19 +97,19 @@
     assert order == [1, 2] and slots.running == 0
 
 
-def test_stream_has_rising_ids_and_as_many_events_as_the_token_usage_allows(start_receiver):
+def test_stream_has_increasing_ids_and_the_number_of_events_of_its_token_usage(start_receiver):
     response, body = send_request(start_receiver(is_streaming=True, chunk_size=10), X_Dewpin_Token_Usage="1840,50")
     assert response.headers["Content-Type"] == "text/event-stream"
     assert [number for number, _ in parse_events(body)] == [1, 2, 3, 4, 5]
 
 
-def test_stream_is_resumed_after_an_event_by_another_receiver(start_receiver):
-    whole = list(parse_events(send_request(start_receiver(is_streaming=True))[1]))
-    rest = list(parse_events(send_request(start_receiver(is_streaming=True), Last_Event_Id="2")[1]))
-    assert rest == whole[2:]
+def test_another_receiver_resumes_a_stream_after_an_event(start_receiver):
+    complete = list(parse_events(send_request(start_receiver(is_streaming=True))[1]))
+    resumed = list(parse_events(send_request(start_receiver(is_streaming=True), Last_Event_Id="2")[1]))
+    assert resumed == complete[2:]
 
 
-def test_held_stream_continues_when_released(start_receiver):
+def test_paused_stream_continues_when_released(start_receiver):
     receiver = start_receiver(is_streaming=True)
     connection = http.client.HTTPConnection(*receiver.server.server_address, timeout=5.0)
     connection.request("POST", "/a", b"x", {"X-Dewpin-Request-Id": "r1", "Standin-Hold-After": "1"})
--- a/tests/standin/test_tier.py
+++ b/tests/standin/test_tier.py
@@ -1,4 +1,4 @@
-"""The tier end to end: real processes, real sockets, real disks. Every wait is for a condition and has a time-out."""
+"""End-to-end tests of the tier with real processes, sockets and disks. All waits poll a condition with a time-out."""
 
 import http.client
 import itertools
@@ -23,7 +23,7 @@
 WAIT_TIMEOUT_S = 15.0
 MAX_TOKENS_PER_TURN = 40
 EVENTS_PER_TURN = MAX_TOKENS_PER_TURN // TOKENS_PER_EVENT
-_numbers = itertools.count(1)
+_path_numbers = itertools.count(1)
 
 
 def call_receiver(address, method, path):
@@ -36,7 +36,7 @@
 
 
 def executions_of(tier, service, request_id):
-    """Return each execution of a request: the receiver's address and the request that it executed."""
+    """Return all executions of a request: address of the receiver, and the request as executed."""
     return [
         (receiver["address"], executed)
         for receiver in tier.receivers_of(service)
@@ -46,16 +46,16 @@
 
 
 def change_configuration(tier, control_servers=()):
-    """Put a configuration whose plain route has a path of its own; return that path."""
+    """Put a configuration with a new path for the plain route; return that path."""
     base = tier.operator.get()["generation"]
-    path = f"/changed-{next(_numbers)}/"
+    path = f"/changed-{next(_path_numbers)}/"
     response = tier.operator.put(sample_configuration(base + 1, path), base, WAIT_TIMEOUT_S, control_servers)
     assert response.status == 200, response.body
     return path
 
 
 def wait_until_served(tier, path):
-    """Wait until every sender serves a path, with the same time-out for each."""
+    """Wait until each sender serves a path, with a time-out per sender."""
     for sender in tier.senders:
         wait_until(
             lambda: send(sender.client_address, ClientRequest(HOST, f"{path}item")).is_served,
@@ -65,7 +65,7 @@
 
 
 def run_turn_until_served(program, sender, text):
-    """Run a turn; retry while the tier responds with 503."""
+    """Run a turn, with retries while the tier responds with 503."""
 
     def attempt_turn():
         response = program.run_turn(sender.client_address, text)
@@ -80,9 +80,9 @@
 
 
 def check_turn(tier, response, expected_body):
-    """Check that a turn ran once and that its receiver got the conversation history."""
-    runs = executions_of(tier, STREAM_SERVICE, response.request_id)
-    assert [executed["body"] for _, executed in runs] == [expected_body]
+    """Check that a turn was executed once, with the conversation history in its body."""
+    executions = executions_of(tier, STREAM_SERVICE, response.request_id)
+    assert [executed["body"] for _, executed in executions] == [expected_body]
     assert len(response.event_data) == EVENTS_PER_TURN
 
 
@@ -95,17 +95,17 @@
     assert (executed["method"], executed["path"], executed["body"]) == ("POST", f"{path}item/7?a=b", "where?")
 
     program = ProgramClient(HOST, STREAM_PATH, budget=3 * MAX_TOKENS_PER_TURN, max_tokens=MAX_TOKENS_PER_TURN)
-    before = ""
+    history = ""
     for number, text in enumerate((b"one\n", b"two\n", b"three\n")):
         turn = run_turn_until_served(program, tier.senders[number % 2], text)
-        check_turn(tier, turn, before + text.decode())
-        before += turn_as_history(text, turn)
+        check_turn(tier, turn, history + text.decode())
+        history += turn_as_history(text, turn)
     rejected = program.run_turn(tier.senders[0].client_address, b"four\n")
     assert rejected.status == 402
     assert executions_of(tier, STREAM_SERVICE, rejected.request_id) == []
 
 
-def test_configuration_put_at_any_control_server_is_in_force_at_both_senders(tier):
+def test_configuration_put_at_any_control_server_is_applied_by_both_senders(tier):
     for control_server in tier.control_servers[1:]:
         path = change_configuration(tier, [control_server.operator_address])
         wait_until_served(tier, path)
@@ -119,7 +119,7 @@
     wait_until_served(tier, change_configuration(tier))
 
 
-def test_acknowledged_state_survives_kill_of_all_control_servers(tier):
+def test_acknowledged_state_survives_a_kill_of_all_control_servers(tier):
     program = ProgramClient(HOST, STREAM_PATH, budget=10 * MAX_TOKENS_PER_TURN, max_tokens=MAX_TOKENS_PER_TURN)
     first = run_turn_until_served(program, tier.senders[0], b"before\n")
     change_configuration(tier)
@@ -136,7 +136,7 @@
     check_turn(tier, second, turn_as_history(b"before\n", first) + "after\n")
 
 
-def test_control_server_recovers_from_lost_data_and_another_may_be_killed(tier):
+def test_control_server_recovers_from_data_loss_and_another_may_then_be_killed(tier):
     lost, other = tier.control_servers[:2]
     program = ProgramClient(HOST, STREAM_PATH, budget=10 * MAX_TOKENS_PER_TURN, max_tokens=MAX_TOKENS_PER_TURN)
     first = run_turn_until_served(program, tier.senders[0], b"before\n")
--- a/tests/standin/test_tutorial.py
+++ b/tests/standin/test_tutorial.py
@@ -1,4 +1,4 @@
-"""The commands of the tutorial and of the README are there: programs, options, files, variables and paths."""
+"""Commands in the tutorial and the README: their programs, options, files, variables and paths exist."""
 
 import json
 import re
@@ -37,7 +37,7 @@
 COMMANDS = tutorial_commands() + readme_commands()
 
 
-def test_tutorial_and_readme_have_commands():
+def test_tutorial_and_readme_contain_commands():
     assert len(tutorial_commands()) > 15 and len(readme_commands()) > 4
     assert "docs/tutorial-tier.md" in README_SECTION
 
@@ -57,32 +57,32 @@
     monkeypatch.setattr(ManagedProcess, "pid", 1)
     tier = LocalTier(tmp_path)
     try:
-        written = address_variables(tier)
+        variables = address_variables(tier)
     finally:
         tier.stop()
-    assert set(re.findall(r"\$([A-Z_0-9]+)", TUTORIAL)) <= set(written)
+    assert set(re.findall(r"\$([A-Z_0-9]+)", TUTORIAL)) <= set(variables)
     assert f". target/tier/{ADDRESS_FILE}" in TUTORIAL
 
 
-def test_paths_in_the_tutorial_have_routes():
+def test_paths_in_the_tutorial_are_routed():
     paths = re.findall(r"http://\$[A-Z_0-9]+(/\S*)", "\n".join(tutorial_commands()))
-    own = {GET_PATH, PUT_PATH, INSTANCES_PATH, READY_PATH, "/nowhere/"}
-    asked = [path for path in paths if path not in own]
-    assert asked and all(path.startswith((PLAIN_PATH, STREAM_PATH, MOVED_PATH)) for path in asked)
+    unrouted = {GET_PATH, PUT_PATH, INSTANCES_PATH, READY_PATH, "/nowhere/"}
+    routed = [path for path in paths if path not in unrouted]
+    assert routed and all(path.startswith((PLAIN_PATH, STREAM_PATH, MOVED_PATH)) for path in routed)
     assert f"Host: {HOST}" in TUTORIAL
 
 
-def test_sed_scripts_of_the_tutorial_yield_valid_configurations():
-    body = json.dumps(sample_configuration(1))
+def test_sed_scripts_in_the_tutorial_produce_valid_configurations():
+    configuration = json.dumps(sample_configuration(1))
     for script in re.findall(r"sed '([^']*)'", "\n".join(tutorial_commands())):
         for _, old, new in re.findall(r"s([/#])(.+?)\1(.+?)\1", script):
-            assert old in body, script
-            body = body.replace(old, new)
-    changed = parse_configuration(body.encode())
+            assert old in configuration, script
+            configuration = configuration.replace(old, new)
+    changed = parse_configuration(configuration.encode())
     assert changed.generation == 3 and changed.route_for(HOST, f"{MOVED_PATH}item") is not None
 
 
-def test_tier_options_of_command_line(tmp_path):
+def test_tier_options_from_the_command_line(tmp_path):
     def options(*words):
         return tier_options(build_parser().parse_args(["tier", *words]))
 
@@ -92,7 +92,7 @@
     assert options("--kill", "store", "--folder", str(tmp_path)) == TierOptions(tmp_path, 0.0, InjectedFault.STORE)
 
 
-def test_folder_with_files_is_rejected_and_unchanged(tmp_path):
+def test_folder_that_is_not_empty_is_rejected_and_unchanged(tmp_path):
     (tmp_path / "mine").touch()
     with pytest.raises(FolderNotEmptyError):
         run_tier(TierOptions(tmp_path), print)
