--- a/dewpin/cli/lab.py
+++ b/dewpin/cli/lab.py
@@ -26,7 +26,7 @@
 
     The exit code is 3 if a rule was violated, as observed by clients, receivers and agents.
     """
-    from ..lab.fleet.load_test import play
+    from ..lab.fleet.load_test import run_load_test
     from ..lab.fleet.scenario import parse_scenario
 
     try:
@@ -37,7 +37,7 @@
         parsed_scenario.seed = seed
     folder = out or Path(tempfile.mkdtemp(prefix="dewpin-fleet-"))
     try:
-        result = asyncio.run(play(parsed_scenario, folder))
+        result = asyncio.run(run_load_test(parsed_scenario, folder))
     except (OSError, RuntimeError) as error:
         raise CommandError(str(error), ExitCode.FAILURE) from error
     if as_json:
--- a/dewpin/lab/fleet/load_test.py
+++ b/dewpin/lab/fleet/load_test.py
@@ -60,7 +60,7 @@
             random_source,
         )
 
-    async def play(self) -> dict[str, Any]:
+    async def run(self) -> dict[str, Any]:
         """Run the whole test; return metrics and violations. All processes are ended when it returns or raises.
 
         Raises OSError, or RuntimeError if a sender does not start or a scheduled step failed.
@@ -159,13 +159,13 @@
         ) from None
 
 
-async def play(scenario: Scenario, folder: Path) -> dict[str, Any]:
+async def run_load_test(scenario: Scenario, folder: Path) -> dict[str, Any]:
     """Run a scenario in a folder; return its result, which is also written to `result.json` there.
 
     Raises OSError, RuntimeError.
     """
     reserve_descriptors(scenario)
     folder.mkdir(parents=True, exist_ok=True)
-    result = await LoadTest(scenario, folder).play()
+    result = await LoadTest(scenario, folder).run()
     (folder / "result.json").write_text(json.dumps(result, indent=1))
     return result
--- a/tests/lab/test_load_test.py
+++ b/tests/lab/test_load_test.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dewpin.lab.fleet.errors import SenderStartError
-from dewpin.lab.fleet.load_test import LoadTest, play
+from dewpin.lab.fleet.load_test import LoadTest, run_load_test
 from dewpin.lab.fleet.scenario import make_scenario
 
 PREFERS_FIRST_RECEIVER = """
@@ -36,7 +36,7 @@
 
 
 def run_scenario(folder, **tables):
-    return asyncio.run(play(make_scenario({"slack_ms": 3000.0} | tables), folder))
+    return asyncio.run(run_load_test(make_scenario({"slack_ms": 3000.0} | tables), folder))
 
 
 def test_twelve_senders_keep_the_rules_under_link_and_process_faults(tmp_path):
@@ -115,7 +115,7 @@
 
     async def run():
         load_tests.append(LoadTest(scenario, tmp_path))
-        await load_tests[0].play()
+        await load_tests[0].run()
 
     with pytest.raises(SenderStartError, match="sender 2 ended"):
         asyncio.run(run())
