--- a/dewpin/lab/fleet/metrics.py
+++ b/dewpin/lab/fleet/metrics.py
@@ -46,11 +46,11 @@
     latencies_ms = sorted(
         result.at_ms - collector.first_submissions_ms[message]
         for message, result in collector.message_results.items()
-        if result.outcome == MessageOutcome.DELIVERED
+        if result.end == MessageOutcome.DELIVERED
     )
     outcome_counts: dict[str, int] = defaultdict(int)
     for result in collector.message_results.values():
-        outcome_counts[result.outcome.value] += 1
+        outcome_counts[result.end.value] += 1
     message_count = len(collector.first_submissions_ms)
     return {
         "mails": message_count,
--- a/dewpin/lab/fleet/records.py
+++ b/dewpin/lab/fleet/records.py
@@ -21,7 +21,7 @@
 
 
 class Rule(StrEnum):
-    """The rules that senders must keep."""
+    """The rules that senders must follow."""
 
     NO_LOSS = "lost"
     NO_DUPLICATE = "dup"
@@ -50,7 +50,7 @@
 class MessageResult(NamedTuple):
     """The outcome of a message's last submission, and its time."""
 
-    outcome: MessageOutcome
+    end: MessageOutcome
     at_ms: float
 
 
--- a/dewpin/lab/fleet/result_collector.py
+++ b/dewpin/lab/fleet/result_collector.py
@@ -108,7 +108,7 @@
     def is_delivered(self, message: int) -> bool:
         """Return whether a message is recorded as delivered."""
         result = self.message_results.get(message)
-        return result is not None and result.outcome == MessageOutcome.DELIVERED
+        return result is not None and result.end == MessageOutcome.DELIVERED
 
     def has_pending_submissions(self) -> bool:
         """Return whether an accepted submission has neither been delivered nor ended by a notice."""
--- a/dewpin/lab/fleet/scenario.py
+++ b/dewpin/lab/fleet/scenario.py
@@ -53,8 +53,8 @@
         max_open_messages: maximum messages that one sender holds.
         discovery_delay_ms: time for which clients still use a sender that has ended.
         senders_per_address: number of senders that share an address of each receiver, and the faults of that link.
-        alternative_command: run instead of `python -m dewpin run` by the senders in `alternative_senders`.
-        alternative_senders: numbers of the senders that run `alternative_command`.
+        odd_command: run instead of `python -m dewpin run` by the senders in `odd_numbers`.
+        odd_numbers: numbers of the senders that run `odd_command`.
     """
 
     count: Count = 12
@@ -62,8 +62,8 @@
     max_open_messages: Count = msgspec.field(name="room", default=200)
     discovery_delay_ms: float = msgspec.field(name="front_notices_ms", default=1500.0)
     senders_per_address: Count = msgspec.field(name="to_an_address", default=1)
-    alternative_command: list[str] = msgspec.field(name="command", default_factory=list)
-    alternative_senders: list[int] = msgspec.field(name="odd", default_factory=list)
+    odd_command: list[str] = msgspec.field(name="command", default_factory=list)
+    odd_numbers: list[int] = msgspec.field(name="odd", default_factory=list)
 
 
 class Receivers(msgspec.Struct, forbid_unknown_fields=True):
--- a/dewpin/lab/fleet/sender_process.py
+++ b/dewpin/lab/fleet/sender_process.py
@@ -54,8 +54,8 @@
         configuration_file = self.folder / "config.json"
         configuration_file.write_text(json.dumps(self._configuration(known_list, agent_address)))
         senders = self._scenario.senders
-        is_alternative = self.number in senders.alternative_senders
-        command = senders.alternative_command if is_alternative else [sys.executable, "-m", "dewpin", "run"]
+        is_odd = self.number in senders.odd_numbers
+        command = senders.odd_command if is_odd else [sys.executable, "-m", "dewpin", "run"]
         environment = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "DEWPIN_"))}
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
--- a/tests/lab/test_loop.py
+++ b/tests/lab/test_loop.py
@@ -44,8 +44,8 @@
 
     async def work():
         one, two = Machine(loop, "one"), Machine(loop, "two")
-        given_back = []
-        one.on_killed.append(lambda: given_back.append(loop.now))
+        cleanup_times = []
+        one.on_killed.append(lambda: cleanup_times.append(loop.now))
         one.start(tick("one"))
         two.start(tick("two"))
         await asyncio.sleep(2.5)
@@ -57,7 +57,7 @@
         assert events[-1] == (4.0, "two")
         two.resume()
         await asyncio.sleep(0.6)
-        assert given_back == [2.5]
+        assert cleanup_times == [2.5]
         return list(events)
 
     assert loop.run(work()) == [
--- a/tests/lab/test_network.py
+++ b/tests/lab/test_network.py
@@ -242,7 +242,7 @@
 
 
 def test_reset_while_connecting_fails_the_connect_call():
-    """The client has no protocol yet that could be notified, so a reset at this time was lost."""
+    """At this time the client has no protocol yet that could be notified of the reset."""
 
     async def scenario(loop, network, server, client, connect, accepted):
         network.link_between = lambda local, remote: LinkConditions(latency_s=0.5)
