--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,9 +1,10 @@
-"""Members alone on a clock of its own: detection, false suspicions and bytes, by the number of senders.
+"""Simulates the membership protocol: failure detection time, false positives and traffic, by the number of members.
 
     .venv/bin/python benchmarks/members.py [--sizes 10,100,300] [--seed 1]
 
-Prints for each size: periods from a death until the first and until all others call it lost; how many living members
-anyone called lost in a quiet minute, and in one with loss or with slow processes; bytes a second that one sender sends.
+Prints for each size: periods until all members have joined; periods from a member's failure until the first other
+member and until all others have declared it lost; how many running members any member declared lost in a minute without
+faults, in one with message loss and in one with stalled processes; bytes per second that one member sends.
 """
 
 import argparse
@@ -20,99 +21,115 @@
 from dewpin.peers.membership_messages import Address, MembershipEnvelope, MembershipMessage, MemberState
 from dewpin.peers.wire import encode_datagram
 
-PERIOD, LOOK = 1000.0, 50.0
+PERIOD_MS, TICK_MS = 1000.0, 50.0
 
 
-class World:
-    """Members at addresses ("", number); messages take 0.5 to 2 ms, or what `link` says of a pair (None: lost)."""
+class MembershipSimulation:
+    """Members at addresses ("", number), in simulated time.
 
-    def __init__(self, size: int, seed: int = 1, measured: bool = False) -> None:
-        self.dice, self.order, self.now = random.Random(seed), count(), 0.0
-        self.due: list[tuple[float, int, int, tuple[str, Address, MembershipMessage] | None]] = []
+    `link`: returns the delay in ms of a message between a pair of members, None to drop it; 0.5 to 2 ms by default.
+    `stopped_until_ms`: when a stopped process continues, by member. `declared_lost`: time in ms, declaring member and
+    lost member of each declaration. `bytes_sent`: of all members, with UDP and IP headers, while `counts_bytes` is set.
+    """
+
+    def __init__(self, size: int, seed: int = 1, counts_bytes: bool = False) -> None:
+        self.rng, self.sequence, self.now_ms = random.Random(seed), count(), 0.0
+        self.events: list[tuple[float, int, int, tuple[str, Address, MembershipMessage] | None]] = []
         self.members: dict[int, Membership] = {}
-        self.away: dict[int, float] = {}  # stopped until
-        self.link: Callable[[int, int], float | None] = lambda a, b: self.dice.uniform(0.5, 2.0)
-        self.measured, self.bytes = measured, 0
-        self.lost: list[tuple[float, str, str]] = []  # (when, who says so, who is meant)
+        self.stopped_until_ms: dict[int, float] = {}
+        self.link: Callable[[int, int], float | None] = lambda a, b: self.rng.uniform(0.5, 2.0)
+        self.counts_bytes, self.bytes_sent = counts_bytes, 0
+        self.declared_lost: list[tuple[float, str, str]] = []
         for number in range(size):
             self.start(number)
 
     def start(self, number: int, incarnation: int = 1) -> None:
         seeds = [("", 0), ("", 1)] if number else [("", 1)]
-        self.members[number] = Membership(f"m{number}", ("", number), incarnation, seeds, self.now, PERIOD)
-        heappush(self.due, (self.now + self.dice.uniform(0.0, LOOK), next(self.order), number, None))
-
-    def send(self, number: int, out: list[MembershipEnvelope]) -> None:
-        for _, (_, to), message in out:
-            if self.measured:
-                self.bytes += len(encode_datagram(f"m{number}", message)) + 28
-            after = self.link(number, to)
-            if after is not None:
-                heappush(self.due, (self.now + after, next(self.order), to, (f"m{number}", ("", number), message)))
+        self.members[number] = Membership(f"m{number}", ("", number), incarnation, seeds, self.now_ms, PERIOD_MS)
+        heappush(self.events, (self.now_ms + self.rng.uniform(0.0, TICK_MS), next(self.sequence), number, None))
+
+    def send(self, number: int, envelopes: list[MembershipEnvelope]) -> None:
+        for _, (_, target), message in envelopes:
+            if self.counts_bytes:
+                self.bytes_sent += len(encode_datagram(f"m{number}", message)) + 28
+            delay_ms = self.link(number, target)
+            if delay_ms is not None:
+                heappush(
+                    self.events,
+                    (self.now_ms + delay_ms, next(self.sequence), target, (f"m{number}", ("", number), message)),
+                )
 
     def run(self, ms: float) -> None:
-        end = self.now + ms
-        while self.due and self.due[0][0] <= end:
-            self.now, _, number, message = heappop(self.due)
-            one = self.members.get(number)
-            if one is None:
+        end_ms = self.now_ms + ms
+        while self.events and self.events[0][0] <= end_ms:
+            self.now_ms, _, number, message = heappop(self.events)
+            member = self.members.get(number)
+            if member is None:
                 continue
-            if self.away.get(number, 0.0) > self.now:  # it reads all that when it goes on
-                heappush(self.due, (self.away[number] + self.dice.uniform(0.0, 5.0), next(self.order), number, message))
+            if self.stopped_until_ms.get(number, 0.0) > self.now_ms:  # a stopped process reads its messages later
+                heappush(
+                    self.events,
+                    (self.stopped_until_ms[number] + self.rng.uniform(0.0, 5.0), next(self.sequence), number, message),
+                )
                 continue
             if message is None:
-                self.send(number, one.tick(self.now))
-                heappush(self.due, (self.now + LOOK, next(self.order), number, None))
+                self.send(number, member.tick(self.now_ms))
+                heappush(self.events, (self.now_ms + TICK_MS, next(self.sequence), number, None))
             else:
-                self.send(number, one.receive(*message, self.now))
-            self.lost += [(self.now, one.name, name) for name, state in one.take_changes() if state == MemberState.LOST]
-        self.now = end
-
-    def agreed(self) -> bool:
-        there = sorted(one.name for one in self.members.values())
-        return all(one.active_members() == there for one in self.members.values())
-
-    def until(self, fact: Callable[[], bool], ms: float) -> float | None:
-        """Ms until it holds; None: never within so long."""
-        began = self.now
-        while self.now < began + ms:
-            if fact():
-                return self.now - began
-            self.run(LOOK)
+                self.send(number, member.receive(*message, self.now_ms))
+            self.declared_lost += [
+                (self.now_ms, member.name, name) for name, state in member.take_changes() if state == MemberState.LOST
+            ]
+        self.now_ms = end_ms
+
+    def has_converged(self) -> bool:
+        names = sorted(member.name for member in self.members.values())
+        return all(member.active_members() == names for member in self.members.values())
+
+    def run_until(self, condition: Callable[[], bool], ms: float) -> float | None:
+        """Run until the condition holds; return the ms that passed, None if it does not hold within `ms`."""
+        start_ms = self.now_ms
+        while self.now_ms < start_ms + ms:
+            if condition():
+                return self.now_ms - start_ms
+            self.run(TICK_MS)
         return None
 
 
 def measure(size: int, seed: int) -> str:
-    world = World(size, seed)
-    joined = world.until(world.agreed, 600.0 * PERIOD)
-    world.lost.clear()
-    world.measured, world.bytes = True, 0
-    world.run(60.0 * PERIOD)
-    rate, quiet = world.bytes / 60.0 / size, len(world.lost)
-    world.measured = False
-    dead, death = f"m{size // 2}", world.now
-    del world.members[size // 2]
-    world.until(world.agreed, 600.0 * PERIOD)
-    detected = [when for when, _, name in world.lost if name == dead]
-    first, all_of = (min(detected) - death) / PERIOD, (max(detected) - death) / PERIOD
-    world.lost.clear()
-    world.link = lambda a, b: None if world.dice.random() < 0.1 else world.dice.uniform(0.5, 2.0)
-    world.run(60.0 * PERIOD)
-    lossy = len({name for _, _, name in world.lost})
-    world.link = lambda a, b: world.dice.uniform(0.5, 2.0)
-    world.until(world.agreed, 120.0 * PERIOD)
-    world.lost.clear()
-    slow = world.dice.sample(sorted(world.members), max(1, size // 10))
-    for _ in range(12):  # a tenth of them stand still for 2.5 s of every 5 s, each by itself
-        for number in slow:
-            world.away[number] = world.now + world.dice.uniform(0.0, 2500.0) + 2500.0
-        world.run(5.0 * PERIOD)
-    stopped = {f"m{number}" for number in slow}
-    healthy = len({name for _, _, name in world.lost} - stopped)
+    simulation = MembershipSimulation(size, seed)
+    joined_ms = simulation.run_until(simulation.has_converged, 600.0 * PERIOD_MS)
+    simulation.declared_lost.clear()
+    simulation.counts_bytes, simulation.bytes_sent = True, 0
+    simulation.run(60.0 * PERIOD_MS)
+    bytes_per_s, idle = simulation.bytes_sent / 60.0 / size, len(simulation.declared_lost)
+    simulation.counts_bytes = False
+    failed, failed_at_ms = f"m{size // 2}", simulation.now_ms
+    del simulation.members[size // 2]
+    simulation.run_until(simulation.has_converged, 600.0 * PERIOD_MS)
+    detected_at_ms = [when for when, _, name in simulation.declared_lost if name == failed]
+    first, all_others = (
+        (min(detected_at_ms) - failed_at_ms) / PERIOD_MS,
+        (max(detected_at_ms) - failed_at_ms) / PERIOD_MS,
+    )
+    simulation.declared_lost.clear()
+    simulation.link = lambda a, b: None if simulation.rng.random() < 0.1 else simulation.rng.uniform(0.5, 2.0)
+    simulation.run(60.0 * PERIOD_MS)
+    lossy = len({name for _, _, name in simulation.declared_lost})
+    simulation.link = lambda a, b: simulation.rng.uniform(0.5, 2.0)
+    simulation.run_until(simulation.has_converged, 120.0 * PERIOD_MS)
+    simulation.declared_lost.clear()
+    stalled = simulation.rng.sample(sorted(simulation.members), max(1, size // 10))
+    for _ in range(12):  # a tenth of the members stall for 2.5 s of every 5 s, at independent times
+        for number in stalled:
+            simulation.stopped_until_ms[number] = simulation.now_ms + simulation.rng.uniform(0.0, 2500.0) + 2500.0
+        simulation.run(5.0 * PERIOD_MS)
+    stalled_names = {f"m{number}" for number in stalled}
+    false_while_stalling = len({name for _, _, name in simulation.declared_lost} - stalled_names)
     return (
-        f"{size:5}  joined after {(joined or 0) / PERIOD:5.1f}  lost: first {first:5.1f}, all {all_of:5.1f}  "
-        f"false: quiet {quiet}, a tenth of messages lost {lossy}, a tenth stalling {healthy} (of the others)  "
-        f"{rate:6.0f} bytes a second each"
+        f"{size:5}  joined after {(joined_ms or 0) / PERIOD_MS:5.1f}  detected: first {first:5.1f}, all {all_others:5.1f}  "
+        f"false positives: no faults {idle}, 10% message loss {lossy}, 10% stalled {false_while_stalling} "
+        f"(of the others)  {bytes_per_s:6.0f} bytes/s each"
     )
 
 
@@ -120,6 +137,6 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="10,100,300")
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args()
-    for size in told.sizes.split(","):
-        print(measure(int(size), told.seed), flush=True)
+    options = parser.parse_args()
+    for size in options.sizes.split(","):
+        print(measure(int(size), options.seed), flush=True)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -19,77 +19,85 @@
 from driver import until
 
 ROOT = Path(__file__).resolve().parents[2]
-spec = importlib.util.spec_from_file_location("members_world", ROOT / "benchmarks/members.py")
+spec = importlib.util.spec_from_file_location("members_benchmark", ROOT / "benchmarks/members.py")
 members_benchmark = importlib.util.module_from_spec(spec)
 spec.loader.exec_module(members_benchmark)
-World, PERIOD = members_benchmark.World, members_benchmark.PERIOD
+MembershipSimulation, PERIOD_MS = members_benchmark.MembershipSimulation, members_benchmark.PERIOD_MS
 
 
-def joined_world(size, seed=1):
-    world = World(size, seed)
-    assert world.until(world.agreed, 30.0 * PERIOD) is not None
-    return world
+def joined_simulation(size, seed=1):
+    simulation = MembershipSimulation(size, seed)
+    assert simulation.run_until(simulation.has_converged, 30.0 * PERIOD_MS) is not None
+    return simulation
 
 
 @pytest.mark.parametrize("size", [2, 3, 40])
 def test_all_members_join_and_only_the_failed_one_is_declared_lost(size):
-    world = joined_world(size)
-    world.run(20.0 * PERIOD)
-    del world.members[size - 1]
-    assert world.until(world.agreed, 60.0 * PERIOD) is not None
-    assert {name for _, _, name in world.lost} <= {f"m{size - 1}"}
+    simulation = joined_simulation(size)
+    simulation.run(20.0 * PERIOD_MS)
+    del simulation.members[size - 1]
+    assert simulation.run_until(simulation.has_converged, 60.0 * PERIOD_MS) is not None
+    assert {name for _, _, name in simulation.declared_lost} <= {f"m{size - 1}"}
 
 
 def test_no_member_is_declared_lost_with_ten_percent_loss_and_a_one_way_link_failure():
-    world = joined_world(20, seed=3)
-    world.link = lambda a, b: None if (a, b) == (4, 5) or world.dice.random() < 0.1 else world.dice.uniform(0.5, 200.0)
-    world.run(120.0 * PERIOD)
-    assert not world.lost
+    simulation = joined_simulation(20, seed=3)
+    simulation.link = lambda a, b: (
+        None if (a, b) == (4, 5) or simulation.rng.random() < 0.1 else simulation.rng.uniform(0.5, 200.0)
+    )
+    simulation.run(120.0 * PERIOD_MS)
+    assert not simulation.declared_lost
 
 
 def test_stalled_member_declares_nobody_lost_and_refutes_its_own_loss():
-    world = joined_world(20, seed=4)
-    world.away[7] = world.now + 40.0 * PERIOD
-    world.run(60.0 * PERIOD)
-    assert {name for _, _, name in world.lost} == {"m7"} and not [1 for _, by, _ in world.lost if by == "m7"]
-    assert world.until(world.agreed, 30.0 * PERIOD) is not None
+    simulation = joined_simulation(20, seed=4)
+    simulation.stopped_until_ms[7] = simulation.now_ms + 40.0 * PERIOD_MS
+    simulation.run(60.0 * PERIOD_MS)
+    assert {name for _, _, name in simulation.declared_lost} == {"m7"} and not [
+        1 for _, by, _ in simulation.declared_lost if by == "m7"
+    ]
+    assert simulation.run_until(simulation.has_converged, 30.0 * PERIOD_MS) is not None
 
 
 def test_sides_of_a_healed_partition_merge():
-    world, healthy_link = joined_world(12, seed=5), World(0).link
-    world.link = lambda a, b: None if (a < 6) != (b < 6) else 1.0
-    world.run(45.0 * PERIOD)
-    assert world.members[0].active_members() == [f"m{number}" for number in range(6)]
-    world.link = healthy_link
-    assert world.until(world.agreed, 120.0 * PERIOD) is not None
+    simulation, healthy_link = joined_simulation(12, seed=5), MembershipSimulation(0).link
+    simulation.link = lambda a, b: None if (a < 6) != (b < 6) else 1.0
+    simulation.run(45.0 * PERIOD_MS)
+    assert simulation.members[0].active_members() == [f"m{number}" for number in range(6)]
+    simulation.link = healthy_link
+    assert simulation.run_until(simulation.has_converged, 120.0 * PERIOD_MS) is not None
 
 
 def test_leaving_member_is_not_declared_lost_and_a_restart_replaces_the_earlier_process():
-    world = joined_world(8, seed=6)
-    world.send(3, world.members[3].leave())
-    del world.members[3]
-    assert world.until(world.agreed, 20.0 * PERIOD) is not None and not world.lost
-    replaced = world.members[2]
-    world.start(2, incarnation=2)
-    assert world.until(world.agreed, 30.0 * PERIOD) is not None
-    replaced.receive("m0", ("", 0), SyncPage((world.members[2].own_record,), False), world.now)
-    assert replaced.is_replaced and "m2" not in replaced.active_members() and replaced.tick(world.now + 5000.0) == []
+    simulation = joined_simulation(8, seed=6)
+    simulation.send(3, simulation.members[3].leave())
+    del simulation.members[3]
+    assert simulation.run_until(simulation.has_converged, 20.0 * PERIOD_MS) is not None and not simulation.declared_lost
+    replaced = simulation.members[2]
+    simulation.start(2, incarnation=2)
+    assert simulation.run_until(simulation.has_converged, 30.0 * PERIOD_MS) is not None
+    replaced.receive("m0", ("", 0), SyncPage((simulation.members[2].own_record,), False), simulation.now_ms)
+    assert (
+        replaced.is_replaced
+        and "m2" not in replaced.active_members()
+        and replaced.tick(simulation.now_ms + 5000.0) == []
+    )
 
 
 def test_checks_detect_missing_refutation_dissemination_and_anti_entropy(monkeypatch):
     """Without refutation message loss causes false positives; without updates and syncs some miss a failure."""
-    world = joined_world(20, seed=3)
+    simulation = joined_simulation(20, seed=3)
     with monkeypatch.context() as broken:
         broken.setattr(Membership, "_handle_own_record", lambda self, record: None)
-        world.link = lambda a, b: None if world.dice.random() < 0.2 else 1.0
-        world.run(120.0 * PERIOD)
-        assert world.lost
-    world = joined_world(20, seed=3)
+        simulation.link = lambda a, b: None if simulation.rng.random() < 0.2 else 1.0
+        simulation.run(120.0 * PERIOD_MS)
+        assert simulation.declared_lost
+    simulation = joined_simulation(20, seed=3)
     monkeypatch.setattr(membership, "SYNC_PERIODS", 1e9)
     monkeypatch.setattr(membership, "RETRANSMIT_FACTOR", 0.0)
-    del world.members[9]
-    world.run(12.0 * PERIOD)
-    assert not world.agreed()
+    del simulation.members[9]
+    simulation.run(12.0 * PERIOD_MS)
+    assert not simulation.has_converged()
 
 
 def test_member_list_is_bounded_and_invalid_records_are_counted(monkeypatch):
@@ -113,7 +121,7 @@
     )
     member.receive("b", ("", 1), SyncPage(inactive, False), 0.0)
     for at in range(200):
-        member.tick(at * PERIOD)
+        member.tick(at * PERIOD_MS)
     assert not member.members and member.active_members() == ["a"]
 
 
