--- a/benchmarks/losses.py
+++ b/benchmarks/losses.py
@@ -1,10 +1,10 @@
-"""What each played day lost, by cause: a table of the journal's entries.
+"""Prints the score losses of simulated days by cause, as a table of journal entries.
 
     .venv/bin/python benchmarks/losses.py 3512c4d4 5689c56a
 
-A day's worth is the weighted sum of its parts less its prices. A part loses its weight times what it lacks of 1; a
-price is a loss as it stands. Losses below half a thousandth are left out. It reads nothing but `journal/`, and judges
-nothing.
+The worth of a day is the weighted sum of its parts minus its prices. The loss by a part is its weight times its
+difference to 1; the loss by a price is the price itself. Losses below 0.0005 are omitted. Reads only `journal/`; does
+not check the results against limits.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 import click
 
 JOURNAL = Path(__file__).resolve().parent.parent / "journal"
-LEAST_LOSS = 0.0005
+MIN_LOSS = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Worth that a day lost by one cause."""
+    """The part of a day's worth that was lost by one cause."""
 
     cause: str
     worth: float
 
 
 @dataclass(frozen=True, slots=True)
-class PlayedDay:
-    """A day of a journal entry. `losses`: the greatest first."""
+class CompletedDay:
+    """A simulated day of a journal entry. `losses`: largest first."""
 
     entry: str
     site: str
@@ -42,33 +42,33 @@
 
 
 def losses_of(day: dict[str, Any]) -> tuple[Loss, ...]:
-    """Return what a day of an entry lost, the greatest first."""
+    """Return the losses of a day of a journal entry, largest first."""
     parts = [Loss(name, weight * (1.0 - value)) for name, weight, value in day["parts"]]
     prices = [Loss(name, price) for name, _, price in day["prices"]]
-    worth_telling = [loss for loss in (*parts, *prices) if loss.worth >= LEAST_LOSS]
-    return tuple(sorted(worth_telling, key=lambda loss: -loss.worth))
+    significant = [loss for loss in (*parts, *prices) if loss.worth >= MIN_LOSS]
+    return tuple(sorted(significant, key=lambda loss: -loss.worth))
 
 
-def played_days(entry: dict[str, Any]) -> list[PlayedDay]:
-    """Return the days of a journal entry that were played to their end, in its order."""
+def completed_days(entry: dict[str, Any]) -> list[CompletedDay]:
+    """Return the completed days of a journal entry, in its order."""
     return [
-        PlayedDay(entry["id"], entry["site"], day["name"], day["score"], day["G"], losses_of(day))
+        CompletedDay(entry["id"], entry["site"], day["name"], day["score"], day["G"], losses_of(day))
         for day in entry["days"]
         if day["fault"] is None
     ]
 
 
-def table(days: Iterable[PlayedDay]) -> str:
-    """Return a Markdown table of days: one row each, the causes in one column."""
+def table(days: Iterable[CompletedDay]) -> str:
+    """Return a Markdown table with a row for each day, and all causes in one column."""
     rows = ["| entry | site | day | score | worth | lost by |", "| --- | --- | --- | --- | --- | --- |"]
     for day in days:
-        told = ", ".join(f"{loss.cause} {loss.worth:.3f}" for loss in day.losses)
-        rows.append(f"| {day.entry} | {day.site} | {day.name} | {day.score:.2f} | {day.worth:.3f} | {told} |")
+        causes = ", ".join(f"{loss.cause} {loss.worth:.3f}" for loss in day.losses)
+        rows.append(f"| {day.entry} | {day.site} | {day.name} | {day.score:.2f} | {day.worth:.3f} | {causes} |")
     return "\n".join(rows)
 
 
 def read_entry(folder: Path, entry_id: str) -> dict[str, Any]:
-    """Return a journal entry by its id. Raises click.ClickException where there is none."""
+    """Return the journal entry with an id. Raises click.ClickException if there is none."""
     for file in folder.glob(f"*-{entry_id}.json"):
         entry: dict[str, Any] = json.loads(file.read_text())
         return entry
@@ -77,10 +77,10 @@
 
 @click.command()
 @click.argument("entries", nargs=-1, required=True)
-@click.option("--journal", type=click.Path(path_type=Path), default=JOURNAL, help="The folder of the entries.")
+@click.option("--journal", type=click.Path(path_type=Path), default=JOURNAL, help="Folder of the journal entries.")
 def main(entries: Sequence[str], journal: Path) -> None:
-    """Print what the days of journal ENTRIES lost, by cause."""
-    click.echo(table(day for entry_id in entries for day in played_days(read_entry(journal, entry_id))))
+    """Print the losses of the days of journal ENTRIES, by cause."""
+    click.echo(table(day for entry_id in entries for day in completed_days(read_entry(journal, entry_id))))
 
 
 if __name__ == "__main__":
--- a/benchmarks/majority_contact.py
+++ b/benchmarks/majority_contact.py
@@ -1,10 +1,11 @@
-"""What the control plane costs while nothing changes, by the number of fronts: messages, bytes and processor time.
+"""Measures the idle cost of the control plane by the number of senders: messages, bytes and processor time.
 
     python benchmarks/majority_contact.py [--fronts 30,100,300] [--control 3] [--seconds 20] [--apply-ms 2000]
 
-The programs' own heartbeats, leases and relay tree run in simulated time over a network in memory. Messages and bytes
-(of frames, without TCP's) are counted a second: at a control process (heartbeats; what senders ask of it), at a front.
-Processor time is measured around the handlers of the control processes, frames decoded and encoded included.
+The real heartbeats, leases and relay tree run in simulated time over an in-memory network. Reports messages and bytes
+per second (of frames, without TCP overhead) at a control process (heartbeats; requests of the senders) and at a front,
+which is a sender. Processor time is measured around the request handlers of the control processes, including decoding
+and encoding of frames.
 """
 
 from __future__ import annotations
@@ -32,78 +33,81 @@
 RECEIVERS = 40
 
 
-class MemoryRows:
-    """The rows of the register, in memory."""
+class NullStorage:
+    """Storage of the register that keeps no data."""
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
 
     async def write(self, statements: list[tuple[str, tuple[Any, ...]]]) -> None:
-        """Keeps nothing: no process of the run starts anew."""
+        """Discard the write: no process is restarted in this benchmark."""
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """Nothing was kept: a query that counts answers 0, any other no rows."""
+        """Return 0 for the query of a maximum, no rows for any other."""
         return [(0,)] if sql.startswith("SELECT coalesce(max(") else []
 
 
 class FixedPlatform:
-    """A platform whose list never changes."""
+    """A platform whose list of receivers never changes."""
 
     async def read(self, address: str) -> list[Receiver]:
-        """All receivers."""
+        """Return all receivers."""
         return [Receiver(f"i-{number}", "engines", f"10.9.0.{number}:80", "east", 4) for number in range(RECEIVERS)]
 
 
 class Network:
-    """Carries calls, and counts them once `counts` is set."""
+    """Connects the processes of the simulation; counts messages and bytes while `is_counting` is set."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict[str, Any]] = {}
-        self.counts = False
+        self.is_counting = False
         self.messages: Counter[tuple[str, str]] = Counter()
         self.bytes: Counter[tuple[str, str]] = Counter()
         self.processor_s: defaultdict[str, float] = defaultdict(float)
 
-    def note(self, address: str, kind: str, frame: bytes) -> None:
-        """Counts a frame at the process that sent or received it."""
-        if self.counts:
-            self.messages[address, kind] += 1
-            self.bytes[address, kind] += len(frame)
+    def record_frame(self, address: str, message_type: str, frame: bytes) -> None:
+        """Count a frame for the process that sent or received it."""
+        if self.is_counting:
+            self.messages[address, message_type] += 1
+            self.bytes[address, message_type] += len(frame)
 
 
 class Client:
-    """The calls of one process."""
+    """The RPC client of one process."""
 
     def __init__(self, network: Network, source: str) -> None:
         self._network = network
         self._source = source
 
     async def call(self, address: str, message: dict[str, Any], timeout_s: float) -> dict[str, Any]:
-        """The answer of the process at `address`."""
-        network, kind = self._network, str(message["type"])
+        """Return the reply of the process at `address`.
+
+        Raises RpcError (`connect`) if no process handles this type of message there.
+        """
+        network, message_type = self._network, str(message["type"])
         frame = encode({"v": 1, "n": 12345, "m": message})
         await asyncio.sleep(LATENCY_S)
-        handler = network.handlers.get(address, {}).get(kind)
+        handler = network.handlers.get(address, {}).get(message_type)
         if handler is None:
             raise RpcError("connect", address)
-        began_s = time.process_time()
+        start_s = time.process_time()
         request = json.loads(frame.partition(b":")[2][:-1])["m"]
-        if kind == "relay.watch":  # it waits in the middle: its processor time is left out
-            answer = encode({"v": 1, "r": 12345, "m": await handler(request)})
+        if message_type == "relay.watch":  # a long poll: other tasks run meanwhile, so its time is not counted
+            reply = encode({"v": 1, "r": 12345, "m": await handler(request)})
         else:
-            answer = encode({"v": 1, "r": 12345, "m": await handler(request)})
-            if network.counts:
-                network.processor_s[address] += time.process_time() - began_s
-        for one in (self._source, address):
-            network.note(one, kind, frame)
-            network.note(one, kind, answer)
+            reply = encode({"v": 1, "r": 12345, "m": await handler(request)})
+            if network.is_counting:
+                network.processor_s[address] += time.process_time() - start_s
+        for process in (self._source, address):
+            network.record_frame(process, message_type, frame)
+            network.record_frame(process, message_type, reply)
         await asyncio.sleep(LATENCY_S)
-        told: dict[str, Any] = json.loads(answer.partition(b":")[2][:-1])["m"]
-        return told
+        reply_message: dict[str, Any] = json.loads(reply.partition(b":")[2][:-1])["m"]
+        return reply_message
 
 
 def settings_of(name: str, ip: str, control: int, serves: str, apply_ms: float) -> Settings:
-    """The settings of one process."""
+    """Return the settings of one process."""
     return parse_settings(
         {
             "node_name": name,
@@ -121,15 +125,15 @@
     )
 
 
-async def play(fronts: int, control: int, seconds: float, apply_ms: float) -> Network:
-    """Lets so many processes run and counts what they send."""
+async def run_processes(fronts: int, control: int, seconds: float, apply_ms: float) -> Network:
+    """Run so many processes; return the network with its counts of the last `seconds`."""
     network, clock = Network(), asyncio.get_running_loop().time
     control_servers = []
     for number in range(control):
         settings = settings_of(f"core-{number}", f"10.0.0.{number + 1}", control, "control", apply_ms)
         client = Client(network, f"10.0.0.{number + 1}:7380")
-        rows = MemoryRows(f"{number:016x}")
-        control_server = ControlServer(settings, rows, client, random.Random(number), clock, FixedPlatform())  # type: ignore[arg-type]
+        storage = NullStorage(f"{number:016x}")
+        control_server = ControlServer(settings, storage, client, random.Random(number), clock, FixedPlatform())  # type: ignore[arg-type]
         await control_server.load()
         network.handlers[control_server.address] = control_server.handlers
         control_servers.append(control_server)
@@ -152,20 +156,22 @@
         network.handlers[agent.address] = agent.handlers
         agent.start()
     await asyncio.sleep(WARM_UP_S)
-    network.counts = True
+    network.is_counting = True
     await asyncio.sleep(seconds)
-    network.counts = False
+    network.is_counting = False
     return network
 
 
-def mean(counter: Counter[tuple[str, str]], kinds: set[str], control: bool, machines: int, seconds: float) -> float:
-    """The mean a second of the machines of one sort."""
-    found = [
+def mean_rate(
+    counter: Counter[tuple[str, str]], message_types: set[str], at_control: bool, processes: int, seconds: float
+) -> float:
+    """Return the mean rate per second and process of the given message types, at control processes or at fronts."""
+    counts = [
         count
-        for (address, kind), count in counter.items()
-        if address.startswith("10.0.") is control and (kind in kinds or not kinds)
+        for (address, message_type), count in counter.items()
+        if address.startswith("10.0.") is at_control and (message_type in message_types or not message_types)
     ]
-    return sum(found) / machines / seconds
+    return sum(counts) / processes / seconds
 
 
 @click.command()
@@ -174,21 +180,23 @@
 @click.option("--seconds", default=20.0)
 @click.option("--apply-ms", default=2000.0)
 def main(fronts: str, control: int, seconds: float, apply_ms: float) -> None:
-    """Prints a row for each number of fronts."""
+    """Print a row for each number of fronts."""
     print(
-        "fronts | a control process: heartbeats/s, B/s | senders' messages/s, B/s | handlers' processor ms/s |", end=""
+        "fronts | per control process: heartbeats/s, B/s | senders' messages/s, B/s | handler processor ms/s |", end=""
     )
-    print(" a front: messages/s, B/s")
+    print(" per front: messages/s, B/s")
     for count in map(int, fronts.split(",")):
-        network = SimulatedEventLoop(count).run(play(count, control, seconds, apply_ms))
-        sent, size = network.messages, network.bytes
-        senders = {"lease.renew", "relay.watch"}
+        network = SimulatedEventLoop(count).run(run_processes(count, control, seconds, apply_ms))
+        messages, sizes = network.messages, network.bytes
+        sender_requests = {"lease.renew", "relay.watch"}
         print(
-            f"{count} | {mean(sent, {HEARTBEAT}, True, control, seconds):.1f},"
-            f" {mean(size, {HEARTBEAT}, True, control, seconds):.0f} |"
-            f" {mean(sent, senders, True, control, seconds):.0f}, {mean(size, senders, True, control, seconds):.0f} |"
+            f"{count} | {mean_rate(messages, {HEARTBEAT}, True, control, seconds):.1f},"
+            f" {mean_rate(sizes, {HEARTBEAT}, True, control, seconds):.0f} |"
+            f" {mean_rate(messages, sender_requests, True, control, seconds):.0f},"
+            f" {mean_rate(sizes, sender_requests, True, control, seconds):.0f} |"
             f" {1000 * sum(network.processor_s.values()) / control / seconds:.1f} |"
-            f" {mean(sent, set(), False, count, seconds):.1f}, {mean(size, set(), False, count, seconds):.0f}"
+            f" {mean_rate(messages, set(), False, count, seconds):.1f},"
+            f" {mean_rate(sizes, set(), False, count, seconds):.0f}"
         )
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -127,9 +127,9 @@
     stalled_names = {f"m{number}" for number in stalled}
     false_while_stalling = len({name for _, _, name in simulation.declared_lost} - stalled_names)
     return (
-        f"{size:5}  joined after {(joined_ms or 0) / PERIOD_MS:5.1f}  detected: first {first:5.1f}, all {all_others:5.1f}  "
-        f"false positives: no faults {idle}, 10% message loss {lossy}, 10% stalled {false_while_stalling} "
-        f"(of the others)  {bytes_per_s:6.0f} bytes/s each"
+        f"{size:5}  joined after {(joined_ms or 0) / PERIOD_MS:5.1f}  detected: first {first:5.1f}, "
+        f"all {all_others:5.1f}  false positives: no faults {idle}, 10% message loss {lossy}, "
+        f"10% stalled {false_while_stalling} (of the others)  {bytes_per_s:6.0f} bytes/s each"
     )
 
 
--- a/benchmarks/members_processes.py
+++ b/benchmarks/members_processes.py
@@ -1,10 +1,10 @@
-"""Hundreds of members as processes of their own on loopback: how fast they meet, how fast a loss is known to all.
+"""Measures joining and failure detection of the membership protocol, with each member in a process of its own.
 
     .venv/bin/python benchmarks/members_processes.py [--size 200] [--period 1000]
 
-Starts them, with at most as many still starting as there are cores. Then kills one in twenty at the same moment, and
-stops one in twenty for ten periods and continues them. Prints from the members' reports: seconds until all agree, and
-which of the living members were reported lost.
+The processes run on loopback; at most as many are starting at a time as there are cores. Then kills one in twenty at
+the same moment, and stops one in twenty for ten periods and continues them. Prints from the members' reports: seconds
+until all agree, and how many of the running members were reported lost.
 """
 
 import argparse
@@ -25,8 +25,8 @@
 class ReportReceiver(asyncio.DatagramProtocol):
     """Receives the members' reports.
 
-    latest: the newest report of each member, by its name.
-    losses: (when, by whom, of whom) of each reported loss.
+    `latest`: the latest report of each member, by its name. `losses`: time in seconds, reporting member and lost member
+    of each report of a loss.
     """
 
     def __init__(self) -> None:
@@ -40,15 +40,15 @@
         self.losses += [(time.monotonic(), report["name"], name) for name in report["lost"]]
 
     def lost_names(self) -> set[str]:
-        """Return the members that were reported lost."""
+        """Return the names of the members that were reported lost."""
         return {name for _, _, name in self.losses}
 
     async def wait_for_agreement(self, names: set[str], timeout_s: float) -> float:
-        """Return the seconds until each of these members reports that all of them are alive; NaN after the time-out."""
-        began_s, expected = time.monotonic(), sorted(names)
-        while time.monotonic() < began_s + timeout_s:
+        """Return the seconds until each of these members reports all of them alive; NaN after the timeout."""
+        start_s, expected = time.monotonic(), sorted(names)
+        while time.monotonic() < start_s + timeout_s:
             if all(self.latest.get(name, {}).get("alive") == expected for name in names):
-                return time.monotonic() - began_s
+                return time.monotonic() - start_s
             await asyncio.sleep(STEP_S)
         return math.nan
 
@@ -81,13 +81,13 @@
                 await asyncio.sleep(0.01)
             seeds = seeds or [self._reports.latest[name]["at"]]
 
-    def send_signal(self, names: set[str], number: signal.Signals) -> None:
-        """Send a signal to these members."""
+    def send_signal(self, names: set[str], signal_number: signal.Signals) -> None:
+        """Send a signal to the processes of these members."""
         for name in names:
-            self._processes[name].send_signal(number)
+            self._processes[name].send_signal(signal_number)
 
     def kill_all(self) -> None:
-        """End all processes and wait for them."""
+        """Kill all processes and wait for them to exit."""
         for process in self._processes.values():
             process.kill()
         for process in self._processes.values():
@@ -95,14 +95,14 @@
 
 
 async def measure_start(members: MemberProcesses, reports: ReportReceiver, names: list[str]) -> None:
-    """Start all members and print when they agree."""
-    began_s = time.monotonic()
+    """Start all members and print the time until they agree."""
+    start_s = time.monotonic()
     await members.start(names)
-    started_s = time.monotonic() - began_s
+    started_s = time.monotonic() - start_s
     agreed_s = await reports.wait_for_agreement(set(names), 120.0)
     print(
         f"{len(names)} started in {started_s:.1f} s; agree after {agreed_s:.1f} s more; "
-        f"{len(reports.losses)} called lost meanwhile",
+        f"{len(reports.losses)} false loss reports meanwhile",
         flush=True,
     )
     reports.losses.clear()
@@ -111,14 +111,14 @@
 async def measure_kill(
     members: MemberProcesses, reports: ReportReceiver, killed: set[str], remaining: set[str]
 ) -> None:
-    """Kill some members and print when the others know it."""
+    """Kill some members and print the time until the others have detected it."""
     killed_at_s = time.monotonic()
     members.send_signal(killed, signal.SIGKILL)
     agreed_s = await reports.wait_for_agreement(remaining, 180.0)
-    detected_s = [when - killed_at_s for when, _, name in reports.losses if name in killed]
+    detected_s = [detected_at_s - killed_at_s for detected_at_s, _, name in reports.losses if name in killed]
     print(
-        f"{len(killed)} killed: first known after {min(detected_s):.1f} s, all agree after {agreed_s:.1f} s; "
-        f"of the living called lost: {len(reports.lost_names() - killed)}",
+        f"{len(killed)} killed: first detected after {min(detected_s):.1f} s, all agree after {agreed_s:.1f} s; "
+        f"running members reported lost: {len(reports.lost_names() - killed)}",
         flush=True,
     )
     reports.losses.clear()
@@ -132,13 +132,13 @@
     remaining: set[str],
     seconds: float,
 ) -> None:
-    """Stop some members for a while and print when all agree again."""
+    """Stop some members for `seconds` and print the time until all agree again."""
     members.send_signal(stopped, signal.SIGSTOP)
     await asyncio.sleep(seconds)
     members.send_signal(stopped, signal.SIGCONT)
     agreed_s = await reports.wait_for_agreement(remaining, 120.0)
     print(
-        f"{len(stopped)} stopped for ten periods: all agree {agreed_s:.1f} s later; called lost: "
+        f"{len(stopped)} stopped for ten periods: all agree {agreed_s:.1f} s later; reported lost: "
         f"{len(reports.lost_names() & stopped)} of them, "
         f"{len(reports.lost_names() - killed - stopped)} of the others",
         flush=True,
@@ -146,7 +146,7 @@
 
 
 async def main(size: int, period_ms: float) -> None:
-    """Run the three measurements."""
+    """Measure start, kill and stop."""
     reports = ReportReceiver()
     transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(lambda: reports, ("127.0.0.1", 0))
     members = MemberProcesses(reports, transport.get_extra_info("sockname"), period_ms)
--- a/tests/controlplane/test_heartbeat_cost.py
+++ b/tests/controlplane/test_heartbeat_cost.py
@@ -21,12 +21,12 @@
 
 def measure_rates(fronts):
     """Returns heartbeats and heartbeat bytes per second at a control process, and messages per second at a front."""
-    network = SimulatedEventLoop(1).run(costs.play(fronts, CONTROL_PROCESSES, SECONDS, 2000.0))
+    network = SimulatedEventLoop(1).run(costs.run_processes(fronts, CONTROL_PROCESSES, SECONDS, 2000.0))
     heartbeats = {costs.HEARTBEAT}
     return (
-        costs.mean(network.messages, heartbeats, True, CONTROL_PROCESSES, SECONDS),
-        costs.mean(network.bytes, heartbeats, True, CONTROL_PROCESSES, SECONDS),
-        costs.mean(network.messages, set(), False, fronts, SECONDS),
+        costs.mean_rate(network.messages, heartbeats, True, CONTROL_PROCESSES, SECONDS),
+        costs.mean_rate(network.bytes, heartbeats, True, CONTROL_PROCESSES, SECONDS),
+        costs.mean_rate(network.messages, set(), False, fronts, SECONDS),
     )
 
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The table of what played days lost, out of the journal's entries."""
+"""The table of the losses of simulated days, made from journal entries."""
 
 import json
 
@@ -24,24 +24,24 @@
     return {"id": "0123abcd", "site": "some-site", "days": list(days)}
 
 
-def test_losses_are_weighted_for_parts_and_whole_for_prices():
-    found = [(loss.cause, round(loss.worth, 6)) for loss in losses.losses_of(day())]
-    assert found == [("worst windows", 0.075), ("whole day", 0.07), ("machine-seconds", 0.03)]
+def test_losses_by_parts_are_weighted_and_losses_by_prices_are_not():
+    losses_by_cause = [(loss.cause, round(loss.worth, 6)) for loss in losses.losses_of(day())]
+    assert losses_by_cause == [("worst windows", 0.075), ("whole day", 0.07), ("machine-seconds", 0.03)]
 
 
-def test_losses_and_worth_of_a_day_add_up_to_one():
-    played_day = day(prices=[["machine-seconds", 1.0, 0.03], ["new connections to servers", 2.0, 0.006]])
-    lost = sum(loss.worth for loss in losses.losses_of(played_day))
-    worth = sum(weight * value for _, weight, value in played_day["parts"]) - 0.036
+def test_losses_and_worth_of_a_day_sum_to_one():
+    simulated_day = day(prices=[["machine-seconds", 1.0, 0.03], ["new connections to servers", 2.0, 0.006]])
+    lost = sum(loss.worth for loss in losses.losses_of(simulated_day))
+    worth = sum(weight * value for _, weight, value in simulated_day["parts"]) - 0.036
     assert lost + worth == pytest.approx(1.0)
 
 
 def test_day_with_a_fault_has_no_row():
-    given_up = day("trouble-1", parts=[["whole day", 1.0, 0.0]], G=-0.065, score=0.0, fault="too slow")
-    assert [played.name for played in losses.played_days(entry(given_up, day()))] == ["quiet-1"]
+    aborted = day("trouble-1", parts=[["whole day", 1.0, 0.0]], G=-0.065, score=0.0, fault="too slow")
+    assert [completed.name for completed in losses.completed_days(entry(aborted, day()))] == ["quiet-1"]
 
 
-def test_table_of_entries_by_their_ids(tmp_path):
+def test_table_is_printed_for_entry_ids_and_unknown_id_is_rejected(tmp_path):
     (tmp_path / "20260101T000000-0123abcd.json").write_text(json.dumps(entry(day())))
     result = CliRunner().invoke(losses.main, ["0123abcd", "--journal", str(tmp_path)])
     assert result.exit_code == 0
