--- a/benchmarks/relay_changes.py
+++ b/benchmarks/relay_changes.py
@@ -1,14 +1,14 @@
-"""How long a change of the configuration takes to be in force at all senders, and whether the list waits behind it.
+"""Measures when a configuration change is in force at all senders, and whether it delays the list of receivers.
 
-Three control servers and so many senders' agents run in simulated time; each machine's outgoing link carries its
-messages one after the other (control servers 86 Mbit/s, senders 15 Mbit/s unless told otherwise). Counted from the
-operator's acknowledgement. A receiver is shown draining 0.3 s after it; `list_s` is until all senders know. Prints one
-row of JSON for each case:
+Three control servers and the agents of the senders run in simulated time; the outgoing link of each machine transmits
+its messages one by one (control servers 86 Mbit/s, senders 15 Mbit/s by default). Times start at the acknowledgement to
+the operator. 0.3 s after it the platform's list shows a receiver as draining; `list_s` is the time from then until all
+senders know it. Prints a JSON object for each case:
 
     python -m benchmarks.relay_changes [--senders 30,100,300] [--bodies 4096,300000,4000000] [--mbit 15] [--compressed]
 
-With `--compressed` the configuration is all routes with random names, and links carry what the connections between
-dewpin's processes carry: one compressed stream each way. Without it nothing is made shorter.
+With `--compressed` the configuration consists of routes with random names, and the links transmit one compressed stream
+per direction, as the connections between dewpin's processes do. Otherwise messages are not compressed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))  # the simulated control servers are those of the tests
+sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))  # the simulated control servers are part of the tests
 
 from controlplane.control_server_world import Platform, World  # noqa: E402
 from scripted.clock import run  # noqa: E402
@@ -44,13 +44,16 @@
 
 CONTROL_MBIT = 86.0
 GIVE_UP_S = 60.0
-CALM_S = 6.0
+SETTLE_S = 6.0
 DRAIN_AFTER_S = 0.3
-PERIOD_S = 0.01
+POLL_INTERVAL_S = 0.01
 
 
 class Senders:
-    """The agents of all senders, and the generation that each has in force."""
+    """The agents of all senders.
+
+    `generations`: the configuration generation in force at each sender. `drained`: whether each knows of the drain.
+    """
 
     def __init__(self, world: World, count: int, rng: random.Random) -> None:
         self._world = world
@@ -96,7 +99,10 @@
 
 
 async def put(world: World, generation: int, body: bytes) -> None:
-    """Put a configuration, at one control server after the other until it is acknowledged."""
+    """Put a configuration, retrying at the next control server until it is acknowledged.
+
+    Raises RegisterUnavailableError after 60 attempts.
+    """
     change = put_configuration(body, generation, generation - 1)
     for number in [1, 2, 3] * 20:
         try:
@@ -104,21 +110,21 @@
             return
         except RegisterUnavailableError:
             await asyncio.sleep(OPERATOR_PAUSE_S)
-    raise RegisterUnavailableError("not acknowledged")
+    raise RegisterUnavailableError("no control server acknowledged the configuration")
 
 
-async def until(condition: Callable[[], bool], began_s: float) -> float | None:
-    """Return the seconds until a condition holds; None if it doesn't within GIVE_UP_S."""
+async def wait_until(condition: Callable[[], bool], start_s: float) -> float | None:
+    """Return the seconds from `start_s` until a condition holds; None if it does not within GIVE_UP_S."""
     clock = asyncio.get_running_loop().time
     while not condition():
-        await asyncio.sleep(PERIOD_S)
-        if clock() - began_s > GIVE_UP_S:
+        await asyncio.sleep(POLL_INTERVAL_S)
+        if clock() - start_s > GIVE_UP_S:
             return None
-    return round(clock() - began_s, 2)
+    return round(clock() - start_s, 2)
 
 
 async def measure(count: int, size: int, mbit: float, compressed: bool) -> dict[str, Any]:
-    """One change of that size at that many senders."""
+    """Measure one change with a body of `size` bytes at `count` senders; return its row."""
     clock = asyncio.get_running_loop().time
     world = World()
     network = world.network = LinkNetwork(compressed)
@@ -126,28 +132,28 @@
     await world.begin()
     await put(world, 1, make_body(4096, 1))
     senders = Senders(world, count, random.Random(count))
-    await until(lambda: set(senders.generations) == {1}, clock())
-    await asyncio.sleep(CALM_S)
+    await wait_until(lambda: set(senders.generations) == {1}, clock())
+    await asyncio.sleep(SETTLE_S)
     network.rates = {world.address(number): CONTROL_MBIT for number in world.numbers}
     network.set_rate(mbit)
     body = make_body(size, 2)
-    cpu_s = time.process_time()
-    asked_s = clock()
+    cpu_start_s = time.process_time()
+    proposed_s = clock()
     await put(world, 2, body)
-    began_s, sent_bytes = clock(), network.bytes
-    world_drains = asyncio.ensure_future(_drain(world, senders))
-    applied_s = await until(lambda: set(senders.generations) == {2}, began_s)
+    acknowledged_s, bytes_before = clock(), network.bytes
+    drain_task = asyncio.ensure_future(_drain(world, senders))
+    in_force_s = await wait_until(lambda: set(senders.generations) == {2}, acknowledged_s)
     row = {
         "senders": count,
         "body": len(body),
         "compressed": compressed,
         "mbit": mbit,
-        "acknowledged_s": round(began_s - asked_s, 2),
-        "in_force_s": applied_s,
+        "acknowledged_s": round(acknowledged_s - proposed_s, 2),
+        "in_force_s": in_force_s,
         "have_it": sum(generation == 2 for generation in senders.generations),
-        "list_s": await world_drains,
-        "megabytes": round((network.bytes - sent_bytes) / 1e6, 1),
-        "cpu_s": round(time.process_time() - cpu_s, 2),
+        "list_s": await drain_task,
+        "megabytes": round((network.bytes - bytes_before) / 1e6, 1),
+        "cpu_s": round(time.process_time() - cpu_start_s, 2),
     }
     network.set_rate(None)
     network.rates = {}
@@ -160,18 +166,18 @@
 
 async def _drain(world: World, senders: Senders) -> float | None:
     await asyncio.sleep(DRAIN_AFTER_S)
-    began_s = asyncio.get_running_loop().time()
+    start_s = asyncio.get_running_loop().time()
     world.receivers = [Receiver("i-1", "engines", "10.9.0.1:80", "east", 4, draining=True)]
-    return await until(lambda: all(senders.drained), began_s)
+    return await wait_until(lambda: all(senders.drained), start_s)
 
 
 def main() -> None:
-    """Print the rows."""
+    """Run the benchmark and print its rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--senders", default="30,100,300")
     parser.add_argument("--bodies", default="4096,300000,4000000")
     parser.add_argument("--mbit", default="15")
-    parser.add_argument("--compressed", action="store_true", help="routes with random names, as connections carry them")
+    parser.add_argument("--compressed", action="store_true", help="use routes with random names and compress the links")
     options = parser.parse_args()
     for count in parse_list(options.senders, int):
         for size in parse_list(options.bodies, int):
