--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measured slopes, extrapolated to the target fleet, written into the tables of docs/CAPACITY.md."""
+"""Capacity planning: measured costs, extrapolated linearly to the target fleet, for the tables of docs/CAPACITY.md."""
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,12 +1,12 @@
-"""Measure, fit, and write the tables of docs/CAPACITY.md.
+"""Measure costs, fit lines to them, and write the tables of docs/CAPACITY.md.
 
-    python -m benchmarks.capacity                 measure everything (about two minutes), then write the page
-    python -m benchmarks.capacity --only encode   measure some series again
-    python -m benchmarks.capacity --page          write the page from the results at hand
-    python -m benchmarks.capacity --check         fail unless the page is what the results give
+    python -m benchmarks.capacity                 measure all series (about two minutes), then write the page
+    python -m benchmarks.capacity --only encode   measure some series again, then write the page
+    python -m benchmarks.capacity --page          write the page from the stored results
+    python -m benchmarks.capacity --check         fail unless the page matches the stored results
 
-Results are kept in benchmarks/capacity/results.json. It starts processes of its own on loopback and ends them, uses
-temporary folders, and judges nothing but the target's own bounds.
+Results are stored in benchmarks/capacity/results.json. The measurements start processes on loopback and stop them, and
+use temporary folders. Figures are compared with the bounds of the target only.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 from benchmarks.capacity.page import replace_sections
 from benchmarks.capacity.report import sections
-from benchmarks.capacity.results import Results, load, save, this_run
+from benchmarks.capacity.results import Results, current_run, load, save
 from benchmarks.capacity.series import FULL, QUICK, Effort, Measure
 from benchmarks.capacity.sweep import SWEEP_ENTRY, read_entry
 
@@ -56,14 +56,14 @@
     "state-bytes": system_state.state_bytes,
     "accepted-bytes": system_state.accepted_bytes,
     "state-send": system_state.state_send,
-    "state-take": system_state.state_take,
+    "state-take": system_state.state_apply,
     "register-change": register.register_change,
     "register-cost": register.register_cost,
     "sender-memory": system_state.sender_memory,
     "control-server-memory": system_state.control_server_memory,
     "receiver-bytes": receivers.receiver_bytes,
     "receiver-send": receivers.receiver_send,
-    "receiver-take": receivers.receiver_take,
+    "receiver-take": receivers.receiver_apply,
     "receiver-memory": receivers.receiver_memory,
     "list-read": receivers.list_read,
     "lease-bytes": leases.lease_bytes,
@@ -79,39 +79,42 @@
 
 
 def measure(name: str, effort: Effort, results: Results) -> Results:
-    """The results with one series measured anew; it is told on standard error."""
-    run, start = this_run(ROOT), time.monotonic()
+    """Measure a series and print its line on standard error; return the results with the series replaced."""
+    run, start_s = current_run(ROOT), time.monotonic()
     series = MEASURES[name](effort)
     line = series.line()
-    told = f"{name}: {line.intercept:.6g} + {line.slope:.6g} ± {line.slope_error:.2g} × x {series.y_unit}"
-    print(f"{told} ({time.monotonic() - start:.1f} s)", file=sys.stderr)
+    summary = f"{name}: {line.intercept:.6g} + {line.slope:.6g} ± {line.slope_error:.2g} × x {series.y_unit}"
+    print(f"{summary} ({time.monotonic() - start_s:.1f} s)", file=sys.stderr)
     return results.with_series(series, run)
 
 
-def write_page(results: Results) -> str:
-    """The page's text with its generated sections made from the results; PageError when its marks do not fit."""
+def render_page(results: Results) -> str:
+    """Return the text of the page with its generated sections made from the results.
+
+    Raises PageError if the markers of the page do not match the sections.
+    """
     return replace_sections(PAGE.read_text(), sections(results, read_entry(JOURNAL / SWEEP_ENTRY)))
 
 
 def main() -> int:
-    """Run the command; 1 when --check finds that the page differs."""
+    """Run the command; return 1 if --check finds that the page differs, else 0."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.capacity", description=__doc__.partition("\n")[0])
-    parser.add_argument("--only", nargs="+", choices=sorted(MEASURES), metavar="SERIES", help="measure these alone")
-    parser.add_argument("--quick", action="store_true", help="short measurements, for a trial: nothing is written")
-    parser.add_argument("--page", action="store_true", help="measure nothing, write the page")
-    parser.add_argument("--check", action="store_true", help="measure nothing, compare the page")
-    chosen = parser.parse_args()
+    parser.add_argument("--only", nargs="+", choices=sorted(MEASURES), metavar="SERIES", help="series to measure")
+    parser.add_argument("--quick", action="store_true", help="short measurements for a trial; writes nothing")
+    parser.add_argument("--page", action="store_true", help="write the page without measuring")
+    parser.add_argument("--check", action="store_true", help="compare the page without measuring")
+    options = parser.parse_args()
     results = load(RESULTS)
-    if chosen.check:
-        return int(write_page(results) != PAGE.read_text())
-    if not chosen.page:
-        for name in chosen.only or list(MEASURES):
-            results = measure(name, QUICK if chosen.quick else FULL, results)
-            if not chosen.quick:
+    if options.check:
+        return int(render_page(results) != PAGE.read_text())
+    if not options.page:
+        for name in options.only or list(MEASURES):
+            results = measure(name, QUICK if options.quick else FULL, results)
+            if not options.quick:
                 save(results, RESULTS)
-        if chosen.quick:
+        if options.quick:
             return 0
-    PAGE.write_text(write_page(results))
+    PAGE.write_text(render_page(results))
     return 0
 
 
--- a/benchmarks/capacity/coverage.py
+++ b/benchmarks/capacity/coverage.py
@@ -1,4 +1,7 @@
-"""Every figure of the target list: what carries it, and how the rows that stand for it come out."""
+"""The table of all target figures: the modules that implement each, and the verdicts of the rows that cover it.
+
+Functions that return entries can be long, because each is a flat list of entries.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One figure of the list. rows: the rows (by what they tell) whose verdicts stand for it; note: what is open."""
+    """A target figure. `rows`: names of the rows whose verdicts cover it. `note`: what is not covered."""
 
     figure: str
-    carried_by: str
+    implemented_by: str
     rows: tuple[str, ...] = ()
     note: str = ""
 
 
 def traffic_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
-    """Machines, requests and tokens. A table: as long as its rows."""
+    """Return the entries on machines, requests and tokens."""
     return [
         Entry(
             f"{target.senders} senders",
@@ -78,10 +81,11 @@
 
 
 def program_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
-    """Programs, tenants and regions."""
+    """Return the entries on programs, tenants and regions."""
     return [
         Entry(
-            f"{target.programs:,} programs of up to {target.turns_a_program} turns, {target.tokens_a_program:,} tokens",
+            f"{target.programs:,} programs of up to {target.turns_per_program} turns, "
+            f"{target.tokens_per_program:,} tokens",
             "`dewpin/controlplane/store/turn_table.py`, `dewpin/dataplane/programs/history_cache.py`",
             (
                 f"bytes of one of {stores} stores",
@@ -108,10 +112,10 @@
 
 
 def control_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
-    """Changes, and the costs of control. A table: as long as its rows."""
+    """Return the entries on changes and on the costs of the control plane."""
     return [
         Entry(
-            f"{target.changes_a_day} changes a day in force in {target.change_in_force_s:g} s",
+            f"{target.changes_per_day} changes a day in force in {target.change_in_force_s:g} s",
             "`dewpin/consensus`, `dewpin/controlplane/register`, `dewpin/dataplane/membership/cluster_agent.py`",
             ("time of a change to the last sender, nothing failing", "the same when the tree fails"),
             "measured parts added up on paper",
@@ -157,10 +161,10 @@
 
 
 def failure_entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
-    """Failures and restarts."""
+    """Return the entries on failures and restarts."""
     return [
         Entry(
-            f"{target.failures_a_day} failures, {target.restarts_a_day} restarts a day",
+            f"{target.failures_per_day} failures, {target.restarts_per_day} restarts a day",
             "leases, drain at SIGTERM, `dewpin/controlplane/membership/reconfiguration.py`, `replica_sync.py`",
             (),
             "rows under failures; a day with that many: not measured",
@@ -186,7 +190,7 @@
 
 
 def entries(target: Target, stores: int = ASSUMED.stores) -> list[Entry]:
-    """The list in its own order."""
+    """Return all entries in the order of the operators' list."""
     return [
         *traffic_entries(target, stores),
         *program_entries(target, stores),
@@ -195,8 +199,8 @@
     ]
 
 
-def outcome(entry: Entry, rows: Mapping[str, Row]) -> str:
-    """The verdicts of an entry's rows and its note; KeyError when it names a row that does not exist."""
+def coverage(entry: Entry, rows: Mapping[str, Row]) -> str:
+    """Return the verdicts of the rows of an entry, and its note. Raises KeyError if a row does not exist."""
     parts = []
     for name in entry.rows:
         verdict = rows[name].verdict()
@@ -206,7 +210,7 @@
 
 
 def coverage_table(target: Target, rows: Iterable[Row]) -> str:
-    """The table of the whole list."""
-    by_name = {row.what: row for row in rows}
-    cells = [(entry.figure, entry.carried_by, outcome(entry, by_name)) for entry in entries(target)]
+    """Return the Markdown table of all target figures."""
+    by_name = {row.name: row for row in rows}
+    cells = [(entry.figure, entry.implemented_by, coverage(entry, by_name)) for entry in entries(target)]
     return markdown_table(("figure of the list", "carried by", "how it stands"), cells)
--- a/benchmarks/capacity/design.py
+++ b/benchmarks/capacity/design.py
@@ -1,4 +1,4 @@
-"""Constants of the tier's own modules that the page's arithmetic uses, read from those modules."""
+"""Constants of the serving tier that the arithmetic of the page uses, imported from its modules."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from dewpin.controlplane.platform_list_reader import READINGS_IN_DRAIN
 from dewpin.controlplane.register.system_state import MAX_CHANGES_IN_STATE
 from dewpin.controlplane.storage import MAX_JOBS_IN_COMMIT
-from dewpin.dataplane.membership.lease_renewer import RENEWALS_PER_APPLY_TIME as RENEWALS_IN_BOUND
-from dewpin.dataplane.programs.history_cache import DEFAULT_MAX_BYTES as CHAIN_CACHE_BYTES
+from dewpin.dataplane.membership.lease_renewer import RENEWALS_PER_APPLY_TIME
+from dewpin.dataplane.programs.history_cache import DEFAULT_MAX_BYTES as HISTORY_CACHE_BYTES
 
 __all__ = [
-    "CHAIN_CACHE_BYTES",
     "HEARTBEAT_PERIOD_S",
+    "HISTORY_CACHE_BYTES",
     "LEASE_CYCLES",
     "LEASE_PERIODS",
     "MAX_CHANGES_IN_STATE",
@@ -23,7 +23,7 @@
     "READINGS_IN_DRAIN",
     "RELAY_FAN_OUT",
     "REMOVAL_TIMEOUT_S",
-    "RENEWALS_IN_BOUND",
+    "RENEWALS_PER_APPLY_TIME",
     "RENEWAL_REQUEST_BYTES",
     "REPLACEMENT_TIMEOUT_S",
     "WATCH_BYTES",
@@ -48,7 +48,7 @@
         }
     )
 )
-"""Bytes of a renewal of a lease."""
+"""Encoded bytes of a request to renew a lease."""
 
 WATCH_BYTES = len(
     encode(
@@ -67,11 +67,11 @@
         }
     )
 )
-"""Bytes of a watch of the relay tree and its answer when nothing is new."""
+"""Encoded bytes of a watch in the relay tree and of its reply without an update."""
 
 
 def relay_depth(senders: int) -> int:
-    """Hops from a control server to the last of so many senders, as `LeaseTable.parents` lays the tree out."""
+    """Return the hops from a control server to the deepest sender of the relay tree of `LeaseTable.parents`."""
     table = LeaseTable(1.0)
     names = [f"sender-{number}" for number in range(senders)]
     for name in names:
--- a/benchmarks/capacity/fit.py
+++ b/benchmarks/capacity/fit.py
@@ -1,4 +1,4 @@
-"""Least-squares lines with standard errors, and the estimates with errors that come of them."""
+"""Least-squares lines with standard errors, and estimates with propagated errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Estimate:
-    """A value with its standard error; errors of operands are taken as independent and carried to first order."""
+    """A value with its standard error; arithmetic propagates the errors of independent operands to first order."""
 
     value: float
     error: float = 0.0
@@ -40,7 +40,7 @@
 
 
 def as_estimate(value: Estimate | float) -> Estimate:
-    """A plain number as an estimate without error."""
+    """Return a plain number as an estimate without error."""
     return value if isinstance(value, Estimate) else Estimate(float(value))
 
 
@@ -48,7 +48,7 @@
 class Line:
     """y = intercept + slope * x, fitted by least squares.
 
-    residual_deviation: standard deviation of the points about the line, with n - 2 degrees of freedom.
+    `residual_deviation`: standard deviation of the residuals, with n - 2 degrees of freedom.
     """
 
     slope: float
@@ -60,29 +60,29 @@
     count: int
 
     def at(self, x: float) -> Estimate:
-        """The line's height at x, with the standard error of the fitted mean there."""
-        spread = 1 / self.count + (x - self.mean_x) ** 2 / self.sum_of_squares_x
-        return Estimate(self.intercept + self.slope * x, self.residual_deviation * math.sqrt(spread))
+        """Return the fitted y at x, with the standard error of the fitted mean."""
+        variance_factor = 1 / self.count + (x - self.mean_x) ** 2 / self.sum_of_squares_x
+        return Estimate(self.intercept + self.slope * x, self.residual_deviation * math.sqrt(variance_factor))
 
     @property
-    def per_unit(self) -> Estimate:
-        """The slope as an estimate."""
+    def slope_estimate(self) -> Estimate:
+        """The slope with its standard error."""
         return Estimate(self.slope, self.slope_error)
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
     """Fit a line to (x, y) points.
 
-    Raises ValueError with fewer than three points or when all have the same x: no error could be told.
+    Raises ValueError for fewer than three points and if all have the same x, as these give no standard error.
     """
     count = len(points)
     if count < 3:
-        raise ValueError(f"a line with its error needs three points, not {count}")
+        raise ValueError(f"fitting a line with its standard error needs at least three points, got {count}")
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
     sum_of_squares_x = sum((x - mean_x) ** 2 for x, _ in points)
     if sum_of_squares_x == 0:
-        raise ValueError("all points have the same x")
+        raise ValueError("cannot fit a line: all points have the same x")
     slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_of_squares_x
     intercept = mean_y - slope * mean_x
     sum_of_squared_residuals = sum((y - intercept - slope * x) ** 2 for x, y in points)
--- a/benchmarks/capacity/measures/__init__.py
+++ b/benchmarks/capacity/measures/__init__.py
@@ -1,1 +1,1 @@
-"""The measurements, one module for each kind of cost."""
+"""The measurements, a module for each kind of cost."""
--- a/benchmarks/capacity/measures/leases.py
+++ b/benchmarks/capacity/measures/leases.py
@@ -1,4 +1,4 @@
-"""Leases, and heartbeats between control servers: bytes of records and replies, processor time of a renewal."""
+"""Leases, and heartbeats between control servers: bytes of records and messages, processor time of a renewal."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 LEASES_MODULE = "dewpin/controlplane/membership/leases.py"
 SENDERS = (30, 100, 350, 1_000)
 CONTROL_SERVERS = (3, 5, 9, 15)
-RENEWAL_S = 2.8
+RENEWAL_INTERVAL_S = 2.8
 LEASE_S = 42.0
 
 
 def lease_bytes(_: Effort) -> Series:
-    """Bytes of the lease records of so many senders, as JSON."""
+    """Measure the bytes of all lease records as JSON, by the number of senders."""
     points = sample(
-        SENDERS, ONCE, lambda senders: float(sum(len(shapes.encode(shapes.lease(one))) for one in range(senders)))
+        SENDERS, ONCE, lambda senders: float(sum(len(shapes.encode(shapes.lease(number))) for number in range(senders)))
     )
     return Series(
         "lease-bytes", "bytes of all lease records, as JSON", "stand-in", "senders", "bytes of records", "B", points
@@ -28,10 +28,10 @@
 
 
 def lease_renew(effort: Effort) -> Series:
-    """Processor time of a control server to renew one lease and find its sender's parents in the relay tree."""
+    """Measure a control server's processor time to renew a lease and to choose the parents in the relay tree."""
 
     def prepare(senders: int) -> Callable[[], object]:
-        table = LeaseTable(RENEWAL_S)
+        table = LeaseTable(RENEWAL_INTERVAL_S)
         names = [f"sender-{number:04d}/{number:012x}" for number in range(senders)]
         for number, name in enumerate(names):
             table.renew(name, f"10.0.{number // 250}.{number % 250}:7381", "zone", 0.0)
@@ -56,9 +56,9 @@
 
 
 def lease_reply_bytes(_: Effort) -> Series:
-    """Bytes of the reply to a renewal, by the control servers that it names."""
+    """Measure the bytes of the reply to a renewal, by the number of control servers in it."""
 
-    def at(control_servers: int) -> float:
+    def measure_at(control_servers: int) -> float:
         reply = {
             "type": "lease.granted",
             "duration_s": LEASE_S,
@@ -78,12 +78,15 @@
         "control servers named",
         "bytes of an answer",
         "B",
-        sample(CONTROL_SERVERS, ONCE, at),
+        sample(CONTROL_SERVERS, ONCE, measure_at),
     )
 
 
 def heartbeat_bytes(_: Effort) -> Series:
-    """Bytes of a round of heartbeats of one control server, both ways, without any change, by their number."""
+    """Measure the bytes of a round of heartbeats of a control server without changes, by the number of control servers.
+
+    Includes requests and replies.
+    """
     record = PeerDescription(
         id="0123456789abcdef",
         name="core-zone-1-1",
--- a/benchmarks/capacity/measures/placement.py
+++ b/benchmarks/capacity/measures/placement.py
@@ -1,4 +1,4 @@
-"""The choice of a program's stores."""
+"""The choice of the stores of a program."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def rendezvous(effort: Effort) -> Series:
-    """Processor time to choose a program's stores, by the stores in the view."""
+    """Measure the processor time to choose the stores of a program, by the stores in the view, without the cache."""
 
-    def at(count: int) -> float:
+    def measure_at(count: int) -> float:
         stores = tuple(f"{number:016x}" for number in range(count))
         return processor_us_per_call(lambda: replicas.__wrapped__("3fa81c", stores, 3), effort.seconds)
 
@@ -23,5 +23,5 @@
         "stores",
         "processor time a program",
         "µs",
-        sample(STORES, effort, at),
+        sample(STORES, effort, measure_at),
     )
--- a/benchmarks/capacity/measures/receivers.py
+++ b/benchmarks/capacity/measures/receivers.py
@@ -1,4 +1,4 @@
-"""The list of receivers: bytes on the wire, processor time to send, take up and read, memory."""
+"""The list of receivers: encoded bytes, processor time to encode, apply and read it, memory."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 RECEIVERS = (30, 100, 300, 800)
 
 
-def directory(entries: int) -> ReceiverDirectory:
-    """A directory of so many receivers, as the reader of the platform's list makes it."""
+def directory(count: int) -> ReceiverDirectory:
+    """Return a directory of `count` receivers, as the reader of the platform's list creates it."""
     receivers = ReceiverDirectory()
-    receivers.apply_listing([receiver_from_platform(shapes.receiver(number)) for number in range(entries)], "reader")
+    receivers.apply_listing([receiver_from_platform(shapes.receiver(number)) for number in range(count)], "reader")
     return receivers
 
 
 def receivers_update(receivers: ReceiverDirectory) -> bytes:
-    """The frame by which a relay sends the receivers to a sender."""
+    """Return the encoded relay update with all receivers."""
     update = {"type": "relay.news", "receivers": receivers.to_records(), "receivers_version": receivers.version}
     return encode({"v": 1, "r": 1, "m": update})
 
 
 def apply_receivers_update(frame: bytes) -> ReceiverDirectory:
-    """Apply that frame as a sender does."""
+    """Apply an encoded update as a sender does; return the resulting directory."""
     update = Decoder().feed(frame)[0]["m"]
     counter, reader = update["receivers_version"]
     receivers = ReceiverDirectory()
@@ -42,8 +42,8 @@
 
 
 def receiver_bytes(_: Effort) -> Series:
-    """Bytes of the frame with all receivers."""
-    points = sample(RECEIVERS, ONCE, lambda entries: float(len(receivers_update(directory(entries)))))
+    """Measure the bytes of an update with all receivers."""
+    points = sample(RECEIVERS, ONCE, lambda count: float(len(receivers_update(directory(count)))))
     return Series(
         "receiver-bytes",
         "bytes of the message with all receivers",
@@ -56,10 +56,10 @@
 
 
 def receiver_send(effort: Effort) -> Series:
-    """Processor time to make the message with all receivers, once for each child in the relay tree."""
+    """Measure the processor time to encode an update with all receivers, as for each child in the relay tree."""
 
-    def prepare(entries: int) -> Callable[[], object]:
-        return partial(receivers_update, directory(entries))
+    def prepare(count: int) -> Callable[[], object]:
+        return partial(receivers_update, directory(count))
 
     return message_series(
         "receiver-send",
@@ -72,11 +72,11 @@
     )
 
 
-def receiver_take(effort: Effort) -> Series:
-    """Processor time of a sender to apply an update with all receivers."""
+def receiver_apply(effort: Effort) -> Series:
+    """Measure a sender's processor time to apply an update with all receivers."""
 
-    def prepare(entries: int) -> Callable[[], object]:
-        return partial(apply_receivers_update, receivers_update(directory(entries)))
+    def prepare(count: int) -> Callable[[], object]:
+        return partial(apply_receivers_update, receivers_update(directory(count)))
 
     return message_series(
         "receiver-take",
@@ -90,14 +90,16 @@
 
 
 def list_read(effort: Effort) -> Series:
-    """Processor time of a reader to parse the platform's list and merge it, when nothing has changed."""
+    """Measure the processor time to parse the platform's list and merge it without changes."""
 
-    def prepare(entries: int) -> Callable[[], object]:
-        body = json.dumps({"instances": [shapes.receiver(number) for number in range(entries)]}).encode()
-        receivers = directory(entries)
+    def prepare(count: int) -> Callable[[], object]:
+        body = json.dumps({"instances": [shapes.receiver(number) for number in range(count)]}).encode()
+        receivers = directory(count)
 
         def read() -> None:
-            receivers.apply_listing([receiver_from_platform(one) for one in json.loads(body)["instances"]], "reader")
+            receivers.apply_listing(
+                [receiver_from_platform(instance) for instance in json.loads(body)["instances"]], "reader"
+            )
 
         return read
 
@@ -113,14 +115,14 @@
     )
 
 
-def resident_with_receivers(entries: int) -> float:
-    """Resident bytes of a process with all receivers; run in a process of its own."""
-    receivers = apply_receivers_update(receivers_update(directory(entries)))
+def resident_with_receivers(count: int) -> float:
+    """Return the resident bytes of a process with all receivers; to be run in a separate process."""
+    receivers = apply_receivers_update(receivers_update(directory(count)))
     return float(resident_bytes()) if receivers.receivers else 0.0
 
 
 def receiver_memory(effort: Effort) -> Series:
-    """Memory of the receivers, by their number."""
+    """Measure the memory of a process with all receivers, by their number."""
     return memory_series(
         "receiver-memory",
         "memory of a process with all receivers, before and after the wire",
--- a/benchmarks/capacity/measures/register.py
+++ b/benchmarks/capacity/measures/register.py
@@ -1,4 +1,4 @@
-"""Changes of the register: time, and processor time of all members together."""
+"""Changes of the register: elapsed time, and processor time of all members together."""
 
 from __future__ import annotations
 
@@ -23,15 +23,18 @@
 REGISTER_ROUTES = (50, 500, 1_000, 2_000)
 
 
-class ChangeFunction(NamedTuple):
-    """What one change of the register takes, all its members together."""
+class ChangeCost(NamedTuple):
+    """Cost of one change of the register, all members together."""
 
     seconds: float
     processor_seconds: float
 
 
-async def change_registers(routes: int, seconds: float) -> ChangeFunction:
-    """Change a register of REGISTER_MEMBERS members in one process over loopback, each with its own file."""
+async def measure_change(routes: int, seconds: float) -> ChangeCost:
+    """Change a register of REGISTER_MEMBERS members in one process over loopback, each with a database of its own.
+
+    Returns the mean cost of a change.
+    """
     with tempfile.TemporaryDirectory() as folder:
         async with AsyncExitStack() as stack:
             registers = []
@@ -47,40 +50,42 @@
                 stack.push_async_callback(server.stop)
                 registers.append(register)
             members = {register.member: register.address for register in registers}
-            first = initial_state(members, {member: member for member in members})
+            initial = initial_state(members, {member: member for member in members})
             for register in registers:
                 await register.load()
-                await register.bootstrap(first)
+                await register.bootstrap(initial)
             body = shapes.configuration(routes)
             generation = 1
             await registers[0].propose(put_configuration(body, generation, 0), 10.0)
-            start, used = time.perf_counter(), time.process_time()
-            while time.perf_counter() < start + seconds:
+            start_s, processor_start_s = time.perf_counter(), time.process_time()
+            while time.perf_counter() < start_s + seconds:
                 await registers[0].propose(put_configuration(body, generation + 1, generation), 10.0)
                 generation += 1
             changes = max(generation - 1, 1)
-            return ChangeFunction((time.perf_counter() - start) / changes, (time.process_time() - used) / changes)
+            return ChangeCost(
+                (time.perf_counter() - start_s) / changes, (time.process_time() - processor_start_s) / changes
+            )
 
 
 def register_series(
-    effort: Effort, name: str, title: str, y_name: str, figure: Callable[[ChangeFunction], float]
+    effort: Effort, name: str, title: str, y_name: str, cost_of: Callable[[ChangeCost], float]
 ) -> Series:
-    """A figure of one change of the register, by the routes of the configuration in it."""
+    """Measure a cost of a register change, by the routes of the configuration."""
 
-    def at(routes: int) -> float:
-        return figure(asyncio.run(change_registers(routes, effort.seconds))) * MICROSECONDS
+    def measure_at(routes: int) -> float:
+        return cost_of(asyncio.run(measure_change(routes, effort.seconds))) * MICROSECONDS
 
-    return Series(name, title, REGISTER, "routes", y_name, "µs", sample(REGISTER_ROUTES, effort, at))
+    return Series(name, title, REGISTER, "routes", y_name, "µs", sample(REGISTER_ROUTES, effort, measure_at))
 
 
 def register_change(effort: Effort) -> Series:
-    """Time of a change of the register, by the routes of the configuration in it."""
+    """Measure the time of a register change, by the routes of the configuration."""
     title = f"a change of the register of {REGISTER_MEMBERS} members in one process, each with its file"
-    return register_series(effort, "register-change", title, "time a change", lambda change: change.seconds)
+    return register_series(effort, "register-change", title, "time a change", lambda cost: cost.seconds)
 
 
 def register_cost(effort: Effort) -> Series:
-    """Processor time of a change of the register, all members together."""
+    """Measure the processor time of a register change, all members together."""
     title = f"processor time of a change of the register, all {REGISTER_MEMBERS} members together"
     name, y_name = "register-cost", "processor time a change"
-    return register_series(effort, name, title, y_name, lambda change: change.processor_seconds)
+    return register_series(effort, name, title, y_name, lambda cost: cost.processor_seconds)
--- a/benchmarks/capacity/measures/system_state.py
+++ b/benchmarks/capacity/measures/system_state.py
@@ -1,4 +1,4 @@
-"""The system state and the configuration in it: bytes on the wire, processor time, memory of the processes."""
+"""The system state and its configuration: encoded bytes, processor time, memory of processes."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     put_configuration,
 )
 
-STATE = "dewpin/controlplane/register/system_state.py"
+STATE_MODULE = "dewpin/controlplane/register/system_state.py"
 ROUTES = (50, 200, 500, 1_000, 2_000)
-ACCEPTED = (0, 250, 500, 1_000, 2_000)
+ACCEPTED_CHANGES = (0, 250, 500, 1_000, 2_000)
 MEMBERS = 5
 
 
 def system_state(routes: int, accepted: int = 0) -> SystemState:
-    """A system state whose configuration has so many routes, after so many accepted changes."""
+    """Return a system state with the given numbers of configured routes and of accepted changes."""
     members = {f"{number:016x}": f"10.0.{number}.4:7380" for number in range(MEMBERS)}
     state = initial_state(members, {member: f"core-{member[-2:]}" for member in members})
     state = put_configuration(shapes.configuration(routes), 7, 0)(state)
@@ -34,23 +34,23 @@
 
 
 def state_update(state: SystemState) -> bytes:
-    """The frame by which a relay sends a new state to a sender."""
+    """Return the encoded relay update with a new state."""
     return encode({"v": 1, "r": 1, "m": {"type": "relay.news", "list_age_s": 0.1, "state": state}})
 
 
 def state_bytes(_: Effort) -> Series:
-    """Bytes of the frame that brings a new system state, by the routes of its configuration."""
+    """Measure the bytes of an update with a new system state, by the routes of its configuration."""
     points = sample(ROUTES, ONCE, lambda routes: float(len(state_update(system_state(routes)))))
-    return Series("state-bytes", "bytes of the system state on the wire", STATE, "routes", "bytes", "B", points)
+    return Series("state-bytes", "bytes of the system state on the wire", STATE_MODULE, "routes", "bytes", "B", points)
 
 
 def accepted_bytes(_: Effort) -> Series:
-    """Bytes that the stored changes add to the system state."""
-    points = sample(ACCEPTED, ONCE, lambda accepted: float(len(state_update(system_state(0, accepted)))))
+    """Measure the bytes of the system state, by the accepted changes that it lists."""
+    points = sample(ACCEPTED_CHANGES, ONCE, lambda accepted: float(len(state_update(system_state(0, accepted)))))
     return Series(
         "accepted-bytes",
         "bytes of the system state on the wire, without routes",
-        STATE,
+        STATE_MODULE,
         "changes remembered",
         "bytes",
         "B",
@@ -59,7 +59,7 @@
 
 
 def state_send(effort: Effort) -> Series:
-    """Processor time to make the frame of a state, once for each child in the relay tree."""
+    """Measure the processor time to encode an update with a state, as for each child in the relay tree."""
 
     def prepare(routes: int) -> Callable[[], object]:
         return partial(state_update, system_state(routes))
@@ -75,8 +75,8 @@
     )
 
 
-def state_take(effort: Effort) -> Series:
-    """Processor time of a sender to apply a state: decode its frame, parse and validate the configuration."""
+def state_apply(effort: Effort) -> Series:
+    """Measure a sender's processor time to apply a state: decode the update, parse and validate the configuration."""
 
     def prepare(routes: int) -> Callable[[], object]:
         frame = state_update(system_state(routes))
@@ -100,7 +100,7 @@
 
 
 def configuration_bytes(_: Effort) -> Series:
-    """Bytes of a configuration as the operator sends it, by its routes."""
+    """Measure the bytes of a configuration as the operator sends it, by its routes."""
     points = sample(ROUTES, ONCE, lambda routes: float(len(shapes.configuration(routes))))
     return Series(
         "configuration-bytes",
@@ -114,7 +114,10 @@
 
 
 def resident_of_sender(routes: int) -> float:
-    """Resident bytes of a sender's modules with a state and its parsed configuration; run in a process of its own."""
+    """Return the resident bytes of a sender's modules with a state and its parsed configuration.
+
+    To be run in a separate process.
+    """
     import dewpin.dataplane.__main__  # noqa: F401
 
     state = system_state(routes)
@@ -123,7 +126,7 @@
 
 
 def sender_memory(effort: Effort) -> Series:
-    """Memory of a sender's process with a configuration, by its routes."""
+    """Measure the memory of a sender process with a configuration, by its routes."""
     return memory_series(
         "sender-memory",
         "memory of a sender's modules with a system state and its parsed configuration",
@@ -136,7 +139,7 @@
 
 
 def resident_of_control_server(routes: int) -> float:
-    """Resident bytes of a control server's modules with a system state; run in a process of its own."""
+    """Return the resident bytes of a control server's modules with a system state; to be run in a separate process."""
     import dewpin.controlplane.__main__  # noqa: F401
 
     state = system_state(routes)
@@ -144,7 +147,7 @@
 
 
 def control_server_memory(effort: Effort) -> Series:
-    """Memory of a control server's process with a system state, by its routes."""
+    """Measure the memory of a control server process with a system state, by its routes."""
     return memory_series(
         "control-server-memory",
         "memory of a control server's modules with a system state",
--- a/benchmarks/capacity/measures/wire.py
+++ b/benchmarks/capacity/measures/wire.py
@@ -1,4 +1,4 @@
-"""Messages: encoding, decoding, and a call over loopback."""
+"""Messages: encoding, decoding, and RPC calls over loopback."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def encode_cost(effort: Effort) -> Series:
-    """Processor time to make a framed message, by the bytes of its text."""
+    """Measure the processor time to encode a framed message, by the bytes of its text."""
 
     def prepare(size: int) -> Callable[[], object]:
         return partial(encode, shapes.turn(1, size))
@@ -43,7 +43,7 @@
 
 
 def decode_cost(effort: Effort) -> Series:
-    """Processor time to read a framed message, by the bytes of its text."""
+    """Measure the processor time to decode a framed message, by the bytes of its text."""
 
     def prepare(size: int) -> Callable[[], object]:
         frame = encode(shapes.turn(1, size))
@@ -61,14 +61,14 @@
 
 
 async def acknowledge(message: Message) -> Message:
-    """Reply to a call at once."""
+    """Reply to a call immediately."""
     return {"type": "ok", "turn": message["turn"]}
 
 
 def serve_calls(pipe: Connection) -> None:
     """Run a server process until the pipe is closed.
 
-    It sends its address over the pipe, then its processor time on each request.
+    It sends its address over the pipe, then replies to each request with its processor time.
     """
 
     async def serve() -> None:
@@ -76,7 +76,7 @@
         port = free_port()
         await server.start("127.0.0.1", port)
         pipe.send(f"127.0.0.1:{port}")
-        ended = asyncio.Event()
+        pipe_closed = asyncio.Event()
 
         def send_usage() -> None:
             try:
@@ -85,17 +85,17 @@
                 pipe.send(usage.ru_utime + usage.ru_stime)
             except EOFError:
                 asyncio.get_running_loop().remove_reader(pipe.fileno())
-                ended.set()
+                pipe_closed.set()
 
         asyncio.get_running_loop().add_reader(pipe.fileno(), send_usage)
-        await ended.wait()
+        await pipe_closed.wait()
         await server.stop()
 
     asyncio.run(serve())
 
 
 class CallServer:
-    """A server process to be called over loopback."""
+    """A server process on loopback."""
 
     def __init__(self) -> None:
         context = multiprocessing.get_context("spawn")
@@ -106,59 +106,59 @@
         self.address: str = self._pipe.recv()
 
     def processor_seconds(self) -> float:
-        """Processor time that the server process has used so far."""
+        """Return the processor seconds that the server process has used so far."""
         self._pipe.send("usage")
         return float(self._pipe.recv())
 
     def __enter__(self) -> CallServer:
-        """Return the server; its process ends with the block."""
+        """Return the server; its process is stopped at the end of the block."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End the process and wait for it."""
+        """Stop the process and wait for it."""
         self._pipe.close()
         self._process.join()
 
 
 CallCost = Callable[[CallServer, int, float], float]
-"""Takes a server, the bytes of a call's text and the seconds to call for; returns the microseconds of one call."""
+"""Returns the microseconds per call, given a server, the bytes of text of a call and the seconds to call for."""
 
 
 async def call_repeatedly(client: RpcClient, address: str, size: int, seconds: float) -> tuple[int, float]:
-    """Calls one after the other: how many, and the seconds they took."""
+    """Call sequentially for `seconds`; return the number of calls and the elapsed seconds."""
     message = shapes.turn(1, size)
     await client.call(address, message, CALL_TIMEOUT_S)
-    start = time.perf_counter()
+    start_s = time.perf_counter()
     calls = 0
-    while time.perf_counter() < start + seconds:
+    while time.perf_counter() < start_s + seconds:
         await client.call(address, message, CALL_TIMEOUT_S)
         calls += 1
-    return calls, time.perf_counter() - start
+    return calls, time.perf_counter() - start_s
 
 
 async def call_concurrently(address: str, size: int, seconds: float, callers: int) -> tuple[int, float]:
-    """Calls of several callers at once on one connection: how many in all, and the seconds they took."""
+    """Call from concurrent callers on one connection; return the total number of calls and the elapsed seconds."""
     client = RpcClient()
     runs = await asyncio.gather(*(call_repeatedly(client, address, size, seconds) for _ in range(callers)))
     await client.close()
-    return sum(calls for calls, _ in runs), max(took for _, took in runs)
+    return sum(calls for calls, _ in runs), max(elapsed_s for _, elapsed_s in runs)
 
 
 def call_series(effort: Effort, name: str, title: str, y_name: str, cost: CallCost) -> Series:
-    """A figure of calls to a server process, by the bytes of their text."""
+    """Measure a cost of calls to a server process, by the bytes of their text."""
     with CallServer() as server:
         points = sample(CALL_TEXT_BYTES, effort, lambda size: cost(server, size, effort.seconds))
     return Series(name, title, RPC, "bytes of text", y_name, "µs", points)
 
 
 def round_trip(effort: Effort) -> Series:
-    """Time of one call over loopback, by the bytes of its text."""
+    """Measure the time of a call over loopback, by the bytes of its text."""
 
     def cost(server: CallServer, size: int, seconds: float) -> float:
-        calls, took = asyncio.run(call_concurrently(server.address, size, seconds, callers=1))
-        return took * MICROSECONDS / calls
+        calls, elapsed_s = asyncio.run(call_concurrently(server.address, size, seconds, callers=1))
+        return elapsed_s * MICROSECONDS / calls
 
     return call_series(effort, "round-trip", "a call and its answer over loopback, one at a time", "time a call", cost)
 
@@ -166,7 +166,7 @@
 def call_processor_series(
     effort: Effort, name: str, subject: str, processor_seconds: Callable[[CallServer], float]
 ) -> Series:
-    """Processor time of one call in one of its two processes, by the bytes of its text."""
+    """Measure the processor time of a call in the server or the client process, by the bytes of its text."""
 
     def cost(server: CallServer, size: int, seconds: float) -> float:
         before = processor_seconds(server)
@@ -178,10 +178,10 @@
 
 
 def server_call_cost(effort: Effort) -> Series:
-    """Processor time of the serving process for one call, by the bytes of its text."""
+    """Measure the processor time of a call in the server process, by the bytes of its text."""
     return call_processor_series(effort, "server-call", "server", CallServer.processor_seconds)
 
 
 def client_call_cost(effort: Effort) -> Series:
-    """Processor time of the calling process for one call, by the bytes of its text."""
+    """Measure the processor time of a call in the client process, by the bytes of its text."""
     return call_processor_series(effort, "client-call", "caller", lambda _: time.process_time())
--- a/benchmarks/capacity/page.py
+++ b/benchmarks/capacity/page.py
@@ -1,4 +1,4 @@
-"""The marked sections of a page: their text is replaced, the prose around them stays."""
+"""Replaces the generated sections of a page, which are delimited by marker comments; other text is kept."""
 
 from __future__ import annotations
 
@@ -6,34 +6,40 @@
 
 
 class PageError(ValueError):
-    """The page's marks do not fit the sections to be written."""
+    """The markers of the page do not match the sections to be written."""
 
 
-def start_mark(name: str) -> str:
-    """The line before a generated section."""
+def start_marker(name: str) -> str:
+    """Return the marker line before a generated section."""
     return f"<!-- generated: {name} -->"
 
 
-def end_mark(name: str) -> str:
-    """The line after a generated section."""
+def end_marker(name: str) -> str:
+    """Return the marker line after a generated section."""
     return f"<!-- end: {name} -->"
 
 
 def replace_section(page: str, name: str, text: str) -> str:
-    """The page with one section's text replaced; PageError unless its marks stand there once each, in order."""
-    start, end = start_mark(name), end_mark(name)
+    """Return the page with the text of a section replaced.
+
+    Raises PageError unless both markers occur exactly once, in order.
+    """
+    start, end = start_marker(name), end_marker(name)
     if page.count(start) != 1 or page.count(end) != 1 or page.index(end) < page.index(start):
-        raise PageError(f"section {name!r} needs its two marks once each, in order")
+        raise PageError(f"section {name!r} needs its start and end markers exactly once each, in order")
     before, _, rest = page.partition(start)
     after = rest.partition(end)[2]
     return f"{before}{start}\n{text.strip()}\n{end}{after}"
 
 
 def replace_sections(page: str, sections: Mapping[str, str]) -> str:
-    """The page with all sections replaced; PageError also when the page marks a section that is not given."""
+    """Return the page with all sections replaced.
+
+    Raises PageError also if the page has markers of a section that is not given.
+    """
     for name, text in sections.items():
         page = replace_section(page, name, text)
-    marked = page.count("<!-- generated: ")
-    if marked != len(sections):
-        raise PageError(f"the page marks {marked} sections, {len(sections)} are written")
+    marker_count = page.count("<!-- generated: ")
+    if marker_count != len(sections):
+        raise PageError(f"the page has markers of {marker_count} sections, but {len(sections)} are written")
     return page
--- a/benchmarks/capacity/report.py
+++ b/benchmarks/capacity/report.py
@@ -1,4 +1,4 @@
-"""The generated sections of docs/CAPACITY.md."""
+"""Generates the sections of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from benchmarks.capacity.fit import Estimate
 from benchmarks.capacity.results import Results
 from benchmarks.capacity.roles import control, failures, sender, store
-from benchmarks.capacity.sheet import Row, estimate, markdown_table, plain, sheet_table
+from benchmarks.capacity.sheet import Row, format_estimate, format_number, markdown_table, rows_table
 from benchmarks.capacity.sweep import SweepFigure, sweep_table
 from benchmarks.capacity.target import ASSUMED, TARGET
 
 
 def measured_table(results: Results) -> str:
-    """Each series with its line, its range and the run that gave it."""
+    """Return a table of all series with their lines, ranges and runs."""
     cells = []
     for name, series in sorted(results.series.items()):
         line = series.line()
@@ -25,9 +25,9 @@
                 f"`{name}`",
                 series.title,
                 series.subject if series.subject.count("/") == 0 else f"`{series.subject}`",
-                f"{estimate(Estimate(line.intercept, line.at(0).error), series.y_unit)}",
-                f"{estimate(line.per_unit, series.y_unit)} / {series.x_name}",
-                f"{plain(min(xs))} to {plain(max(xs))}, {line.count} points",
+                f"{format_estimate(Estimate(line.intercept, line.at(0).error), series.y_unit)}",
+                f"{format_estimate(line.slope_estimate, series.y_unit)} / {series.x_name}",
+                f"{format_number(min(xs))} to {format_number(max(xs))}, {line.count} points",
                 results.runs[name].describe(),
             )
         )
@@ -36,25 +36,27 @@
 
 
 def points_table(results: Results) -> str:
-    """The mean of each series at each x, for the eye."""
+    """Return a table of the mean of each series at each x."""
     cells = []
     for name, series in sorted(results.series.items()):
         by_x: dict[float, list[float]] = {}
         for x, y in series.points:
             by_x.setdefault(x, []).append(y)
-        means = (f"{plain(x)}: {plain(sum(ys) / len(ys))}" for x, ys in sorted(by_x.items()))
+        means = (f"{format_number(x)}: {format_number(sum(ys) / len(ys))}" for x, ys in sorted(by_x.items()))
         cells.append((f"`{name}`", f"{series.y_name} ({series.y_unit}) by {series.x_name}", "; ".join(means)))
     return markdown_table(("series", "mean of", "points"), cells)
 
 
 def assumptions_table() -> str:
-    """What the list leaves open."""
-    cells = [(field.name.replace("_", " "), plain(float(getattr(ASSUMED, field.name)))) for field in fields(ASSUMED)]
+    """Return a table of the assumptions."""
+    cells = [
+        (field.name.replace("_", " "), format_number(float(getattr(ASSUMED, field.name)))) for field in fields(ASSUMED)
+    ]
     return markdown_table(("assumed", "value"), cells)
 
 
 def sections(results: Results, sweep: list[SweepFigure]) -> dict[str, str]:
-    """All generated sections by name."""
+    """Return the text of all generated sections by name."""
     context = Context(TARGET, ASSUMED, results)
     parts: dict[str, list[Row]] = {
         "sender-traffic": sender.traffic_rows(context),
@@ -63,19 +65,19 @@
         "sender-programs": sender.program_rows(context),
         "store-state": store.state_rows(context),
         "store-load": store.load_rows(context),
-        "store-hello": store.hello_rows(context),
+        "store-hello": store.heartbeat_rows(context),
         "control-leases": control.lease_rows(context),
         "control-state": control.state_rows(context),
         "control-list": control.list_rows(context),
         "failures-senders": failures.sender_rows(context),
         "failures-stores": failures.store_rows(context),
-        "failures-places": failures.place_rows(context),
+        "failures-places": failures.location_rows(context),
     }
     all_rows = [row for rows in parts.values() for row in rows]
     return {
         "coverage": coverage_table(TARGET, all_rows),
         "assumptions": assumptions_table(),
-        **{name: sheet_table(rows) for name, rows in parts.items()},
+        **{name: rows_table(rows) for name, rows in parts.items()},
         "measured": measured_table(results),
         "points": points_table(results),
         "sweep": sweep_table(sweep, TARGET, ASSUMED),
--- a/benchmarks/capacity/results.py
+++ b/benchmarks/capacity/results.py
@@ -1,4 +1,4 @@
-"""The measured series, kept beside the code, so that the page can be written again without measuring."""
+"""Stored results, from which the page can be written without measuring again."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 class Run:
     """Where and when a series was measured.
 
-    load: processes that ran or waited on the machine, the mean of the last minute.
+    `when`: UTC. `revision`: of the source tree. `load`: one-minute load average of the machine.
     """
 
     when: str
@@ -30,25 +30,25 @@
     load: float
 
     def describe(self) -> str:
-        """One phrase for the page."""
+        """Return a one-line description for the page."""
         machine = f"load {self.load:.0f} on {self.cores} cores, Python {self.python}, SQLite {self.sqlite}"
         return f"{self.when}, text {self.revision}, {machine}"
 
 
 @dataclass(frozen=True)
 class Results:
-    """Series by name, each with the run that gave it."""
+    """Series by name, each with the run that measured it."""
 
     series: dict[str, Series]
     runs: dict[str, Run]
 
     def with_series(self, series: Series, run: Run) -> Results:
-        """These results with one series replaced."""
+        """Return these results with one series added or replaced."""
         return Results({**self.series, series.name: series}, {**self.runs, series.name: run})
 
 
-def this_run(root: Path) -> Run:
-    """The run that is under way in this process."""
+def current_run(root: Path) -> Run:
+    """Return the description of the run of this process."""
     revision = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=root, capture_output=True, text=True, check=False
     ).stdout.strip()
@@ -64,19 +64,19 @@
 
 
 def load(path: Path) -> Results:
-    """Results from a file; none when there is no such file."""
+    """Load results from a file; empty if it does not exist."""
     if not path.exists():
         return Results({}, {})
-    held: dict[str, Any] = json.loads(path.read_text())
-    series = {name: Series.from_json(one["series"]) for name, one in held.items()}
-    runs = {name: Run(**one["run"]) for name, one in held.items()}
+    records: dict[str, Any] = json.loads(path.read_text())
+    series = {name: Series.from_json(record["series"]) for name, record in records.items()}
+    runs = {name: Run(**record["run"]) for name, record in records.items()}
     return Results(series, runs)
 
 
 def save(results: Results, path: Path) -> None:
-    """Write results to a file, one series a paragraph."""
-    held = {
+    """Write results to a file as JSON, sorted by series."""
+    records = {
         name: {"run": vars(results.runs[name]), "series": series.to_json()}
         for name, series in sorted(results.series.items())
     }
-    path.write_text(json.dumps(held, indent=1) + "\n")
+    path.write_text(json.dumps(records, indent=1) + "\n")
--- a/benchmarks/capacity/roles/control.py
+++ b/benchmarks/capacity/roles/control.py
@@ -1,11 +1,11 @@
-"""Figures of the machines set aside for control at the target."""
+"""Figures of the dedicated control machines at the target."""
 
 from __future__ import annotations
 
 from benchmarks.capacity import design
 from benchmarks.capacity.context import Context
 from benchmarks.capacity.fit import Estimate
-from benchmarks.capacity.sheet import Row, plain
+from benchmarks.capacity.sheet import Row, format_number
 
 MICROSECONDS = 1e6
 SMALL_MESSAGE_BYTES = 300
@@ -18,25 +18,27 @@
 
 
 def hop_s(context: Context) -> Estimate:
-    """Time of a change through one sender of the relay tree: take it up, make the frames, the way to the next."""
-    handling = context.at("state-take", context.routes) + design.RELAY_FAN_OUT * context.at(
+    """Return the seconds of a change at one hop of the relay tree: apply it, encode it for the children, send it."""
+    handling_us = context.at("state-take", context.routes) + design.RELAY_FAN_OUT * context.at(
         "state-send", context.routes
     )
-    return handling / MICROSECONDS + context.assumed.region_round_trip_ms / 2000
+    return handling_us / MICROSECONDS + context.assumed.region_round_trip_ms / 2000
 
 
-def change_s(context: Context) -> Estimate:
-    """Time of a change from its order to the last sender when nothing fails."""
-    rounds = 2 * context.assumed.region_round_trip_ms / 1000
-    register = context.at("register-change", context.routes) / MICROSECONDS
-    return register + rounds + design.HEARTBEAT_PERIOD_S + design.relay_depth(context.target.senders) * hop_s(context)
+def propagation_s(context: Context) -> Estimate:
+    """Return the seconds from the request of a change until the last sender has it, without failures."""
+    rounds_s = 2 * context.assumed.region_round_trip_ms / 1000
+    register_s = context.at("register-change", context.routes) / MICROSECONDS
+    return (
+        register_s + rounds_s + design.HEARTBEAT_PERIOD_S + design.relay_depth(context.target.senders) * hop_s(context)
+    )
 
 
 def renewal_rows(context: Context) -> list[Row]:
-    """Leases and their renewals at each control machine. A table: as long as its rows."""
+    """Return the rows on leases and renewals at each control machine."""
     target = context.target
-    renewals = target.senders / context.renewal_s
-    each = renewals / target.control_machines
+    renewals_per_s = target.senders / context.renewal_s
+    renewals_per_server = renewals_per_s / target.control_machines
     return [
         context.row(
             "leases held at each",
@@ -54,16 +56,16 @@
         ),
         context.row(
             "renewals a second at each",
-            f"{target.senders} / {plain(context.renewal_s)} s / {target.control_machines}",
-            lambda: each,
+            f"{target.senders} / {format_number(context.renewal_s)} s / {target.control_machines}",
+            lambda: renewals_per_server,
             "1/s",
             LEASES,
         ),
         context.row(
             "processor time of renewals at each",
-            f"{plain(each)}/s × (server-call + lease-renew at {target.senders})",
+            f"{format_number(renewals_per_server)}/s × (server-call + lease-renew at {target.senders})",
             lambda: (
-                each
+                renewals_per_server
                 * (context.at("server-call", SMALL_MESSAGE_BYTES) + context.at("lease-renew", target.senders))
                 / MICROSECONDS
             ),
@@ -73,9 +75,9 @@
         ),
         context.row(
             "the same if each sender renewed at all control servers",
-            f"{plain(renewals)}/s in place of {plain(each)}/s",
+            f"{format_number(renewals_per_s)}/s in place of {format_number(renewals_per_server)}/s",
             lambda: (
-                renewals
+                renewals_per_s
                 * (context.at("server-call", SMALL_MESSAGE_BYTES) + context.at("lease-renew", target.senders))
                 / MICROSECONDS
             ),
@@ -87,15 +89,15 @@
 
 
 def renewal_interval_rows(context: Context) -> list[Row]:
-    """Time between a sender's visits to one control server."""
+    """Return the rows on the time between renewals of a sender at the same control server."""
     target, assumed = context.target, context.assumed
-    control_servers_if_all = assumed.stores + target.control_machines
+    control_servers_with_stores = assumed.stores + target.control_machines
     return [
         context.row(
             "time between a sender's visits to one control server",
-            f"{target.control_machines} control servers × {plain(context.renewal_s)} s, against a lease of "
+            f"{target.control_machines} control servers × {format_number(context.renewal_s)} s, against a lease of "
             f"max({design.LEASE_PERIODS}, {design.LEASE_CYCLES} × {target.control_machines}) × "
-            f"{plain(context.renewal_s)} s",
+            f"{format_number(context.renewal_s)} s",
             lambda: target.control_machines * context.renewal_s,
             "s",
             LEASES,
@@ -103,17 +105,17 @@
         ),
         context.row(
             "the same if all stores served control too",
-            f"{control_servers_if_all} control servers × {plain(context.renewal_s)} s",
-            lambda: control_servers_if_all * context.renewal_s,
+            f"{control_servers_with_stores} control servers × {format_number(context.renewal_s)} s",
+            lambda: control_servers_with_stores * context.renewal_s,
             "s",
             LEASES,
-            context.lease_s(control_servers_if_all),
+            context.lease_s(control_servers_with_stores),
         ),
     ]
 
 
 def lease_rows(context: Context) -> list[Row]:
-    """Leases at each of the control machines."""
+    """Return all rows on leases."""
     return [
         *renewal_rows(context),
         *renewal_interval_rows(context),
@@ -121,7 +123,7 @@
 
 
 def register_rows(context: Context) -> list[Row]:
-    """The register's state and a change of it. A table: as long as its rows."""
+    """Return the rows on the system state and a change of it."""
     target = context.target
     members = target.control_machines
     return [
@@ -155,7 +157,7 @@
         ),
         context.row(
             "processor time of changes at each member, mean of a day",
-            f"{target.changes_a_day}/day × register-cost / {members}",
+            f"{target.changes_per_day}/day × register-cost / {members}",
             lambda: context.changes_per_s * context.at("register-cost", context.routes) / members / MICROSECONDS,
             "share",
             REGISTER,
@@ -163,8 +165,8 @@
         ),
         context.row(
             "bytes written to disk for changes, a day, each member",
-            f"{target.changes_a_day} × state (a promise writes its ballot alone)",
-            lambda: target.changes_a_day * context.state_bytes,
+            f"{target.changes_per_day} × state (a promise writes its ballot alone)",
+            lambda: target.changes_per_day * context.state_bytes,
             "B",
             "`dewpin/controlplane/storage/storage.py`",
         ),
@@ -172,7 +174,7 @@
 
 
 def propagation_rows(context: Context) -> list[Row]:
-    """The way of a change to the senders. A table: as long as its rows."""
+    """Return the rows on the propagation of a change to the senders."""
     target, assumed = context.target, context.assumed
     depth = design.relay_depth(target.senders)
     return [
@@ -187,27 +189,27 @@
         ),
         context.row(
             "time of a change to the last sender, nothing failing",
-            f"register-change + 2 rounds × {plain(assumed.region_round_trip_ms)} ms + a greeting "
-            f"({plain(design.HEARTBEAT_PERIOD_S)} s) + "
+            f"register-change + 2 rounds × {format_number(assumed.region_round_trip_ms)} ms + a greeting "
+            f"({format_number(design.HEARTBEAT_PERIOD_S)} s) + "
             f"{depth} hops × (state-take + {design.RELAY_FAN_OUT} × state-send + "
-            f"{plain(assumed.region_round_trip_ms / 2)} ms)",
-            lambda: change_s(context),
+            f"{format_number(assumed.region_round_trip_ms / 2)} ms)",
+            lambda: propagation_s(context),
             "s",
             f"{REGISTER}, {TREE}",
             target.change_in_force_s,
         ),
         context.row(
             "the same when the tree fails",
-            f"that + two renewals ({plain(context.renewal_s)} s × 1.1 each, one control server silent)",
-            lambda: change_s(context) + 2 * 1.1 * context.renewal_s,
+            f"that + two renewals ({format_number(context.renewal_s)} s × 1.1 each, one control server silent)",
+            lambda: propagation_s(context) + 2 * 1.1 * context.renewal_s,
             "s",
             LEASES,
             target.change_in_force_s,
         ),
         context.row(
             "whole states to all senders, a day",
-            f"{target.changes_a_day} × {target.senders} × state",
-            lambda: target.changes_a_day * target.senders * context.state_bytes,
+            f"{target.changes_per_day} × {target.senders} × state",
+            lambda: target.changes_per_day * target.senders * context.state_bytes,
             "B",
             TREE,
         ),
@@ -215,7 +217,7 @@
 
 
 def state_rows(context: Context) -> list[Row]:
-    """The register, its state, and the way of a change to the senders."""
+    """Return all rows on the register and the propagation of its state."""
     return [
         *register_rows(context),
         *propagation_rows(context),
@@ -223,12 +225,12 @@
 
 
 def list_rows(context: Context) -> list[Row]:
-    """The reader of the platform's list, and the memory of a control server. A table: as long as its rows."""
+    """Return the rows on the reader of the platform's list and on the memory of a control server."""
     target = context.target
     return [
         context.row(
             "processor time of reading the list",
-            f"list-read at {target.receivers} / {plain(context.reading_period_s)} s, at one control server",
+            f"list-read at {target.receivers} / {format_number(context.reading_period_s)} s, at one control server",
             lambda: context.at("list-read", target.receivers) / context.reading_period_s / MICROSECONDS,
             "share",
             LIST,
@@ -238,7 +240,7 @@
             "processor time of sending it while each reading differs",
             f"(children + other control servers) = {design.RELAY_FAN_OUT + target.control_machines - 1} × "
             f"receiver-send / "
-            f"{plain(context.reading_period_s)} s",
+            f"{format_number(context.reading_period_s)} s",
             lambda: (
                 (design.RELAY_FAN_OUT + target.control_machines - 1)
                 * context.at("receiver-send", target.receivers)
@@ -256,8 +258,8 @@
             "connections × connection-memory / 2 (one end)",
             lambda: (
                 context.at("control-server-memory", context.routes)
-                + target.receivers * context.each("receiver-memory")
-                + target.senders * context.each("connection-memory") / 2
+                + target.receivers * context.slope("receiver-memory")
+                + target.senders * context.slope("connection-memory") / 2
             ),
             "B",
             "`dewpin/controlplane`",
--- a/benchmarks/capacity/roles/store.py
+++ b/benchmarks/capacity/roles/store.py
@@ -1,11 +1,11 @@
-"""Figures of all stores together at the target, and how many machines they ask for."""
+"""Figures of all stores together at the target."""
 
 from __future__ import annotations
 
 from benchmarks.capacity import design
 from benchmarks.capacity.context import Context
 from benchmarks.capacity.fit import Estimate
-from benchmarks.capacity.sheet import Row, plain
+from benchmarks.capacity.sheet import Row, format_number
 
 MICROSECONDS = 1e6
 SMALL_MESSAGE_BYTES = 300
@@ -18,74 +18,77 @@
 HEARTBEAT = "`dewpin/controlplane/membership/heartbeat.py`"
 
 
-def disk_of(context: Context, replicas: int) -> Estimate:
-    """Bytes of the files of all stores, by the measured bytes of a record."""
-    held = context.target.programs * context.history_bytes * replicas
-    return held * context.each("disk") / MEASURED_RECORD_BYTES
+def disk_bytes(context: Context, replicas: int) -> Estimate:
+    """Return the bytes of the files of all stores, from the measured bytes of a record."""
+    record_bytes = context.target.programs * context.history_bytes * replicas
+    return record_bytes * context.slope("disk") / MEASURED_RECORD_BYTES
 
 
-def call_processor(context: Context) -> Estimate:
-    """Cores for the calls themselves."""
-    ledger = (context.ledger_calls_a_turn + 1) * context.at("server-call", SMALL_MESSAGE_BYTES)
-    turns = context.assumed.replicas * context.at("server-call", context.turn_bytes)
-    return context.target.requests_per_s * (ledger + turns) / MICROSECONDS
+def call_cores(context: Context) -> Estimate:
+    """Return the cores needed to handle the RPC calls."""
+    ledger_us = (context.ledger_calls_per_turn + 1) * context.at("server-call", SMALL_MESSAGE_BYTES)
+    turns_us = context.assumed.replicas * context.at("server-call", context.turn_bytes)
+    return context.target.requests_per_s * (ledger_us + turns_us) / MICROSECONDS
 
 
-def write_processor(context: Context) -> Estimate:
-    """Cores for the synced writes."""
-    ledger = context.ledger_calls_a_turn * context.at("ledger-cost", OPEN_RESERVATIONS)
-    turns = context.assumed.replicas * context.at("turn-cost", context.turn_bytes)
-    return context.target.requests_per_s * (ledger + turns) / MICROSECONDS
+def write_cores(context: Context) -> Estimate:
+    """Return the cores needed for the synced writes."""
+    ledger_us = context.ledger_calls_per_turn * context.at("ledger-cost", OPEN_RESERVATIONS)
+    turns_us = context.assumed.replicas * context.at("turn-cost", context.turn_bytes)
+    return context.target.requests_per_s * (ledger_us + turns_us) / MICROSECONDS
 
 
-def read_processor(context: Context) -> Estimate:
-    """Cores for reading chains that no sender had cached; half of a program's turns at the mean."""
-    turns = context.target.turns_a_program / 2
-    one = context.at("chain-read", turns) * (context.turn_bytes / MEASURED_RECORD_BYTES)
-    return context.target.requests_per_s * (1 - context.cached_share) * one / MICROSECONDS
+def read_cores(context: Context) -> Estimate:
+    """Return the cores needed to read histories that no sender has cached; on average half of a program's turns."""
+    turns = context.target.turns_per_program / 2
+    read_us = context.at("chain-read", turns) * (context.turn_bytes / MEASURED_RECORD_BYTES)
+    return context.target.requests_per_s * (1 - context.cached_share) * read_us / MICROSECONDS
 
 
-def writer_share(context: Context) -> Estimate:
-    """Share of one store's writer thread that the synced writes fill when its groups are as large as they may be.
+def writer_utilization(context: Context) -> Estimate:
+    """Return the utilization of a store's writer thread by synced writes, with group commits of the maximum size.
 
-    The processor time of a write counts whole, though a part of it is the loop's: a bound from above.
+    An upper bound: it includes all processor time of a write, although the event loop's thread spends a part of it.
     """
-    ledger = context.ledger_calls_a_turn * context.at("ledger-cost", OPEN_RESERVATIONS)
-    turns = context.assumed.replicas * context.at("turn-cost", context.turn_bytes)
-    sync = context.at("turn-commit", 1) / design.MAX_JOBS_IN_COMMIT
-    writes = context.ledger_calls_a_turn + context.assumed.replicas
-    a_turn = (ledger + turns + writes * sync) / MICROSECONDS
-    return context.target.requests_per_s * a_turn / context.assumed.stores
+    ledger_us = context.ledger_calls_per_turn * context.at("ledger-cost", OPEN_RESERVATIONS)
+    turns_us = context.assumed.replicas * context.at("turn-cost", context.turn_bytes)
+    sync_us = context.at("turn-commit", 1) / design.MAX_JOBS_IN_COMMIT
+    writes = context.ledger_calls_per_turn + context.assumed.replicas
+    turn_s = (ledger_us + turns_us + writes * sync_us) / MICROSECONDS
+    return context.target.requests_per_s * turn_s / context.assumed.stores
 
 
 def state_rows(context: Context) -> list[Row]:
-    """Bytes and rows. A table: as long as its rows."""
+    """Return the rows on stored bytes and database rows."""
     target, assumed = context.target, context.assumed
-    turns = target.programs * target.turns_a_program
+    turns = target.programs * target.turns_per_program
     arithmetic = (
-        f"{target.programs:,} × {target.tokens_a_program:,} tokens × {assumed.bytes_a_token} B × {assumed.replicas} × "
+        f"{target.programs:,} × {target.tokens_per_program:,} tokens × {assumed.bytes_a_token} B × "
+        f"{assumed.replicas} × "
         "slope of disk / 5,000 B"
     )
     return [
         context.row(
             "turns held at all replicas (rows)",
-            f"{target.programs:,} programs × {target.turns_a_program} turns × {assumed.replicas}",
+            f"{target.programs:,} programs × {target.turns_per_program} turns × {assumed.replicas}",
             lambda: turns * assumed.replicas,
             "",
             TURNS,
         ),
-        context.row("bytes of files, all stores", arithmetic, lambda: disk_of(context, assumed.replicas), "B", STORAGE),
+        context.row(
+            "bytes of files, all stores", arithmetic, lambda: disk_bytes(context, assumed.replicas), "B", STORAGE
+        ),
         context.row(
             "the same with two losses borne",
             f"× {assumed.replicas_of_two_losses} in place of {assumed.replicas}",
-            lambda: disk_of(context, assumed.replicas_of_two_losses),
+            lambda: disk_bytes(context, assumed.replicas_of_two_losses),
             "B",
             STORAGE,
         ),
         context.row(
             f"bytes of one of {assumed.stores} stores",
             f"/ {assumed.stores}",
-            lambda: disk_of(context, assumed.replicas) / assumed.stores,
+            lambda: disk_bytes(context, assumed.replicas) / assumed.stores,
             "B",
             STORAGE,
             assumed.disk_of_a_store_gb * 1e9,
@@ -102,7 +105,7 @@
             f"control-server-memory at {context.routes:,} routes + {target.senders} connections × connection-memory",
             lambda: (
                 context.at("control-server-memory", context.routes)
-                + target.senders * context.each("connection-memory") / 2
+                + target.senders * context.slope("connection-memory") / 2
             ),
             "B",
             "`dewpin/controlplane`",
@@ -111,9 +114,9 @@
 
 
 def call_rows(context: Context) -> list[Row]:
-    """Messages and bytes of all stores."""
+    """Return the rows on calls and bytes of all stores."""
     target, assumed = context.target, context.assumed
-    ledger_calls, replicas = context.ledger_calls_a_turn, assumed.replicas
+    ledger_calls, replicas = context.ledger_calls_per_turn, assumed.replicas
     calls = target.requests_per_s * (ledger_calls + replicas + 1)
     writes = target.requests_per_s * (ledger_calls + replicas)
     new_bytes = target.requests_per_s * context.turn_bytes * replicas
@@ -134,14 +137,15 @@
         ),
         context.row(
             "bytes of new turns a second, all stores",
-            f"{target.requests_per_s:,}/s × {plain(context.turn_bytes / 1000)} kB × {replicas}",
+            f"{target.requests_per_s:,}/s × {format_number(context.turn_bytes / 1000)} kB × {replicas}",
             lambda: new_bytes,
             "B/s",
             TURNS,
         ),
         context.row(
             "bytes of chains read a second, all stores",
-            f"{target.requests_per_s:,}/s × half a chain × {plain((1 - context.cached_share) * 100)}% not cached",
+            f"{target.requests_per_s:,}/s × half a chain × {format_number((1 - context.cached_share) * 100)}% "
+            "not cached",
             lambda: target.requests_per_s * context.history_bytes / 2 * (1 - context.cached_share),
             "B/s",
             TURNS,
@@ -150,68 +154,69 @@
 
 
 def processor_rows(context: Context) -> list[Row]:
-    """Processor time of all stores. A table: as long as its rows."""
+    """Return the rows on the processor time of all stores."""
     target, assumed = context.target, context.assumed
-    ledger_calls, replicas = context.ledger_calls_a_turn, assumed.replicas
-    most = assumed.most_share_of_a_store
+    ledger_calls, replicas = context.ledger_calls_per_turn, assumed.replicas
+    bound = assumed.most_share_of_a_store
     return [
         context.row(
             "cores for calls, all stores",
             f"{target.requests_per_s:,}/s × ({ledger_calls + 1} × server-call + {replicas} × server-call at "
-            f"{plain(context.turn_bytes / 1000)} kB)",
-            lambda: call_processor(context),
+            f"{format_number(context.turn_bytes / 1000)} kB)",
+            lambda: call_cores(context),
             "cores",
             STORE,
         ),
         context.row(
             "cores for writes, all stores",
             f"{target.requests_per_s:,}/s × ({ledger_calls} × ledger-cost + {replicas} × turn-cost at "
-            f"{plain(context.turn_bytes / 1000)} kB)",
-            lambda: write_processor(context),
+            f"{format_number(context.turn_bytes / 1000)} kB)",
+            lambda: write_cores(context),
             "cores",
             STORAGE,
         ),
         context.row(
             "cores for reading chains, all stores",
-            f"{target.requests_per_s:,}/s × {plain((1 - context.cached_share) * 100)}% × chain-read at "
-            f"{plain(target.turns_a_program / 2)} turns × {plain(context.turn_bytes / MEASURED_RECORD_BYTES)}",
-            lambda: read_processor(context),
+            f"{target.requests_per_s:,}/s × {format_number((1 - context.cached_share) * 100)}% × chain-read at "
+            f"{format_number(target.turns_per_program / 2)} turns × "
+            f"{format_number(context.turn_bytes / MEASURED_RECORD_BYTES)}",
+            lambda: read_cores(context),
             "cores",
             TURNS,
         ),
         context.row(
             f"share of a core of each of {assumed.stores} stores",
             f"the three / {assumed.stores}",
-            lambda: (call_processor(context) + write_processor(context) + read_processor(context)) / assumed.stores,
+            lambda: (call_cores(context) + write_cores(context) + read_cores(context)) / assumed.stores,
             "share",
             STORE,
-            most,
+            bound,
         ),
         context.row(
             "the same with chains read only by what is new",
             f"calls and writes alone / {assumed.stores}",
-            lambda: (call_processor(context) + write_processor(context)) / assumed.stores,
+            lambda: (call_cores(context) + write_cores(context)) / assumed.stores,
             "share",
             "to be built: reading from a given turn on",
-            most,
+            bound,
         ),
     ]
 
 
 def commit_rows(context: Context) -> list[Row]:
-    """The writer's time, a commit, and the choice of stores."""
+    """Return the rows on the writer thread, a commit, and the choice of stores."""
     target, assumed = context.target, context.assumed
-    ledger_calls, replicas = context.ledger_calls_a_turn, assumed.replicas
-    most = assumed.most_share_of_a_store
+    ledger_calls, replicas = context.ledger_calls_per_turn, assumed.replicas
+    bound = assumed.most_share_of_a_store
     return [
         context.row(
             f"share of the one writer's time at each of {assumed.stores} stores",
             f"{target.requests_per_s:,}/s × ({ledger_calls} × ledger-cost + {replicas} × turn-cost + "
             f"{ledger_calls + replicas} × a commit alone / {design.MAX_JOBS_IN_COMMIT} in a group) / {assumed.stores}",
-            lambda: writer_share(context),
+            lambda: writer_utilization(context),
             "share",
             STORAGE,
-            most,
+            bound,
         ),
         context.row(
             "time of a commit alone",
@@ -231,7 +236,7 @@
 
 
 def load_rows(context: Context) -> list[Row]:
-    """Messages, commits and processor time of all stores."""
+    """Return all rows on the load of the stores."""
     return [
         *call_rows(context),
         *processor_rows(context),
@@ -239,24 +244,24 @@
     ]
 
 
-def hello_rows(context: Context) -> list[Row]:
-    """What control servers say to each other when nothing happens; each greets all others."""
+def heartbeat_rows(context: Context) -> list[Row]:
+    """Return the rows on the heartbeats between control servers, each of which sends them to all others."""
     control_servers = context.assumed.stores + context.target.control_machines
-    rate = (control_servers - 1) / design.HEARTBEAT_PERIOD_S
+    heartbeats_per_s = (control_servers - 1) / design.HEARTBEAT_PERIOD_S
     return [
         context.row(
             "greetings a second of each control server, out and in",
             f"({context.assumed.stores} stores + {context.target.control_machines} − 1) / "
-            f"{plain(design.HEARTBEAT_PERIOD_S)} s",
-            lambda: rate,
+            f"{format_number(design.HEARTBEAT_PERIOD_S)} s",
+            lambda: heartbeats_per_s,
             "1/s",
             HEARTBEAT,
         ),
         context.row(
             "processor time of greetings at each control server",
-            f"{plain(rate)}/s × (client-call + server-call)",
+            f"{format_number(heartbeats_per_s)}/s × (client-call + server-call)",
             lambda: (
-                rate
+                heartbeats_per_s
                 * (context.at("client-call", SMALL_MESSAGE_BYTES) + context.at("server-call", SMALL_MESSAGE_BYTES))
                 / MICROSECONDS
             ),
@@ -266,7 +271,7 @@
         ),
         context.row(
             "bytes of greetings at each control server",
-            f"hello-bytes at {control_servers} / {plain(design.HEARTBEAT_PERIOD_S)} s, asked and answered",
+            f"hello-bytes at {control_servers} / {format_number(design.HEARTBEAT_PERIOD_S)} s, asked and answered",
             lambda: 2 * context.at("hello-bytes", control_servers) / design.HEARTBEAT_PERIOD_S,
             "B/s",
             HEARTBEAT,
--- a/benchmarks/capacity/series.py
+++ b/benchmarks/capacity/series.py
@@ -1,4 +1,4 @@
-"""A measured series: the variable, the measured values, and the code that was measured."""
+"""Measured series: the independent variable, the measured values, and the code that was measured."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True)
 class Effort:
-    """How long a measurement may take.
+    """How long a measurement takes.
 
-    seconds: time spent at each point; repeats: points taken at each x.
+    `seconds`: time for each point. `repeats`: number of points at each x.
     """
 
     seconds: float
@@ -24,14 +24,14 @@
 FULL = Effort(seconds=0.5, repeats=5)
 QUICK = Effort(seconds=0.05, repeats=2)
 ONCE = Effort(seconds=0, repeats=1)
-"""For figures that are the same each time, such as numbers of bytes."""
+"""For figures that do not vary, such as message sizes."""
 
 
 @dataclass(frozen=True)
 class Series:
     """Points of one measurement.
 
-    subject: the module measured, or "stand-in" while the module of that shape does not exist.
+    `subject`: the module that was measured, "stand-in" if no module implements its message format yet.
     """
 
     name: str
@@ -43,16 +43,16 @@
     points: tuple[tuple[float, float], ...]
 
     def line(self) -> Line:
-        """The fitted line."""
+        """Return the fitted line."""
         return fit_line(self.points)
 
     def to_json(self) -> dict[str, Any]:
-        """A JSON object that from_json reads back."""
+        """Return a JSON object that `from_json` can parse."""
         return asdict(self)
 
     @classmethod
     def from_json(cls, record: dict[str, Any]) -> Series:
-        """Read what to_json wrote; TypeError or KeyError when a field is missing or unknown."""
+        """Parse the output of `to_json`. Raises TypeError or KeyError if a field is missing or unknown."""
         points = tuple((float(x), float(y)) for x, y in record["points"])
         return cls(**{**record, "points": points})
 
@@ -61,12 +61,12 @@
 
 
 def sample(xs: Sequence[int], effort: Effort, measure_at: Callable[[int], float]) -> tuple[tuple[float, float], ...]:
-    """Points of measure_at at each x; rounds go over all x in turn, so that a short disturbance affects no single x."""
+    """Return points measured at each x; each repeat covers all x, so that a short disturbance affects no single x."""
     return tuple((float(x), measure_at(x)) for _ in range(effort.repeats) for x in xs)
 
 
 PrepareCall = Callable[[int], Callable[[], object]]
-"""Makes, outside the time that is measured, the call to be timed at x."""
+"""Returns the call to be timed at x; the preparation is not part of the measured time."""
 
 
 def processor_series(
@@ -79,7 +79,7 @@
     effort: Effort,
     prepare: PrepareCall,
 ) -> Series:
-    """Processor time of one call, which `prepare` makes for each x."""
+    """Measure the processor time of the call that `prepare` returns for each x."""
     points = sample(xs, effort, lambda x: processor_us_per_call(prepare(x), effort.seconds))
     return Series(name, title, subject, x_name, y_name, "µs", points)
 
@@ -87,7 +87,7 @@
 def message_series(
     name: str, title: str, subject: str, x_name: str, xs: Sequence[int], effort: Effort, prepare: PrepareCall
 ) -> Series:
-    """Processor time of one message, by its size."""
+    """Measure the processor time of a message by its size."""
     return processor_series(name, title, subject, x_name, "processor time a message", xs, effort, prepare)
 
 
@@ -98,8 +98,8 @@
     x_name: str,
     xs: Sequence[int],
     effort: Effort,
-    resident: Callable[[int], float],
+    measure_resident_bytes: Callable[[int], float],
 ) -> Series:
-    """Resident memory that a module-level function returns, run in a process of its own for each point."""
-    points = sample(xs, effort, lambda size: in_fresh_process(resident, size))
+    """Measure the resident memory that a module-level function returns in a separate process for each point."""
+    points = sample(xs, effort, lambda size: in_fresh_process(measure_resident_bytes, size))
     return Series(name, title, subject, x_name, "resident memory", "B", points)
--- a/benchmarks/capacity/shapes.py
+++ b/benchmarks/capacity/shapes.py
@@ -1,4 +1,4 @@
-"""Messages and settings of the shapes that the serving tier exchanges, with made-up names."""
+"""Synthetic messages and configurations of the sizes and formats that the serving tier exchanges."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def encode(message: JsonObject) -> bytes:
-    """Compact JSON."""
+    """Encode a message as compact JSON."""
     return json.dumps(message, separators=(",", ":")).encode()
 
 
 def route(number: int) -> JsonObject:
-    """A route of the operator's configuration."""
+    """Return a route of the configuration."""
     return {
         "name": f"r-{number:07d}",
         "hostname": f"tenant{number % 1000:04d}.example",
@@ -34,7 +34,7 @@
 
 
 def service(number: int) -> JsonObject:
-    """A service of the operator's configuration."""
+    """Return a service of the configuration."""
     return {
         "name": f"service{number:02d}",
         "health_path": "/health",
@@ -53,7 +53,7 @@
 
 
 def configuration(routes: int) -> bytes:
-    """A whole configuration of so many routes over at most sixteen services."""
+    """Return an encoded configuration with `routes` routes to at most 16 services."""
     return encode(
         {
             "generation": 7,
@@ -70,7 +70,7 @@
 
 
 def receiver(number: int) -> JsonObject:
-    """An entry of the platform's list of receivers."""
+    """Return an entry of the platform's list of receivers."""
     return {
         "id": f"i-{number:08x}",
         "backend": f"service{number % 16:02d}",
@@ -86,7 +86,7 @@
 
 
 def lease(number: int) -> JsonObject:
-    """The record that a control server holds of one sender's lease."""
+    """Return the record of a sender's lease at a control server."""
     return {
         "node": f"sender-zone-{number % 9}-{number:04d}",
         "incarnation": f"{number:032x}",
@@ -98,7 +98,7 @@
 
 
 def turn(number: int, size: int) -> JsonObject:
-    """A turn of a program as it is sent to a store, with a text of so many bytes."""
+    """Return a request to append a turn of a program at a store, with a text of `size` bytes."""
     return {
         "type": "append",
         "program": f"{number:06x}",
--- a/benchmarks/capacity/sheet.py
+++ b/benchmarks/capacity/sheet.py
@@ -1,4 +1,4 @@
-"""Rows of the page: a figure at the target, its arithmetic, its bound, and what carries it."""
+"""Rows of the page: a figure at the target, its arithmetic, its bound, and the modules that implement it."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from benchmarks.capacity.fit import Estimate
 
-ERRORS_OF_DOUBT = 2.0
-"""Standard errors by which a figure must clear its bound to be called inside or beyond."""
+BOUND_MARGIN_ERRORS = 2.0
+"""Minimum distance of a figure from its bound, in standard errors, for a definite verdict."""
 
 
 class Verdict(Enum):
-    """How a figure stands to its bound."""
+    """Result of comparing a figure with its bound."""
 
-    INSIDE = "inside"
-    BEYOND = "**beyond**"
-    IN_DOUBT = "in doubt"
+    WITHIN_BOUND = "inside"
+    OVER_BOUND = "**beyond**"
+    UNCERTAIN = "in doubt"
     NO_BOUND = ""
     NOT_MEASURED = "not measured"
 
@@ -26,79 +26,81 @@
 class Row:
     """One figure.
 
-    value: None when no run gave what it needs; most: the bound in the same unit, None where the list sets none;
-    sources: names of the series that the value rests on.
+    `value`: None if a series that it needs has not been measured. `bound`: the maximum in the same unit, None if the
+    target sets none. `sources`: names of the series that the value is computed from.
     """
 
-    what: str
+    name: str
     arithmetic: str
     value: Estimate | None
     unit: str
-    carried_by: str
-    most: float | None = None
+    implemented_by: str
+    bound: float | None = None
     sources: tuple[str, ...] = ()
 
     def verdict(self) -> Verdict:
-        """The figure against its bound, with ERRORS_OF_DOUBT on either side."""
+        """Compare the figure with its bound, with a margin of BOUND_MARGIN_ERRORS on either side."""
         if self.value is None:
             return Verdict.NOT_MEASURED
-        if self.most is None:
+        if self.bound is None:
             return Verdict.NO_BOUND
-        doubt = ERRORS_OF_DOUBT * self.value.error
-        if self.value.value + doubt <= self.most:
-            return Verdict.INSIDE
-        if self.value.value - doubt > self.most:
-            return Verdict.BEYOND
-        return Verdict.IN_DOUBT
+        margin = BOUND_MARGIN_ERRORS * self.value.error
+        if self.value.value + margin <= self.bound:
+            return Verdict.WITHIN_BOUND
+        if self.value.value - margin > self.bound:
+            return Verdict.OVER_BOUND
+        return Verdict.UNCERTAIN
 
 
-SMALLEST_WRITTEN_OUT = 1e-6
-BYTE_STEPS = ((1e9, "GB"), (1e6, "MB"), (1e3, "kB"))
+MIN_WITHOUT_EXPONENT = 1e-6
+BYTE_UNITS = ((1e9, "GB"), (1e6, "MB"), (1e3, "kB"))
 
 
-def plain(value: float) -> str:
-    """A number with three significant digits, whole from 100 on, thousands apart."""
+def format_number(value: float) -> str:
+    """Format a number with three significant digits, from 100 on as an integer with thousands separators."""
     if value == 0:
         return "0"
     if abs(value) >= 100:
         return f"{value:,.0f}"
     text = f"{value:.3g}"
-    return f"{value:.6f}".rstrip("0") if "e" in text and abs(value) >= SMALLEST_WRITTEN_OUT else text
+    return f"{value:.6f}".rstrip("0") if "e" in text and abs(value) >= MIN_WITHOUT_EXPONENT else text
 
 
-def quantity(value: float, unit: str) -> str:
-    """A number with its unit; bytes in kB, MB or GB of a thousand each; shares in hundredths."""
+def format_quantity(value: float, unit: str) -> str:
+    """Format a number with its unit; bytes in decimal kB, MB or GB, shares as percentages."""
     if unit == "share":
-        return f"{plain(value * 100)}%"
+        return f"{format_number(value * 100)}%"
     if unit in ("B", "B/s"):
-        for step, name in BYTE_STEPS:
-            if abs(value) >= step:
-                return f"{plain(value / step)} {unit.replace('B', name, 1)}"
-    return f"{plain(value)} {unit}".strip()
+        for unit_bytes, name in BYTE_UNITS:
+            if abs(value) >= unit_bytes:
+                return f"{format_number(value / unit_bytes)} {unit.replace('B', name, 1)}"
+    return f"{format_number(value)} {unit}".strip()
 
 
-def estimate(value: Estimate, unit: str) -> str:
-    """An estimate with its standard error, where there is one."""
+def format_estimate(value: Estimate, unit: str) -> str:
+    """Format an estimate with its standard error, if it has one."""
     if value.error == 0:
-        return quantity(value.value, unit)
-    return f"{quantity(value.value, unit)} ± {quantity(value.error, unit)}"
+        return format_quantity(value.value, unit)
+    return f"{format_quantity(value.value, unit)} ± {format_quantity(value.error, unit)}"
 
 
 def markdown_table(header: tuple[str, ...], rows: Sequence[tuple[str, ...]]) -> str:
-    """A table of Markdown; bars inside cells are escaped."""
-    lines = [header, tuple("---" for _ in header), *rows]
-    return "\n".join("| " + " | ".join(cell.replace("|", "\\|") for cell in line) + " |" for line in lines)
+    """Return a Markdown table; vertical bars in cells are escaped."""
+    table_rows = [header, tuple("---" for _ in header), *rows]
+    return "\n".join(
+        "| " + " | ".join(cell.replace("|", "\\|") for cell in table_row) + " |" for table_row in table_rows
+    )
 
 
-def sheet_table(rows: list[Row]) -> str:
-    """The rows of one part of the page."""
+def rows_table(rows: list[Row]) -> str:
+    """Return the Markdown table of the rows of a section."""
     cells = [
         (
-            row.what,
+            row.name,
             row.arithmetic,
-            "not measured" if row.value is None else estimate(row.value, row.unit),
-            "" if row.most is None else f"{quantity(row.most, row.unit)}: {row.verdict().value}",
-            row.carried_by,
+            "not measured" if row.value is None else format_estimate(row.value, row.unit),
+            "" if row.bound is None else f"{format_quantity(row.bound, row.unit)}: {row.verdict().value}",
+            row.implemented_by,
         )
         for row in rows
     ]
--- a/benchmarks/capacity/target.py
+++ b/benchmarks/capacity/target.py
@@ -1,15 +1,15 @@
-"""The fleet that the tier is built towards, and what is assumed where its list says nothing."""
+"""The target fleet of the serving tier, and assumptions where the target sets no figure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 
 @dataclass(frozen=True)
 class Target:
-    """The figures of the operators' list (issue 42)."""
+    """The target figures that the operators listed (issue 42)."""
 
     senders: int = 350
     receivers: int = 770
@@ -20,28 +20,28 @@
     token_gap_ms: float = 77.0
     share_in_time: float = 0.95
     programs: int = 24_000
-    turns_a_program: int = 100
-    tokens_a_program: int = 500_000
+    turns_per_program: int = 100
+    tokens_per_program: int = 500_000
     tenants: int = 240
     models: int = 7
     regions: int = 3
     zones: int = 9
-    changes_a_day: int = 850
+    changes_per_day: int = 850
     change_in_force_s: float = 14.0
     control_processor_share: float = 0.016
     control_memory_bytes: float = 128e6
     control_bytes_per_s: float = 10e3
     control_machines: int = 5
-    failures_a_day: int = 6
-    restarts_a_day: int = 150
+    failures_per_day: int = 6
+    restarts_per_day: int = 150
     days_between_rack_losses: int = 45
-    zone_losses_a_year: int = 1
-    region_cut_s: int = 3_600
+    zone_losses_per_year: int = 1
+    region_partition_s: int = 3_600
 
 
 @dataclass(frozen=True)
 class Assumptions:
-    """What the list leaves open; each is named on the page and changes its rows when changed here."""
+    """Assumptions where the operators' list sets no figure. The page shows each of them by its name."""
 
     routes_a_tenant_and_model: int = 1
     bytes_a_token: int = 4
--- a/benchmarks/capacity/timing.py
+++ b/benchmarks/capacity/timing.py
@@ -1,4 +1,4 @@
-"""Timing of short calls, and measuring in a process of its own."""
+"""Timing of short calls, and measurements in a separate process."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 
 
 def processor_us_per_call(call: Callable[[], object], seconds: float) -> float:
-    """Processor microseconds (this process's, all threads) of one call, repeated for about the given time."""
+    """Return the mean processor time of a call in microseconds, of all threads; repeats it for about `seconds`."""
     call()
-    end = time.perf_counter() + seconds
+    end_s = time.perf_counter() + seconds
     calls = 0
-    start = time.process_time()
-    while time.perf_counter() < end:
+    processor_start_s = time.process_time()
+    while time.perf_counter() < end_s:
         call()
         calls += 1
-    return (time.process_time() - start) * MICROSECONDS / max(calls, 1)
+    return (time.process_time() - processor_start_s) * MICROSECONDS / max(calls, 1)
 
 
 def resident_bytes() -> int:
-    """Resident memory of this process."""
+    """Return the resident memory of this process."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def in_fresh_process(function: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> R:
-    """The result of a module-level function, run in a new interpreter that ends with it."""
+    """Return the result of a module-level function that is run in a new interpreter process."""
     with ProcessPoolExecutor(1, multiprocessing.get_context("spawn")) as pool:
         return pool.submit(function, *args, **kwargs).result()
 
 
 def free_port() -> int:
-    """A port of the loopback address that nobody listens at."""
-    with socket.create_server(("127.0.0.1", 0)) as held:
-        return int(held.getsockname()[1])
+    """Return an unused TCP port of the loopback address."""
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return int(listener.getsockname()[1])
--- a/benchmarks/majority_contact.py
+++ b/benchmarks/majority_contact.py
@@ -126,7 +126,7 @@
 
 
 async def run_processes(fronts: int, control: int, seconds: float, apply_ms: float) -> Network:
-    """Run so many processes; return the network with its counts of the last `seconds`."""
+    """Run control processes and fronts; return the network with its counts of the last `seconds`."""
     network, clock = Network(), asyncio.get_running_loop().time
     control_servers = []
     for number in range(control):
--- a/benchmarks/status.py
+++ b/benchmarks/status.py
@@ -80,7 +80,7 @@
 @click.command()
 @click.option("--told", default=50, show_default=True, help="Destinations listed.")
 def main(told):
-    click.echo(f"{'destinations':>12} {'whole ms':>9} {'longest ms':>10}")
+    click.echo(f"{'destinations':>12} {'total ms':>9} {'longest ms':>10}")
     for destinations in (10, 100, 1000, 10_000):
         total_ms, longest_ms = min(asyncio.run(measure(destinations, told)) for _ in range(5))
         click.echo(f"{destinations:12} {total_ms:9.2f} {longest_ms:10.2f}")
--- a/tests/capacity/test_register_measure.py
+++ b/tests/capacity/test_register_measure.py
@@ -1,10 +1,10 @@
-"""The measure of the register plays a register whose members have all their handlers."""
+"""The register measurement: its members have all handlers that changes need."""
 
 import asyncio
 
-from benchmarks.capacity.measures.register import change_registers
+from benchmarks.capacity.measures.register import measure_change
 
 
-def test_the_register_of_the_measure_takes_changes():
-    change = asyncio.run(change_registers(routes=500, seconds=0.0))
-    assert change.seconds > 0
+def test_register_measurement_commits_changes():
+    cost = asyncio.run(measure_change(routes=500, seconds=0.0))
+    assert cost.seconds > 0
