--- a/tests/mutations/variants.py
+++ b/tests/mutations/variants.py
@@ -1,4 +1,4 @@
-"""Wrong variants of the control side and its clients, each made in process by a function that patches the program."""
+"""Mutations of the control plane and its clients; each function applies one by patching the program in process."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 Patch = pytest.MonkeyPatch
 
 
-def promise_anything(patch: Patch) -> None:
+def promise_any_ballot(patch: Patch) -> None:
     def prepare(self: Replica, ballot: Any, known: Any = None) -> Promise:
         self.promised = ballot
         return Promise(self.accepted, self.value, self.copied)
@@ -41,7 +41,7 @@
     patch.setattr(Replica, "prepare", prepare)
 
 
-def accept_below_the_promise(patch: Patch) -> None:
+def accept_ballot_below_promise(patch: Patch) -> None:
     def accept(self: Replica, ballot: Any, value: Any, next_ballot: Any = None) -> Accepted:
         self.accepted, self.value, self.copied = ballot, value, False
         self.promised = max(self.promised, ballot, next_ballot or ballot)
@@ -50,7 +50,7 @@
     patch.setattr(Replica, "accept", accept)
 
 
-def overlook_what_was_accepted(patch: Patch) -> None:
+def ignore_accepted_values(patch: Patch) -> None:
     original = Proposal._on_promise
 
     def on_promise(self: Proposal, member: str, promise: Promise) -> Any:
@@ -59,15 +59,15 @@
     patch.setattr(Proposal, "_on_promise", on_promise)
 
 
-def serve_without_a_majority(patch: Patch) -> None:
+def use_quorums_of_one(patch: Patch) -> None:
     patch.setattr(proposal, "majority_of", lambda members: 1)
 
 
-def take_any_value_as_chosen(patch: Patch) -> None:
+def treat_any_value_as_chosen(patch: Patch) -> None:
     patch.setattr(Proposal, "_is_chosen", lambda self, sets: True)
 
 
-def build_on_a_half_made_change_of_members(patch: Patch) -> None:
+def build_on_unfinished_member_change(patch: Patch) -> None:
     def begin_accept(self: Proposal) -> Any:
         sets = list(self._quorum_sets(self._highest))
         value = self._change(self._highest)
@@ -76,11 +76,11 @@
     patch.setattr(Proposal, "_begin_accept", begin_accept)
 
 
-def leave_the_former_members_out(patch: Patch) -> None:
+def omit_quorum_of_former_members(patch: Patch) -> None:
     patch.setattr(proposer, "quorum_sets", lambda state: [frozenset(state["members"])])
 
 
-def forget_promises_over_a_restart(patch: Patch) -> None:
+def lose_promises_on_restart(patch: Patch) -> None:
     original = ReplicaStorage.load
 
     async def load(self: ReplicaStorage) -> None:
@@ -90,27 +90,27 @@
     patch.setattr(ReplicaStorage, "load", load)
 
 
-def acknowledge_before_the_sync(patch: Patch) -> None:
+def acknowledge_before_persisting(patch: Patch) -> None:
     async def persist(self: ReplicaStorage) -> None:
         self.durable_version = self._replica.value["version"]
 
     original = replica_storage.ReplicaStorage.persist
 
-    async def only_the_first(self: ReplicaStorage) -> None:
+    async def persist_initial_state_only(self: ReplicaStorage) -> None:
         await (original(self) if self._replica.value["version"] == 0 else persist(self))
 
-    patch.setattr(ReplicaStorage, "persist", only_the_first)
+    patch.setattr(ReplicaStorage, "persist", persist_initial_state_only)
 
 
-def count_a_wiped_member_under_its_former_id(patch: Patch) -> None:
+def accept_requests_for_other_member_ids(patch: Patch) -> None:
     patch.setattr(RegisterAcceptor, "_check_addressee", lambda self, member: None)
 
 
-def refuse_from_a_state_that_is_not_chosen(patch: Patch) -> None:
+def reject_change_on_unchosen_state(patch: Patch) -> None:
     patch.setattr(proposer._GuardedChange, "apply", lambda self, state: self._change(state))
 
 
-def refuse_a_repeated_order(patch: Patch) -> None:
+def reject_repeated_configuration(patch: Patch) -> None:
     def put(body: bytes, generation: int, base: int) -> Any:
         change = system_state.put_configuration(body, generation, base)
         return lambda state: change({**state, "accepted": [], "orders_taken": 0})
@@ -118,7 +118,7 @@
     patch.setattr(register_parts, "put_configuration", put)
 
 
-def confirm_both_of_two_orders(patch: Patch) -> None:
+def confirm_rejected_configuration(patch: Patch) -> None:
     def put(body: bytes, generation: int, base: int) -> Any:
         change = system_state.put_configuration(body, generation, base)
 
@@ -133,30 +133,30 @@
     patch.setattr(register_parts, "put_configuration", put)
 
 
-def end_the_view_before_copies_are_whole(patch: Patch) -> None:
+def end_view_change_before_copies_are_complete(patch: Patch) -> None:
     patch.setattr(replica_sync, "has_read_enough_sources", lambda view, unread_sources, replica_count: True)
 
 
-def end_the_view_before_all_have_copied(patch: Patch) -> None:
+def end_view_change_before_all_have_synced(patch: Patch) -> None:
     patch.setattr(ledger_model, "_have_all_synced", lambda stores, epoch, knowledge: True)
 
 
-def answer_under_another_epoch(patch: Patch) -> None:
+def answer_requests_of_other_epochs(patch: Patch) -> None:
     check, transact = ViewGuard.check_view, ViewGuard.transact
 
-    def lenient_check(self: ViewGuard, message: Any) -> Any:
+    def check_in_any_epoch(self: ViewGuard, message: Any) -> Any:
         if message.get("view") is not None:
             self.adopt(StoreView.from_json(message["view"]))
         return check(self, {**message, "epoch": self.view.epoch if self.view is not None else None})
 
-    def lenient_transact(self: ViewGuard, view_epoch: int, work: Any) -> Any:
+    def transact_in_any_epoch(self: ViewGuard, view_epoch: int, work: Any) -> Any:
         return transact(self, self.view.epoch if self.view is not None else view_epoch, work)
 
-    patch.setattr(ViewGuard, "check_view", lenient_check)
-    patch.setattr(ViewGuard, "transact", lenient_transact)
+    patch.setattr(ViewGuard, "check_view", check_in_any_epoch)
+    patch.setattr(ViewGuard, "transact", transact_in_any_epoch)
 
 
-def count_a_copy_as_a_vote(patch: Patch) -> None:
+def count_copied_value_as_vote(patch: Patch) -> None:
     original = Proposal._on_promise
 
     def on_promise(self: Proposal, member: str, promise: Promise) -> Any:
@@ -165,7 +165,7 @@
     patch.setattr(Proposal, "_on_promise", on_promise)
 
 
-def leave_copied_values_out(patch: Patch) -> None:
+def omit_copied_values(patch: Patch) -> None:
     def merge(connection: Any, records: Any, now_ms: int) -> None:
         for record in records:
             held = ledger_replica.load(connection, record.program)
@@ -175,32 +175,32 @@
     patch.setattr(ledger_replica, "merge", merge)
 
 
-def settle_twice(patch: Patch) -> None:
+def settle_repeatedly(patch: Patch) -> None:
     def settle(turn_id: str, used_tokens: int) -> ledger.Change:
         def change(value: Any) -> Any:
             if value is None:
                 return value
-            still_open = {other: most for other, most in value["open"].items() if other != turn_id}
-            return ledger.Ledger(spent=value["spent"] + used_tokens, open=still_open)
+            remaining = {other: max_tokens for other, max_tokens in value["open"].items() if other != turn_id}
+            return ledger.Ledger(spent=value["spent"] + used_tokens, open=remaining)
 
         return change
 
     patch.setattr(ledger, "settle", settle)
 
 
-def lose_a_settlement(patch: Patch) -> None:
+def drop_settlements(patch: Patch) -> None:
     patch.setattr(ledger, "settle", lambda turn_id, used_tokens: lambda value: value)
 
 
-def reserve_over_the_budget(patch: Patch) -> None:
+def reserve_beyond_budget(patch: Patch) -> None:
     patch.setattr(ledger, "can_reserve", lambda value, turn_id, max_tokens, budget: True)
 
 
-def renew_without_a_majority(patch: Patch) -> None:
+def confirm_contact_without_majority(patch: Patch) -> None:
     patch.setattr(majority_contact, "majority_of", lambda members: 1)
 
 
-def overlook_the_version_that_is_told(patch: Patch) -> None:
+def ignore_acknowledged_version(patch: Patch) -> None:
     original = MajorityContact.record_acknowledgement
 
     def record(self: MajorityContact, member: str, acknowledgement: MemberAcknowledgement) -> None:
@@ -209,11 +209,11 @@
     patch.setattr(MajorityContact, "record_acknowledgement", record)
 
 
-def leave_the_new_members_out_of_contact(patch: Patch) -> None:
+def omit_new_members_from_contact(patch: Patch) -> None:
     patch.setattr(majority_contact, "quorum_sets", lambda state: [frozenset(state["former_members"])])
 
 
-def take_promises_after_the_accept(patch: Patch) -> None:
+def process_promises_after_accept(patch: Patch) -> None:
     original = Proposal._on_promise
 
     def on_promise(self: Proposal, member: str, promise: Promise) -> Any:
@@ -225,7 +225,7 @@
     patch.setattr(Proposal, "_on_promise", on_promise)
 
 
-def count_an_answer_twice(patch: Patch) -> None:
+def count_repeated_replies(patch: Patch) -> None:
     def on_accepted(self: Proposal, member: str, reply: Accepted) -> Any:
         if self._accept is not None and reply.ballot == self.ballot:
             member = f"{member} again" if member in self._accepted else member
@@ -237,7 +237,7 @@
     patch.setattr(Proposal, "_on_accepted", on_accepted)
 
 
-def forget_settlements_as_the_view_moves(patch: Patch) -> None:
+def forget_settlements_when_view_changes(patch: Patch) -> None:
     original = LedgerClient._run_ballot
 
     async def run_ballot(self: LedgerClient, program: str, *rest: Any) -> Any:
@@ -250,11 +250,11 @@
     patch.setattr(LedgerClient, "_run_ballot", run_ballot)
 
 
-def take_a_conflict_for_a_settlement(patch: Patch) -> None:
+def treat_conflict_as_settled(patch: Patch) -> None:
     patch.setattr(ledger_client, "_OUTCOMES_WITH_CHANGE_MADE", tuple(proposal.Outcome))
 
 
-def take_whatever_ballot_is_copied(patch: Patch) -> None:
+def copy_values_of_lower_ballots(patch: Patch) -> None:
     def merge(connection: Any, records: Any, now_ms: int) -> None:
         for record in records:
             promised = max(ledger_replica.load(connection, record.program).promised, record.promised)
@@ -264,7 +264,7 @@
     patch.setattr(ledger_replica, "merge", merge)
 
 
-def tell_no_value_to_a_proposer_that_knows_none(patch: Patch) -> None:
+def omit_value_if_proposer_knows_none(patch: Patch) -> None:
     original = Replica.prepare
 
     def prepare(self: Replica, ballot: Any, known: Any = None) -> Any:
@@ -274,7 +274,7 @@
     patch.setattr(Replica, "prepare", prepare)
 
 
-def use_a_prepared_ballot_over_an_epoch(patch: Patch) -> None:
+def use_prepared_ballot_in_other_epoch(patch: Patch) -> None:
     class AnyEpoch(int):
         def __ne__(self, other: object) -> bool:
             return False
@@ -283,32 +283,34 @@
     patch.setattr(ledger_ballot, "_Promise", lambda epoch, *rest: original(AnyEpoch(epoch), *rest))
 
 
-def read_from_a_remembered_promise(patch: Patch) -> None:
+def read_from_cached_promise(patch: Patch) -> None:
     patch.setattr(ledger_ballot.LedgerProposer, "forget_promise", lambda self, program: None)
 
 
-def take_an_answer_without_its_id(patch: Patch) -> None:
+def accept_responses_without_request_id(patch: Patch) -> None:
     patch.setattr(receiver_client, "is_response_to", lambda response, request, is_first: True)
 
 
-def take_a_reset_for_a_proof(patch: Patch) -> None:
+def treat_reset_as_not_executed(patch: Patch) -> None:
     original = RetryStateMachine.record_call
 
     def record_call(self: RetryStateMachine, receiver_id: str, outcome: Outcome, *rest: Any, **named: Any) -> None:
-        proves = outcome is Outcome.RESET and not self._policy.is_idempotent
-        original(self, receiver_id, Outcome.NOT_EXECUTED if proves else outcome, *rest, **named)
+        is_treated_as_proof = outcome is Outcome.RESET and not self._policy.is_idempotent
+        original(self, receiver_id, Outcome.NOT_EXECUTED if is_treated_as_proof else outcome, *rest, **named)
 
     patch.setattr(RetryStateMachine, "record_call", record_call)
 
 
-def use_the_numbers_of_calls_again(patch: Patch) -> None:
-    def least_free(self: Any) -> int:
+def reuse_call_numbers(patch: Patch) -> None:
+    def lowest_free_number(self: Any) -> int:
         return next(number for number in itertools.count(1) if number not in self._pending)
 
-    patch.setattr(ClientConnection, "_last_number", property(least_free, lambda self, number: None), raising=False)
+    patch.setattr(
+        ClientConnection, "_last_number", property(lowest_free_number, lambda self, number: None), raising=False
+    )
 
 
-def let_a_store_go_before_one_has_copied(patch: Patch) -> None:
+def end_store_change_before_last_store_has_synced(patch: Patch) -> None:
     def all_but_one(stores: dict[str, str], epoch: int, knowledge: Any) -> bool:
         synced = {peer.id: peer.synced_epoch for peer in knowledge.all_peers()}
         return sum(synced.get(store, -1) >= epoch for store in stores) >= len(stores) - 1
@@ -316,22 +318,22 @@
     patch.setattr(reconfiguration, "_have_all_synced", all_but_one)
 
 
-def let_a_store_go_before_any_has_copied(patch: Patch) -> None:
+def end_store_change_before_any_store_has_synced(patch: Patch) -> None:
     patch.setattr(reconfiguration, "_have_all_synced", lambda stores, epoch, knowledge: True)
 
 
-def let_a_retiring_store_go_at_once(patch: Patch) -> None:
-    def at_once(state: Any, knowledge: Any) -> Any:
+def finish_retirements_immediately(patch: Patch) -> None:
+    def finish_first(state: Any, knowledge: Any) -> Any:
         return next((system_state.finish_retirement(name) for name in state["retiring"]), None)
 
-    patch.setattr(reconfiguration, "_finish_completed_retirement", at_once)
+    patch.setattr(reconfiguration, "_finish_completed_retirement", finish_first)
 
 
-def grant_and_tell_without_a_majority(patch: Patch) -> None:
+def grant_leases_and_state_without_majority(patch: Patch) -> None:
     patch.setattr(StateFreshness, "is_current", lambda self: True)
 
 
-def serve_from_the_disk(patch: Patch) -> None:
+def serve_state_from_disk(patch: Patch) -> None:
     original = StateFreshness.age_s
 
     def age_s(self: StateFreshness) -> float:
@@ -350,11 +352,11 @@
     patch.setattr(RequestHandler, "_handle", handle)
 
 
-def be_ready_before_a_majority_has_confirmed(patch: Patch) -> None:
+def report_ready_before_majority_has_confirmed(patch: Patch) -> None:
     patch.setattr(StateConfirmation, "is_confirmed", property(lambda self: True))
 
 
-def take_a_body_without_its_digest(patch: Patch) -> None:
+def accept_bodies_without_digest_check(patch: Patch) -> None:
     async def get_or_fetch(self: ConfigurationBodies, digest: str, base_generation: int, source: str) -> str:
         self._bodies[digest] = await self._fetch(digest, source)
         return self._bodies[digest]
@@ -362,7 +364,7 @@
     patch.setattr(ConfigurationBodies, "_get_or_fetch", get_or_fetch)
 
 
-def take_the_copied_promise_in_place_of_the_greater(patch: Patch) -> None:
+def replace_higher_promise_by_copied_one(patch: Patch) -> None:
     def merge(connection: Any, records: Any, now_ms: int) -> None:
         for record in records:
             own = ledger_replica.load(connection, record.program)
@@ -374,7 +376,7 @@
     patch.setattr(ledger_replica, "merge", merge)
 
 
-def accept_by_the_new_sets_alone(patch: Patch) -> None:
+def omit_quorums_of_previous_value(patch: Patch) -> None:
     send_accept = Proposal._send_accept
 
     def send(self: Proposal, value: Any, sets: Any) -> Any:
@@ -383,7 +385,7 @@
     patch.setattr(Proposal, "_send_accept", send)
 
 
-def write_under_an_older_epoch(patch: Patch) -> None:
+def write_in_older_epoch(patch: Patch) -> None:
     check = ViewGuard.check_view
 
     def lenient(self: ViewGuard, message: Any) -> Any:
