--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT)]
-from driver import Outside, Sender, read_message  # noqa: E402
+from driver import Platform, Sender, read_message  # noqa: E402
 
 TICK = os.sysconf("SC_CLK_TCK")
 
@@ -42,9 +42,9 @@
 
 async def once(tree, mails, clients, flags):
     """One life of a sender: {figure: value}."""
-    outside = await Outside().open(3)
+    outside = await Platform().open(3)
     with tempfile.TemporaryDirectory() as folder:
-        told = Sender(outside, Path(folder)).told
+        told = Sender(outside, Path(folder)).config
         port = free_port()
         told["listen"] = f"127.0.0.1:{port}"
         told["settings"]["Allowed"]["MaxOpen"] = 10_000
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -11,7 +11,7 @@
 import pytest
 
 from dewpin.cli.main import main
-from driver import play, reply, settings, until
+from driver import reply, run_scenario, settings, wait_until
 
 
 @pytest.fixture
@@ -97,14 +97,14 @@
     async def command(*arguments):
         return await asyncio.to_thread(run, *arguments)
 
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         sender.arguments = ["--set", f"control.socket={tmp_path}/control", "--set", "control.token=hush"]
-        sender.told["settings"]["Services"][2]["Deadline"] = 300_000.0  # long enough for commands that start slowly
+        sender.config["settings"]["Services"][2]["Deadline"] = 300_000.0  # long enough for commands that start slowly
         await sender.start()
-        outside.script = lambda call: reply(429, b"Retry-After: 120")
+        platform.script = lambda call: reply(429, b"Retry-After: 120")
         for number in range(5):
-            await sender.hand_in(f"m{number}", kind="charge", key="k", left=290, body=b"\x1b[2Jx")
-        await until(lambda: outside.calls)
+            await sender.submit(f"m{number}", queue_class="charge", ordering_key="k", deadline_s=290, body=b"\x1b[2Jx")
+        await wait_until(lambda: platform.calls)
         state = tmp_path / "state"
         sender.process.send_signal(signal.SIGSTOP)  # otherwise it could write to the journal during the checks
         files = {path: path.stat().st_mtime_ns for path in state.iterdir()}
@@ -151,7 +151,7 @@
         code, out, _ = await command("spool", "verify", "--state", state)
         assert code == 3 and re.search(r"at \d+: \d+ bytes torn", out)
 
-    play(tmp_path, scenario, start=False)
+    run_scenario(tmp_path, scenario, start=False)
 
 
 def test_control_socket_disconnects_misbehaving_callers_and_replaces_a_stale_socket_file(tmp_path):
@@ -168,7 +168,7 @@
         finally:
             writer.close()
 
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         sender.arguments = ["--set", f"control.socket={path}"]
         await sender.start()
         assert b"can't be read" in await query(b"{]\n") and b"can't be read" in await query(b'{"ask":"status","x":1}\n')
@@ -178,9 +178,9 @@
         assert await asyncio.gather(*(query(b"") for _ in range(12))) == [b""] * 12  # callers that send nothing
         assert time.monotonic() - start < 5.0
         assert json.loads(await query(b'{"ask":"status"}\n'))["name"] == "n0"
-        assert (await sender.hand_in("m"))[0] == 202
+        assert (await sender.submit("m"))[0] == 202
         await sender.end()  # the socket file remains
         await sender.start()
         assert json.loads(await query(b'{"ask":"status","lines":1}\n'))["state"] == "ready"
 
-    play(tmp_path, scenario, start=False)
+    run_scenario(tmp_path, scenario, start=False)
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -156,7 +156,7 @@
     )
     assert (configuration.deployment.stop.start_attempts_ms, configuration.deployment.sender.seed) == (5000.0, "ff")
     assert not configuration.warnings
-    platform_settings = settings(slots=60) | {"Services": [{"Name": "x"}]}
+    platform_settings = settings(call_slots=60) | {"Services": [{"Name": "x"}]}
     assert (
         "leaves fewer than 8 descriptors"
         in load_files("", {"limits": {"sockets": 128}, "settings": platform_settings}).warnings[0]
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dewpin.console import calls
-from driver import play, read_message, reply, until
+from driver import read_message, reply, run_scenario, wait_until
 
 
 class StubSender:
@@ -77,43 +77,43 @@
 
 
 def test_metrics_count_endings_of_messages_while_idle_connections_are_open(tmp_path):
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         idle = [await asyncio.open_connection(*sender.console) for _ in range(30)]
         assert (await call(sender, b"GET /_ready"))[0] == 200
-        await sender.hand_in("good")
-        await until(lambda: outside.calls)
-        outside.script = lambda call: "reset"
-        await sender.hand_in("broken", kind="charge")
-        await until(lambda: len(outside.notices) == 1)
-        outside.script = lambda call: reply(429, b"Retry-After: 5")
-        await sender.hand_in("told", kind="status", left=0.4)
-        await until(lambda: len(outside.notices) == 2)
-        assert (await sender.hand_in("good"))[0] == 409  # an id that was already accepted
+        await sender.submit("good")
+        await wait_until(lambda: platform.calls)
+        platform.script = lambda call: "reset"
+        await sender.submit("broken", queue_class="charge")
+        await wait_until(lambda: len(platform.notices) == 1)
+        platform.script = lambda call: reply(429, b"Retry-After: 5")
+        await sender.submit("told", queue_class="status", deadline_s=0.4)
+        await wait_until(lambda: len(platform.notices) == 2)
+        assert (await sender.submit("good"))[0] == 409  # an id that was already accepted
         metrics = await read_metrics(sender)
         assert metrics["replies"]["notice"] == {"success": 1, "overload": 0, "error": 1}
         assert metrics["replies"]["charge"] == {"success": 0, "overload": 0, "error": 1}
         assert metrics["replies"]["status"] == {"success": 0, "overload": 1, "error": 0}
-        assert metrics["dispatches"] == len(outside.calls) and metrics["targets"] == 2
-        outside.script = lambda call: None
-        await sender.hand_in("held", kind="status")
+        assert metrics["dispatches"] == len(platform.calls) and metrics["targets"] == 2
+        platform.script = lambda call: None
+        await sender.submit("held", queue_class="status")
         assert (await read_metrics(sender))["concurrent"] == 1
         for _, writer in idle:
             writer.close()
 
-    play(tmp_path, scenario, receivers=2)
+    run_scenario(tmp_path, scenario, receivers=2)
 
 
 def test_detached_receiver_gets_nothing_until_attached_despite_list_changes_and_a_kill(tmp_path):
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         def used_receivers():
-            return {call[3] for call in outside.calls}
+            return {call[3] for call in platform.calls}
 
         async def hand_in(count):
-            outside.calls.clear()
+            platform.calls.clear()
             for number in range(count):
-                ident = f"m{len(outside.watching)}-{id(used_receivers)}-{number}-{outside.revision}-{count}"
-                await sender.hand_in(ident)  # wait for this id: an earlier call may be repeated after a kill
-                await until(lambda ident=ident: ident.encode() in outside.idents())
+                ident = f"m{len(platform.watch_writers)}-{id(used_receivers)}-{number}-{platform.revision}-{count}"
+                await sender.submit(ident)  # wait for this id: an earlier call may be repeated after a kill
+                await wait_until(lambda ident=ident: ident.encode() in platform.message_ids())
 
         assert (await call(sender, b"POST /_receivers/detach?host=r9"))[0] == 404
         for _ in range(2):  # the request is idempotent
@@ -121,11 +121,11 @@
         assert (await read_metrics(sender))["targets_disabled"] == 1
         await hand_in(6)
         assert used_receivers() == {1}
-        await until(lambda: outside.watching)
-        outside.change(0, "leaving")
-        await until(lambda: outside.watching)
-        outside.change(0, "active")  # a list update does not attach it
-        await until(lambda: outside.watching)
+        await wait_until(lambda: platform.watch_writers)
+        platform.set_phase(0, "leaving")
+        await wait_until(lambda: platform.watch_writers)
+        platform.set_phase(0, "active")  # a list update does not attach it
+        await wait_until(lambda: platform.watch_writers)
         await hand_in(7)
         assert used_receivers() == {1}
         await sender.end(signal.SIGKILL)
@@ -140,4 +140,4 @@
         assert (await call(sender, b"POST /_receivers/attach?host=r1"))[0] == 200
         assert (await read_metrics(sender))["targets_disabled"] == 0
 
-    play(tmp_path, scenario, receivers=2)
+    run_scenario(tmp_path, scenario, receivers=2)
--- a/tests/core/test_dispatcher.py
+++ b/tests/core/test_dispatcher.py
@@ -31,7 +31,7 @@
 
 
 def test_retry_after_delays_the_whole_destination_and_calls_do_not_all_resume_at_once():
-    driver = DispatcherDriver(settings(slots=20), receivers=2)
+    driver = DispatcherDriver(settings(call_slots=20), receivers=2)
     driver.keep_traffic(4000.0, every_ms=200.0, duration_ms=50.0)
     first = driver.submit()
     driver.end_attempt(first, Outcome.REJECTED, 5.0, retry_after_ms=800.0)
@@ -44,13 +44,13 @@
 
 
 def test_keyed_message_bounces_after_its_retry_window():
-    driver = DispatcherDriver(settings(effects=("keyed",), window=3000.0))
+    driver = DispatcherDriver(settings(effects=("keyed",), retry_window_ms=3000.0))
     message = driver.submit()
     assert driver.end_attempt(message, Outcome.TIMED_OUT, 3500.0) == Decision.BOUNCED
 
 
 def test_keyed_message_is_not_retried_in_an_unknown_zone():
-    driver = DispatcherDriver(settings(effects=("keyed",), scope="zone"), receivers=2)
+    driver = DispatcherDriver(settings(effects=("keyed",), key_scope="zone"), receivers=2)
     for receiver in driver.destination.receivers:
         receiver.zone = -1
     message = driver.submit()
@@ -62,7 +62,7 @@
 
 
 def test_keyed_message_is_retried_in_its_zone_only():
-    driver = DispatcherDriver(settings(effects=("keyed",), scope="zone"), receivers=2, zones=2)
+    driver = DispatcherDriver(settings(effects=("keyed",), key_scope="zone"), receivers=2, zones=2)
     message = driver.submit()
     first = driver.receiver_of(message)
     driver.end_attempt(message, Outcome.RESET, 10.0)
@@ -87,7 +87,7 @@
 
 
 def test_ordering_key_pauses_after_a_timeout_even_if_no_message_waits_yet():
-    driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
+    driver = DispatcherDriver(settings(effects=("unsafe",), by_arrival=True))
     first = driver.submit(ordering_key=9)
     driver.end_attempt(first, Outcome.RESET, 10.0)
     second = driver.submit(ordering_key=9)
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("window, ending", [(600.0, Decision.BOUNCED), (5000.0, Decision.RELAYED)])
 def test_ordering_key_pauses_after_a_timeout_however_its_message_ends(window, ending):
-    sender_settings = settings(effects=("keyed",), order=True, window=window)
+    sender_settings = settings(effects=("keyed",), by_arrival=True, retry_window_ms=window)
     sender_settings["Rules"]["TurnGap"] = 2000.0
     driver = DispatcherDriver(sender_settings)
     first, second = driver.submit(ordering_key=9), driver.submit(ordering_key=9)
@@ -119,7 +119,7 @@
 
 
 def test_ordering_key_pauses_after_a_restart_with_a_call_in_flight():
-    driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
+    driver = DispatcherDriver(settings(effects=("unsafe",), by_arrival=True))
     receiver = driver.destination.receivers[0]
     first = driver.submit(
         ordering_key=9, prior_attempts=PriorAttempts(1, driver.now - 50.0, receiver), dispatches=False
@@ -133,7 +133,7 @@
 
 
 def test_withdrawn_message_unblocks_the_next_message_of_its_key():
-    driver = DispatcherDriver(settings(effects=("unsafe",), order=True))
+    driver = DispatcherDriver(settings(effects=("unsafe",), by_arrival=True))
     driver.destination.receivers[0].state = ReceiverState.DRAINING
     first, second = driver.submit(ordering_key=9), driver.submit(ordering_key=9)
     first.is_withdrawn = True
@@ -143,7 +143,7 @@
 
 
 def test_batch_takes_one_slot():
-    driver = DispatcherDriver(settings(bundle=4, slots=4))
+    driver = DispatcherDriver(settings(max_bundle=4, call_slots=4))
     first = [driver.submit(dispatches=False) for _ in range(6)]
     driver.dispatch_due()
     assert len(driver.in_flight) == 6 and all(driver.receiver_of(message) for message in first)
@@ -151,7 +151,7 @@
 
 
 def test_hung_destination_does_not_occupy_all_slots():
-    driver = DispatcherDriver(settings(slots=6))
+    driver = DispatcherDriver(settings(call_slots=6))
     for _ in range(30):
         driver.submit()
     driver.advance(1500.0)
@@ -161,7 +161,7 @@
 
 
 def test_queue_that_cannot_drain_sheds_messages():
-    driver = DispatcherDriver(settings(room=20))
+    driver = DispatcherDriver(settings(max_open=20))
     driver.destination.receivers[0].state = ReceiverState.DRAINING
     for _ in range(19):
         driver.submit()
@@ -170,7 +170,7 @@
 
 
 def test_failed_destination_gets_a_slow_start_that_rises_with_successes():
-    driver = DispatcherDriver(settings(slots=20))
+    driver = DispatcherDriver(settings(call_slots=20))
     driver.keep_traffic(6000.0, every_ms=200.0, duration_ms=50.0)
     driver.keep_traffic(8000.0, every_ms=200.0, duration_ms=2500.0, outcome=Outcome.TIMED_OUT)
     resumed, sent = driver.now, len(driver.sends)
@@ -188,7 +188,7 @@
 
 def count_sends_with_lost_calls(share, seed=3):
     """Counts the sends of the last five seconds while each destination loses a share of its calls."""
-    driver, rng, lost = DispatcherDriver(settings(slots=40)), random.Random(seed), {}
+    driver, rng, lost = DispatcherDriver(settings(call_slots=40)), random.Random(seed), {}
     destinations = [Destination(n) for n in range(2, 10)]
     for n, destination in enumerate(destinations):
         Receiver(n, destination)
@@ -212,7 +212,7 @@
 
 
 def test_queue_class_that_fails_at_one_receiver_is_sent_to_the_other():
-    driver = DispatcherDriver(settings(effects=("safe", "safe"), slots=20), receivers=2)
+    driver = DispatcherDriver(settings(effects=("safe", "safe"), call_slots=20), receivers=2)
     failing, sent = driver.destination.receivers[0], []
     for step in range(300):
         message = driver.submit(queue_class=step % 2)
@@ -233,7 +233,7 @@
 def test_hundreds_of_senders_do_not_resume_together_after_a_long_retry_after():
     resumed = []
     for seed in range(100):
-        driver = DispatcherDriver(settings(fleet=300), seed=seed)
+        driver = DispatcherDriver(settings(fleet_size=300), seed=seed)
         driver.advance(20000.0)
         driver.end_attempt(driver.submit(), Outcome.REJECTED, 5.0, retry_after_ms=6000.0)
         until = driver.now + 6000.0
@@ -243,7 +243,7 @@
 
 
 def test_call_rate_decreases_under_rejections():
-    driver, calls = DispatcherDriver(settings(slots=20)), []
+    driver, calls = DispatcherDriver(settings(call_slots=20)), []
     driver.keep_traffic(5000.0, every_ms=200.0, duration_ms=50.0)
     driver.keep_traffic(20000.0, every_ms=200.0, duration_ms=20.0, outcome=Outcome.REJECTED)
     calls = sum(at > driver.now - 10000.0 for at, _, _ in driver.sends)
@@ -253,7 +253,7 @@
 def test_idle_connections_close_after_a_refused_connection_only():
     kept = {}
     for has_refused_connection in (False, True):
-        driver = DispatcherDriver(settings(slots=20))
+        driver = DispatcherDriver(settings(call_slots=20))
         driver.settings["Allowed"]["IdleClose"] = 10000.0
         driver.keep_traffic(3000.0, every_ms=100.0, duration_ms=50.0)
         if has_refused_connection:
@@ -269,7 +269,7 @@
 
 
 def test_sparse_queue_keeps_its_idle_connection_if_no_table_is_full():
-    driver = DispatcherDriver(settings(slots=20))
+    driver = DispatcherDriver(settings(call_slots=20))
     driver.settings["Allowed"]["IdleClose"] = 5000.0
     for _ in range(4):  # one message per two IdleClose periods: half of the connections are reused
         driver.advance(10000.0)
--- a/tests/core/test_dispatcher_random.py
+++ b/tests/core/test_dispatcher_random.py
@@ -115,15 +115,15 @@
 def random_settings(rng, seed, has_own_limits):
     sender_settings = settings(
         effects=("safe", "keyed", "unsafe"),
-        window=rng.choice((2000.0, 6000.0)),
-        scope=rng.choice(("all", "zone")),
-        order=rng.random() < 0.6,
-        bundle=rng.choice((1, 4)),
-        slots=rng.choice((2, 6, 15)),
-        room=rng.choice((25, 200)),
-        fleet=rng.choice((1, 3, 300)),
-        apart=has_own_limits,
-        attempts=rng.choice((1, 4, 8)),
+        retry_window_ms=rng.choice((2000.0, 6000.0)),
+        key_scope=rng.choice(("all", "zone")),
+        by_arrival=rng.random() < 0.6,
+        max_bundle=rng.choice((1, 4)),
+        call_slots=rng.choice((2, 6, 15)),
+        max_open=rng.choice((25, 200)),
+        fleet_size=rng.choice((1, 3, 300)),
+        has_own_limits=has_own_limits,
+        max_attempts=rng.choice((1, 4, 8)),
     )
     sender_settings["Rules"]["TurnGap"] = (100.0, 400.0, 1500.0)[seed % 3]  # the first gap ends before any backoff
     return sender_settings
--- a/tests/core/test_fleet_after_outage.py
+++ b/tests/core/test_fleet_after_outage.py
@@ -32,7 +32,7 @@
 
     def __init__(self, senders, capacity, load, outage, seed):
         self.rng, self.outage, self.capacity = random.Random(seed), OUTAGES[outage], capacity / 1000.0
-        sender_settings = settings(fleet=senders)
+        sender_settings = settings(fleet_size=senders)
         self.rules, self.dispatchers = sender_settings["Rules"], []
         for number in range(senders):
             destination = Destination(1)
--- a/tests/core/test_fleet_of_dispatchers.py
+++ b/tests/core/test_fleet_of_dispatchers.py
@@ -12,7 +12,7 @@
 
 def make_senders(count, receivers=2, rate=None, **setting_changes):
     """Creates independent dispatchers, each with its own clock and its own object for the same destination."""
-    sender_settings = settings(fleet=count, **setting_changes)
+    sender_settings = settings(fleet_size=count, **setting_changes)
     sender_settings["Rules"] |= {"FallMultiple": 1.5, "ColdFrom": 0.28, "OverloadFor": 3000.0, "WarmAfter": 14000.0}
     sender_settings["Weights"] = "nominal" if rate else "off"
     drivers = [DispatcherDriver(sender_settings, receivers=receivers, seed=seed) for seed in range(count)]
@@ -67,7 +67,9 @@
 )
 def test_senders_after_an_outage_stay_under_the_capacity_of_a_cold_destination(bundle, joined, bad, well):
     limit = 30.0
-    fleet = make_senders(40, rate=limit, bundle=bundle, effects=("keyed",), window=25000.0, room=30, slots=4)
+    fleet = make_senders(
+        40, rate=limit, max_bundle=bundle, effects=("keyed",), retry_window_ms=25000.0, max_open=30, call_slots=4
+    )
     rules = fleet[0].settings["Rules"]
     weighted_calls = simulate_outage(
         fleet, random.Random(3), 9000.0, 12000.0, 28.0 if joined else 75.0, bad, joined, well
@@ -84,7 +86,7 @@
     after 20 s. With zones, senders are evenly distributed over three zones, but receivers are not."""
     rng, fleet, over, calls, came, now = random.Random(5), [], [], {}, {}, 1000.0
     for number in range(300):
-        sender_settings = settings(fleet=300)
+        sender_settings = settings(fleet_size=300)
         sender_settings["Allowed"]["IdleClose"] = 15000.0
         if numbered:
             sender_settings["SlotNo"] = number
--- a/tests/core/test_limits_and_timeouts.py
+++ b/tests/core/test_limits_and_timeouts.py
@@ -67,7 +67,7 @@
     refused, idle, trials
 ):
     """Applies to sparse queues only, and not if every second call to the kind of receiver finds a full table."""
-    driver = DispatcherDriver(settings(fleet=200), receivers=2)
+    driver = DispatcherDriver(settings(fleet_size=200), receivers=2)
     refuse_and_deliver(driver, 20, refused)
     driver.advance(idle)
     message = driver.submit()
@@ -82,7 +82,7 @@
 def test_gap_after_rejected_probe_of_a_sparse_queue_is_as_long_as_after_a_success():
     gaps = []
     for seed in range(20):
-        driver = DispatcherDriver(settings(fleet=200), seed=seed)
+        driver = DispatcherDriver(settings(fleet_size=200), seed=seed)
         message, health = driver.submit(), driver.dispatcher.health_of(driver.destination.receivers[0])
         for rejection_index in range(3):
             driver.advance_until(lambda driver=driver, message=message: driver.receiver_of(message), 5000.0)
@@ -114,7 +114,7 @@
 
 
 def test_message_with_little_time_left_is_sent_before_earlier_ones():
-    driver = DispatcherDriver(settings(slots=1))
+    driver = DispatcherDriver(settings(call_slots=1))
     first = driver.submit()
     others = [driver.submit() for _ in range(4)]
     urgent = driver.submit(time_left_ms=900.0)
@@ -125,7 +125,7 @@
 def test_rate_limit_grows_more_slowly_after_growth_reached_the_limit():
     def grows(good_answers=1, grown=0.9, retry_after_ms=0.0, every=1000.0):
         """Returns the ratio of the third limit's growth time to the first one's, after three rejections."""
-        driver = DispatcherDriver(settings(slots=20))
+        driver = DispatcherDriver(settings(call_slots=20))
         driver.keep_traffic(20000.0, every, 20.0)
         receiver, growth_times_ms = driver.destination.receivers[0], []
         for _ in range(3):
@@ -200,7 +200,7 @@
 
 def test_cost_of_next_due_does_not_grow_with_destinations_without_messages():
     def calls(idle):
-        driver, entered = DispatcherDriver(settings(room=5000)), []
+        driver, entered = DispatcherDriver(settings(max_open=5000)), []
         for ident in range(idle):
             other = Destination(ident + 2)
             Receiver(ident + 2, other)
--- a/tests/daemon/test_configuration_source.py
+++ b/tests/daemon/test_configuration_source.py
@@ -38,7 +38,7 @@
 
 def prepare_read(tmp_path, monkeypatch, contents, must_end=True):
     platform_file = tmp_path / "config.json"
-    platform_file.write_text(json.dumps(Sender(PLATFORM, tmp_path).told | {"state": str(tmp_path)}))
+    platform_file.write_text(json.dumps(Sender(PLATFORM, tmp_path).config | {"state": str(tmp_path)}))
     file = tmp_path / "dewpin.toml"
     writer = PausingWriter(file, contents)
     monkeypatch.setattr(configuration_source, "asyncio", writer)
--- a/tests/daemon/test_late_connections.py
+++ b/tests/daemon/test_late_connections.py
@@ -8,7 +8,7 @@
 import signal
 import socket
 
-from driver import Sender, play, read_message, reply, until
+from driver import Sender, read_message, reply, run_scenario, wait_until
 
 SYN_SENT = "02"
 
@@ -63,65 +63,65 @@
             each.close()
 
 
-def replace_receiver(outside):
+def replace_receiver(platform):
     receiver = FullReceiver()
-    outside.members[0]["host_port"] = f"127.0.0.1:{receiver.port}"
+    platform.members[0]["host_port"] = f"127.0.0.1:{receiver.port}"
     return receiver
 
 
-async def start_pending_attempt(outside, sender):
+async def start_pending_attempt(platform, sender):
     """Starts an attempt of a non-idempotent message whose connection is not established yet."""
-    receiver = replace_receiver(outside)
+    receiver = replace_receiver(platform)
     await sender.start()
     receiver.fill()
-    await sender.hand_in("once", kind="charge")
-    await until(receiver.has_pending_connection)
+    await sender.submit("once", queue_class="charge")
+    await wait_until(receiver.has_pending_connection)
     return receiver
 
 
 def test_message_counts_as_not_executed_after_a_kill_while_connecting(tmp_path):
-    async def scenario(outside, sender):
-        receiver = await start_pending_attempt(outside, sender)
+    async def scenario(platform, sender):
+        receiver = await start_pending_attempt(platform, sender)
         await sender.end()
         receiver.serve()
         await sender.start()
-        await until(lambda: outside.notices or receiver.calls)
-        assert receiver.calls == [b"once"] and not outside.notices
+        await wait_until(lambda: platform.notices or receiver.calls)
+        assert receiver.calls == [b"once"] and not platform.notices
         receiver.close()
 
-    play(tmp_path, scenario, start=False)
+    run_scenario(tmp_path, scenario, start=False)
 
 
 def test_message_whose_connection_is_established_too_late_in_a_stop_is_sent_after_the_next_start(tmp_path):
-    async def scenario(outside, sender):
-        sender.told["stop"] = {"sends_ms": 0.0, "ends_ms": 10000.0}
-        receiver = await start_pending_attempt(outside, sender)
+    async def scenario(platform, sender):
+        sender.config["stop"] = {"sends_ms": 0.0, "ends_ms": 10000.0}
+        receiver = await start_pending_attempt(platform, sender)
         sender.process.send_signal(signal.SIGTERM)
-        while (await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200:  # until the signal is handled
+        while (await sender.exchange(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200:  # until the signal is handled
             pass
         receiver.serve()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
-        assert not receiver.calls and not outside.notices
+        assert not receiver.calls and not platform.notices
         await sender.start()
-        await until(lambda: receiver.calls)
-        assert receiver.calls == [b"once"] and not outside.notices
+        await wait_until(lambda: receiver.calls)
+        assert receiver.calls == [b"once"] and not platform.notices
         receiver.close()
 
-    play(tmp_path, scenario, start=False)
+    run_scenario(tmp_path, scenario, start=False)
 
 
 def test_message_whose_connection_is_established_after_the_hand_over_is_sent_by_the_next_process(tmp_path):
-    async def scenario(outside, sender):
-        receiver = await start_pending_attempt(outside, sender)
-        sender.told["listen"] = "%s:%d" % sender.address
-        next_sender = Sender(outside, tmp_path)
-        next_sender.told = sender.told
+    async def scenario(platform, sender):
+        receiver = await start_pending_attempt(platform, sender)
+        sender.config["listen"] = "%s:%d" % sender.address
+        next_sender = Sender(platform, tmp_path)
+        next_sender.config = sender.config
         await next_sender.start()
         receiver.serve()
-        await until(lambda: receiver.calls and not next_sender.owed())
+        await wait_until(lambda: receiver.calls and not next_sender.pending_count())
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
-        assert receiver.calls == [b"once"] and not outside.notices
+        assert receiver.calls == [b"once"] and not platform.notices
         await next_sender.end()
         receiver.close()
 
-    play(tmp_path, scenario, start=False)
+    run_scenario(tmp_path, scenario, start=False)
--- a/tests/daemon/test_malformed_messages.py
+++ b/tests/daemon/test_malformed_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from driver import play, read_message, reply, until
+from driver import read_message, reply, run_scenario, wait_until
 
 
 @pytest.mark.parametrize(
@@ -23,28 +23,30 @@
     ],
 )
 def test_malformed_request_is_rejected_and_its_connection_closed(tmp_path, raw, status):
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         reader, writer = await sender.connect()
         writer.write(raw)
         message = await read_message(reader)
         assert int(message[0].split()[1]) == status and message[1][b"connection"] == b"close"
         assert await reader.read() == b""
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 def test_well_formed_but_invalid_requests_are_answered_and_the_connection_stays_open(tmp_path):
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         connection = await sender.connect()
-        assert (await sender.ask(b"GET /nowhere HTTP/1.1\r\n\r\n", connection))[0] == 404
-        assert (await sender.ask(b"GET /api HTTP/1.1\r\n\r\n", connection))[0] == 405
-        assert (await sender.ask(b"POST /api HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n", connection))[0] == 400
-        assert (await sender.hand_in("a", kind="unheard-of", connection=connection))[0] == 400
-        assert (await sender.hand_in("a", left=-1, connection=connection))[0] == 400
-        assert (await sender.hand_in("good", connection=connection))[0] == 202
-        await until(lambda: outside.idents() == [b"good"])
+        assert (await sender.exchange(b"GET /nowhere HTTP/1.1\r\n\r\n", connection))[0] == 404
+        assert (await sender.exchange(b"GET /api HTTP/1.1\r\n\r\n", connection))[0] == 405
+        assert (await sender.exchange(b"POST /api HTTP/1.1\r\nReq-Id: a\r\nContent-Length: 0\r\n\r\n", connection))[
+            0
+        ] == 400
+        assert (await sender.submit("a", queue_class="unheard-of", connection=connection))[0] == 400
+        assert (await sender.submit("a", deadline_s=-1, connection=connection))[0] == 400
+        assert (await sender.submit("good", connection=connection))[0] == 202
+        await wait_until(lambda: platform.message_ids() == [b"good"])
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 OK = reply(200)
@@ -73,20 +75,20 @@
 
 
 def test_malformed_response_may_have_executed_and_a_200_status_line_counts_as_delivered(tmp_path):
-    async def scenario(outside, sender):
-        outside.script = lambda call: (
+    async def scenario(platform, sender):
+        platform.script = lambda call: (
             (MALFORMED_ERRORS + MALFORMED_SUCCESSES)[int(call[0][1:])] if call[0][:1] == b"m" else OK
         )
         for at in range(len(MALFORMED_ERRORS + MALFORMED_SUCCESSES)):
             for ident in (f"good{at}", f"m{at}"):
                 started_at = time.monotonic()
-                assert (await sender.hand_in(ident, kind="charge"))[0] == 202
-                await until(lambda: ident.encode() in outside.idents() and sender.owed() == 0)
+                assert (await sender.submit(ident, queue_class="charge"))[0] == 202
+                await wait_until(lambda: ident.encode() in platform.message_ids() and sender.pending_count() == 0)
                 assert time.monotonic() - started_at < 1.4  # none takes until its time-out
-        assert {notice["message"] for notice in outside.notices} == {f"m{at}" for at in range(len(MALFORMED_ERRORS))}
-        assert {notice["outcome"] for notice in outside.notices} == {"given_up"}
+        assert {notice["message"] for notice in platform.notices} == {f"m{at}" for at in range(len(MALFORMED_ERRORS))}
+        assert {notice["outcome"] for notice in platform.notices} == {"given_up"}
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
 
 
 HEAD = (
@@ -118,10 +120,10 @@
     ],
 )
 def test_misbehaving_client_gets_an_error_or_close_in_time_and_nothing_is_forwarded(tmp_path, raw):
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         started_at, (reader, writer) = time.monotonic(), await sender.connect()
         other_connection = await sender.connect()
-        assert (await sender.hand_in("a", connection=other_connection))[0] == 202
+        assert (await sender.submit("a", connection=other_connection))[0] == 202
         writer.write(raw)
         try:
             received = await reader.read(1000)
@@ -129,8 +131,8 @@
             received = b""
         assert received == b"" or received.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
         assert time.monotonic() - started_at < 2.9
-        assert (await sender.hand_in("b", connection=other_connection))[0] == 202
+        assert (await sender.submit("b", connection=other_connection))[0] == 202
         # messages without a key are unordered: on two connections they may arrive in either order
-        await until(lambda: sorted(outside.idents()) == [b"a", b"b"] and sender.owed() == 0)
+        await wait_until(lambda: sorted(platform.message_ids()) == [b"a", b"b"] and sender.pending_count() == 0)
 
-    play(tmp_path, scenario)
+    run_scenario(tmp_path, scenario)
--- a/tests/daemon/test_silent_lists.py
+++ b/tests/daemon/test_silent_lists.py
@@ -2,86 +2,86 @@
 
 import time
 
-from driver import address, play, until
+from driver import address, run_scenario, wait_until
 
 
-async def assert_only_second_receiver_is_used(outside, sender):
+async def assert_only_second_receiver_is_used(platform, sender):
     """Checks that new messages are sent to the second of two receivers only, because the first one is draining."""
-    earlier_calls = len(outside.calls)
+    earlier_calls = len(platform.calls)
     for ident in range(4):
-        await sender.hand_in(f"m{earlier_calls}-{ident}")
-    await until(lambda: len(outside.calls) == earlier_calls + 4)
-    assert {call[3] for call in outside.calls[earlier_calls:]} == {1}
+        await sender.submit(f"m{earlier_calls}-{ident}")
+    await wait_until(lambda: len(platform.calls) == earlier_calls + 4)
+    assert {call[3] for call in platform.calls[earlier_calls:]} == {1}
 
 
 def test_watch_without_a_response_in_its_first_second_is_reopened(tmp_path):
-    async def scenario(outside, sender):
-        outside.silent = True
+    async def scenario(platform, sender):
+        platform.ignores_watches = True
         await sender.start()
-        await until(lambda: outside.watching)
+        await wait_until(lambda: platform.watch_writers)
         silent_since = time.monotonic()
-        outside.watching.clear()
-        outside.members[0]["phase"], outside.revision = "leaving", 2
-        await until(lambda: "/api/targets" in outside.asked, 6.0)
+        platform.watch_writers.clear()
+        platform.members[0]["phase"], platform.revision = "leaving", 2
+        await wait_until(lambda: "/api/targets" in platform.list_requests, 6.0)
         assert time.monotonic() < silent_since + 6.0
-        await until(lambda: outside.watching)  # the list was received
-        await assert_only_second_receiver_is_used(outside, sender)
+        await wait_until(lambda: platform.watch_writers)  # the list was received
+        await assert_only_second_receiver_is_used(platform, sender)
 
-    play(tmp_path, scenario, receivers=2, start=False)
+    run_scenario(tmp_path, scenario, receivers=2, start=False)
 
 
 def test_watch_that_becomes_silent_later_is_reopened(tmp_path):
-    async def scenario(outside, sender):
+    async def scenario(platform, sender):
         asked = 0
         for _ in range(2):  # two responses with updates
-            await until(lambda: len(outside.watching) and len(outside.asked) > asked)
-            asked = len(outside.asked)
-            outside.change(1, "active")
-        await until(lambda: outside.watching)
-        outside.silent = True
+            await wait_until(lambda: len(platform.watch_writers) and len(platform.list_requests) > asked)
+            asked = len(platform.list_requests)
+            platform.set_phase(1, "active")
+        await wait_until(lambda: platform.watch_writers)
+        platform.ignores_watches = True
         silent_since = time.monotonic()
-        outside.watching.clear()
-        outside.members[0]["phase"], outside.revision = "leaving", 9
-        await until(lambda: "/api/targets" in outside.asked, 6.0)
+        platform.watch_writers.clear()
+        platform.members[0]["phase"], platform.revision = "leaving", 9
+        await wait_until(lambda: "/api/targets" in platform.list_requests, 6.0)
         assert time.monotonic() < silent_since + 6.0
-        await until(lambda: outside.watching)
-        await assert_only_second_receiver_is_used(outside, sender)
+        await wait_until(lambda: platform.watch_writers)
+        await assert_only_second_receiver_is_used(platform, sender)
 
-    play(tmp_path, scenario, receivers=2)
+    run_scenario(tmp_path, scenario, receivers=2)
 
 
 def test_list_call_rejected_repeatedly_is_retried_in_time(tmp_path):
-    async def scenario(outside, sender):
-        outside.list_status = 503
-        sender.told["settings"]["FleetSize"] = 300
+    async def scenario(platform, sender):
+        platform.list_status = 503
+        sender.config["settings"]["FleetSize"] = 300
         await sender.start()
-        await until(lambda: len(outside.asked) == 3, 15.0)
-        outside.members[0]["phase"], outside.revision = "leaving", 2
-        outside.list_status = 200
+        await wait_until(lambda: len(platform.list_requests) == 3, 15.0)
+        platform.members[0]["phase"], platform.revision = "leaving", 2
+        platform.list_status = 200
         available_since = time.monotonic()
-        await until(lambda: outside.watching, 6.0)
+        await wait_until(lambda: platform.watch_writers, 6.0)
         assert time.monotonic() < available_since + 6.0
-        outside.tell(outside.watching.pop(), False, [outside.members[0]])
-        await until(lambda: outside.watching)
-        await assert_only_second_receiver_is_used(outside, sender)
+        platform.send_members(platform.watch_writers.pop(), False, [platform.members[0]])
+        await wait_until(lambda: platform.watch_writers)
+        await assert_only_second_receiver_is_used(platform, sender)
 
-    play(tmp_path, scenario, receivers=2, start=False)
+    run_scenario(tmp_path, scenario, receivers=2, start=False)
 
 
 def test_new_agent_of_a_reload_is_asked_at_once_while_the_old_one_is_silent(tmp_path):
-    async def scenario(outside, sender):
-        sender.told["settings"]["FleetSize"] = 300
+    async def scenario(platform, sender):
+        sender.config["settings"]["FleetSize"] = 300
         await sender.start()
-        outside.silent = True
-        await until(lambda: outside.watching)
-        await outside.move_agent()
-        outside.silent = False
-        outside.members[0]["phase"], outside.revision = "leaving", 1
-        sender.told["discovery"] = address(outside.agent)
+        platform.ignores_watches = True
+        await wait_until(lambda: platform.watch_writers)
+        await platform.move_agent()
+        platform.ignores_watches = False
+        platform.members[0]["phase"], platform.revision = "leaving", 1
+        sender.config["discovery"] = address(platform.agent)
         reloaded_at = time.monotonic()
         sender.reload()
-        await until(lambda: outside.watching, 4.0)
+        await wait_until(lambda: platform.watch_writers, 4.0)
         assert time.monotonic() < reloaded_at + 4.0  # the new list has to apply 4 s after the signal
-        await assert_only_second_receiver_is_used(outside, sender)
+        await assert_only_second_receiver_is_used(platform, sender)
 
-    play(tmp_path, scenario, receivers=2, start=False)
+    run_scenario(tmp_path, scenario, receivers=2, start=False)
--- a/tests/golden/sender/program_scene.py
+++ b/tests/golden/sender/program_scene.py
@@ -52,9 +52,9 @@
         clients = {}
         for ident in ("good", "broken", "told", "held"):
             clients[ident] = await client(ident)
-            await program.until(lambda ident=ident: ident in program.called() or ident == "held")
+            await program.wait_until(lambda ident=ident: ident in program.called() or ident == "held")
             if ident in ("broken", "told"):
-                await program.until(lambda ident=ident: any(one["message"] == ident for one in program.notices()))
+                await program.wait_until(lambda ident=ident: any(one["message"] == ident for one in program.notices()))
         for ident in ("good", "unknown"):
             clients[f"{ident} again"] = await client(ident)
         facts["clients"] = clients
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -683,29 +683,29 @@
 def play_program(folder, scene, control_path):
     """Runs `scene(program)` with a sender that an operator started, two receivers of one destination and the agent."""
 
-    async def whole(outside, sender):
+    async def scenario(platform, sender):
         sender.arguments = ["--set", f"control.socket={control_path}"]
         await sender.start()
-        await scene(Program(outside, sender))
+        await scene(Program(platform, sender))
 
-    driver.play(folder, whole, receivers=2, start=False)
+    driver.run_scenario(folder, scenario, receivers=2, start=False)
 
 
 class Program:
-    def __init__(self, outside, sender):
-        self.outside, self.sender = outside, sender
+    def __init__(self, platform, sender):
+        self.platform, self.sender = platform, sender
         self.console_address = sender.console
         self.client_address = sender.address
 
     def answer_calls(self, answer):
         """`answer(id)`: bytes, "reset", or None for silence."""
-        self.outside.script = lambda call: answer(text(call[0]))
+        self.platform.script = lambda call: answer(text(call[0]))
 
     def called(self):
-        return [text(ident) for ident in self.outside.idents()]
+        return [text(ident) for ident in self.platform.message_ids()]
 
     def notices(self):
-        return self.outside.notices
+        return self.platform.notices
 
-    async def until(self, fact):
-        await driver.until(fact)
+    async def wait_until(self, condition):
+        await driver.wait_until(condition)
--- a/tests/net/test_client_connections.py
+++ b/tests/net/test_client_connections.py
@@ -13,7 +13,7 @@
 from dewpin.net.connection import Connection
 from dewpin.net.server import HttpServer
 from dewpin.ports import Accepted, Deferred
-from driver import play, read_message, until
+from driver import read_message, run_scenario, wait_until
 
 REQUEST = (
     b"POST /api HTTP/1.1\r\nReq-Id: %s\r\nReq-Kind: notice\r\nReq-Owner: acme\r\nX-Consignee: dest=7\r\n"
@@ -44,7 +44,7 @@
         self.socket, self.server = socket.create_connection(address), server
 
     async def wait_until_accepted(self, connection_count):
-        await until(lambda: len(self.server.clients) == connection_count)
+        await wait_until(lambda: len(self.server.clients) == connection_count)
         self.server_side = list(self.server.clients)[-1]
         return self
 
@@ -89,7 +89,7 @@
     """Return a client that has received a response and whose connection is idle."""
     client = await connect()
     client.write(REQUEST % message_id)
-    await until(lambda: client.server_side.has_sent_request)
+    await wait_until(lambda: client.server_side.has_sent_request)
     assert b" 202 " in await asyncio.to_thread(client.socket.recv, 65536)
     return client
 
@@ -155,7 +155,7 @@
         assert response.startswith(b"HTTP/1.1 202") and response.count(b"HTTP/1.1") == 1
         client.socket.sendall(REQUEST % b"after")  # the client writes although the server has closed its side
         client.socket.close()
-        await until(lambda: not server.clients)
+        await wait_until(lambda: not server.clients)
         assert relay.accepted == [b"a", b"last"] and not server.connections.lingering
 
     run_with_server(scenario)
@@ -166,9 +166,9 @@
         client = await connect_idle_client(connect)
         server.drain()
         client.write(REQUEST % b"last")
-        await until(lambda: client.server_side.is_closing)
+        await wait_until(lambda: client.server_side.is_closing)
         assert client.server_side in server.connections.lingering
-        await until(lambda: not server.clients)  # the client does not close its side
+        await wait_until(lambda: not server.clients)  # the client does not close its side
         assert not server.connections.lingering and b" 202 " in await client.read()
 
     run_with_server(scenario)
@@ -183,7 +183,7 @@
             closing.server_side.close_gracefully()
         assert len(server.connections.lingering) == 2
         new_socket = socket.create_connection(client.socket.getpeername())
-        await until(lambda: client.server_side not in server.clients)
+        await wait_until(lambda: client.server_side not in server.clients)
         assert other_client.server_side in server.connections.lingering and len(server.clients) == 2
         new_socket.sendall(REQUEST % b"c")
         assert b" 202 " in await asyncio.to_thread(new_socket.recv, 65536)
@@ -224,14 +224,14 @@
 
 @pytest.mark.parametrize("twice", [False, True])
 def test_requests_queued_while_the_sender_was_suspended_are_answered_during_a_stop(tmp_path, twice):
-    async def scenario(outside, sender):
-        sender.told["stop"] = {"sends_ms": 100.0, "ends_ms": 10000.0}
+    async def scenario(platform, sender):
+        sender.config["stop"] = {"sends_ms": 100.0, "ends_ms": 10000.0}
         await sender.start()
         idle = await sender.connect()
-        await sender.hand_in("a", connection=idle)
+        await sender.submit("a", connection=idle)
         partial, request = await sender.connect(), REQUEST % b"c"
         partial[1].write(request[:40])
-        await sender.ask(b"GET /-/ready HTTP/1.1\r\n\r\n")
+        await sender.exchange(b"GET /-/ready HTTP/1.1\r\n\r\n")
         sender.process.send_signal(signal.SIGSTOP)
         idle[1].write(REQUEST % b"b")
         partial[1].write(request[40:])
@@ -250,4 +250,4 @@
         silent[1].close()
         assert await asyncio.wait_for(sender.process.wait(), 10.0) == 0
 
-    play(tmp_path, scenario, start=False)
+    run_scenario(tmp_path, scenario, start=False)
--- a/tests/net/test_receiver_calls.py
+++ b/tests/net/test_receiver_calls.py
@@ -13,7 +13,7 @@
 from dewpin.net.connection import Connection
 from dewpin.net.connection_pool import ConnectionPool
 from dewpin.ports import AttemptRequest
-from driver import reply, until
+from driver import reply, wait_until
 
 OK = reply(200)
 
@@ -83,7 +83,7 @@
         await receiver.read(accepted, b"body")
         await receiver.loop.sock_sendall(accepted, sent)
         accepted.shutdown(socket.SHUT_WR)
-        await until(lambda: results)
+        await wait_until(lambda: results)
         assert results[0].outcome == outcome and not pool.idle_count
 
     run_scenario(scenario)
@@ -96,12 +96,12 @@
         accepted = await receiver.accept()
         await receiver.read(accepted, b"body")
         await receiver.loop.sock_sendall(accepted, OK)
-        await until(lambda: results and pool.idle_count)
+        await wait_until(lambda: results and pool.idle_count)
         monkeypatch.setattr(call_module, "LAST_BYTE_HOLD_SECONDS", 3.0)  # long enough for the receiver to respond
         call(body=b"next")
         await receiver.read(accepted, b"nex")
         await receiver.loop.sock_sendall(accepted, stray)
-        await until(lambda: len(results) == 2)
+        await wait_until(lambda: len(results) == 2)
         assert results[1].outcome == Outcome.DROPPED and results[1].duration_ms < 4900.0
         assert not results[1].is_withdrawn and not pool.idle_count
         assert not await asyncio.wait_for(receiver.read(accepted, b"closed"), 5.0) == b"t"  # last byte was not sent
@@ -150,7 +150,7 @@
         blocked_until = connection._last_byte_timer.when() + 0.002
         while receiver.loop.time() < blocked_until:
             pass
-        await until(lambda: results)
+        await wait_until(lambda: results)
         assert (results[0].outcome, results[0].retry_after_ms) == (outcome, retry_after_ms)
         thread.join()
         server.close()
@@ -165,14 +165,14 @@
         accepted = await receiver.accept()
         await receiver.read(accepted, b"body")
         await receiver.loop.sock_sendall(accepted, b"HTTP/1.1 103 Early")
-        await until(lambda: connections[-1].parser.has_partial_message)
+        await wait_until(lambda: connections[-1].parser.has_partial_message)
         await receiver.loop.sock_sendall(accepted, b" Hints\r\n\r\n")
-        await until(lambda: not connections[-1].parser.has_partial_message)
+        await wait_until(lambda: not connections[-1].parser.has_partial_message)
         interim_ended_at = receiver.loop.time()
-        await until(lambda: receiver.loop.time() > interim_ended_at + 0.2)
+        await wait_until(lambda: receiver.loop.time() > interim_ended_at + 0.2)
         assert not results
         await receiver.loop.sock_sendall(accepted, OK)
-        await until(lambda: results)
+        await wait_until(lambda: results)
         assert results[0].outcome == Outcome.DELIVERED
 
     connections = []
@@ -202,7 +202,7 @@
             await asyncio.sleep(0)
         while receiver.loop.time() < due + 0.002:
             pass
-        await until(lambda: results)
+        await wait_until(lambda: results)
         assert results[0].outcome == Outcome.DELIVERED
 
     timers, connections = [], []
@@ -232,7 +232,7 @@
         accepted = await receiver.accept()
         await receiver.read(accepted, b"body")
         await receiver.loop.sock_sendall(accepted, OK)
-        await until(lambda: results)
+        await wait_until(lambda: results)
         assert not pool.idle_count and await asyncio.wait_for(receiver.loop.sock_recv(accepted, 1), 5.0) == b""
 
     run_scenario(scenario)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -16,7 +16,7 @@
 from dewpin.peers.membership_messages import MemberRecord, MemberState, SyncPage, SyncRequest
 from dewpin.peers.node import is_reachable
 from dewpin.peers.wire import MAX_DATAGRAM_BYTES, encode_datagram
-from driver import until
+from driver import wait_until
 
 ROOT = Path(__file__).resolve().parents[2]
 spec = importlib.util.spec_from_file_location("members_world", ROOT / "benchmarks/members.py")
@@ -167,7 +167,7 @@
     async def wait_for_agreement(self, names):
         """Waits until each of these members reports exactly these members as active."""
         names = sorted(names)
-        await until(lambda: all(self.reports.get(name, {}).get("alive") == names for name in names), 60.0)
+        await wait_until(lambda: all(self.reports.get(name, {}).get("alive") == names for name in names), 60.0)
 
     def close(self):
         for process in self.running.values():
@@ -206,7 +206,7 @@
         assert "g" not in {name for _, name in fleet.lost}  # it left and is not declared lost
         fleet.proxies.cut(names[:3], names[3:])
         fleet.proxies.cut(names[3:], names[:3])
-        await until(lambda: fleet.reports["a"]["alive"] == names[:3], 60.0)
+        await wait_until(lambda: fleet.reports["a"]["alive"] == names[:3], 60.0)
         fleet.proxies.heal()
         fleet.start("i")
         await fleet.wait_for_agreement([*names[:6], "h", "i"])
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -11,7 +11,7 @@
 
 from dewpin.lab.fleet.datagram_proxies import DatagramProxies
 from dewpin.peers.fencing import FencingGuard
-from driver import until
+from driver import wait_until
 
 NAMES, VOTERS, TERM_MS = list("abcde"), list("abc"), 800.0
 HOLDER = Path(__file__).with_name("holder.py")
@@ -91,11 +91,11 @@
                 and last[0].name not in other_than
             )
 
-        await until(has_operated, 30.0)
+        await wait_until(has_operated, 30.0)
         return self.holder()
 
     async def wait_until_idle(self, ms):
-        await until(
+        await wait_until(
             lambda: asyncio.get_running_loop().time() - self.resource.operations[-1].at_seconds > ms / 1000.0, 30.0
         )
 
--- a/tests/relay/test_late_retries.py
+++ b/tests/relay/test_late_retries.py
@@ -92,7 +92,7 @@
     receiver, notices, connections = Receiver(loop), Notices(), Connections(loop, comes_up_s)
     connections.network.listen(RECEIVER, lambda: receiver)
     loop.create_connection = connections.open
-    sender_settings = settings(effects=("keyed",), window=1000.0 * WINDOW_S) | {"Zones": ["a"], "Kinds": ["k"]}
+    sender_settings = settings(effects=("keyed",), retry_window_ms=1000.0 * WINDOW_S) | {"Zones": ["a"], "Kinds": ["k"]}
     sender_settings["Services"][0]["Name"] = "notice"
     facade = Facade(sender_settings, 1)
 
--- a/tests/relay/test_memory.py
+++ b/tests/relay/test_memory.py
@@ -12,7 +12,7 @@
 from dewpin.relay.message_lifecycle import Relay
 from dewpin.spool.journal import Journal
 from dewpin.spool.records import MessageRecord
-from driver import settings, until
+from driver import settings, wait_until
 
 
 def test_facade_is_bounded_under_changing_lists_and_arbitrary_destinations():
@@ -56,8 +56,8 @@
             assert isinstance(relay.submit(request), Accepted)
         assert len(relay.journal.pending) == 10
         records = [weakref.ref(one) for one in relay.journal.pending.values()]
-        await until(lambda: not relay.journal.pending)
-        await until(lambda: not any(one() for one in records), 1.0)
+        await wait_until(lambda: not relay.journal.pending)
+        await wait_until(lambda: not any(one() for one in records), 1.0)
 
     sender_settings = settings(effects=("unsafe",)) | {"Zones": ["a"], "Kinds": ["k"]}
     sender_settings["Services"][0]["Name"] = "charge"
