--- a/tests/golden/sender/simulated_day.py
+++ b/tests/golden/sender/simulated_day.py
@@ -1,8 +1,8 @@
-"""A seeded day for the simulator's wire: made-up sites, clients and receivers that answer the decisions under test.
+"""A seeded simulation for the simulator's protocol: sites, clients and receivers that react to the program's decisions.
 
-It speaks only the bytes of the wire, so it needs no module of dewpin: `play_day(answer)` gives the batches and the
-replies of one day, where `answer(batch)` gives the reply of the program to the bytes of a batch. The same program gives
-the same day. All times are milliseconds of the simulated clock.
+It uses only the bytes of the protocol and no module of dewpin: `play_day(answer)` returns the batches and replies of a
+simulated day, where `answer(batch)` returns the program's reply to the bytes of a batch. The same program gives the
+same day. All times are milliseconds of the simulated clock.
 """
 
 import heapq
@@ -17,10 +17,10 @@
 START_MS = 1000.25
 DAY_MS = 75_000.0
 
-DELIVERED, ERROR, FULL, TIMED_OUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = range(10, 90, 10)
+DELIVERED, ERROR, REJECTED, TIMED_OUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT = range(10, 90, 10)
 GONE, READY, DRAINING = range(3)
-DELTA, WHOLE_LIST, CACHED_LIST, FAILED_LIST = range(4)
-MARKED_AS_REPEAT, IS_WRITE, FROM_DEAD_SENDER = 2, 4, 16
+DELTA, COMPLETE_LIST, CACHED_LIST, FAILED_LIST = range(4)
+MARKED_AS_RETRY, IS_WRITE, FROM_KILLED_SENDER = 2, 4, 16
 
 ATTEMPT, NOT_NOW, END_FAILED, DEFER, CLOSE_IDLE, DIE = 10, 20, 30, 50, 70, 100
 ACTIONS = {
@@ -41,7 +41,7 @@
 
 
 def read_actions(reply):
-    """The actions of a reply as (name, sender, field, ...), in their order."""
+    """Return the actions of a reply in order, as (name, sender, field, ...)."""
     at, actions = 8, []
     while at < len(reply):
         name, layout = ACTIONS[reply[at]]
@@ -56,7 +56,7 @@
 
 
 def split_batches(content):
-    """The single batches (or replies) of a stream: both begin with a number and a length."""
+    """Split a stream into batches or replies; both begin with a number and a length."""
     at, parts = 0, []
     while at < len(content):
         (length,) = struct.unpack_from("<I", content, at + 4)
@@ -68,29 +68,41 @@
 # -- the sites ----------------------------------------------------------------------------------------------------
 
 
-def message_class(effect, *, aim=2000.0, deadline=12000.0, value=1.0, late=0.4, window=6000.0, scope="all", **more):
+def message_class(
+    effect,
+    *,
+    goal_ms=2000.0,
+    deadline_ms=12000.0,
+    value=1.0,
+    late_worth=0.4,
+    retry_window_ms=6000.0,
+    key_scope="all",
+    **more,
+):
     return {
-        "Deadline": deadline,
+        "Deadline": deadline_ms,
         "Effect": effect,
-        "GoalTime": aim,
-        "KeyScope": scope,
-        "LateWorth": late,
+        "GoalTime": goal_ms,
+        "KeyScope": key_scope,
+        "LateWorth": late_worth,
         "Name": effect,
         "Streaming": False,
         "Value": value,
-        "Window": window,
+        "Window": retry_window_ms,
     } | more
 
 
-def site_settings(classes, *, slots=6, room=60, attempts=6, bundles=(1, 1), apart=(False, False), **more):
-    """Settings as a site's `provision` carries them; `more` replaces keys of the top level."""
+def site_settings(
+    classes, *, call_slots=6, max_open=60, attempts=6, max_bundles=(1, 1), has_own_limits=(False, False), **more
+):
+    """Return settings as the `provision` event of a site has them; `more` replaces top-level keys."""
     return {
         "Accounts": [{"Name": "first", "Portion": 0.7, "QuotaRps": 9.0}, {"Name": "second", "Portion": 0.3}],
         "Allowed": {
             "ConnectTimeout": 1500.0,
             "IdleClose": 4000.0,
             "MaxAttempts": attempts,
-            "MaxOpen": room,
+            "MaxOpen": max_open,
             "MaxRetryAfter": 2000.0,
             "MayDuplicate": False,
             "RetryAfter": True,
@@ -98,10 +110,10 @@
         "Az": 0,
         "Callers": {"MarksRetry": False},
         "FamilyInfo": {
-            "BundleMax": list(bundles),
-            "CallSlots": slots,
+            "BundleMax": list(max_bundles),
+            "CallSlots": call_slots,
             "Decay": "line",
-            "OwnLimits": list(apart),
+            "OwnLimits": list(has_own_limits),
         },
         "FleetSize": 2,
         "Kinds": ["major", "small"],
@@ -125,61 +137,61 @@
 
 ALL_EFFECTS = [
     message_class("keyed", value=2.0),
-    message_class("safe", aim=1500.0, value=1.0, late=0.2),
-    message_class("unsafe", aim=2500.0, deadline=15000.0, value=4.0),
+    message_class("safe", goal_ms=1500.0, value=1.0, late_worth=0.2),
+    message_class("unsafe", goal_ms=2500.0, deadline_ms=15000.0, value=4.0),
 ]
 BY_ARRIVAL = [
     message_class("unsafe", value=4.0, ByArrival=True),
-    message_class("keyed", window=4000.0, scope="zone", ByArrival=True),
+    message_class("keyed", retry_window_ms=4000.0, key_scope="zone", ByArrival=True),
     message_class("safe"),
 ]
 SITES = {
-    # all effects, shared limits, one sender marks nothing
+    # all effects, shared limits, clients that do not mark retries
     "mixed": {"senders": 2, "rate": 7.0, "settings": site_settings(ALL_EFFECTS)},
-    # routes apart, with load reports, listed limits and marks of clients' repeats
+    # limits per route, load reports, listed limits, and clients that mark retries
     "routes": {
         "senders": 2,
         "rate": 8.0,
         "settings": site_settings(
-            [message_class("keyed", scope="zone"), message_class("safe", deadline=9000.0)],
-            apart=(True, True),
-            slots=10,
+            [message_class("keyed", key_scope="zone"), message_class("safe", deadline_ms=9000.0)],
+            has_own_limits=(True, True),
+            call_slots=10,
             Callers={"MarksRetry": True},
             Report={"Fields": ["x0", "x1"], "How": "inline"},
             Weights="nominal",
         ),
     },
-    # bundles of one kind of destination, worth that halves
+    # bundles, and a value that halves over time
     "bundles": {
         "senders": 1,
         "rate": 16.0,
         "settings": site_settings(
-            [message_class("safe", aim=800.0), message_class("keyed", window=3000.0, aim=1200.0)],
-            bundles=(4, 3),
-            slots=4,
+            [message_class("safe", goal_ms=800.0), message_class("keyed", retry_window_ms=3000.0, goal_ms=1200.0)],
+            max_bundles=(4, 3),
+            call_slots=4,
             FamilyInfo={"BundleMax": [4, 3], "CallSlots": 4, "Decay": "halves", "OwnLimits": [False, True]},
             Weights="rough",
         ),
     },
-    # order by key
-    "ordered": {"senders": 1, "rate": 9.0, "settings": site_settings(BY_ARRIVAL, slots=8)},
-    # hardly any room and few slots: mails are given up to make room
+    # order by arrival per key
+    "ordered": {"senders": 1, "rate": 9.0, "settings": site_settings(BY_ARRIVAL, call_slots=8)},
+    # small capacity and few slots: messages are given up to free capacity
     "crowded": {
         "senders": 1,
         "rate": 14.0,
-        "settings": site_settings(ALL_EFFECTS[:2], slots=2, room=20, attempts=3, Zones=["north"]),
+        "settings": site_settings(ALL_EFFECTS[:2], call_slots=2, max_open=20, attempts=3, Zones=["north"]),
     },
-    # many senders, of which each sees little; no place number, no advice to clients
+    # many senders with little traffic each; no slot number, no Retry-After for clients
     "sparse": {
         "senders": 2,
         "rate": 0.9,
         "settings": site_settings(ALL_EFFECTS, FleetSize=40)
         | {"Allowed": {"MaxAttempts": 6, "MaxOpen": 60, "IdleClose": 1500.0}},
     },
-    # the way loses answers, all else is well
-    "lossy": {"senders": 1, "rate": 8.0, "settings": site_settings(ALL_EFFECTS[:2], slots=12)},
+    # responses are lost, everything else works
+    "lossy": {"senders": 1, "rate": 8.0, "settings": site_settings(ALL_EFFECTS[:2], call_slots=12)},
 }
-# (from, to, what) of each destination in turn, over and over: shares of the day
+# (start, end, behavior) as shares of the day; assigned to destinations round robin
 PHASES = [
     [(0.00, 0.20, "up"), (0.20, 0.40, "down"), (0.40, 0.62, "up"), (0.62, 0.74, "silent"), (0.74, 1.0, "up")],
     [(0.00, 0.25, "limited"), (0.25, 0.45, "limited, told"), (0.45, 0.65, "shut"), (0.65, 1.0, "limited")],
@@ -210,15 +222,15 @@
     queue_class: int
     destination: int
     key: int
-    deadline: float
+    deadline_ms: float
     attempts: int = 0
-    over: bool = False
-    withdrawn: bool = False
+    is_over: bool = False
+    is_withdrawn: bool = False
 
 
 @dataclass
-class Life:
-    """One sender from a `provision` to its `exit`."""
+class SenderProcess:
+    """A sender process from its `provision` event to its `exit` event."""
 
     number: int
     site: str
@@ -232,21 +244,23 @@
         self.answer = answer
         self.random = random.Random(SEED)
         self.now = START_MS
-        self.queue, self.order = [], count()  # (due, number, what to do then)
+        self.queue, self.sequence = [], count()  # (due time, sequence number, action, arguments)
         self.tickets = count(1)
         self.batch, self.records = 0, []
         self.batches, self.replies = [], []
         self.receivers = {}  # site: receivers
-        self.calls = {}  # destination or route: times of late calls that it took
-        self.lives = {}
+        self.calls = {}  # destination or route: times of the recent calls that it accepted
+        self.processes = {}
         self.banks = count()
         self.names = list(SITES)
         self.fleet = {}
         for at, (name, site) in enumerate(SITES.items()):
             self.receivers[name] = [
-                Receiver(1000 * at + 10 * destination + place, 100 * at + destination, place % 2, destination % 2, 4.0)
+                Receiver(
+                    1000 * at + 10 * destination + position, 100 * at + destination, position % 2, destination % 2, 4.0
+                )
                 for destination in range(4 if name != "lossy" else 2)
-                for place in range(3 if destination < 2 else 2)
+                for position in range(3 if destination < 2 else 2)
             ]
             for _ in range(site["senders"]):
                 self.fleet[len(self.fleet) + 3] = name
@@ -254,7 +268,7 @@
     # -- events ---------------------------------------------------------------------------------------------------
 
     def after(self, ms, action, *arguments):
-        heapq.heappush(self.queue, (self.now + max(0.0, ms), next(self.order), action, arguments))
+        heapq.heappush(self.queue, (self.now + max(0.0, ms), next(self.sequence), action, arguments))
 
     def event(self, code, layout, *fields, rest=b""):
         self.records.append(struct.pack("<B" + layout, code, *fields) + rest)
@@ -267,7 +281,7 @@
             self.after(1000.0 * moment, self.change_lists, moment)
         for number, at in ((3, 0.3), (5, 0.55), (8, 0.35), (10, 0.5)):
             self.after(DAY_MS * at, self.restart, number)
-        self.after(DAY_MS * 0.2, self.misfits)
+        self.after(DAY_MS * 0.2, self.provision_invalid_senders)
         end = START_MS + DAY_MS
         while self.queue and self.queue[0][0] < end:
             due = self.queue[0][0]
@@ -294,9 +308,9 @@
                 self.attempt(calls, sender, *fields)
             elif name == "defer":
                 fire_at, handle = fields
-                self.after(fire_at - self.now, self.wakeup, self.lives.get(sender), handle)
+                self.after(fire_at - self.now, self.wakeup, self.processes.get(sender), handle)
             elif name in ("not_now", "end_failed"):
-                self.ended(sender, name, *fields)
+                self.end_message(sender, name, *fields)
         for key, call in calls.items():
             self.call(key, call)
 
@@ -304,19 +318,19 @@
 
     def provision(self, number, starts):
         name = self.fleet[number]
-        place = sorted(one for one, held in self.fleet.items() if held == name).index(number)
-        settings = dict(SITES[name]["settings"], SlotNo=place, Az=place % 2)
+        position = sorted(one for one, site in self.fleet.items() if site == name).index(number)
+        settings = dict(SITES[name]["settings"], SlotNo=position, Az=position % 2)
         if name == "sparse":
             del settings["SlotNo"]
-        text = json.dumps(settings).encode()
+        content = json.dumps(settings).encode()
         seed = (number * 0x9E3779B97F4A7C15 + starts) % 2**64
-        self.event(10, "HQI", number, seed, len(text), rest=text)
-        life = self.lives[number] = Life(number, name, starts)
-        self.tell_list(number, CACHED_LIST, self.receivers[name])
+        self.event(10, "HQI", number, seed, len(content), rest=content)
+        process = self.processes[number] = SenderProcess(number, name, starts)
+        self.send_list(number, CACHED_LIST, self.receivers[name])
         if starts == 0:
-            self.after(self.random.expovariate(1.0) * 1000.0 / SITES[name]["rate"], self.hand_in, life)
+            self.after(self.random.expovariate(1.0) * 1000.0 / SITES[name]["rate"], self.submit_next, process)
 
-    def tell_list(self, number, kind, receivers):
+    def send_list(self, number, kind, receivers):
         bank = next(self.banks) % 16
         if kind != FAILED_LIST:
             self.event(110, "II", bank, len(receivers), rest=b"".join(one.entry() for one in receivers))
@@ -325,242 +339,253 @@
     def change_lists(self, moment):
         for name, receivers in self.receivers.items():
             one = self.random.choice(receivers)
-            what = self.random.randrange(6)
-            if what == 0:
+            change = self.random.randrange(6)
+            if change == 0:
                 one.state = DRAINING
-            elif what == 1 and sum(held.destination == one.destination for held in receivers) > 1:
+            elif change == 1 and sum(other.destination == one.destination for other in receivers) > 1:
                 one.state = GONE
-            elif what == 2:
+            elif change == 2:
                 one = Receiver(one.ident + 500 + moment, one.destination, one.zone, one.kind, one.weight)
                 receivers.append(one)
-            elif what == 3:
+            elif change == 3:
                 one.weight = self.random.choice([0.0, 2.0, 6.5])
             else:
                 one.state = READY
-            for number, life in self.lives.items():
-                if life.site != name:
+            for number, process in self.processes.items():
+                if process.site != name:
                     continue
-                if what == 5:
-                    self.tell_list(number, WHOLE_LIST, [held for held in receivers if held.state != GONE])
+                if change == 5:
+                    self.send_list(number, COMPLETE_LIST, [other for other in receivers if other.state != GONE])
                 else:
-                    self.tell_list(number, DELTA, [one])
+                    self.send_list(number, DELTA, [one])
                 if self.random.random() < 0.1:
-                    self.tell_list(number, FAILED_LIST, [])
-            for held in [held for held in receivers if held.state == GONE]:
-                receivers.remove(held)
-            if what in (0, 1):  # those that left come back later, or others in their place
-                back = Receiver(one.ident, one.destination, one.zone, one.kind, one.weight)
-                self.after(3000.0, self.come_back, name, back)
-
-    def come_back(self, name, back):
-        self.receivers[name] = [one for one in self.receivers[name] if one.ident != back.ident] + [back]
-        for number, life in self.lives.items():
-            if life.site == name:
-                self.tell_list(number, DELTA, [back])
+                    self.send_list(number, FAILED_LIST, [])
+            for other in [other for other in receivers if other.state == GONE]:
+                receivers.remove(other)
+            if change in (0, 1):  # receivers that left come back later
+                returning = Receiver(one.ident, one.destination, one.zone, one.kind, one.weight)
+                self.after(3000.0, self.return_receiver, name, returning)
+
+    def return_receiver(self, name, returning):
+        self.receivers[name] = [one for one in self.receivers[name] if one.ident != returning.ident] + [returning]
+        for number, process in self.processes.items():
+            if process.site == name:
+                self.send_list(number, DELTA, [returning])
 
     def restart(self, number):
-        """A sender dies and starts again at once; its messages go to another one of its site, or to itself."""
-        life = self.lives.pop(number)
+        """Kill and restart a sender; clients resubmit its messages to random senders of its site."""
+        process = self.processes.pop(number)
         self.event(100, "H", number)
-        self.provision(number, life.starts + 1)
-        self.after(40.0, self.hand_in, self.lives[number])
-        others = [one for one in self.lives.values() if one.site == life.site]
-        for message in life.messages.values():
-            unsafe = SITES[life.site]["settings"]["Services"][message.queue_class]["Effect"] == "unsafe"
-            if not message.over and not (unsafe and message.attempts):
-                bits = FROM_DEAD_SENDER | 1
-                self.after(
-                    self.random.uniform(5.0, 900.0), self.hand_in_again, self.random.choice(others), message, bits
-                )
-
-    def misfits(self):
-        """Senders with settings that lack what a rule needs; what follows for them is passed over."""
+        self.provision(number, process.starts + 1)
+        self.after(40.0, self.submit_next, self.processes[number])
+        others = [one for one in self.processes.values() if one.site == process.site]
+        for message in process.messages.values():
+            unsafe = SITES[process.site]["settings"]["Services"][message.queue_class]["Effect"] == "unsafe"
+            if not message.is_over and not (unsafe and message.attempts):
+                bits = FROM_KILLED_SENDER | 1
+                self.after(self.random.uniform(5.0, 900.0), self.resubmit, self.random.choice(others), message, bits)
+
+    def provision_invalid_senders(self):
+        """Provision senders with invalid settings; later events for them are ignored."""
         good = site_settings(ALL_EFFECTS)
-        misfits = [
+        invalid_settings = [
             {key: value for key, value in good.items() if key != "Rules"},
             good | {"Rules": {"TurnGap": 1.0}},
             good | {"Services": [message_class("certain")]},
             good | {"Services": [{**message_class("keyed"), "Window": 1.0, "ByArrival": True}], "Rules": {}},
         ]
-        for number, settings in enumerate(misfits, 50):
-            text = json.dumps(settings).encode()
-            self.event(10, "HQI", number, number, len(text), rest=text)
+        for number, settings in enumerate(invalid_settings, 50):
+            content = json.dumps(settings).encode()
+            self.event(10, "HQI", number, number, len(content), rest=content)
             self.event(70, "HI", number, 1)
 
     # -- messages -------------------------------------------------------------------------------------------------
 
-    def hand_in(self, life):
-        if self.lives.get(life.number) is not life:
+    def submit_next(self, process):
+        if self.processes.get(process.number) is not process:
             return
-        rate = SITES[life.site]["rate"]
-        burst = 3.0 if (self.now // 7000.0) % 3 == 0 else 0.7
-        self.after(self.random.expovariate(1.0) * 1000.0 / (rate * burst), self.hand_in, life)
-        classes = SITES[life.site]["settings"]["Services"]
+        rate = SITES[process.site]["rate"]
+        load_factor = 3.0 if (self.now // 7000.0) % 3 == 0 else 0.7
+        self.after(self.random.expovariate(1.0) * 1000.0 / (rate * load_factor), self.submit_next, process)
+        classes = SITES[process.site]["settings"]["Services"]
         queue_class = self.random.randrange(len(classes))
-        destination = self.random.choice(sorted({one.destination for one in self.receivers[life.site]}))
+        destination = self.random.choice(sorted({one.destination for one in self.receivers[process.site]}))
         key = self.random.randrange(1, 7) if classes[queue_class].get("ByArrival") and self.random.random() < 0.9 else 0
-        if life.site == "mixed" and self.random.random() < 0.3:
+        if process.site == "mixed" and self.random.random() < 0.3:
             key = self.random.getrandbits(63)
         left = classes[queue_class]["Deadline"]
         if self.random.random() < 0.05:
             left = self.random.choice([40.0, 400.0, 3000.0])
         bits = self.random.choice([0, 1, IS_WRITE])
-        self.query(life, queue_class, destination, key, left, bits)
+        self.submit(process, queue_class, destination, key, left, bits)
 
-    def hand_in_again(self, life, message, bits):
-        if self.lives.get(life.number) is life and message.deadline - self.now > 1.0:
-            left = message.deadline - self.now
-            self.query(life, message.queue_class, message.destination, message.key, left, bits)
+    def resubmit(self, process, message, bits):
+        if self.processes.get(process.number) is process and message.deadline_ms - self.now > 1.0:
+            left = message.deadline_ms - self.now
+            self.submit(process, message.queue_class, message.destination, message.key, left, bits)
 
-    def query(self, life, queue_class, destination, key, left, bits):
-        held = sum(not one.over for one in life.messages.values())
-        if held >= SITES[life.site]["settings"]["Allowed"]["MaxOpen"]:
+    def submit(self, process, queue_class, destination, key, left, bits):
+        pending_count = sum(not one.is_over for one in process.messages.values())
+        if pending_count >= SITES[process.site]["settings"]["Allowed"]["MaxOpen"]:
             return
         ticket = next(self.tickets)
-        message = Message(life.number, ticket, queue_class, destination, key, self.now + left)
-        life.messages[ticket] = message
+        message = Message(process.number, ticket, queue_class, destination, key, self.now + left)
+        process.messages[ticket] = message
         account = self.random.randrange(2)
         hint = 12.0 if bits & 1 else 0.0
         self.event(
-            30, "HQHHQddfB", life.number, ticket, queue_class, account, key, left, hint, float(destination), bits
+            30, "HQHHQddfB", process.number, ticket, queue_class, account, key, left, hint, float(destination), bits
         )
         if self.random.random() < 0.04:
-            self.after(self.random.uniform(1.0, 3000.0), self.withdraw, life, message)
+            self.after(self.random.uniform(1.0, 3000.0), self.withdraw, process, message)
 
-    def withdraw(self, life, message):
-        if self.lives.get(life.number) is life and not message.over:
-            message.over = message.withdrawn = True
-            self.event(60, "HQ", life.number, message.ticket)
+    def withdraw(self, process, message):
+        if self.processes.get(process.number) is process and not message.is_over:
+            message.is_over = message.is_withdrawn = True
+            self.event(60, "HQ", process.number, message.ticket)
 
-    def ended(self, sender, name, ticket, hold_off=0.0):
-        message = self.lives[sender].messages[ticket]
-        message.over = True
+    def end_message(self, sender, name, ticket, hold_off=0.0):
+        message = self.processes[sender].messages[ticket]
+        message.is_over = True
         if name == "not_now" and self.random.random() < 0.6:
-            life = self.lives[sender]
-            marks = SITES[life.site]["settings"]["Callers"]["MarksRetry"]
-            bits = MARKED_AS_REPEAT if marks else 0
-            self.after(hold_off + self.random.uniform(20.0, 400.0), self.hand_in_again, life, message, bits)
-
-    def wakeup(self, life, handle):
-        if life and self.lives.get(life.number) is life:
-            self.event(70, "HI", life.number, handle)
-            if self.random.random() < 0.01:  # news that this program has no use for
-                receiver = self.receivers[life.site][0].ident
-                self.event(80, "HIdHB", life.number, receiver, 7.5, DELIVERED, 1, rest=struct.pack("<f", 3.0))
-                self.event(90, "HHH", life.number, 1, 2, rest=b"hi")
+            process = self.processes[sender]
+            marks = SITES[process.site]["settings"]["Callers"]["MarksRetry"]
+            bits = MARKED_AS_RETRY if marks else 0
+            self.after(hold_off + self.random.uniform(20.0, 400.0), self.resubmit, process, message, bits)
+
+    def wakeup(self, process, handle):
+        if process and self.processes.get(process.number) is process:
+            self.event(70, "HI", process.number, handle)
+            if self.random.random() < 0.01:  # events that this program ignores
+                receiver = self.receivers[process.site][0].ident
+                self.event(80, "HIdHB", process.number, receiver, 7.5, DELIVERED, 1, rest=struct.pack("<f", 3.0))
+                self.event(90, "HHH", process.number, 1, 2, rest=b"hi")
 
     # -- calls ----------------------------------------------------------------------------------------------------
 
     def attempt(self, calls, sender, ticket, receiver, limit):
-        """Puts an attempt into a call: those of one reply to one receiver share calls as far as bundles go."""
-        life = self.lives[sender]
-        message = life.messages[ticket]
+        """Add an attempt to a call; attempts of one reply to one receiver share calls up to the bundle limit."""
+        process = self.processes[sender]
+        message = process.messages[ticket]
         message.attempts += 1
-        settings = SITES[life.site]["settings"]
-        known = next((one for one in self.receivers[life.site] if one.ident == receiver), None)
-        most = settings["FamilyInfo"]["BundleMax"][known.kind] if known else 1
+        settings = SITES[process.site]["settings"]
+        target = next((one for one in self.receivers[process.site] if one.ident == receiver), None)
+        max_bundle = settings["FamilyInfo"]["BundleMax"][target.kind] if target else 1
         number = 0
-        while len(calls.get((sender, receiver, number), ())) >= most:
+        while len(calls.get((sender, receiver, number), ())) >= max_bundle:
             number += 1
         calls.setdefault((sender, receiver, number), []).append((message, message.attempts - 1, limit))
 
     def call(self, key, attempts):
         sender, receiver, _ = key
-        life = self.lives[sender]
-        settings = SITES[life.site]["settings"]
-        slots = settings["FamilyInfo"]["CallSlots"]
-        if life.slots_taken >= slots or self.random.random() < 0.004:
+        process = self.processes[sender]
+        settings = SITES[process.site]["settings"]
+        call_slots = settings["FamilyInfo"]["CallSlots"]
+        if process.slots_taken >= call_slots or self.random.random() < 0.004:
             for message, number, _limit in attempts:
-                taken = int(life.slots_taken >= slots)
-                self.after(0.0, self.returned, life, message, number, receiver, MOOT, 0.0, taken, False)
+                is_full = int(process.slots_taken >= call_slots)
+                self.after(0.0, self.finish_attempt, process, message, number, receiver, NOT_SENT, 0.0, is_full, False)
             return
-        life.slots_taken += 1
-        outcome, took, note = self.fate(life.site, receiver)
+        process.slots_taken += 1
+        outcome, duration, note = self.draw_outcome(process.site, receiver)
         last = max(range(len(attempts)), key=lambda at: attempts[at][2])
         for at, (message, number, limit) in enumerate(attempts):
-            left = message.deadline - self.now
+            left = message.deadline_ms - self.now
             limit = min(limit, left) if limit else left
-            ending, lasts, told = outcome, took, note
-            if lasts > limit:
-                ending, lasts, told = TIMED_OUT, max(0.0, limit), 0
-            lasts = round(lasts, 3)
-            self.after(lasts, self.returned, life, message, number, receiver, ending, lasts, told, at == last)
-
-    def returned(self, life, message, number, receiver, outcome, took, note, frees_slot):
-        if self.lives.get(life.number) is not life:
+            actual_outcome, actual_duration, actual_note = outcome, duration, note
+            if actual_duration > limit:
+                actual_outcome, actual_duration, actual_note = TIMED_OUT, max(0.0, limit), 0
+            actual_duration = round(actual_duration, 3)
+            self.after(
+                actual_duration,
+                self.finish_attempt,
+                process,
+                message,
+                number,
+                receiver,
+                actual_outcome,
+                actual_duration,
+                actual_note,
+                at == last,
+            )
+
+    def finish_attempt(self, process, message, number, receiver, outcome, duration, note, frees_slot):
+        if self.processes.get(process.number) is not process:
             return
-        life.slots_taken -= frees_slot
-        complete = message.over or outcome == DELIVERED
+        process.slots_taken -= frees_slot
+        complete = message.is_over or outcome == DELIVERED
         if outcome == DELIVERED:
-            message.over = True
-        gauge = []
-        if SITES[life.site]["settings"]["Report"]["How"] == "inline" and outcome in (DELIVERED, ERROR, FULL):
-            gauge = [self.random.choice([0.0, 0.5]), self.random.choice([0.0, 3.0, 8.0])]
+            message.is_over = True
+        load_report = []
+        if SITES[process.site]["settings"]["Report"]["How"] == "inline" and outcome in (DELIVERED, ERROR, REJECTED):
+            load_report = [self.random.choice([0.0, 0.5]), self.random.choice([0.0, 3.0, 8.0])]
         self.event(
             50,
             "HQBIHdBIB",
-            life.number,
+            process.number,
             message.ticket,
             number,
             receiver,
             outcome,
-            took,
+            duration,
             complete,
             note,
-            len(gauge),
-            rest=struct.pack(f"<{len(gauge)}f", *gauge),
+            len(load_report),
+            rest=struct.pack(f"<{len(load_report)}f", *load_report),
         )
 
-    def fate(self, site, ident):
-        """(outcome, ms, note) of a call that leaves now to a receiver."""
+    def draw_outcome(self, site, ident):
+        """Return (outcome, duration in ms, Retry-After in ms) of a call sent now to a receiver."""
         receiver = next((one for one in self.receivers[site] if one.ident == ident), None)
         if receiver is None:
             return CONNECT_FAILED, 3.0, 0
-        phase = self.phase(site, receiver)
-        roll = self.random.random()
+        behavior = self.behavior(site, receiver)
+        draw = self.random.random()
         good = (DELIVERED, 20.0 + 120.0 * self.random.random() ** 3, 0)
-        if phase == "up":
-            return (ERROR, 30.0, 0) if roll < 0.02 else (RESET, 9.0, 0) if roll < 0.03 else good
-        if phase.startswith("limited"):
-            return self.limited(site, receiver, good, told=phase.endswith("told"))
-        if phase == "lossy":
-            return (TIMED_OUT, 1e9, 0) if roll < 0.15 else (RESET, 15.0, 0) if roll < 0.22 else good
-        if phase == "full table":
-            return (CONNECT_FAILED, 2.0, 0) if roll < 0.4 else good
-        if phase == "errors":
-            return (ERROR, 25.0, 0) if roll < 0.7 else good
-        if phase == "resets":
-            return (RESET, 1200.0 if roll < 0.2 else 12.0, 0) if roll < 0.8 else good
-        if phase == "slow":
-            return DELIVERED, 900.0 + 2500.0 * roll, 0
+        if behavior == "up":
+            return (ERROR, 30.0, 0) if draw < 0.02 else (RESET, 9.0, 0) if draw < 0.03 else good
+        if behavior.startswith("limited"):
+            return self.limit_calls(site, receiver, good, sends_retry_after=behavior.endswith("told"))
+        if behavior == "lossy":
+            return (TIMED_OUT, 1e9, 0) if draw < 0.15 else (RESET, 15.0, 0) if draw < 0.22 else good
+        if behavior == "full table":
+            return (CONNECT_FAILED, 2.0, 0) if draw < 0.4 else good
+        if behavior == "errors":
+            return (ERROR, 25.0, 0) if draw < 0.7 else good
+        if behavior == "resets":
+            return (RESET, 1200.0 if draw < 0.2 else 12.0, 0) if draw < 0.8 else good
+        if behavior == "slow":
+            return DELIVERED, 900.0 + 2500.0 * draw, 0
         return {
             "down": (CONNECT_FAILED, 1.5, 0),
             "silent": (TIMED_OUT, 1e9, 0),
             "connect times out": (CONNECT_FAILED, 1500.0, 0),
-            "shut": (FULL, 4.0, 0),
-            "shut, told": (FULL, 4.0, 3000),
-        }[phase]
-
-    def phase(self, site, receiver):
-        phases = LOSSY_PHASES if site == "lossy" else PHASES
-        place = receiver.destination + (receiver.ident % 10 if any(self.apart(site)) else 0)
-        held = phases[place % len(phases)]
+            "shut": (REJECTED, 4.0, 0),
+            "shut, told": (REJECTED, 4.0, 3000),
+        }[behavior]
+
+    def behavior(self, site, receiver):
+        behaviors = LOSSY_PHASES if site == "lossy" else PHASES
+        position = receiver.destination + (receiver.ident % 10 if any(self.has_own_limits(site)) else 0)
+        periods = behaviors[position % len(behaviors)]
         share = min(0.9999, (self.now - START_MS) / DAY_MS)
-        return next(what for begin, end, what in held if begin <= share < end)
+        return next(behavior for begin, end, behavior in periods if begin <= share < end)
 
-    def apart(self, site):
+    def has_own_limits(self, site):
         return SITES[site]["settings"]["FamilyInfo"]["OwnLimits"]
 
-    def limited(self, site, receiver, good, told):
-        """A limit of so many calls in the second before, refused calls not counted."""
-        limited = receiver.ident if self.apart(site)[receiver.kind] else ("destination", receiver.destination)
-        lately = [at for at in self.calls.get(limited, ()) if at > self.now - 1000.0]
-        if len(lately) >= (2 if self.random.random() < 0.5 else 3):
-            return FULL, 2.0, int(1000.0 - (self.now - lately[0])) + 1 if told else 0
-        self.calls[limited] = [*lately, self.now]
+    def limit_calls(self, site, receiver, good, sends_retry_after):
+        """Apply a limit on the accepted calls of the last second."""
+        limit_key = (
+            receiver.ident if self.has_own_limits(site)[receiver.kind] else ("destination", receiver.destination)
+        )
+        recent = [at for at in self.calls.get(limit_key, ()) if at > self.now - 1000.0]
+        if len(recent) >= (2 if self.random.random() < 0.5 else 3):
+            return REJECTED, 2.0, int(1000.0 - (self.now - recent[0])) + 1 if sends_retry_after else 0
+        self.calls[limit_key] = [*recent, self.now]
         return good
 
 
 def play_day(answer):
-    """(all batches, all replies) of the day, as bytes on the wire."""
+    """Return (all batches, all replies) of the day, as bytes of the protocol."""
     return Day(answer).play()
--- a/tests/golden/sender/stored_scenes.py
+++ b/tests/golden/sender/stored_scenes.py
@@ -1,6 +1,6 @@
-"""What is done to the sender's stored data, step by step, to make the fixtures, and to make the same bytes again.
+"""The steps that wrote the fixtures of the sender's stored data and that have to write the same bytes again.
 
-A step is the name of a method of `sender_api.Journal`, `CachedList` or `HandOverLog` and its arguments.
+A step is the name of a method of `sender_api.Journal`, `CachedList` or `HandOverLog`, followed by its arguments.
 """
 
 import shutil
@@ -14,7 +14,7 @@
 DISK_BYTES = 3_000_000
 
 
-def message(ident, **facts):
+def message(ident, **values):
     return {
         "id": ident,
         "queue_class": "notice",
@@ -25,7 +25,7 @@
         "body": "x",
         "received_ms": 1764690000000.25,
         "expires_ms": 1764690016000.5,
-    } | facts
+    } | values
 
 
 ALL_BYTES = "".join(map(chr, range(256)))
@@ -79,53 +79,53 @@
     ("finish", "third-attempt-not-executed"),
     ("attach", "r8"),
 ]
-# the file grows until it is written anew by itself
+# the file grows until it is compacted automatically
 MANY = [
     step
-    for at in range(60)
+    for number in range(60)
     for step in (
-        ("accept", message(f"m{at}", body="b" * 9000)),
-        ("attempt", f"m{at}", f"r{at % 3}", 1764690000000.0 + at),
-        *([("finish", f"m{at}")] if at % 10 else []),
+        ("accept", message(f"m{number}", body="b" * 9000)),
+        ("attempt", f"m{number}", f"r{number % 3}", 1764690000000.0 + number),
+        *([("finish", f"m{number}")] if number % 10 else []),
     )
 ]
-# there is no room for more, except for what is owed already
+# the capacity is exhausted; only messages that were accepted before are still recorded
 SMALL_DISK_BYTES = 16_000
 TOO_MANY = [
-    *[("accept", message(f"t{at}", body="b" * 1000)) for at in range(8)],
-    *[("detach", f"r{at}") for at in range(5)],
+    *[("accept", message(f"t{number}", body="b" * 1000)) for number in range(8)],
+    *[("detach", f"r{number}") for number in range(5)],
     ("finish", "t1"),
     ("accept", message("again")),
     ("accept", message("owed"), True),
 ]
 
 
-def play(target, steps):
-    """The answers of the steps, those that answer nothing left out."""
-    return [answer for name, *given in steps if (answer := getattr(target, name)(*given)) is not None]
+def execute(target, steps):
+    """Execute the steps; return their results except None."""
+    return [result for name, *arguments in steps if (result := getattr(target, name)(*arguments)) is not None]
 
 
 def write_journal(folder, *scenes, disk_bytes=DISK_BYTES):
     journal = sender_api.Journal(folder, disk_bytes)
-    answers = [answer for steps in scenes for answer in play(journal, steps)]
+    results = [result for steps in scenes for result in execute(journal, steps)]
     contents = journal.contents()
     journal.close()
-    return answers, contents
+    return results, contents
 
 
 def sizes_on_the_way(folder, steps):
-    """[bytes, checksum] of the journal's file after each step."""
-    journal, found = sender_api.Journal(folder, DISK_BYTES), []
+    """Return [size in bytes, checksum] of the journal's file after each step."""
+    journal, states = sender_api.Journal(folder, DISK_BYTES), []
     for step in steps:
-        play(journal, [step])
+        execute(journal, [step])
         content = (Path(folder) / "journal").read_bytes()
-        found.append([len(content), crc32(content)])
+        states.append([len(content), crc32(content)])
     journal.close()
-    return found
+    return states
 
 
 def opened(folder, assume_executed=False):
-    """The contents of a folder's journal as a start finds them."""
+    """Return the contents of a folder's journal at a start."""
     journal = sender_api.Journal(folder, DISK_BYTES)
     if assume_executed:
         journal.assume_attempts_executed()
@@ -135,12 +135,12 @@
 
 
 def raw_record(content):
-    """A record with these bytes behind its head, whatever they are."""
+    """Return a record with this content, which need not be valid, after a valid header."""
     return struct.pack("<II", len(content), crc32(content)) + content
 
 
-def copied(files, source, target):
-    """The named fixtures under the names that they have in a sender's folder."""
+def copy_fixtures(files, source, target):
+    """Copy fixtures to a folder; `files` maps the names in a sender's folder to those of the fixtures."""
     target.mkdir(parents=True, exist_ok=True)
     for name, stored in files.items():
         shutil.copyfile(source / stored, target / name)
@@ -150,7 +150,7 @@
 # -- the cached list ----------------------------------------------------------------------------------------------
 
 
-def receiver(ident, state="active", **facts):
+def receiver(ident, state="active", **values):
     return {
         "id": ident,
         "destination": 7,
@@ -159,11 +159,11 @@
         "zone": "north",
         "kind": "major",
         "weight": 1.5,
-    } | facts
+    } | values
 
 
 CACHED_LIST = [
-    ("learn", [receiver("early")], False, 3, 1764690000000.4),  # a change without a list: not written
+    ("learn", [receiver("early")], False, 3, 1764690000000.4),  # an update without a complete list: not stored
     (
         "learn",
         [
@@ -181,17 +181,23 @@
     ("learn", [], False, 43, 1764690000004.0),
 ]
 REWRITTEN_LIST = CACHED_LIST + [
-    ("learn", [receiver(f"s{at}", "removed" if at % 2 else "active")], False, 44 + at, 1764690001000.0 + at)
-    for at in range(60)
+    (
+        "learn",
+        [receiver(f"s{number}", "removed" if number % 2 else "active")],
+        False,
+        44 + number,
+        1764690001000.0 + number,
+    )
+    for number in range(60)
 ]
 MANY_REMOVED = [
-    ("learn", [receiver(f"s{at}", "removed") for at in range(300)] + [receiver("r1")], True, 5, 1764690000000.0)
+    ("learn", [receiver(f"s{number}", "removed") for number in range(300)] + [receiver("r1")], True, 5, 1764690000000.0)
 ]
 
 
 def write_list(folder, steps, agent=AGENT):
     cached = sender_api.CachedList(folder, agent, DISK_BYTES)
-    play(cached, steps)
+    execute(cached, steps)
     return cached.contents()
 
 
@@ -210,11 +216,11 @@
             ident,
             ident,
             1500.5 * (ident == "rejected"),
-            12.25 + at,
+            12.25 + number,
             LOAD,
-            at == 7,
+            number == 7,
         )
-        for at, ident in enumerate(IN_FLIGHT)
+        for number, ident in enumerate(IN_FLIGHT)
         if ident != "cancelled"
     ),
     ("attempt_ended", "cancelled", "cancelled", 0.0, 0.0, {}, True),
@@ -225,11 +231,11 @@
 
 
 def write_hand_over_log(folder):
-    """Leaves `journal` and `tail` in the folder as the process that hands on leaves them."""
+    """Write `journal` and `tail` as the process that hands the folder over leaves them."""
     journal = sender_api.Journal(folder, DISK_BYTES)
-    play(journal, BEFORE_HAND_OVER)
+    execute(journal, BEFORE_HAND_OVER)
     log = sender_api.HandOverLog(folder, journal)
-    answers = play(log, HAND_OVER)
+    results = execute(log, HAND_OVER)
     log.close()
     journal.close()
-    return answers
+    return results
--- a/tests/golden/sender/wire_scenes.py
+++ b/tests/golden/sender/wire_scenes.py
@@ -1,7 +1,7 @@
-"""Single exchanges on the sender's wires, each played over real sockets: bytes in, bytes and plain facts out.
+"""Single exchanges with a sender over real sockets: bytes in, bytes and plain values out.
 
-`play(name)` plays one of `SCENES` and gives its facts as they come back from JSON. Bytes are written as Latin-1 text,
-and ports, which differ from run to run, as PORT.
+`play(name)` runs one of `SCENES` and returns its result after a round trip through JSON. Bytes are represented as
+Latin-1 text, and ports, which differ between runs, as PORT.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from golden import sender_api
 from golden.sender_api import text
 
-QUIET_S = 0.15  # without a byte, after which nothing more is expected
-MOST_S = 10.0
+QUIET_S = 0.15  # nothing more is expected after this time without a byte
+TIMEOUT_S = 10.0
 
 
 def request(line=b"POST /api HTTP/1.1", *fields, body=b"x", length=True):
@@ -24,7 +24,7 @@
     return b"\r\n".join([line, *fields, *size, b"", body])
 
 
-def hand_in(*more, body=b"x", line=b"POST /api HTTP/1.1", **replaced):
+def submission(*more_fields, body=b"x", line=b"POST /api HTTP/1.1", **replaced):
     fields = {
         b"Req-Id": b"m1",
         b"Req-Kind": b"notice",
@@ -32,8 +32,8 @@
         b"Req-Deadline": b"12.5",
         b"X-Consignee": b"dest=7",
     } | {name.replace("_", "-").encode(): value for name, value in replaced.items()}
-    held = [name + b": " + value for name, value in fields.items() if value is not None]
-    return request(line, *held, *more, body=body)
+    lines = [name + b": " + value for name, value in fields.items() if value is not None]
+    return request(line, *lines, *more_fields, body=body)
 
 
 def chunked(*chunks):
@@ -43,7 +43,7 @@
 
 # -- clients ------------------------------------------------------------------------------------------------------
 
-ACCEPTED, REFUSED, REFUSED_FOR, REPEATED, UNKNOWN = (
+ACCEPTED, DEFERRED, DEFERRED_WITH_DELAY, DUPLICATE, UNKNOWN_CLASS = (
     (True, 0),
     (False, 0.0),
     (False, 1250.1256),
@@ -52,10 +52,10 @@
 )
 ALL_BYTES = bytes(range(256))
 CLIENTS = {
-    # name: (bytes of the client, answer of the intake)
-    "accepted": (hand_in(), ACCEPTED),
+    # name: (bytes of the client, result of the submission)
+    "accepted": (submission(), ACCEPTED),
     "accepted with all fields": (
-        hand_in(
+        submission(
             b"Idempotency-Key: tag-1",
             b"Req-Retry: 1",
             line=b"POST /api?x=1&about=k%2F1%ff HTTP/1.1",
@@ -64,38 +64,41 @@
         ),
         ACCEPTED,
     ),
-    "accepted without deadline": (hand_in(Req_Deadline=None), ACCEPTED),
-    "accepted without owner and kind": (hand_in(Req_Owner=None, Req_Kind=None), ACCEPTED),
+    "accepted without deadline": (submission(Req_Deadline=None), ACCEPTED),
+    "accepted without owner and kind": (submission(Req_Owner=None, Req_Kind=None), ACCEPTED),
     "accepted in chunks": (
         chunked(b"ab", b"cde").replace(b"\r\n", b"\r\nReq-Id: m1\r\nX-Consignee: dest=7\r\n", 1),
         ACCEPTED,
     ),
-    "accepted and the connection ends": (hand_in(b"Connection: close"), ACCEPTED),
-    "accepted by an old client": (hand_in(line=b"POST /api HTTP/1.0"), ACCEPTED),
-    "accepted by an old client that stays": (hand_in(b"Connection: keep-alive", line=b"POST /api HTTP/1.0"), ACCEPTED),
-    "accepted after going on": (hand_in(b"Expect: 100-continue"), ACCEPTED),
-    "going on before the body": (hand_in(b"Expect: 100-continue")[:-1], ACCEPTED),
-    "refused": (hand_in(), REFUSED),
-    "refused for a time": (hand_in(), REFUSED_FOR),
-    "repeated": (hand_in(), REPEATED),
-    "unknown class": (hand_in(), UNKNOWN),
-    "fault of ours": (hand_in(), ValueError("of the test")),
-    "no id": (hand_in(Req_Id=None), ACCEPTED),
-    "id with a blank": (hand_in(Req_Id=b"m 1"), ACCEPTED),
-    "long id": (hand_in(Req_Id=b"m" * 257), ACCEPTED),
-    "long key": (hand_in(line=b"POST /api?about=" + b"k" * 257 + b" HTTP/1.1"), ACCEPTED),
-    "wrong tag": (hand_in(b"Idempotency-Key: a b"), ACCEPTED),
-    "no destination": (hand_in(X_Consignee=b"from=7"), ACCEPTED),
-    "wrong destination": (hand_in(X_Consignee=b"dest=-7"), ACCEPTED),
-    "long destination": (hand_in(X_Consignee=b"dest=1234567890"), ACCEPTED),
-    "deadline of nothing": (hand_in(Req_Deadline=b"0.0"), ACCEPTED),
-    "wrong deadline": (hand_in(Req_Deadline=b"1e3"), ACCEPTED),
-    "wrong method": (hand_in(line=b"GET /api HTTP/1.1"), ACCEPTED),
+    "accepted and the connection ends": (submission(b"Connection: close"), ACCEPTED),
+    "accepted by an old client": (submission(line=b"POST /api HTTP/1.0"), ACCEPTED),
+    "accepted by an old client that stays": (
+        submission(b"Connection: keep-alive", line=b"POST /api HTTP/1.0"),
+        ACCEPTED,
+    ),
+    "accepted after going on": (submission(b"Expect: 100-continue"), ACCEPTED),
+    "going on before the body": (submission(b"Expect: 100-continue")[:-1], ACCEPTED),
+    "refused": (submission(), DEFERRED),
+    "refused for a time": (submission(), DEFERRED_WITH_DELAY),
+    "repeated": (submission(), DUPLICATE),
+    "unknown class": (submission(), UNKNOWN_CLASS),
+    "fault of ours": (submission(), ValueError("of the test")),
+    "no id": (submission(Req_Id=None), ACCEPTED),
+    "id with a blank": (submission(Req_Id=b"m 1"), ACCEPTED),
+    "long id": (submission(Req_Id=b"m" * 257), ACCEPTED),
+    "long key": (submission(line=b"POST /api?about=" + b"k" * 257 + b" HTTP/1.1"), ACCEPTED),
+    "wrong tag": (submission(b"Idempotency-Key: a b"), ACCEPTED),
+    "no destination": (submission(X_Consignee=b"from=7"), ACCEPTED),
+    "wrong destination": (submission(X_Consignee=b"dest=-7"), ACCEPTED),
+    "long destination": (submission(X_Consignee=b"dest=1234567890"), ACCEPTED),
+    "deadline of nothing": (submission(Req_Deadline=b"0.0"), ACCEPTED),
+    "wrong deadline": (submission(Req_Deadline=b"1e3"), ACCEPTED),
+    "wrong method": (submission(line=b"GET /api HTTP/1.1"), ACCEPTED),
     "unknown path": (request(b"POST /other HTTP/1.1"), ACCEPTED),
     "ready": (request(b"GET /-/ready HTTP/1.1", body=b""), ACCEPTED),
     "ready without a body asked": (request(b"HEAD /-/ready HTTP/1.1", body=b""), ACCEPTED),
     "two behind each other": (request(b"GET /-/ready HTTP/1.1", body=b"") * 2, ACCEPTED),
-    "something behind a message": (hand_in() + b"GET ", ACCEPTED),
+    "something behind a message": (submission() + b"GET ", ACCEPTED),
     "not HTTP": (b"hello\r\n\r\n", ACCEPTED),
     "another version": (b"GET / HTTP/2.0\r\n\r\n", ACCEPTED),
     "wrong header line": (b"GET / HTTP/1.1\r\nwrong line\r\n\r\n", ACCEPTED),
@@ -113,41 +116,41 @@
 
 
 async def converse(reader, writer, content, expected=None):
-    """Sends the bytes; gives what came back, and whether the other side ended then.
+    """Send the bytes; return the response and whether the other side closed the connection after it.
 
-    `expected`: what came when it was recorded: so much is waited for patiently; None: only as long as bytes come."""
+    `expected`: the recorded response, whose length is waited for up to the timeout; None: wait while bytes arrive."""
     writer.write(content)
-    held, ended, loop = b"", False, asyncio.get_running_loop()
-    end = loop.time() + MOST_S
+    received, has_ended, loop = b"", False, asyncio.get_running_loop()
+    end = loop.time() + TIMEOUT_S
     while loop.time() < end:
-        lacks = expected and (len(held) < len(expected["answer"]) or expected["connection_ended"])
+        is_incomplete = expected and (len(received) < len(expected["answer"]) or expected["connection_ended"])
         try:
-            async with asyncio.timeout(end - loop.time() if lacks else QUIET_S):
-                more = await reader.read(65536)
+            async with asyncio.timeout(end - loop.time() if is_incomplete else QUIET_S):
+                chunk = await reader.read(65536)
         except TimeoutError:
             break
         except ConnectionError:
-            more = b""
-        if not more:
-            ended = True
+            chunk = b""
+        if not chunk:
+            has_ended = True
             break
-        held += more
+        received += chunk
     writer.close()
-    return {"answer": text(held), "connection_ended": ended}
+    return {"answer": text(received), "connection_ended": has_ended}
 
 
 async def client_scene(name, expected):
-    content, answer = CLIENTS[name]
-    intake = sender_api.Intake(answer)
-    async with sender_api.client_listener(intake) as address:
+    content, submit_result = CLIENTS[name]
+    relay = sender_api.StubRelay(submit_result)
+    async with sender_api.client_listener(relay) as address:
         connection = await asyncio.open_connection(*address)
-        facts = await converse(*connection, content, expected)
-    return facts | {"request": text(content), "handed_in": intake.calls}
+        result = await converse(*connection, content, expected)
+    return result | {"request": text(content), "handed_in": relay.calls}
 
 
 async def stopping_scene(name, expected):
-    intake = sender_api.Intake(REFUSED, stopping=True)
-    async with sender_api.client_listener(intake) as address:
+    relay = sender_api.StubRelay(DEFERRED, is_stopping=True)
+    async with sender_api.client_listener(relay) as address:
         connection = await asyncio.open_connection(*address)
         return await converse(*connection, request(b"GET /-/ready HTTP/1.1", body=b""), expected)
 
@@ -155,48 +158,48 @@
 # -- receivers ----------------------------------------------------------------------------------------------------
 
 
-def answer(status, *fields, body=b""):
+def response(status, *fields, body=b""):
     return b"\r\n".join([b"HTTP/1.1 %d x" % status, *fields, b"Content-Length: %d" % len(body), b"", body])
 
 
-SILENT, RESET, END = b"silent", b"reset", b"end"
+SILENT, RESET, CLOSE = b"silent", b"reset", b"end"
 RECEIVERS = {
-    # name: what the receiver answers, in its order
-    "200": [answer(200)],
-    "200 with a body": [answer(200, body=ALL_BYTES)],
+    # name: steps of the receiver, in order
+    "200": [response(200)],
+    "200 with a body": [response(200, body=ALL_BYTES)],
     "200 in chunks": [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"],
-    "200 to the end": [b"HTTP/1.1 200 OK\r\n\r\nabc", END],
-    "200 and the connection ends": [answer(200, b"Connection: close")],
-    "200 of an old server": [answer(200).replace(b"1.1", b"1.0", 1)],
-    "200 after interim answers": [b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 x\r\nA: b\r\n\r\n" + answer(200)],
-    "200 with a load report": [answer(200, b"Srv-Load: x0=0.5, x1=12e0,busy=3 , bad, y=z, n=-1, big=1e13")],
-    "200 with a spoilt load report": [answer(200, b"Srv-Load: x0=0.5\x01")],
-    "200 twice": [answer(200) * 2],
+    "200 to the end": [b"HTTP/1.1 200 OK\r\n\r\nabc", CLOSE],
+    "200 and the connection ends": [response(200, b"Connection: close")],
+    "200 of an old server": [response(200).replace(b"1.1", b"1.0", 1)],
+    "200 after interim answers": [b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 x\r\nA: b\r\n\r\n" + response(200)],
+    "200 with a load report": [response(200, b"Srv-Load: x0=0.5, x1=12e0,busy=3 , bad, y=z, n=-1, big=1e13")],
+    "200 with a spoilt load report": [response(200, b"Srv-Load: x0=0.5\x01")],
+    "200 twice": [response(200) * 2],
     "200 and no more": [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na", SILENT],
-    "200 and an end": [b"HTTP/1.1 200 OK\r\nContent-Le", END],
+    "200 and an end": [b"HTTP/1.1 200 OK\r\nContent-Le", CLOSE],
     "200 and a reset": [b"HTTP/1.1 200 OK\r\n", RESET],
-    "half a first line and an end": [b"HTTP/1.1 20", END],
-    "201": [answer(201)],
-    "202": [answer(202)],
+    "half a first line and an end": [b"HTTP/1.1 20", CLOSE],
+    "201": [response(201)],
+    "202": [response(202)],
     "204": [b"HTTP/1.1 204 No Content\r\n\r\n"],
-    "302": [answer(302)],
-    "400": [answer(400)],
-    "404": [answer(404)],
-    "409": [answer(409)],
-    "410": [answer(410)],
-    "429": [answer(429)],
-    "429 with a wait": [answer(429, b"Retry-After: 1.25")],
-    "429 with a wrong wait": [answer(429, b"Retry-After: Wed, 21 Oct 2015 07:28:00 GMT")],
-    "429 with a wait below nothing": [answer(429, b"Retry-After: -1")],
-    "429 with a busy line": [answer(429, b"X-Line-Busy: 1", b"Retry-After: 2")],
-    "429 with a load report": [answer(429, b"Retry-After: 2", b"Srv-Load: x0=0,x1=4")],
-    "500": [answer(500)],
-    "500 with a wait": [answer(500, b"Retry-After: 2")],
-    "503": [answer(503)],
-    "503 with a wait": [answer(503, b"Retry-After: 3")],
-    "504": [answer(504)],
+    "302": [response(302)],
+    "400": [response(400)],
+    "404": [response(404)],
+    "409": [response(409)],
+    "410": [response(410)],
+    "429": [response(429)],
+    "429 with a wait": [response(429, b"Retry-After: 1.25")],
+    "429 with a wrong wait": [response(429, b"Retry-After: Wed, 21 Oct 2015 07:28:00 GMT")],
+    "429 with a wait below nothing": [response(429, b"Retry-After: -1")],
+    "429 with a busy line": [response(429, b"X-Line-Busy: 1", b"Retry-After: 2")],
+    "429 with a load report": [response(429, b"Retry-After: 2", b"Srv-Load: x0=0,x1=4")],
+    "500": [response(500)],
+    "500 with a wait": [response(500, b"Retry-After: 2")],
+    "503": [response(503)],
+    "503 with a wait": [response(503, b"Retry-After: 3")],
+    "504": [response(504)],
     "silence": [SILENT],
-    "an end": [END],
+    "an end": [CLOSE],
     "a reset": [RESET],
     "not HTTP": [b"hello\r\n\r\n"],
     "wrong length": [b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"],
@@ -205,7 +208,7 @@
 
 
 async def read_request(reader):
-    """The bytes of a request, or b"" at the end."""
+    """Return the bytes of a request, or b"" at the end of the stream."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
         length = re.search(rb"(?i)content-length: (\d+)", head)
@@ -215,7 +218,7 @@
 
 
 class Server:
-    """Answers each request with the next answer of a script, and notes the requests with their connections."""
+    """Responds to each request with the next response of a script; records the requests with their connections."""
 
     def __init__(self, script):
         self.script = script if callable(script) else list(script)
@@ -238,52 +241,52 @@
         self.connections.append(writer)
         try:
             while content := await read_request(reader):
-                self.requests.append([connection, self.plain(content)])
-                await self.answer(writer, content)
+                self.requests.append([connection, self.mask_port(content)])
+                await self.respond(writer, content)
         except asyncio.CancelledError:
             pass
         finally:
             writer.close()
 
-    async def answer(self, writer, content):
-        """Takes the next answer of the script, and what is to become of the connection behind it."""
+    async def respond(self, writer, content):
+        """Execute the next steps of the script: a response, and what happens to the connection after it."""
         if callable(self.script):
             return writer.write(self.script(content))
-        if self.script and self.script[0] not in (SILENT, END, RESET):
+        if self.script and self.script[0] not in (SILENT, CLOSE, RESET):
             writer.write(self.script.pop(0))
-        if self.script and self.script[0] in (SILENT, END, RESET):
+        if self.script and self.script[0] in (SILENT, CLOSE, RESET):
             step = self.script.pop(0)
             if step == SILENT:
-                await asyncio.sleep(MOST_S)
-            elif step == END:
+                await asyncio.sleep(TIMEOUT_S)
+            elif step == CLOSE:
                 writer.close()
             else:
-                await asyncio.sleep(0.05)  # what was written before has been read
+                await asyncio.sleep(0.05)  # until the response has been read
                 writer.transport.abort()
 
-    def plain(self, content):
+    def mask_port(self, content):
         return text(content).replace(f"127.0.0.1:{self.address[1]}", "127.0.0.1:PORT")
 
 
 async def receiver_scene(name, _expected):
-    """Two calls, one after the other: the second shows whether the connection was kept."""
-    limit_ms = 400.5 if SILENT in RECEIVERS[name] else 5000.5
-    async with Server([*RECEIVERS[name], answer(200)]) as server, sender_api.receiver_calls() as call:
-        first = await call(*server.address, "m1", "tag-1", b"body \xff", limit_ms)
+    """Make two calls in sequence; the second shows whether the connection was reused."""
+    timeout_ms = 400.5 if SILENT in RECEIVERS[name] else 5000.5
+    async with Server([*RECEIVERS[name], response(200)]) as server, sender_api.receiver_calls() as call:
+        first = await call(*server.address, "m1", "tag-1", b"body \xff", timeout_ms)
         second = await call(*server.address, "m2", "", b"", 5000.0)
     return {"outcomes": [first, second], "requests": server.requests}
 
 
-async def no_receiver_scene(_name, _expected):
+async def unreachable_receiver_scene(_name, _expected):
     async with Server([]) as server:
         address = server.address
     async with sender_api.receiver_calls() as call:
         return {"outcome": await call(*address, "m1", "", b"", 400.0)}
 
 
-async def not_to_leave_scene(_name, _expected):
+async def closed_window_scene(_name, _expected):
     async with Server([]) as server, sender_api.receiver_calls() as call:
-        outcome = await call(*server.address, "m1", "", b"", 400.0, may_leave_ms=0.0)
+        outcome = await call(*server.address, "m1", "", b"", 400.0, send_window_ms=0.0)
     return {"outcome": outcome, "requests": server.requests}
 
 
@@ -301,8 +304,10 @@
 }
 
 
-def news(revision, complete, *members):
-    return answer(200, body=json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode())
+def list_update(revision, complete, *members):
+    return response(
+        200, body=json.dumps({"revision": revision, "complete": complete, "members": list(members)}).encode()
+    )
 
 
 MEMBERS = [
@@ -316,80 +321,91 @@
     MEMBER | {"id": "r8", "cell": "x"},
 ]
 WATCHES = {
-    # name: (revision known at the start, what the agent answers)
+    # name: (revision known at the start, responses of the agent)
     "whole list, changes, nothing new": (
         None,
         [
-            news(40, True, *MEMBERS),
-            news(41, False, MEMBER | {"phase": "leaving"}),
-            news(41, False),
-            news(43, False, MEMBER | {"phase": "gone"}),
+            list_update(40, True, *MEMBERS),
+            list_update(41, False, MEMBER | {"phase": "leaving"}),
+            list_update(41, False),
+            list_update(43, False, MEMBER | {"phase": "gone"}),
         ],
     ),
-    "known list goes on": (40, [news(41, False, MEMBER)]),
-    "known list of another counting": (40, [news(3, False, MEMBER), news(3, True, MEMBER)]),
+    "known list goes on": (40, [list_update(41, False, MEMBER)]),
+    "known list of another counting": (40, [list_update(3, False, MEMBER), list_update(3, True, MEMBER)]),
     "older and equal news": (
         None,
-        [news(40, True, MEMBER), news(39, True, MEMBER), news(40, False, MEMBER), news(40, True)],
+        [
+            list_update(40, True, MEMBER),
+            list_update(39, True, MEMBER),
+            list_update(40, False, MEMBER),
+            list_update(40, True),
+        ],
     ),
     "errors, a refusal and nonsense": (
         None,
-        [answer(500), answer(503), news(2, False, MEMBER), answer(200, body=b"{]"), news(40, True, MEMBER)],
+        [
+            response(500),
+            response(503),
+            list_update(2, False, MEMBER),
+            response(200, body=b"{]"),
+            list_update(40, True, MEMBER),
+        ],
     ),
     "the agent ends connections": (
         None,
-        [news(40, True, MEMBER).replace(b"\r\n", b"\r\nConnection: close\r\n", 1), news(41, False)],
+        [list_update(40, True, MEMBER).replace(b"\r\n", b"\r\nConnection: close\r\n", 1), list_update(41, False)],
     ),
 }
 
 
 async def watch_scene(name, _expected):
     revision, script = WATCHES[name]
-    learned = []
-    async with Server(script) as server, sender_api.agent_watch(server.address, revision, learned):
-        await until(lambda: len(server.requests) == len(script) + 1)
-    return {"requests": server.requests, "learned": learned}
+    updates = []
+    async with Server(script) as server, sender_api.agent_watch(server.address, revision, updates):
+        await wait_until(lambda: len(server.requests) == len(script) + 1)
+    return {"requests": server.requests, "learned": updates}
 
 
-def refuse_first():
-    """A script that refuses the first request, and none after it."""
+def reject_first():
+    """Return a script that rejects only the first request."""
     statuses = iter([503])
-    return lambda content: answer(next(statuses, 200))
+    return lambda content: response(next(statuses, 200))
 
 
-def refuse_many_and_the_second(content):
-    return answer(400 if content.count(b"message") > 1 or b"given_up" in content else 204)
+def reject_batches_and_given_up(content):
+    return response(400 if content.count(b"message") > 1 or b"given_up" in content else 204)
 
 
 NOTICES = {
-    # name: makes what the agent answers to a request
-    "answered": lambda: lambda content: answer(204),
-    "answered after a refusal": refuse_first,
-    "one of them can't be read": lambda: refuse_many_and_the_second,
+    # name: returns the agent's script, a function from request to response
+    "answered": lambda: lambda content: response(204),
+    "answered after a refusal": reject_first,
+    "one of them can't be read": lambda: reject_batches_and_given_up,
 }
 
 
 async def notices_scene(name, _expected):
-    """The requests without those that a slow machine repeats, as the protocol has it after a time without answer."""
-    answered = []
-    async with Server(NOTICES[name]()) as server, sender_api.agent_notices(server.address) as tell:
+    """Publish notices; drop repeated requests, which the protocol sends if a slow machine responds too late."""
+    acknowledged = []
+    async with Server(NOTICES[name]()) as server, sender_api.agent_notices(server.address) as publish:
         for ident, retryable, ms in (("m1", True, 1250.12345), ("m2\xe9", False, 500.0), ("m3", True, 0.0)):
-            tell(ident, retryable, ms, partial(answered.append, ident))
-        await until(lambda: len(answered) == 3)
+            publish(ident, retryable, ms, partial(acknowledged.append, ident))
+        await wait_until(lambda: len(acknowledged) == 3)
     contents = [content for _, content in server.requests]
-    return {"requests": [one for one, _ in groupby(contents)], "answered": answered}
+    return {"requests": [content for content, _ in groupby(contents)], "answered": acknowledged}
 
 
-async def until(fact):
-    async with asyncio.timeout(MOST_S):
-        while not fact():
+async def wait_until(condition):
+    async with asyncio.timeout(TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 # -- the control socket and the operators' console ----------------------------------------------------------------
 
 CONTROL = {
-    # name: (token configured, line asked)
+    # name: (configured token, request line)
     "status": ("", b'{"ask":"status"}\n'),
     "status with lines": ("", b'{"ask":"status","lines":3}\n'),
     "status with too many lines": ("", b'{"lines":99999,"ask":"status"}\n'),
@@ -410,20 +426,20 @@
 async def control_scene(name, expected):
     token, line = CONTROL[name]
 
-    async def facts(lines):
+    async def describe(lines):
         if lines == 13:
             raise ValueError("of the test")
         return {"name": "n0", "lines_wanted": lines, "text": "\xe9"}
 
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "control"
-        async with sender_api.control_socket(path, token, facts):
+        async with sender_api.control_socket(path, token, describe):
             connection = await asyncio.open_unix_connection(str(path))
             return {"question": text(line)} | await converse(*connection, line, expected)
 
 
 CONSOLE = {
-    # name: (first line, what stands for the sender)
+    # name: (first line, arguments of the stub sender)
     "ready": (b"GET /_ready", {}),
     "not ready": (b"GET /_ready", {"ready": False}),
     "ready by a wrong method": (b"POST /_ready", {}),
@@ -445,17 +461,17 @@
 
 async def console_scene(name, expected):
     line, sender = CONSOLE[name]
-    async with sender_api.operators_console(sender_api.Operations(**sender)) as address:
+    async with sender_api.operators_console(sender_api.StubOperatorActions(**sender)) as address:
         connection = await asyncio.open_connection(*address)
         return await converse(*connection, line + b" HTTP/1.1\r\nHost: x\r\n\r\n", expected)
 
 
-# -- the reader of HTTP -------------------------------------------------------------------------------------------
+# -- the HTTP parser -----------------------------------------------------------------------------------------------
 
 
-def parsed(content, answers):
-    whole = sender_api.read_messages([content], answers)
-    pieces = sender_api.read_messages([content[at : at + 1] for at in range(len(content))], answers)
+def parse(content, are_responses):
+    whole = sender_api.read_messages([content], are_responses)
+    pieces = sender_api.read_messages([content[at : at + 1] for at in range(len(content))], are_responses)
     assert whole[0] == pieces[0] and whole[1] == pieces[1]
     return {"messages": whole[0], "refused": whole[1]}
 
@@ -463,8 +479,8 @@
 async def reader_scene(name, _expected):
     wire, _, scene = name.partition(": ")
     if wire == "request":
-        return parsed(CLIENTS[scene][0], False)
-    return parsed(b"".join(step for step in RECEIVERS[scene] if step not in (SILENT, END, RESET)), True)
+        return parse(CLIENTS[scene][0], False)
+    return parse(b"".join(step for step in RECEIVERS[scene] if step not in (SILENT, CLOSE, RESET)), True)
 
 
 SCENES = (
@@ -472,8 +488,8 @@
     | {"client: ready of a sender that stops": partial(stopping_scene, "")}
     | {f"receiver: {name}": partial(receiver_scene, name) for name in RECEIVERS}
     | {
-        "receiver: nobody there": partial(no_receiver_scene, ""),
-        "receiver: not to leave any more": partial(not_to_leave_scene, ""),
+        "receiver: nobody there": partial(unreachable_receiver_scene, ""),
+        "receiver: not to leave any more": partial(closed_window_scene, ""),
     }
     | {f"watch: {name}": partial(watch_scene, name) for name in WATCHES}
     | {f"notices: {name}": partial(notices_scene, name) for name in NOTICES}
@@ -485,10 +501,10 @@
 
 
 def play(name, expected=None):
-    """The facts of one scene; `expected`: those of the recording, to know how long to listen."""
+    """Run one scene; return its result. `expected`: the recorded result, which tells how long to read."""
 
-    async def whole():
-        async with asyncio.timeout(3.0 * MOST_S):
+    async def run():
+        async with asyncio.timeout(3.0 * TIMEOUT_S):
             return await SCENES[name](expected)
 
-    return json.loads(json.dumps(asyncio.run(whole())))
+    return json.loads(json.dumps(asyncio.run(run())))
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -1,7 +1,7 @@
-"""Every name of the sender's packages that the golden tests use, behind names of the tests' own.
+"""Adapter between the golden tests and the sender's packages.
 
-The tests and the scripts that made the fixtures speak bytes and plain values only. A rename in `dewpin` touches this
-file and no other one of `tests/golden`.
+The tests and the scripts that recorded the fixtures use only bytes and plain values, so that a rename in `dewpin`
+affects only this file of `tests/golden`.
 """
 
 import asyncio
@@ -57,14 +57,14 @@
 
 
 def replies_to(batches):
-    """All replies of the program that the simulator starts to a stream of batches."""
-    done = subprocess.run(SIMULATOR_COMMAND, input=batches, capture_output=True, cwd=ROOT, timeout=300)
-    assert done.returncode == 0, done.stderr.decode()
-    return done.stdout
+    """Return all replies of the program that the simulator starts to a stream of batches."""
+    completed = subprocess.run(SIMULATOR_COMMAND, input=batches, capture_output=True, cwd=ROOT, timeout=300)
+    assert completed.returncode == 0, completed.stderr.decode()
+    return completed.stdout
 
 
 class SimulatorProgram:
-    """The program that the simulator starts, asked batch by batch."""
+    """The program that the simulator starts; it receives one batch at a time."""
 
     def __enter__(self):
         self.process = subprocess.Popen(
@@ -103,9 +103,9 @@
     "draining": model.ReceiverState.DRAINING,
     "removed": model.ReceiverState.GONE,
 }
-NAMES_OF_OUTCOMES = {word: name for name, word in OUTCOMES.items()}
-NAMES_OF_ENDINGS = {word: name for name, word in ENDINGS.items()}
-NAMES_OF_RECEIVER_STATES = {word: name for name, word in RECEIVER_STATES.items()}
+OUTCOME_NAMES = {member: name for name, member in OUTCOMES.items()}
+ENDING_NAMES = {member: name for name, member in ENDINGS.items()}
+RECEIVER_STATE_NAMES = {member: name for name, member in RECEIVER_STATES.items()}
 
 
 def text(content):
@@ -116,144 +116,154 @@
     return characters.encode("latin-1")
 
 
-def stored_message(facts):
-    """The record of a message with these plain facts, as it is when a client hands it in."""
+def parse_message(values):
+    """Return the record of a newly submitted message with these plain values."""
     return MessageRecord(
-        octets(facts["id"]),
-        octets(facts["queue_class"]),
-        octets(facts["tenant"]),
-        octets(facts["ordering_key"]),
-        octets(facts["destination"]),
-        octets(facts["idempotency_key"]),
-        octets(facts["body"]),
-        facts["received_ms"],
-        facts["expires_ms"],
+        octets(values["id"]),
+        octets(values["queue_class"]),
+        octets(values["tenant"]),
+        octets(values["ordering_key"]),
+        octets(values["destination"]),
+        octets(values["idempotency_key"]),
+        octets(values["body"]),
+        values["received_ms"],
+        values["expires_ms"],
     )
 
 
-def message_facts(sheet):
-    first = sheet.possibly_executed and {
-        "receiver": text(sheet.possibly_executed.receiver),
-        "sent_ms": sheet.possibly_executed.sent_at_ms,
+def format_message(record):
+    possibly_executed = record.possibly_executed and {
+        "receiver": text(record.possibly_executed.receiver),
+        "sent_ms": record.possibly_executed.sent_at_ms,
     }
-    in_flight = sheet.in_flight and {"receiver": text(sheet.in_flight.receiver), "sent_ms": sheet.in_flight.sent_at_ms}
-    notice = sheet.pending_notice and {
-        "retryable": sheet.pending_notice.is_deferred,
-        "retry_after_ms": sheet.pending_notice.retry_after_ms,
+    in_flight = record.in_flight and {
+        "receiver": text(record.in_flight.receiver),
+        "sent_ms": record.in_flight.sent_at_ms,
+    }
+    notice = record.pending_notice and {
+        "retryable": record.pending_notice.is_deferred,
+        "retry_after_ms": record.pending_notice.retry_after_ms,
     }
     return {
-        "serial": sheet.serial,
-        "id": text(sheet.message_id),
-        "queue_class": text(sheet.queue_class),
-        "tenant": text(sheet.account),
-        "ordering_key": text(sheet.ordering_key),
-        "destination": text(sheet.destination),
-        "idempotency_key": text(sheet.idempotency_key),
-        "body": text(sheet.body),
-        "received_ms": sheet.arrived_at_ms,
-        "expires_ms": sheet.expires_at_ms,
-        "attempts": sheet.attempts,
-        "first_attempt_that_may_have_executed": first,
+        "serial": record.serial,
+        "id": text(record.message_id),
+        "queue_class": text(record.queue_class),
+        "tenant": text(record.account),
+        "ordering_key": text(record.ordering_key),
+        "destination": text(record.destination),
+        "idempotency_key": text(record.idempotency_key),
+        "body": text(record.body),
+        "received_ms": record.arrived_at_ms,
+        "expires_ms": record.expires_at_ms,
+        "attempts": record.attempts,
+        "first_attempt_that_may_have_executed": possibly_executed,
         "attempt_in_flight": in_flight or None,
         "notice_owed": notice or None,
     }
 
 
 class Journal:
-    """The one writer of a folder's journal, asked in plain values."""
+    """The writer of a folder's journal, with plain values as arguments and results."""
 
     def __init__(self, folder, disk_bytes):
-        self.spool = SpoolJournal(str(folder), disk_bytes)
+        self.journal = SpoolJournal(str(folder), disk_bytes)
 
     def contents(self):
-        spool = self.spool
+        journal = self.journal
         return {
-            "messages": [message_facts(sheet) for sheet in spool.pending.values()],
-            "finished": [text(ident) for ident in spool.finished_ids],
-            "detached_receivers": [text(ident) for ident in spool.detached_receivers],
-            "consumed_of_hand_over_log": spool.consumed_handover_bytes,
-            "highest_serial": spool.last_serial,
-            "file_bytes": spool.size_bytes,
-            "bytes_after_compaction_at_most": spool.live_bytes,
+            "messages": [format_message(record) for record in journal.pending.values()],
+            "finished": [text(ident) for ident in journal.finished_ids],
+            "detached_receivers": [text(ident) for ident in journal.detached_receivers],
+            "consumed_of_hand_over_log": journal.consumed_handover_bytes,
+            "highest_serial": journal.last_serial,
+            "file_bytes": journal.size_bytes,
+            "bytes_after_compaction_at_most": journal.live_bytes,
         }
 
-    def _sheet(self, ident):
-        return next(sheet for sheet in self.spool.pending.values() if sheet.message_id == octets(ident))
+    def _find_record(self, ident):
+        return next(record for record in self.journal.pending.values() if record.message_id == octets(ident))
 
-    def accept(self, facts, already_owed=False):
-        return self.spool.accept(stored_message(facts), already_owed)
+    def accept(self, values, already_accepted=False):
+        return self.journal.accept(parse_message(values), already_accepted)
 
     def attempt(self, ident, receiver, sent_ms):
-        return self.spool.start_attempt(self._sheet(ident), octets(receiver), sent_ms)
+        return self.journal.start_attempt(self._find_record(ident), octets(receiver), sent_ms)
 
     def attempt_ended(self, ident, may_have_executed):
-        self.spool.finish_attempt(self._sheet(ident), may_have_executed)
+        self.journal.finish_attempt(self._find_record(ident), may_have_executed)
 
-    def give_up(self, ident, retryable, retry_after_ms):
-        self.spool.give_up(self._sheet(ident), PendingNotice(retryable, retry_after_ms))
+    def give_up(self, ident, is_deferred, retry_after_ms):
+        self.journal.give_up(self._find_record(ident), PendingNotice(is_deferred, retry_after_ms))
 
     def finish(self, ident):
-        self.spool.finish(self._sheet(ident))
+        self.journal.finish(self._find_record(ident))
 
     def detach(self, receiver):
-        return self.spool.set_detached(octets(receiver), True)
+        return self.journal.set_detached(octets(receiver), True)
 
     def attach(self, receiver):
-        return self.spool.set_detached(octets(receiver), False)
+        return self.journal.set_detached(octets(receiver), False)
 
     def mark_consumed(self, offset):
-        self.spool.mark_handover_consumed(offset)
+        self.journal.mark_handover_consumed(offset)
 
     def assume_attempts_executed(self):
-        self.spool.assume_attempts_executed()
+        self.journal.assume_attempts_executed()
 
     def compact(self):
-        self.spool.compact()
+        self.journal.compact()
 
     def close(self):
-        self.spool.close()
+        self.journal.close()
 
 
 def inspected(folder):
-    """What the read-only view of a journal, as `dewpin spool` shows it, tells of a folder."""
-    look = JournalInspector(str(folder))
+    """Return what the read-only inspector of `dewpin spool` reports about a folder's journal."""
+    inspector = JournalInspector(str(folder))
     return {
-        "messages": [{"id": text(sheet.message_id), "state": describe_state(sheet)} for sheet in look.pending()],
+        "messages": [
+            {"id": text(record.message_id), "state": describe_state(record)} for record in inspector.pending()
+        ],
         "records": {
-            text(sheet.message_id): [
-                [at, kind, {name: text(fact) if isinstance(fact, bytes) else fact for name, fact in facts.items()}]
-                for at, kind, facts in look.records_of(sheet.serial)
+            text(record.message_id): [
+                [at, kind, {name: text(value) if isinstance(value, bytes) else value for name, value in values.items()}]
+                for at, kind, values in inspector.records_of(record.serial)
             ]
-            for sheet in look.pending()
+            for record in inspector.pending()
         },
         "damages": [
-            {"offset": one.offset, "bytes": one.size_bytes, "why": one.reason, "records_behind": one.records_after}
-            for one in look.damaged_regions
+            {
+                "offset": region.offset,
+                "bytes": region.size_bytes,
+                "why": region.reason,
+                "records_behind": region.records_after,
+            }
+            for region in inspector.damaged_regions
         ],
-        "readable_bytes": look.readable_bytes,
-        "compaction_under_way": look.has_compaction_file,
-        "counts": {text(kind): count for kind, count in look.replay.counts_by_code.items()},
+        "readable_bytes": inspector.readable_bytes,
+        "compaction_under_way": inspector.has_compaction_file,
+        "counts": {text(kind): count for kind, count in inspector.replay.counts_by_code.items()},
     }
 
 
-def receiver_entry(facts):
+def parse_receiver(values):
     return (
-        octets(facts["id"]),
-        facts["destination"],
-        RECEIVER_STATES[facts["state"]],
-        tuple(facts["address"]),
-        facts["zone"],
-        facts["kind"],
-        facts["weight"],
+        octets(values["id"]),
+        values["destination"],
+        RECEIVER_STATES[values["state"]],
+        tuple(values["address"]),
+        values["zone"],
+        values["kind"],
+        values["weight"],
     )
 
 
-def receiver_facts(entry):
-    ident, destination, listed, address, zone, kind, weight = entry
+def format_receiver(entry):
+    ident, destination, state, address, zone, kind, weight = entry
     return {
         "id": text(ident),
         "destination": destination,
-        "state": NAMES_OF_RECEIVER_STATES[listed],
+        "state": RECEIVER_STATE_NAMES[state],
         "address": list(address),
         "zone": zone,
         "kind": kind,
@@ -262,88 +272,90 @@
 
 
 class CachedList:
-    """The file with the latest list of receivers, asked in plain values."""
+    """The cache file of the receiver list, with plain values as arguments and results."""
 
     def __init__(self, folder, agent, disk_bytes):
-        self.kept = EndpointCache(str(folder), agent, disk_bytes)
+        self.cache = EndpointCache(str(folder), agent, disk_bytes)
 
     def contents(self):
         return {
-            "revision": self.kept.revision,
-            "of_another_agent": self.kept.is_from_other_agent,
-            "receivers": [receiver_facts(entry) for entry in self.kept.entries()],
-            "not_active_at_another_agent": [receiver_facts(entry) for entry in self.kept.unavailable_at_other_agent()],
+            "revision": self.cache.revision,
+            "of_another_agent": self.cache.is_from_other_agent,
+            "receivers": [format_receiver(entry) for entry in self.cache.entries()],
+            "not_active_at_another_agent": [
+                format_receiver(entry) for entry in self.cache.unavailable_at_other_agent()
+            ],
         }
 
     def is_newer_than(self, revision):
-        return self.kept.is_newer_than(revision)
+        return self.cache.is_newer_than(revision)
 
     def learn(self, receivers, complete, revision, now_ms):
-        self.kept.update([receiver_entry(one) for one in receivers], complete, revision, now_ms)
+        self.cache.update([parse_receiver(receiver) for receiver in receivers], complete, revision, now_ms)
 
     def move(self, agent, disk_bytes):
-        self.kept.reconfigure(agent, disk_bytes)
+        self.cache.reconfigure(agent, disk_bytes)
 
 
 class HandOverLog:
-    """What a process that leaves writes for the next one after the journal is the next one's."""
+    """What a stopping process writes for the next one once the journal belongs to that one."""
 
     def __init__(self, folder, journal):
-        self.tail = HandoverLogWriter(str(folder), journal.spool)
+        self.writer = HandoverLogWriter(str(folder), journal.journal)
 
-    def accept(self, facts):
-        return self.tail.accept(stored_message(facts))
+    def accept(self, values):
+        return self.writer.accept(parse_message(values))
 
-    def attempt_ended(self, ident, outcome, wait_ms, took_ms, load, over):
-        sheet = next(one for one in self.tail.pending.values() if one.message_id == octets(ident))
-        self.tail.finish_attempt(sheet, AttemptResult(OUTCOMES[outcome], wait_ms, took_ms, load, over))
+    def attempt_ended(self, ident, outcome, wait_ms, duration_ms, load, is_withdrawn):
+        record = next(record for record in self.writer.pending.values() if record.message_id == octets(ident))
+        self.writer.finish_attempt(record, AttemptResult(OUTCOMES[outcome], wait_ms, duration_ms, load, is_withdrawn))
 
     def detach(self, receiver):
-        return self.tail.set_detached(octets(receiver), True)
+        return self.writer.set_detached(octets(receiver), True)
 
     def attach(self, receiver):
-        return self.tail.set_detached(octets(receiver), False)
+        return self.writer.set_detached(octets(receiver), False)
 
     def count_descriptors(self, descriptors):
-        self.tail.report_descriptors(descriptors)
+        self.writer.report_descriptors(descriptors)
 
     def close(self):
-        self.tail.close()
+        self.writer.close()
 
 
 def consumed_hand_over_log(folder, journal):
-    """What the next process reads of that log, record by record."""
-    follower, told = HandoverLogReader(str(folder), journal.spool), []
+    """Return the records that the next process reads from the hand-over log."""
+    reader, records = HandoverLogReader(str(folder), journal.journal), []
 
-    def accepted(sheet):
-        told.append({"accepted": message_facts(sheet)})
+    def accepted(record):
+        records.append({"accepted": format_message(record)})
 
-    def attempt_ended(serial, outcome, wait_ms, took_ms, load, over):
-        told.append(
+    def attempt_ended(serial, outcome, wait_ms, duration_ms, load, is_withdrawn):
+        records.append(
             {
                 "attempt_ended": serial,
-                "outcome": NAMES_OF_OUTCOMES[outcome],
+                "outcome": OUTCOME_NAMES[outcome],
                 "wait_ms": wait_ms,
-                "took_ms": took_ms,
+                "took_ms": duration_ms,
                 "load": load,
-                "over": over,
+                "over": is_withdrawn,
             }
         )
 
-    def detached(receiver, out):
-        told.append({"detached" if out else "attached": text(receiver)})
+    def detached(receiver, is_detached):
+        records.append({"detached" if is_detached else "attached": text(receiver)})
 
-    for event in follower.read_events():
+    for event in reader.read_events():
         if isinstance(event, AcceptedMessage):
             accepted(event.message)
         elif isinstance(event, FinishedAttempt):
             attempt_ended(event.serial, *msgspec.structs.astuple(event.result))
         else:
             detached(event.receiver, event.is_detached)
-    return {"records": told, "descriptors": follower.descriptors, "consumed": journal.spool.consumed_handover_bytes}
+    return {"records": records, "descriptors": reader.descriptors, "consumed": journal.journal.consumed_handover_bytes}
 
 
-# -- a sender's process without its sockets -----------------------------------------------------------------------
+# -- a sender process without its sockets -------------------------------------------------------------------------
 
 REJECTION_STATUSES = {RejectionReason.UNKNOWN_QUEUE_CLASS: 400, RejectionReason.DUPLICATE_MESSAGE_ID: 409}
 REJECTION_REASONS = {status: reason for reason, status in REJECTION_STATUSES.items()}
@@ -355,7 +367,7 @@
 
 
 def plain_submit_result(result):
-    """(accepted, ms to come back after), or (None, status)."""
+    """Return (whether it is accepted, retry delay in ms), or (None, HTTP status) for a rejection."""
     if isinstance(result, Accepted):
         return True, 0.0
     if isinstance(result, Deferred):
@@ -370,59 +382,60 @@
 
 
 class SenderProcess:
-    """Journal, decisions and the life of messages, put together as in a process, on a clock and wires of the test.
+    """Journal, dispatcher and message relay, connected as in a process, on a clock and transport of the test.
 
-    `loop`: has `time`, `call_soon` and `call_later` of asyncio's loops; `calls`: the outlet to receivers, with
-    `call`, `recall` and `close_idle` in plain values; `notices`: has `tell(id, retryable, retry_after_ms, answered)`.
+    `loop`: has `time`, `call_soon` and `call_later` of asyncio's loops; `calls`: the transport to receivers, with
+    `call`, `cancel_unsent` and `close_idle` on plain values; `notices`: has `publish(id, is_deferred, retry_after_ms,
+    on_acknowledged)`.
     """
 
     def __init__(self, folder, settings, seed, loop, calls, notices):
         self.folder = str(folder)
-        self.spool = SpoolJournal(self.folder, 3_000_000)
+        self.journal = SpoolJournal(self.folder, 3_000_000)
         self.facade = Facade(settings, seed)
-        self.relay = Relay(loop, self.facade, self.spool, Transport(calls), NoticePublisher(notices))
+        self.relay = Relay(loop, self.facade, self.journal, Transport(calls), NoticePublisher(notices))
         self.relay.clock.offset_seconds = 0.0
-        for ident in self.spool.detached_receivers:
+        for ident in self.journal.detached_receivers:
             self.facade.endpoints.detach(ident)
-        self.follower = HandoverLogReader(self.folder, self.spool)
+        self.reader = HandoverLogReader(self.folder, self.journal)
 
     def resume(self):
-        """After a start without a process before this one."""
+        """Resume the pending messages after a start without a previous process."""
         self.relay.resume()
 
     def take_over(self):
-        """What another process handed on; gives it as it was read."""
+        """Take over from the previous process; return its state as it was read."""
         content = Path(self.folder, "handed").read_bytes()
-        handed = json.loads(content)
-        self.learn_entries(learned_state.endpoint_entries(handed), True)
-        self.relay.resume(self.follower, set(handed["out"]))
-        learned_state.import_learned_state(self.facade, handed)
-        return handed
-
-    def follow(self, gone=False):
-        self.relay.consume_handover_log(gone)
-
-    def hand_on(self):
-        """The folder is the next process's from now on; gives what was handed on as bytes."""
-        self.spool.mark_handover_consumed(0)
-        tail = HandoverLogWriter(self.folder, self.spool)
+        state = json.loads(content)
+        self.learn_entries(learned_state.endpoint_entries(state), True)
+        self.relay.resume(self.reader, set(state["out"]))
+        learned_state.import_learned_state(self.facade, state)
+        return state
+
+    def consume_handover_log(self, previous_has_exited=False):
+        self.relay.consume_handover_log(previous_has_exited)
+
+    def hand_over(self):
+        """Hand the folder over to the next process; return the handed-over state as bytes."""
+        self.journal.mark_handover_consumed(0)
+        writer = HandoverLogWriter(self.folder, self.journal)
         upgrade.hand_over_folder(
             self.folder,
-            learned_state.export_learned_state(self.facade) | {"out": list(tail.pending), "descriptors": 17},
+            learned_state.export_learned_state(self.facade) | {"out": list(writer.pending), "descriptors": 17},
         )
-        self.relay.hand_over(tail)
-        self.spool.close()
+        self.relay.hand_over(writer)
+        self.journal.close()
         return Path(self.folder, "handed").read_bytes()
 
-    def handed_again(self):
-        """What this process would hand on now, as plain values."""
+    def export_state(self):
+        """Return the learned state that this process would hand over now, as plain values."""
         return json.loads(msgspec.json.encode(learned_state.export_learned_state(self.facade)))
 
     def close(self):
         self.relay.record_store.close()
 
     def learn(self, receivers, complete):
-        self.learn_entries([receiver_entry(one) for one in receivers], complete)
+        self.learn_entries([parse_receiver(receiver) for receiver in receivers], complete)
 
     def learn_entries(self, entries, complete):
         for address in self.facade.endpoints.update(entries, complete):
@@ -430,10 +443,10 @@
             self.relay.transport.close_idle(address)
         self.relay.wake()
 
-    def hand_in(self, facts, left_ms, repeated):
-        """(accepted, ms to come back after), or (None, status)."""
+    def submit(self, values, remaining_ms, is_resubmission):
+        """Submit a message; return the plain result (see `plain_submit_result`)."""
         names = ("id", "queue_class", "tenant", "ordering_key", "destination", "idempotency_key", "body")
-        request = SubmitRequest(*(octets(facts[name]) for name in names), left_ms, repeated)
+        request = SubmitRequest(*(octets(values[name]) for name in names), remaining_ms, is_resubmission)
         return plain_submit_result(self.relay.submit(request))
 
     def detach(self, receiver):
@@ -442,36 +455,36 @@
     def attach(self, receiver):
         return PLAIN_DETACHMENTS[self.relay.attach(octets(receiver))]
 
-    def figures(self):
+    def metrics(self):
         actions = OperatorActions()
         actions.serve(self.relay, SimpleNamespace(sent_requests=0))
         metrics = actions.metrics()
-        ends = {
-            text(name): {NAMES_OF_ENDINGS[word]: count for word, count in counts.items()}
+        endings = {
+            text(name): {ENDING_NAMES[member]: count for member, count in counts.items()}
             for name, counts in metrics.endings.items()
         }
         return {
-            "endings": ends,
+            "endings": endings,
             "owed": metrics.pending,
             "listed": metrics.listed_receivers,
             "avoided": metrics.avoided_receivers,
         }
 
-    def queues(self):
-        """What is believed of each destination, for people."""
+    def describe_queues(self):
+        """Return the human-readable description of each destination's queue."""
         now = self.relay.clock.now_ms()
         return [describe_queue(queue, now) for queue in self.facade.dispatcher.queues]
 
 
 class Transport:
-    """The calls to receivers in plain values."""
+    """Calls to receivers, with plain values."""
 
     def __init__(self, calls):
         self.calls = calls
 
     def send(self, request):
-        def ended(outcome, wait_ms, took_ms, load, over):
-            request.on_finished(AttemptResult(OUTCOMES[outcome], wait_ms, took_ms, load, over))
+        def on_finished(outcome, wait_ms, duration_ms, load, is_withdrawn):
+            request.on_finished(AttemptResult(OUTCOMES[outcome], wait_ms, duration_ms, load, is_withdrawn))
 
         self.calls.call(
             plain_address(request.address),
@@ -480,11 +493,11 @@
             text(request.body),
             request.timeout_ms,
             request.open_send_window,
-            ended,
+            on_finished,
         )
 
     def cancel_unsent(self, address):
-        self.calls.recall(plain_address(address))
+        self.calls.cancel_unsent(plain_address(address))
 
     def close_idle(self, address):
         self.calls.close_idle(plain_address(address))
@@ -494,8 +507,8 @@
     def __init__(self, notices):
         self.notices, self.unacknowledged = notices, ()
 
-    def publish(self, ident, deferred, ms, answered):
-        self.notices.tell(text(ident), deferred, ms, answered)
+    def publish(self, ident, deferred, ms, on_acknowledged):
+        self.notices.publish(text(ident), deferred, ms, on_acknowledged)
 
 
 def plain_address(address):
@@ -503,11 +516,11 @@
     return [host, port, text(receiver)]
 
 
-# -- the wires ----------------------------------------------------------------------------------------------------
+# -- the protocols ------------------------------------------------------------------------------------------------
 
 
 def read_messages(pieces, answers=False):
-    """What the reader of HTTP makes of bytes that come in these pieces: (messages, status of its refusal or None)."""
+    """Parse bytes that arrive in these pieces; return (messages, status of the rejection or None)."""
     parser, messages, status = ResponseParser() if answers else RequestParser(), [], None
     try:
         for piece in pieces:
@@ -516,8 +529,8 @@
                 messages.append(message)
         if answers and (message := parser.end_of_input()):
             messages.append(message)
-    except MalformedMessageError as fault:
-        status = fault.status
+    except MalformedMessageError as error:
+        status = error.status
     return [
         {
             "first_line": first_line_of(message),
@@ -537,11 +550,11 @@
     return [text(part) for part in parts]
 
 
-class Intake:
-    """Stands for the life of messages at the clients' listener: notes what is handed in, and answers by a script."""
+class StubRelay:
+    """Replaces the relay at the clients' listener: records submissions and returns a scripted result."""
 
-    def __init__(self, answer, stopping=False):
-        self.answer_given, self.is_draining, self.calls = answer, stopping, []
+    def __init__(self, answer, is_stopping=False):
+        self.result, self.is_draining, self.calls = answer, is_stopping, []
 
     def submit(self, request):
         self.calls.append(
@@ -557,15 +570,15 @@
                 "repeated": request.is_resubmission,
             }
         )
-        if isinstance(self.answer_given, Exception):
-            raise self.answer_given
-        return submit_result(*self.answer_given)
+        if isinstance(self.result, Exception):
+            raise self.result
+        return submit_result(*self.result)
 
 
 @asynccontextmanager
-async def client_listener(intake):
-    """The listener for clients; gives its address."""
-    server = HttpServer(asyncio.get_running_loop(), intake)
+async def client_listener(relay):
+    """The listener for clients; yields its address."""
+    server = HttpServer(asyncio.get_running_loop(), relay)
     try:
         yield await server.open("127.0.0.1", 0)
     finally:
@@ -574,25 +587,25 @@
 
 @asynccontextmanager
 async def receiver_calls():
-    """Calls to receivers: gives `call(host, port, id, idempotency key, body, limit ms)`, which gives its outcome."""
+    """Calls to receivers; yields `call(host, port, id, idempotency key, body, timeout in ms)`, which returns a dict."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(loop, 3000.0, 15000.0)
 
-    async def call(host, port, ident, idempotency_key, body, limit_ms, may_leave_ms=5000.0):
-        heard = loop.create_future()
+    async def call(host, port, ident, idempotency_key, body, timeout_ms, send_window_ms=5000.0):
+        finished = loop.create_future()
         pool.send(
             AttemptRequest(
                 (host, port, b"r1"),
                 octets(ident),
                 octets(idempotency_key),
                 body,
-                limit_ms,
-                lambda: may_leave_ms,
-                heard.set_result,
+                timeout_ms,
+                lambda: send_window_ms,
+                finished.set_result,
             )
         )
-        outcome, wait_ms, _took_ms, load, over = msgspec.structs.astuple(await heard)
-        return {"outcome": NAMES_OF_OUTCOMES[outcome], "wait_ms": wait_ms, "load": load, "over": over}
+        outcome, wait_ms, _duration_ms, load, is_withdrawn = msgspec.structs.astuple(await finished)
+        return {"outcome": OUTCOME_NAMES[outcome], "wait_ms": wait_ms, "load": load, "over": is_withdrawn}
 
     try:
         yield call
@@ -601,13 +614,13 @@
 
 
 @asynccontextmanager
-async def agent_watch(address, revision, learned):
-    """The watch on the agent's list; `learned` gets each piece of news in plain values."""
+async def agent_watch(address, revision, updates):
+    """The watch on the agent's list; each update is appended to `updates` as plain values."""
 
     def learn(entries, complete, revision):
-        learned.append(
+        updates.append(
             {
-                "receivers": [receiver_facts(entry) for entry in entries],
+                "receivers": [format_receiver(entry) for entry in entries],
                 "complete": complete,
                 "revision": revision,
             }
@@ -622,21 +635,21 @@
 
 @asynccontextmanager
 async def agent_notices(address):
-    """Gives `tell(id, retryable, retry after ms, answered)`."""
+    """Yields `publish(id, is_deferred, retry delay in ms, on_acknowledged)`."""
     notices = AgentNoticePublisher(address)
 
-    def tell(ident, retryable, retry_after_ms, answered):
-        notices.publish(octets(ident), retryable, retry_after_ms, answered)
+    def publish(ident, is_deferred, retry_after_ms, on_acknowledged):
+        notices.publish(octets(ident), is_deferred, retry_after_ms, on_acknowledged)
 
     try:
-        yield tell
+        yield publish
     finally:
         notices.stop()
 
 
 @asynccontextmanager
-async def control_socket(path, token, facts):
-    control = ControlSocket(facts)
+async def control_socket(path, token, describe):
+    control = ControlSocket(describe)
     await control.move(str(path), token, 50)
     try:
         yield
@@ -644,8 +657,8 @@
         control.close()
 
 
-class Operations:
-    """Stands for a sender at the operators' console: knows the receiver `a b`."""
+class StubOperatorActions:
+    """Replaces a sender at the operators' console; its only receiver is `a b`."""
 
     def __init__(self, started=True, ready=True):
         self.started, self.ready = started, ready
@@ -656,9 +669,9 @@
     def metrics(self):
         if not self.started:
             return None
-        ends = {ENDINGS["relayed"]: 3, ENDINGS["retryable"]: 2, ENDINGS["failed"]: 1}
+        endings = {ENDINGS["relayed"]: 3, ENDINGS["retryable"]: 2, ENDINGS["failed"]: 1}
         return SenderMetrics(
-            {b"notice": ends, b"caf\xe9": ends}, sent=4, pending=5, listed_receivers=7, avoided_receivers=6
+            {b"notice": endings, b"caf\xe9": endings}, sent=4, pending=5, listed_receivers=7, avoided_receivers=6
         )
 
     def detach(self, ident):
@@ -677,16 +690,16 @@
         console.close()
 
 
-# -- the whole program --------------------------------------------------------------------------------------------
+# -- the complete program -----------------------------------------------------------------------------------------
 
 
-def play_program(folder, scene, control_path):
-    """Runs `scene(program)` with a sender that an operator started, two receivers of one destination and the agent."""
+def run_program(folder, use, control_path):
+    """Run `use(program)` with a sender started as by an operator, two receivers of one destination and the agent."""
 
     async def scenario(platform, sender):
         sender.arguments = ["--set", f"control.socket={control_path}"]
         await sender.start()
-        await scene(Program(platform, sender))
+        await use(Program(platform, sender))
 
     driver.run_scenario(folder, scenario, receivers=2, start=False)
 
@@ -697,11 +710,11 @@
         self.console_address = sender.console
         self.client_address = sender.address
 
-    def answer_calls(self, answer):
-        """`answer(id)`: bytes, "reset", or None for silence."""
-        self.platform.script = lambda call: answer(text(call[0]))
+    def respond_to_calls(self, respond):
+        """`respond(id)` returns the bytes of a response, "reset", or None for no response."""
+        self.platform.script = lambda call: respond(text(call[0]))
 
-    def called(self):
+    def called_ids(self):
         return [text(ident) for ident in self.platform.message_ids()]
 
     def notices(self):
--- a/tests/golden/test_sender_program.py
+++ b/tests/golden/test_sender_program.py
@@ -1,4 +1,4 @@
-"""The whole program, as an operator starts it, says what it said: to clients, the agent, operators, in its status."""
+"""The complete program, started as by an operator, sends what was recorded to clients, the agent and operators."""
 
 import json
 
@@ -6,9 +6,9 @@
 from golden.sender import program_scene
 
 
-def test_recorded_run_goes_the_same(tmp_path):
+def test_program_output_is_as_recorded(tmp_path):
     recorded = json.loads((sender_api.FOLDER / "program.json").read_text())
     found = program_scene.play(tmp_path)
-    for name, facts in recorded.items():
-        assert found[name] == facts, name
+    for name, expected in recorded.items():
+        assert found[name] == expected, name
     assert set(found) == set(recorded)
--- a/tests/golden/test_sender_simulator_wire.py
+++ b/tests/golden/test_sender_simulator_wire.py
@@ -1,4 +1,4 @@
-"""A whole recorded day on the simulator's wire: the program gives the same replies to the byte."""
+"""A recorded day of the simulator's protocol: the program gives byte-for-byte the same replies."""
 
 import lzma
 import struct
@@ -23,27 +23,27 @@
     return recorded("replies")
 
 
-def test_recorded_day_played_again_gives_the_same_replies(batches, replies):
-    given = sender_api.replies_to(batches)
+def test_replayed_day_gives_recorded_replies(batches, replies):
+    actual = sender_api.replies_to(batches)
 
-    pairs = zip(split_batches(given), split_batches(replies), strict=False)
-    for number, (one, expected) in enumerate(pairs):
-        assert read_actions(one) == read_actions(expected), f"the first reply that differs is {number}"
-    assert given == replies
+    pairs = zip(split_batches(actual), split_batches(replies), strict=False)
+    for number, (reply, expected) in enumerate(pairs):
+        assert read_actions(reply) == read_actions(expected), f"the first different reply is {number}"
+    assert actual == replies
 
 
-def test_recorded_day_of_two_senders_alone_gives_their_same_actions(batches, replies):
-    """Senders share nothing: without the others' events each one decides the same."""
+def test_replayed_events_of_two_senders_give_their_recorded_actions(batches, replies):
+    """Senders share no state: a sender decides the same without the events of the others."""
     senders = {3, 7}
-    alone = sender_api.replies_to(b"".join(events_of(senders, batch) for batch in split_batches(batches)))
+    separate = sender_api.replies_to(b"".join(events_of(senders, batch) for batch in split_batches(batches)))
 
     def actions(stream):
         return [[action for action in read_actions(reply) if action[1] in senders] for reply in split_batches(stream)]
 
-    assert actions(alone) == actions(replies)
+    assert actions(separate) == actions(replies)
 
 
-def test_recorded_day_holds_events_and_actions_of_all_kinds(batches, replies):
+def test_recorded_day_covers_all_kinds_of_events_and_actions(batches, replies):
     actions = Counter(name for reply in split_batches(replies) for name, *_ in read_actions(reply))
     assert set(actions) == {"attempt", "not_now", "end_failed", "defer", "close_idle", "die"}
     assert min(actions[name] for name in set(actions) - {"die"}) > 200
@@ -60,7 +60,7 @@
 
 
 def split_records(batch):
-    """(code, bytes) of each event of a batch."""
+    """Return (code, bytes) of each event of a batch."""
     at, records = 20, []
     while at < len(batch):
         code, size = batch[at], sizes()[batch[at]]
@@ -78,12 +78,12 @@
 
 
 def sizes():
-    """Bytes of each event, code and counts included, without what is counted."""
+    """Return the size in bytes of each event by code, with its counts and without the counted items."""
     return {10: 15, 20: 12, 30: 44, 40: 24, 50: 32, 60: 11, 70: 7, 80: 18, 90: 7, 100: 3, 110: 9}
 
 
 def events_of(senders, batch):
-    """The batch with the events of these senders only; lists travel for all."""
+    """Return the batch with the events of these senders and the lists, which all senders share."""
     records = [
         record
         for code, record in split_records(batch)
--- a/tests/golden/test_sender_stored_data.py
+++ b/tests/golden/test_sender_stored_data.py
@@ -1,6 +1,6 @@
-"""The sender's stored data as written by an earlier program: it holds the same today, and is written the same.
+"""Stored data that an earlier version of the sender wrote: it is read and written identically today.
 
-That the bytes are the same is also what lets the earlier program read what this one writes, after a step back.
+Identical bytes also let the earlier version read what this one writes, after a downgrade.
 """
 
 import json
@@ -16,7 +16,7 @@
     "compacted": ([scenes.EVERY_STATE, scenes.AFTER_COMPACTION], scenes.DISK_BYTES),
     "no-room": ([scenes.TOO_MANY], scenes.SMALL_DISK_BYTES),
 }
-BROKEN = [
+DAMAGED = [
     "torn-in-head",
     "torn-in-fields",
     "corrupt-at-end",
@@ -38,9 +38,9 @@
     return json.loads((STORED / f"{name}.json").read_text())
 
 
-def plain(facts):
-    """As it comes back from JSON."""
-    return json.loads(json.dumps(facts))
+def as_json(expected_state):
+    """Return a value after a round trip through JSON."""
+    return json.loads(json.dumps(expected_state))
 
 
 def stored_bytes(name):
@@ -51,48 +51,48 @@
 
 
 @pytest.mark.parametrize("name", WRITTEN)
-def test_stored_journal_opened_holds_the_same(name, tmp_path):
-    scenes.copied({"journal": f"{name}.journal"}, STORED, tmp_path)
-    assert plain(scenes.opened(tmp_path)) == expected(name)["when_opened"]
-    assert plain(scenes.opened(tmp_path, assume_executed=True)) == expected(f"{name}-assumed-executed")
+def test_opened_journal_has_recorded_contents(name, tmp_path):
+    scenes.copy_fixtures({"journal": f"{name}.journal"}, STORED, tmp_path)
+    assert as_json(scenes.opened(tmp_path)) == expected(name)["when_opened"]
+    assert as_json(scenes.opened(tmp_path, assume_executed=True)) == expected(f"{name}-assumed-executed")
     assert (tmp_path / "journal").read_bytes() == stored_bytes(f"{name}.journal")
 
 
 @pytest.mark.parametrize("name", WRITTEN)
-def test_stored_journal_inspected_tells_the_same(name, tmp_path):
-    scenes.copied({"journal": f"{name}.journal"}, STORED, tmp_path)
-    assert plain(sender_api.inspected(tmp_path)) == expected(f"{name}-inspected")
+def test_inspected_journal_has_recorded_contents(name, tmp_path):
+    scenes.copy_fixtures({"journal": f"{name}.journal"}, STORED, tmp_path)
+    assert as_json(sender_api.inspected(tmp_path)) == expected(f"{name}-inspected")
 
 
 @pytest.mark.parametrize("name", WRITTEN)
-def test_same_steps_write_the_same_journal(name, tmp_path):
+def test_same_steps_write_identical_journal(name, tmp_path):
     steps, disk_bytes = WRITTEN[name]
-    answers, contents = scenes.write_journal(tmp_path, *steps, disk_bytes=disk_bytes)
+    results, contents = scenes.write_journal(tmp_path, *steps, disk_bytes=disk_bytes)
     assert (tmp_path / "journal").read_bytes() == stored_bytes(f"{name}.journal")
-    assert [answers, plain(contents)] == [expected(name)["answers"], expected(name)["when_written"]]
+    assert [results, as_json(contents)] == [expected(name)["answers"], expected(name)["when_written"]]
 
 
-def test_journal_that_grows_is_compacted_at_the_same_steps_to_the_same_bytes(tmp_path):
+def test_growing_journal_is_compacted_at_recorded_steps_to_identical_bytes(tmp_path):
     sizes = scenes.sizes_on_the_way(tmp_path, scenes.MANY)
     assert sizes == expected("compacted-by-itself")
     assert any(after[0] < before[0] for before, after in zip(sizes, sizes[1:], strict=False))
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_broken_journal_is_inspected_opened_and_left_the_same(name, tmp_path):
+@pytest.mark.parametrize("name", DAMAGED)
+def test_damaged_journal_is_inspected_and_opened_as_recorded(name, tmp_path):
     files = {"journal": f"{name}.journal"}
     if (STORED / f"{name}.journal.new").exists():
         files["journal.new"] = f"{name}.journal.new"
-    scenes.copied(files, STORED, tmp_path)
-    facts = expected(name)
-    assert plain(sender_api.inspected(tmp_path)) == facts["inspected"]
-    assert plain(scenes.opened(tmp_path)) == facts["when_opened"]
-    assert sorted(path.name for path in tmp_path.iterdir()) == facts["files"]
-    left = (tmp_path / "journal").read_bytes()
-    assert len(left) == facts["bytes"] and stored_bytes(f"{name}.journal").startswith(left)
+    scenes.copy_fixtures(files, STORED, tmp_path)
+    expected_state = expected(name)
+    assert as_json(sender_api.inspected(tmp_path)) == expected_state["inspected"]
+    assert as_json(scenes.opened(tmp_path)) == expected_state["when_opened"]
+    assert sorted(path.name for path in tmp_path.iterdir()) == expected_state["files"]
+    remaining = (tmp_path / "journal").read_bytes()
+    assert len(remaining) == expected_state["bytes"] and stored_bytes(f"{name}.journal").startswith(remaining)
 
 
-def test_journal_whose_compaction_was_under_way_holds_what_it_held_before(tmp_path):
+def test_interrupted_compaction_does_not_change_journal_contents(tmp_path):
     for name in ("compaction-under-way", "compaction-almost-done"):
         assert expected(name)["when_opened"] == expected("every-state")["when_opened"]
         assert expected(name)["inspected"]["compaction_under_way"]
@@ -102,25 +102,25 @@
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_cached_list_opened_holds_the_same(name, tmp_path):
-    scenes.copied({"list": f"{name}.list"}, STORED, tmp_path)
+def test_opened_cached_list_has_recorded_contents(name, tmp_path):
+    scenes.copy_fixtures({"list": f"{name}.list"}, STORED, tmp_path)
     same_agent = sender_api.CachedList(tmp_path, scenes.AGENT, scenes.DISK_BYTES)
     other_agent = sender_api.CachedList(tmp_path, scenes.OTHER_AGENT, scenes.DISK_BYTES)
-    assert plain(same_agent.contents()) == expected(name)["when_opened"]
-    assert plain(other_agent.contents()) == expected(name)["at_another_agent"]
+    assert as_json(same_agent.contents()) == expected(name)["when_opened"]
+    assert as_json(other_agent.contents()) == expected(name)["at_another_agent"]
     revision = expected(name)["when_opened"]["revision"]
     assert same_agent.is_newer_than(revision - 1) and not same_agent.is_newer_than(revision)
     assert not other_agent.is_newer_than(revision - 1)
 
 
 @pytest.mark.parametrize("name", LISTS)
-def test_same_news_write_the_same_cached_list(name, tmp_path):
+def test_same_updates_write_identical_cached_list(name, tmp_path):
     contents = scenes.write_list(tmp_path, LISTS[name])
     assert (tmp_path / "list").read_bytes() == stored_bytes(f"{name}.list")
-    assert plain(contents) == expected(name)["when_written"]
+    assert as_json(contents) == expected(name)["when_written"]
 
 
-def test_cached_list_with_a_torn_end_holds_the_lines_before(tmp_path):
+def test_truncated_cached_list_keeps_its_complete_lines(tmp_path):
     content = stored_bytes("cached.list")
     (tmp_path / "list").write_bytes(content[:-1])
     cached = sender_api.CachedList(tmp_path, scenes.AGENT, scenes.DISK_BYTES)
@@ -133,23 +133,23 @@
 # -- the hand-over log --------------------------------------------------------------------------------------------
 
 
-def test_hand_over_log_is_consumed_the_same(tmp_path):
-    scenes.copied({"journal": "hand-over.journal", "tail": "hand-over.tail"}, STORED, tmp_path)
+def test_hand_over_log_is_read_as_recorded(tmp_path):
+    scenes.copy_fixtures({"journal": "hand-over.journal", "tail": "hand-over.tail"}, STORED, tmp_path)
     journal = sender_api.Journal(tmp_path, scenes.DISK_BYTES)
     consumed = sender_api.consumed_hand_over_log(tmp_path, journal)
-    assert plain(consumed) == expected("hand-over")["consumed"]
+    assert as_json(consumed) == expected("hand-over")["consumed"]
     assert sender_api.consumed_hand_over_log(tmp_path, journal)["records"] == []
     journal.close()
     assert (tmp_path / "journal").read_bytes() == stored_bytes("hand-over-consumed.journal")
 
 
-def test_same_steps_write_the_same_hand_over_log(tmp_path):
-    answers = scenes.write_hand_over_log(tmp_path)
+def test_same_steps_write_identical_hand_over_log(tmp_path):
+    results = scenes.write_hand_over_log(tmp_path)
     assert (tmp_path / "tail").read_bytes() == stored_bytes("hand-over.tail")
     assert (tmp_path / "journal").read_bytes() == stored_bytes("hand-over.journal")
-    assert answers == expected("hand-over")["answers"]
+    assert results == expected("hand-over")["answers"]
 
 
-def test_hand_over_log_tells_each_outcome():
-    told = expected("hand-over")["consumed"]["records"]
-    assert {one["outcome"] for one in told if "outcome" in one} == set(sender_api.OUTCOMES)
+def test_recorded_hand_over_log_has_every_outcome():
+    records = expected("hand-over")["consumed"]["records"]
+    assert {record["outcome"] for record in records if "outcome" in record} == set(sender_api.OUTCOMES)
--- a/tests/golden/test_sender_wires.py
+++ b/tests/golden/test_sender_wires.py
@@ -1,4 +1,4 @@
-"""Recorded exchanges on the sender's wires, over real sockets: the same bytes give the same bytes and facts."""
+"""Recorded exchanges with a sender over real sockets: the same bytes give the same responses and results."""
 
 import json
 
@@ -10,9 +10,9 @@
 
 
 @pytest.mark.parametrize("name", RECORDED)
-def test_recorded_exchange_goes_the_same(name):
+def test_exchange_matches_recording(name):
     assert wire_scenes.play(name, RECORDED[name]) == RECORDED[name]
 
 
-def test_each_scene_is_recorded():
+def test_every_scene_is_recorded():
     assert set(RECORDED) == set(wire_scenes.SCENES)
--- a/tests/golden/test_tier_http.py
+++ b/tests/golden/test_tier_http.py
@@ -1,4 +1,4 @@
-"""What the tier says by HTTP, byte for byte as on c8a68c2 (tier/http.json); what varies from run to run is replaced."""
+"""HTTP messages of the tier, byte for byte as recorded on c8a68c2 (tier/http.json), with varying parts replaced."""
 
 import json
 from pathlib import Path
@@ -9,19 +9,19 @@
 GOLDEN = json.loads((Path(__file__).parent / "tier" / "http.json").read_text())
 
 
-def test_operators_calls_get_recorded_answers():
+def test_operator_calls_get_recorded_responses():
     assert tier_http.operator_transcript() == GOLDEN["operator"]
 
 
-def test_platforms_question_for_readiness_gets_recorded_answers():
+def test_readiness_requests_get_recorded_responses():
     assert tier_http.readiness_transcript() == GOLDEN["readiness"]
 
 
-def test_platforms_list_is_asked_for_and_read_as_recorded():
+def test_platform_list_is_requested_and_parsed_as_recorded():
     assert tier_http.platform_transcript() == GOLDEN["platform"]
 
 
-def test_every_recorded_client_case_is_played():
+def test_every_recorded_client_case_is_run():
     assert tier_http.client_cases() == list(GOLDEN["clients"])
 
 
@@ -30,7 +30,7 @@
     assert tier_http.client_transcript(name) == GOLDEN["clients"][name]
 
 
-def test_senders_own_answers_have_recorded_bytes():
+def test_error_responses_of_sender_have_recorded_bytes():
     assert tier_api.own_answers() == GOLDEN["own_answers"]
 
 
@@ -42,7 +42,7 @@
     assert tier_api.releases_of_stopping_sender() == GOLDEN["releases"]
 
 
-def test_lease_that_is_given_up_gets_recorded_answer():
+def test_release_of_lease_gets_recorded_reply():
     assert tier_api.released_answer() == GOLDEN["released"]
 
 
--- a/tests/golden/test_tier_messages.py
+++ b/tests/golden/test_tier_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the tier's processes, byte for byte as c8a68c2 wrote them (tier/messages.json)."""
+"""Messages between the tier's processes, byte for byte as recorded on c8a68c2 (tier/messages.json)."""
 
 import json
 from pathlib import Path
@@ -12,7 +12,7 @@
 EARLIER_FORMS = tier_api.earlier_forms()
 
 
-def test_every_recorded_message_has_an_object_and_the_other_way_round():
+def test_recorded_messages_and_cases_match():
     assert list(CASES) == list(FRAMES)
 
 
@@ -40,20 +40,20 @@
     assert tier_api.compress([FRAMES[name] for name in frames]) == GOLDEN["compressed"].encode("latin-1")
 
 
-def test_recorded_compressed_bytes_are_read():
+def test_recorded_compressed_bytes_are_decoded():
     recorded = GOLDEN["compressed"].encode("latin-1")
     assert tier_api.decompress(recorded) == GOLDEN["decompressed"].encode("latin-1")
 
 
-def test_digests_of_bodies_are_the_recorded_ones():
+def test_digests_of_bodies_are_as_recorded():
     assert tier_api.digests() == GOLDEN["digests"]
 
 
-def test_error_kinds_have_recorded_words_and_answers():
+def test_error_kinds_have_recorded_names_and_responses():
     assert tier_api.error_table() == GOLDEN["error_table"]
 
 
-def test_calls_that_cannot_be_served_get_recorded_error_answers():
+def test_calls_that_cannot_be_served_get_recorded_error_replies():
     assert tier_api.rpc_answers() == GOLDEN["rpc_answers"]
 
 
--- a/tests/golden/test_tier_programs.py
+++ b/tests/golden/test_tier_programs.py
@@ -1,6 +1,6 @@
-"""What senders call at a store for the turns and the budget of a program, as on c8a68c2 (tier/programs.json).
+"""Calls of senders to a store for the turns and budget of a program, as recorded on c8a68c2 (tier/programs.json).
 
-The step "read of the ledger" was recorded anew: on c8a68c2 it asked nobody and told a value that had been replaced.
+The step "read of the ledger" was recorded again later: c8a68c2 contacted no store and returned an outdated value.
 """
 
 import json
--- a/tests/golden/test_tier_stored_data.py
+++ b/tests/golden/test_tier_stored_data.py
@@ -1,4 +1,4 @@
-"""The control server's database as c8a68c2 wrote it (tier/keeper-*.sqlite3), read and written by the text as it is."""
+"""The control server's database as written by c8a68c2 (tier/keeper-*.sqlite3), read and written by this version."""
 
 import json
 import shutil
@@ -12,13 +12,13 @@
 
 
 def as_json(value):
-    """A value as a reader of its JSON gets it."""
+    """Return a value after a round trip through JSON."""
     return json.loads(json.dumps(value))
 
 
 @pytest.fixture
-def copied(tmp_path):
-    """Returns a data folder with a copy of a recorded database."""
+def copy_database(tmp_path):
+    """A function that returns a data folder with a copy of a recorded database."""
 
     def copy(scene):
         shutil.copyfile(FOLDER / f"keeper-{scene}.sqlite3", tmp_path / tier_api.DATABASE)
@@ -28,13 +28,13 @@
 
 
 @pytest.mark.parametrize("scene", GOLDEN)
-def test_recorded_database_holds_what_was_recorded_of_it(copied, scene):
-    assert as_json(tier_api.dump_database(copied(scene) / tier_api.DATABASE)) == GOLDEN[scene]["dump"]
+def test_recorded_database_has_recorded_schema_and_rows(copy_database, scene):
+    assert as_json(tier_api.dump_database(copy_database(scene) / tier_api.DATABASE)) == GOLDEN[scene]["dump"]
 
 
 @pytest.mark.parametrize("scene", GOLDEN)
-def test_programs_readers_find_recorded_contents(copied, scene):
-    assert as_json(tier_api.read_database(copied(scene), scene)) == GOLDEN[scene]["read"]
+def test_program_reads_recorded_contents(copy_database, scene):
+    assert as_json(tier_api.read_database(copy_database(scene), scene)) == GOLDEN[scene]["read"]
 
 
 @pytest.mark.parametrize("scene", GOLDEN)
--- a/tests/golden/tier_api.py
+++ b/tests/golden/tier_api.py
@@ -1,7 +1,7 @@
-"""Everything of the serving tier that the golden tests use; the only module of theirs that imports its internals.
+"""Adapter between the golden tests and the serving tier; their only module that imports its internals.
 
-Objects are built by position, so that a renamed field changes nothing here; a renamed or moved class changes the
-imports alone. What the tests compare (bytes on a wire, rows of a database) has to stay as it is in `tier/`.
+Objects are constructed with positional arguments, so that a renamed field changes nothing here and a renamed or moved
+class changes only the imports. What the tests compare (bytes on a wire, rows of a database) stays as it is in `tier/`.
 """
 
 import asyncio
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True)
 class MessageCase:
-    """One message: the object, its form on the wire and the way back. `is_answer`: which of the two frames it is in."""
+    """A message: object, wire form and decoder. `is_answer`: whether it is sent in a reply frame."""
 
     name: str
     value: Any
@@ -105,25 +105,25 @@
 
 
 def encode_frame(case: MessageCase) -> bytes:
-    """The bytes of a message on its connection, the frame included."""
+    """Return the bytes of a message on its connection, with its frame."""
     frame = ReplyFrame if case.is_answer else RequestFrame
     return frame(7, case.message).encode()
 
 
 def decode_frame(data: bytes, is_answer: bool) -> tuple[int, Json]:
-    """The number and the message of the only frame in `data`."""
+    """Return the number and the message of the only frame in `data`."""
     (frame,) = Decoder().feed(data)
     decoded = (ReplyFrame if is_answer else RequestFrame).decode(frame)
     return decoded.number, decoded.message
 
 
-COLD = Receiver("i-1", "engines", "10.1.0.9:8081", "east", 16, True, 812.5, "v2")
-PLAIN = Receiver("i-2", "plain", "10.1.0.10:8081", "", 1)
+COLD_RECEIVER = Receiver("i-1", "engines", "10.1.0.9:8081", "east", 16, True, 812.5, "v2")
+MINIMAL_RECEIVER = Receiver("i-2", "plain", "10.1.0.10:8081", "", 1)
 VERSION = DirectoryVersion(12, "keeper-a")
 NO_VERSION = DirectoryVersion(0, "")
 BALLOT = Ballot(1700000000123, "sender-a")
 NEXT_BALLOT = Ballot(1700000000124, "sender-a")
-ZERO = Ballot(0, "")
+ZERO_BALLOT = Ballot(0, "")
 TURN = TurnRecord("t-2", "p-1", "t-1", 60000, b"in \x00\xff\xe4\n", b"out\n")
 FIRST_TURN = TurnRecord("t-1", "p-1", None, 0, b"", b"")
 VIEW = StoreView(
@@ -150,7 +150,7 @@
     "orders_taken": 31,
     "note": "by hand",
 }
-BARE_STATE: Json = {
+MINIMAL_STATE: Json = {
     "version": 0,
     "members": {},
     "former_members": {},
@@ -175,31 +175,41 @@
     "location": "north/east",
     "reaches_majority": True,
 }
-BARE_PEER_RECORD = {name: value for name, value in PEER_RECORD.items() if name not in ("location", "reaches_majority")}
+MINIMAL_PEER_RECORD = {
+    name: value for name, value in PEER_RECORD.items() if name not in ("location", "reaches_majority")
+}
 PEER = PeerDescription.decode(PEER_RECORD)
-BARE_PEER = PeerDescription.decode(BARE_PEER_RECORD)
+MINIMAL_PEER = PeerDescription.decode(MINIMAL_PEER_RECORD)
 
 
-def _whole(name: str, value: Any, is_answer: bool) -> MessageCase:
-    """A message that its class encodes and decodes."""
+def _self_encoded(name: str, value: Any, is_answer: bool) -> MessageCase:
+    """Return the case of a message that its class encodes and decodes."""
     return MessageCase(name, value, value.encode(), type(value).decode, is_answer)
 
 
 def _to_store(name: str, value: Any, view: StoreView | None) -> MessageCase:
-    """A sender's request to a store."""
+    """Return the case of a sender's request to a store."""
     header = RequestHeader(5, "m1", view)
     message = header.encode(value.kind, value.fields())
     return MessageCase(
-        name, (header, value), message, lambda got: (RequestHeader.decode(got), type(value).decode(got)), False
+        name,
+        (header, value),
+        message,
+        lambda message: (RequestHeader.decode(message), type(value).decode(message)),
+        False,
     )
 
 
 def _between_stores(name: str, kind: str, value: Any, **more: Any) -> MessageCase:
-    """A store's request to another one."""
+    """Return the case of a store's request to another store."""
     message = store_request(kind, VIEW, "m2", **more, **value.fields())
     header = RequestHeader(5, "m2", VIEW if more else None)
     return MessageCase(
-        name, (header, value), message, lambda got: (RequestHeader.decode(got), type(value).decode(got)), False
+        name,
+        (header, value),
+        message,
+        lambda message: (RequestHeader.decode(message), type(value).decode(message)),
+        False,
     )
 
 
@@ -209,95 +219,99 @@
 
 def _error(name: str, kind: str, detail: str, **fields: Any) -> MessageCase:
     message = error_message(kind, detail, **fields)
-    return MessageCase(name, message, message, lambda got: got, True)
+    return MessageCase(name, message, message, lambda message: message, True)
 
 
 def message_cases() -> list[MessageCase]:
-    """One message of each type with all its fields, and one with the fewest."""
+    """Return a message of each type with all its fields, and one with the fewest fields."""
     return [*_cluster_cases(), *_store_cases(), *_control_cases(), *_transfer_cases(), *_error_cases()]
 
 
 def _cluster_cases() -> list[MessageCase]:
     return [
-        _whole("lease.renew/full", RenewRequest("sender-a", "10.1.0.30:7390", "east", VERSION), False),
-        _whole("lease.renew/least", RenewRequest("sender-a", "", "", NO_VERSION), False),
-        _whole(
+        _self_encoded("lease.renew/full", RenewRequest("sender-a", "10.1.0.30:7390", "east", VERSION), False),
+        _self_encoded("lease.renew/least", RenewRequest("sender-a", "", "", NO_VERSION), False),
+        _self_encoded(
             "lease.granted/full",
             LeaseGrant(3.4, 9, VERSION, 0.25, ("10.1.0.31:7390",), ("10.0.0.1:8144", "10.0.0.2:8144"), 17, 0.125),
             True,
         ),
-        _whole("lease.granted/least", LeaseGrant(1.0, -1, NO_VERSION, 0.0, (), (), 0), True),
-        _whole("relay.watch/full", WatchRequest(9, VERSION, True, 7), False),
-        _whole("relay.watch/least", WatchRequest(-1, NO_VERSION, False), False),
-        _whole("relay.news/full", RelayUpdate(VERSION, 0.25, 0.125, STATE, (COLD, PLAIN)), True),
-        _whole("relay.news/least", RelayUpdate(NO_VERSION, 0.0, 0.0), True),
-        _whole("relay.news/unconfirmed", RelayUpdate(NO_VERSION, math.inf), True),
-        _whole("relay.body/full", BodyRequest(RELAY_BODY, "0123456789abcdef01234567", 65536, "10.1.0.30:7390"), False),
-        _whole("relay.body/least", BodyRequest(RELAY_BODY, "0123456789abcdef01234567", 0), False),
-        _whole("register.body", BodyRequest(BODY, "0123456789abcdef01234567", 131072), False),
-        _whole("body.page/full", BodyPage('{"a":"\u00e4\u20ac\U0001f600"}', 70000), True),
-        _whole("body.page/least", BodyPage("", 0), True),
+        _self_encoded("lease.granted/least", LeaseGrant(1.0, -1, NO_VERSION, 0.0, (), (), 0), True),
+        _self_encoded("relay.watch/full", WatchRequest(9, VERSION, True, 7), False),
+        _self_encoded("relay.watch/least", WatchRequest(-1, NO_VERSION, False), False),
+        _self_encoded(
+            "relay.news/full", RelayUpdate(VERSION, 0.25, 0.125, STATE, (COLD_RECEIVER, MINIMAL_RECEIVER)), True
+        ),
+        _self_encoded("relay.news/least", RelayUpdate(NO_VERSION, 0.0, 0.0), True),
+        _self_encoded("relay.news/unconfirmed", RelayUpdate(NO_VERSION, math.inf), True),
+        _self_encoded(
+            "relay.body/full", BodyRequest(RELAY_BODY, "0123456789abcdef01234567", 65536, "10.1.0.30:7390"), False
+        ),
+        _self_encoded("relay.body/least", BodyRequest(RELAY_BODY, "0123456789abcdef01234567", 0), False),
+        _self_encoded("register.body", BodyRequest(BODY, "0123456789abcdef01234567", 131072), False),
+        _self_encoded("body.page/full", BodyPage('{"a":"\u00e4\u20ac\U0001f600"}', 70000), True),
+        _self_encoded("body.page/least", BodyPage("", 0), True),
     ]
 
 
 def _store_cases() -> list[MessageCase]:
     accept = LedgerAcceptRequest("p-1", tuple(BALLOT), LEDGER, tuple(NEXT_BALLOT))
-    bare_accept = LedgerAcceptRequest("p-1", tuple(BALLOT), None, None)
+    minimal_accept = LedgerAcceptRequest("p-1", tuple(BALLOT), None, None)
     return [
         _to_store("turn.put/full", PutTurnsRequest((TURN, FIRST_TURN), accept), VIEW),
         _to_store("turn.put/least", PutTurnsRequest(()), None),
-        _to_store("turn.put/least-ballot", PutTurnsRequest((FIRST_TURN,), bare_accept), STABLE_VIEW),
-        _whole("turn.stored/full", PutTurnsReply(encode_reply(Accepted(BALLOT))), True),
-        _whole("turn.stored/least", PutTurnsReply(), True),
+        _to_store("turn.put/least-ballot", PutTurnsRequest((FIRST_TURN,), minimal_accept), STABLE_VIEW),
+        _self_encoded("turn.stored/full", PutTurnsReply(encode_reply(Accepted(BALLOT))), True),
+        _self_encoded("turn.stored/least", PutTurnsReply(), True),
         _to_store("turn.chain/full", HistoryRequest("p-1", "t-2"), VIEW),
         _to_store("turn.chain/least", HistoryRequest("p-1", "t-2"), None),
-        _links("turn.links/full", HistoryPage((TURN, FIRST_TURN), "t-0", True, frozenset({"t-2", "t-1"}))),
-        _links("turn.links/least", HistoryPage((), None, False, frozenset())),
+        _history_page("turn.links/full", HistoryPage((TURN, FIRST_TURN), "t-0", True, frozenset({"t-2", "t-1"}))),
+        _history_page("turn.links/least", HistoryPage((), None, False, frozenset())),
         _to_store("ledger.prepare/full", LedgerPrepareRequest("p-1", tuple(BALLOT)), VIEW),
-        _to_store("ledger.prepare/least", LedgerPrepareRequest("p-1", tuple(ZERO)), None),
+        _to_store("ledger.prepare/least", LedgerPrepareRequest("p-1", tuple(ZERO_BALLOT)), None),
         _to_store("ledger.accept/full", accept, VIEW),
-        _to_store("ledger.accept/least", bare_accept, None),
+        _to_store("ledger.accept/least", minimal_accept, None),
         _reply("ballot.promise/full", Promise(BALLOT, LEDGER, True)),
-        _reply("ballot.promise/least", Promise(ZERO, None)),
+        _reply("ballot.promise/least", Promise(ZERO_BALLOT, None)),
         _reply("ballot.accepted", Accepted(BALLOT)),
         _reply("ballot.conflict", Conflict(NEXT_BALLOT)),
     ]
 
 
-def _links(name: str, value: HistoryPage) -> MessageCase:
+def _history_page(name: str, value: HistoryPage) -> MessageCase:
     return MessageCase(name, value, value.to_json(), HistoryPage.from_json, True)
 
 
 def _control_cases() -> list[MessageCase]:
     chosen = ChosenState(STATE, BALLOT)
     return [
-        _whole("keeper.hello/full", Heartbeat(PEER, VERSION, ("0123456789abcdef01234567",)), False),
-        _whole("keeper.hello/least", Heartbeat(BARE_PEER, NO_VERSION), False),
-        _whole(
+        _self_encoded("keeper.hello/full", Heartbeat(PEER, VERSION, ("0123456789abcdef01234567",)), False),
+        _self_encoded("keeper.hello/least", Heartbeat(MINIMAL_PEER, NO_VERSION), False),
+        _self_encoded(
             "keeper.hello.answer/full",
-            HeartbeatReply(PEER, VERSION, 0.25, 9, chosen, (COLD, PLAIN)),
+            HeartbeatReply(PEER, VERSION, 0.25, 9, chosen, (COLD_RECEIVER, MINIMAL_RECEIVER)),
             is_answer=True,
         ),
-        _whole(
+        _self_encoded(
             "keeper.hello.answer/least",
-            HeartbeatReply(BARE_PEER, NO_VERSION, 0.0),
+            HeartbeatReply(MINIMAL_PEER, NO_VERSION, 0.0),
             is_answer=True,
         ),
-        _whole(
+        _self_encoded(
             "register.prepare/full",
             PrepareRequest("m2", BALLOT, NEXT_BALLOT, ("0123456789abcdef01234567", "89")),
             False,
         ),
-        _whole("register.prepare/least", PrepareRequest("m2", ZERO), False),
-        _whole("register.accept/full", AcceptRequest("m2", BALLOT, STATE, "10.0.0.1:8144"), False),
-        _whole("register.accept/least", AcceptRequest("m2", ZERO, BARE_STATE), False),
-        _whole("register.orders/request", ChangeHistoryRequest(3, 900), False),
-        _whole(
+        _self_encoded("register.prepare/least", PrepareRequest("m2", ZERO_BALLOT), False),
+        _self_encoded("register.accept/full", AcceptRequest("m2", BALLOT, STATE, "10.0.0.1:8144"), False),
+        _self_encoded("register.accept/least", AcceptRequest("m2", ZERO_BALLOT, MINIMAL_STATE), False),
+        _self_encoded("register.orders/request", ChangeHistoryRequest(3, 900), False),
+        _self_encoded(
             "register.orders/full",
             ChangeHistoryPage((AcceptedChange(4, 6, "89abcdef"), AcceptedChange(5, 7, "01234567"))),
             is_answer=True,
         ),
-        _whole("register.orders/least", ChangeHistoryPage(()), is_answer=True),
+        _self_encoded("register.orders/least", ChangeHistoryPage(()), is_answer=True),
     ]
 
 
@@ -319,18 +333,22 @@
             "store.pull_ledgers/full", "store.pull_ledgers", LedgersRequest("m3", "p-1", 500), view=VIEW.to_json()
         ),
         _between_stores("store.pull_ledgers/least", "store.pull_ledgers", LedgersRequest("m3", "", 1)),
-        _whole(
+        _self_encoded(
             "store.pulled.index/full",
             IndexPage([IndexEntry("t-1", "p-1", 59000), IndexEntry("t-2", "p-1", -3)], ("t-2", "p-1")),
             True,
         ),
-        _whole("store.pulled.index/least", IndexPage([], None), True),
-        _whole("store.pulled.turns/full", TurnsReply([TURN, FIRST_TURN], [("t-3", "p-2")]), True),
-        _whole("store.pulled.turns/least", TurnsReply([], []), True),
+        _self_encoded("store.pulled.index/least", IndexPage([], None), True),
+        _self_encoded("store.pulled.turns/full", TurnsReply([TURN, FIRST_TURN], [("t-3", "p-2")]), True),
+        _self_encoded("store.pulled.turns/least", TurnsReply([], []), True),
         _raw_turns("store.pulled.raw_turns/full", TurnsReply([TURN, FIRST_TURN], [("t-3", "p-2")])),
         _raw_turns("store.pulled.raw_turns/least", TurnsReply([], [])),
-        _whole("store.pulled.ledgers/full", LedgersPage([record, LedgerRecord("p-2", ZERO, ZERO, None)], "p-2"), True),
-        _whole("store.pulled.ledgers/least", LedgersPage([], None), True),
+        _self_encoded(
+            "store.pulled.ledgers/full",
+            LedgersPage([record, LedgerRecord("p-2", ZERO_BALLOT, ZERO_BALLOT, None)], "p-2"),
+            True,
+        ),
+        _self_encoded("store.pulled.ledgers/least", LedgersPage([], None), True),
     ]
 
 
@@ -347,8 +365,8 @@
 
 
 def earlier_forms() -> dict[str, tuple[Json, Any, Callable[[Json], Any]]]:
-    """Messages as releases before wrote them, without the fields that came later: only decoded."""
-    peer = dict(BARE_PEER_RECORD)
+    """Return messages of earlier releases, without the fields added later; they are only decoded."""
+    peer = dict(MINIMAL_PEER_RECORD)
     renewed = {
         "type": "lease.granted",
         "duration_s": 3.4,
@@ -383,12 +401,12 @@
         ),
         "keeper.hello": (
             {"type": "keeper.hello", "from": peer, "receivers": [12, "keeper-a"]},
-            Heartbeat(BARE_PEER, VERSION, ()),
+            Heartbeat(MINIMAL_PEER, VERSION, ()),
             Heartbeat.decode,
         ),
         "keeper.hello.answer": (
             {"type": "keeper.hello", "from": peer, "receivers_version": [12, "keeper-a"], "list_age_s": 0.25},
-            HeartbeatReply(BARE_PEER, VERSION, 0.25, None, None, None),
+            HeartbeatReply(MINIMAL_PEER, VERSION, 0.25, None, None, None),
             HeartbeatReply.decode,
         ),
         "register.prepare": (
@@ -397,8 +415,8 @@
             PrepareRequest.decode,
         ),
         "register.accept": (
-            {"type": "register.accept", "to": "m2", "ballot": [3, "a"], "value": BARE_STATE},
-            AcceptRequest("m2", Ballot(3, "a"), BARE_STATE, ""),
+            {"type": "register.accept", "to": "m2", "ballot": [3, "a"], "value": MINIMAL_STATE},
+            AcceptRequest("m2", Ballot(3, "a"), MINIMAL_STATE, ""),
             AcceptRequest.decode,
         ),
         "store.view": (
@@ -410,24 +428,24 @@
 
 
 def digests() -> Json:
-    """The digests by which orders and bodies are known on the wire and on disk."""
+    """Return the digests that identify configuration changes and bodies on the wire and on disk."""
     body = b'{"generation":7}'
     return {"configuration": configuration_digest(body, 6), "patch": patch_digest(body, 6)}
 
 
 def compress(frames: list[bytes]) -> bytes:
-    """What one side of a compressed connection sends for these frames."""
+    """Return what one side of a compressed connection sends for these frames."""
     output = CompressedOutput()
     return b"".join(output.encode(frame) for frame in frames)
 
 
 def decompress(data: bytes) -> bytes:
-    """The frames of a compressed connection's bytes."""
+    """Return the frames in the bytes of a compressed connection."""
     return b"".join(IncomingBytes().decode(data))
 
 
 def error_table() -> Json:
-    """How each kind of error is answered, by its word on the wire."""
+    """Return how each kind of error is answered, by its name on the wire."""
     return {
         str(kind): [
             ERROR_RESPONSES[kind].status,
@@ -439,23 +457,23 @@
 
 
 def rpc_answers() -> Json:
-    """What a process answers to calls that it cannot serve."""
+    """Return a process's replies to calls that it cannot serve."""
 
-    async def refusing(message: Json) -> Json:
+    async def rejecting(message: Json) -> Json:
         raise RpcError("stale_epoch", "another epoch is in force", {"view": None, "type": "error", "kind": "other"})
 
     async def failing(message: Json) -> Json:
         raise KeyError("epoch")
 
-    async def ask() -> Json:
-        server = RpcServer({"refusing": refusing, "failing": failing})
+    async def call_handler() -> Json:
+        server = RpcServer({"refusing": rejecting, "failing": failing})
         return {kind: await server.dispatch({"type": kind}) for kind in ("refusing", "failing", "unheard.of")}
 
-    return asyncio.run(ask())
+    return asyncio.run(call_handler())
 
 
 def platform_entry(entry: Json) -> Json:
-    """The record that goes round between dewpin's processes for an entry of the platform's list."""
+    """Return the record that dewpin's processes exchange for an entry of the platform's list."""
     return dict(receiver_from_platform(entry).to_record())
 
 
@@ -465,7 +483,7 @@
 MEMBER = "00112233aabbccdd"
 START_MS = 1_700_000_000_000
 DAY_MS = 24 * 3_600_000
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 SETTINGS = """
 node_name = "control-1"
 role = "control"
@@ -522,15 +540,15 @@
     return f'{{"generation":{generation},"routes":[{route}],"services":[{{"name":"engines"}}]}}'.encode()
 
 
-class _Unreachable:
-    """Calls to other processes that none answers."""
+class _UnreachableNetwork:
+    """Calls to other processes, all of which are unreachable."""
 
     async def call(self, address: str, message: Json, timeout_s: float) -> Json:
         raise RpcError("connect", address)
 
 
-class _OtherStore:
-    """The store that a copy is made from, by its answers on the wire."""
+class _SourceStore:
+    """The store that is copied from, with scripted replies."""
 
     async def call(self, address: str, message: Json, timeout_s: float) -> Json:
         if message["type"] == "store.pull_index":
@@ -538,9 +556,9 @@
             return {"type": "store.pulled", "entries": entries, "after": None, "newest": 0}
         if message["type"] == "store.pull_turns":
             rows = [["c-1", "p-copied", None, 60_000, 2, 3], ["c-2", "p-copied", "c-1", 60_000, 0, 1]]
-            wanted = [row for row in rows if [row[0], row[1]] in message["keys"]]
-            raw = b"".join({"c-1": b"\x00\xffout", "c-2": b"\n"}[row[0]] for row in wanted)
-            return {"type": "store.pulled", "rows": wanted, "unread": [], "raw": raw}
+            requested = [row for row in rows if [row[0], row[1]] in message["keys"]]
+            raw = b"".join({"c-1": b"\x00\xffout", "c-2": b"\n"}[row[0]] for row in requested)
+            return {"type": "store.pulled", "rows": requested, "unread": [], "raw": raw}
         ledgers = [
             {"program": "p-copied", "promised": [21, "z"], "accepted": [20, "y"], "value": {"spent": 7, "open": {}}},
             {"program": "p-promised", "promised": [99, "z"], "accepted": [0, ""], "value": None},
@@ -556,31 +574,33 @@
             self.storage = Storage(folder)
         self.now_ms = START_MS
         settings = parse_settings(tomllib.loads(SETTINGS))
-        self.server = ControlServer(settings, self.storage, _Unreachable(), random.Random(1), lambda: 50.0)
+        self.server = ControlServer(settings, self.storage, _UnreachableNetwork(), random.Random(1), lambda: 50.0)
         self.store = Store(self.storage, MEMBER, 3, lambda: self.now_ms)
 
-    async def ask(self, kind: str, **fields: Any) -> Json:
-        """The answer to one message, in the form in which JSON carries it."""
+    async def call_handler(self, kind: str, **fields: Any) -> Json:
+        """Return the reply to one message, with bytes as text as in JSON."""
         handler = {**self.server.handlers, **self.store.handlers}[kind]
         try:
-            answer = await handler({"type": kind, **fields})
-        except RpcError as refusal:
-            return error_message(refusal.kind, refusal.detail)
-        return {name: field.decode("latin-1") if isinstance(field, bytes) else field for name, field in answer.items()}
+            reply = await handler({"type": kind, **fields})
+        except RpcError as error:
+            return error_message(error.kind, error.detail)
+        return {name: field.decode("latin-1") if isinstance(field, bytes) else field for name, field in reply.items()}
 
-    async def ask_store(self, kind: str, view: Json, **fields: Any) -> Json:
-        """The same for a request under a view of the stores."""
-        return await self.ask(kind, epoch=view["epoch"], to=MEMBER, view=view, **fields)
+    async def call_store(self, kind: str, view: Json, **fields: Any) -> Json:
+        """Return the reply to one request with a store view."""
+        return await self.call_handler(kind, epoch=view["epoch"], to=MEMBER, view=view, **fields)
 
     async def close(self) -> None:
-        """Ends everything; the database is one file then."""
+        """Stop everything; afterwards the database is a single file."""
         await self.server.stop()
         self.storage.close()
 
 
 def write_database(folder: Path, scene: str) -> Json:
-    """Makes a database by the operations of a scene (`first`: a machine that has just begun; `full`: everything that
-    rows can tell). Returns the states of the register that were agreed on."""
+    """Create a database by the operations of a scene; return the register's chosen states.
+
+    Scenes: `first`: a machine that has just started; `full`: rows with every kind of content.
+    """
     return asyncio.run(_write(folder, scene))
 
 
@@ -600,7 +620,7 @@
 
 
 async def _write_register(machine: _Machine) -> list[Json]:
-    """Orders of the operator, stores that come and go, a value that is accepted but not chosen, a promise above it."""
+    """Write configurations, store changes, an accepted value that is not chosen, and a promise of a higher ballot."""
     register = machine.server.register
     accented = _configuration(9, "\u00e4.example")
     for body in (_configuration(3), accented):
@@ -620,8 +640,8 @@
         ),
         start_retirement("store-3", 2),
     ]
-    states = [copy.deepcopy(await register.propose(change, PATIENCE_S)) for change in changes]
-    assert await register.was_accepted(9, configuration_digest(accented, 8), PATIENCE_S)
+    states = [copy.deepcopy(await register.propose(change, TIMEOUT_S)) for change in changes]
+    assert await register.was_accepted(9, configuration_digest(accented, 8), TIMEOUT_S)
     newest = states[-1]
     unfinished = {
         **newest,
@@ -629,15 +649,15 @@
         "members": {MEMBER: "10.0.0.1:8144", "m2": "10.0.0.2:8144"},
         "names": {**newest["names"], "m2": "control-2"},
     }
-    await machine.ask("register.accept", to=MEMBER, ballot=[50, "m2"], value=unfinished, source="")
-    await machine.ask("register.prepare", to=MEMBER, ballot=[60, "m3"], known=None, held=[])
+    await machine.call_handler("register.accept", to=MEMBER, ballot=[50, "m2"], value=unfinished, source="")
+    await machine.call_handler("register.prepare", to=MEMBER, ballot=[60, "m3"], known=None, held=[])
     return [*states, unfinished]
 
 
 def _turn(turn: str, program: str, previous: str | None, retain_ms: int, output: str = "out\n") -> Json:
-    asked = f"{turn} \u00ff\x00"
+    input_text = f"{turn} \u00ff\x00"
     names = ("turn", "program", "previous", "retain_ms", "input", "output")
-    return dict(zip(names, (turn, program, previous, retain_ms, asked, output), strict=True))
+    return dict(zip(names, (turn, program, previous, retain_ms, input_text, output), strict=True))
 
 
 async def _write_store(machine: _Machine) -> None:
@@ -645,38 +665,38 @@
     await _write_ledgers(machine)
     await _write_retention(machine)
     synced = asyncio.Event()
-    copying = StoreSync(machine.store, _OtherStore(), lambda epoch: synced.set())
+    sync = StoreSync(machine.store, _SourceStore(), lambda epoch: synced.set())
     view = StoreView.from_json(_CHANGING_VIEW)
     machine.store.adopt(view)
-    copying.start(view)
-    await asyncio.wait_for(synced.wait(), PATIENCE_S)
-    copying.stop()
+    sync.start(view)
+    await asyncio.wait_for(synced.wait(), TIMEOUT_S)
+    sync.stop()
 
 
 async def _write_turns(machine: _Machine) -> None:
-    """Chains of two programs that share turns, a turn put twice, one that has expired but is gone on from."""
+    """Write chains of two programs that share turns, a turn put twice, and an expired turn with a successor."""
 
-    async def put(*turns: Json) -> None:
-        answer = await machine.ask_store("turn.put", _STABLE_VIEW, turns=list(turns))
-        assert answer == {"type": "turn.stored"}
+    async def put_turns(*turns: Json) -> None:
+        reply = await machine.call_store("turn.put", _STABLE_VIEW, turns=list(turns))
+        assert reply == {"type": "turn.stored"}
 
-    await put(_turn("t-0", "p-1", None, 10), _turn("t-gone", "p-1", None, 10))
+    await put_turns(_turn("t-0", "p-1", None, 10), _turn("t-gone", "p-1", None, 10))
     machine.now_ms += 60_000
-    await put(_turn("t-1", "p-1", "t-0", 20 * DAY_MS), _turn("t-2", "p-1", "t-1", 60_000, "\x00\u00e4"))
-    await put(_turn("t-2", "p-2", "t-1", 5 * DAY_MS), _turn("t-3", "p-2", "t-2", 5 * DAY_MS, ""))
+    await put_turns(_turn("t-1", "p-1", "t-0", 20 * DAY_MS), _turn("t-2", "p-1", "t-1", 60_000, "\x00\u00e4"))
+    await put_turns(_turn("t-2", "p-2", "t-1", 5 * DAY_MS), _turn("t-3", "p-2", "t-2", 5 * DAY_MS, ""))
     machine.now_ms += 1
-    await put(_turn("t-1", "p-1", "t-0", 1), _turn("t-3", "p-2", "t-2", 6 * DAY_MS, "another"))
+    await put_turns(_turn("t-1", "p-1", "t-0", 1), _turn("t-3", "p-2", "t-2", 6 * DAY_MS, "another"))
 
 
 async def _write_ledgers(machine: _Machine) -> None:
-    """Ledgers that are idle, promised, accepted, promised above that, settled, and taken part in beside a turn."""
+    """Write ledgers that are idle, promised, accepted, promised above that, settled, and accepted with a turn."""
 
     async def prepare(program: str, counter: int) -> Json:
-        return await machine.ask_store("ledger.prepare", _STABLE_VIEW, program=program, ballot=[counter, "a"])
+        return await machine.call_store("ledger.prepare", _STABLE_VIEW, program=program, ballot=[counter, "a"])
 
-    async def accept(program: str, counter: int, value: Json | None, following: list[Any] | None) -> Json:
-        fields = {"program": program, "ballot": [counter, "a"], "value": value, "next_ballot": following}
-        return await machine.ask_store("ledger.accept", _STABLE_VIEW, **fields)
+    async def accept(program: str, counter: int, value: Json | None, next_ballot: list[Any] | None) -> Json:
+        fields = {"program": program, "ballot": [counter, "a"], "value": value, "next_ballot": next_ballot}
+        return await machine.call_store("ledger.accept", _STABLE_VIEW, **fields)
 
     machine.now_ms -= 30 * DAY_MS
     await accept("p-idle", 3, {"spent": 1, "open": {}}, None)
@@ -690,13 +710,18 @@
     await accept("p-overtaken", 17, {"spent": 3, "open": {}}, None)
     await prepare("p-overtaken", 30)
     assert (await accept("p-overtaken", 18, {"spent": 4, "open": {}}, None))["type"] == "ballot.conflict"
-    beside = {"program": "p/\u00fc 1", "ballot": [19, "a"], "value": {"spent": 9, "open": {}}, "next_ballot": None}
+    accept_with_turn = {
+        "program": "p/\u00fc 1",
+        "ballot": [19, "a"],
+        "value": {"spent": 9, "open": {}},
+        "next_ballot": None,
+    }
     turn = _turn("t-4", "p/\u00fc 1", None, 60_000)
-    await machine.ask_store("turn.put", _STABLE_VIEW, turns=[turn], accept=beside)
+    await machine.call_store("turn.put", _STABLE_VIEW, turns=[turn], accept=accept_with_turn)
 
 
 async def _write_retention(machine: _Machine) -> None:
-    """A configuration that keeps ledgers for long, then one that keeps them for less; both purge what is due."""
+    """Apply a long and then a shorter ledger retention, and purge what has expired after each."""
     for longest_retain_s in (9 * 24 * 3600.0, 7200.5):
         machine.store.set_ledger_retention(longest_retain_s)
         machine.now_ms += 1000
@@ -704,7 +729,7 @@
 
 
 def dump_database(path: Path) -> Json:
-    """The schema and all rows of a database, read without the program."""
+    """Return the schema and all rows of a database, read without the program."""
     with closing(sqlite3.connect(f"file:{path}?mode=ro", uri=True)) as connection:
         schema = connection.execute(
             "SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY type, name"
@@ -719,12 +744,14 @@
 
 
 def _rows(connection: sqlite3.Connection, table: str) -> list[list[Any]]:
-    found = connection.execute(f"SELECT * FROM {table} ORDER BY 1, 2").fetchall()
-    return [[{"blob": one.decode("latin-1")} if isinstance(one, bytes) else one for one in row] for row in found]
+    result = connection.execute(f"SELECT * FROM {table} ORDER BY 1, 2").fetchall()
+    return [
+        [{"blob": value.decode("latin-1")} if isinstance(value, bytes) else value for value in row] for row in result
+    ]
 
 
 def read_database(folder: Path, scene: str) -> Json:
-    """What the program's own readers make of a database: mostly answers on the wire. Changes the database."""
+    """Return what the program reads from a database, mostly as replies on the wire. Changes the database."""
     return asyncio.run(_read(folder, scene))
 
 
@@ -734,36 +761,38 @@
         await machine.server.load()
         await machine.store.load()
         view = machine.store.view
-        found = {
+        result = {
             "incarnation": machine.storage.incarnation,
             "record": machine.server.local_peer.description().encode(),
             "view": None if view is None else view.to_json(),
             "register": await _read_register(machine),
         }
         if scene == "full":
-            found["store"] = await _read_store(machine)
-        return found
+            result["store"] = await _read_store(machine)
+        return result
     finally:
         await machine.close()
 
 
 async def _read_register(machine: _Machine) -> Json:
     register = machine.server.register
-    held = list(register.body_digests())
-    found = {
+    digests = list(register.body_digests())
+    result = {
         "newest": copy.deepcopy(register.newest),
         "durable_version": register.durable_version,
-        "bodies": {digest: register.body(digest) for digest in held},
-        "orders": await machine.ask("register.orders", after=0, before=1000),
-        "low_ballot": await machine.ask("register.prepare", to=MEMBER, ballot=[60, "m2"]),
-        "high_ballot": await machine.ask("register.prepare", to=MEMBER, ballot=[60, "m4"], known=None, held=[]),
-        "other_member": await machine.ask("register.prepare", to="m2", ballot=[61, "m4"]),
+        "bodies": {digest: register.body(digest) for digest in digests},
+        "orders": await machine.call_handler("register.orders", after=0, before=1000),
+        "low_ballot": await machine.call_handler("register.prepare", to=MEMBER, ballot=[60, "m2"]),
+        "high_ballot": await machine.call_handler(
+            "register.prepare", to=MEMBER, ballot=[60, "m4"], known=None, held=[]
+        ),
+        "other_member": await machine.call_handler("register.prepare", to="m2", ballot=[61, "m4"]),
     }
     register.record_chosen(Ballot(50, "m2"), register.newest)
-    orders = found["orders"]["orders"]
-    asked = [(generation, digest) for _, generation, digest in orders] + [(4, "0" * 24), (8, "0" * 24)]
-    found["was_taken"] = [[*order, await register.was_accepted(*order, PATIENCE_S)] for order in asked]
-    return found
+    orders = result["orders"]["orders"]
+    changes = [(generation, digest) for _, generation, digest in orders] + [(4, "0" * 24), (8, "0" * 24)]
+    result["was_taken"] = [[*order, await register.was_accepted(*order, TIMEOUT_S)] for order in changes]
+    return result
 
 
 async def _read_store(machine: _Machine) -> Json:
@@ -771,29 +800,29 @@
     view = _CHANGING_VIEW
     chains = [("p-1", "t-2"), ("p-2", "t-3"), ("p-3", "t-3"), ("p-1", "t-gone"), ("p-copied", "c-2")]
     page = {"member": "m2", "after": ["", ""], "most": 100}
-    found = {
+    result = {
         "chains": [
-            await machine.ask_store("turn.chain", view, program=program, previous=last) for program, last in chains
+            await machine.call_store("turn.chain", view, program=program, previous=last) for program, last in chains
         ],
-        "index": await machine.ask_store("store.pull_index", view, **page),
-        "ledgers": await machine.ask_store("store.pull_ledgers", view, member="m2", after="", most=100),
+        "index": await machine.call_store("store.pull_index", view, **page),
+        "ledgers": await machine.call_store("store.pull_ledgers", view, member="m2", after="", most=100),
     }
-    keys = [entry[:2] for entry in found["index"]["entries"]]
-    found["turns"] = await machine.ask_store("store.pull_turns", view, keys=keys, most_bytes=1000)
-    found["raw_turns"] = await machine.ask_store("store.pull_turns", view, keys=keys, most_bytes=9, raw_bodies=True)
-    programs = [record["program"] for record in found["ledgers"]["ledgers"]]
-    found["promises"] = [
-        await machine.ask_store("ledger.prepare", view, program=program, ballot=[40, "b"]) for program in programs
+    keys = [entry[:2] for entry in result["index"]["entries"]]
+    result["turns"] = await machine.call_store("store.pull_turns", view, keys=keys, most_bytes=1000)
+    result["raw_turns"] = await machine.call_store("store.pull_turns", view, keys=keys, most_bytes=9, raw_bodies=True)
+    programs = [record["program"] for record in result["ledgers"]["ledgers"]]
+    result["promises"] = [
+        await machine.call_store("ledger.prepare", view, program=program, ballot=[40, "b"]) for program in programs
     ]
-    found["kept_by_former_retention"] = await _purge(machine, START_MS + DAY_MS)
-    found["purged_at_end"] = await _purge(machine, START_MS + 400 * DAY_MS)
-    return found
+    result["kept_by_former_retention"] = await _purge(machine, START_MS + DAY_MS)
+    result["purged_at_end"] = await _purge(machine, START_MS + 400 * DAY_MS)
+    return result
 
 
 async def _purge(machine: _Machine, now_ms: int) -> Json:
     machine.now_ms = now_ms
     purged = await machine.store.purge_batch()
-    left = await machine.ask_store("store.pull_ledgers", _CHANGING_VIEW, member="m2", after="", most=100)
+    left = await machine.call_store("store.pull_ledgers", _CHANGING_VIEW, member="m2", after="", most=100)
     return {"purged": purged, "ledgers": [record["program"] for record in left["ledgers"]]}
 
 
@@ -804,7 +833,7 @@
 
 
 class Operator:
-    """The operator's API of a control server whose register has one member, on a loop of its own."""
+    """The operator API of a control server whose register has one member; runs on its own event loop."""
 
     def __init__(self, folder: Path) -> None:
         self._loop = asyncio.new_event_loop()
@@ -820,35 +849,35 @@
         machine = _Machine(folder)
         await machine.server.load()
         await machine.server.register.bootstrap(initial_state({MEMBER: "10.0.0.1:8144"}, {MEMBER: "control-1"}))
-        await machine.server.register.propose(set_initial_stores(_STORES, _STORE_NAMES, _LOCATIONS), PATIENCE_S)
+        await machine.server.register.propose(set_initial_stores(_STORES, _STORE_NAMES, _LOCATIONS), TIMEOUT_S)
         return machine
 
     def finish_retirement(self, name: str) -> None:
-        """Lets a machine hold nothing any more."""
-        self._await(self._machine.server.register.propose(finish_retirement(name), PATIENCE_S))
+        """Finish the retirement of a machine."""
+        self._await(self._machine.server.register.propose(finish_retirement(name), TIMEOUT_S))
 
-    def take_orders(self, count: int) -> None:
-        """Takes so many orders of the operator, one after the other."""
+    def accept_changes(self, count: int) -> None:
+        """Make this number of configuration changes, in order."""
 
-        async def take() -> None:
+        async def accept() -> None:
             register = self._machine.server.register
             base = register.newest["configuration"]["generation"]
             for generation in range(base + 1, base + 1 + count):
                 change = put_configuration(_configuration(generation), generation, generation - 1)
-                await register.propose(change, PATIENCE_S)
+                await register.propose(change, TIMEOUT_S)
 
-        self._await(take())
+        self._await(accept())
 
     def lose_majority(self) -> None:
-        """Gives the register a second member that answers nothing."""
+        """Add a second register member that does not answer."""
         register = self._machine.server.register
         members = {MEMBER: "10.0.0.1:8144", "m2": "10.0.0.2:8144"}
         state = {**register.newest, "version": register.newest["version"] + 1, "members": members}
         register_value = {"to": MEMBER, "ballot": [1000, "m2"], "value": state, "source": ""}
-        self._await(self._machine.ask("register.accept", **register_value))
+        self._await(self._machine.call_handler("register.accept", **register_value))
 
     def close(self) -> None:
-        """Ends the server and its loop."""
+        """Stop the server and its loop."""
         self._server.shutdown()
         self._server.server_close()
         self._await(self._machine.close())
@@ -856,13 +885,13 @@
         self._thread.join()
         self._loop.close()
 
-    def _await(self, work: Any) -> Any:
-        return asyncio.run_coroutine_threadsafe(work, self._loop).result(PATIENCE_S)
+    def _await(self, awaitable: Any) -> Any:
+        return asyncio.run_coroutine_threadsafe(awaitable, self._loop).result(TIMEOUT_S)
 
 
 @contextmanager
 def ready_server(is_ready: bool) -> Iterator[Address]:
-    """The server that tells the platform whether clients may be sent here."""
+    """Run the server for the platform's readiness requests; yield its address."""
     server = ReadinessServer(lambda: is_ready)
     server.start(LOOPBACK)
     try:
@@ -874,34 +903,34 @@
 STORE_FAULTS = {"budget": BudgetExceededError, "turn": TurnNotFoundError, "store": StoreUnavailableError}
 
 
-class _FailingStore:
-    """Answers everything by one error."""
+class _FailingStoreClient:
+    """A store client whose operations all raise the same error."""
 
-    def __init__(self, fault: str) -> None:
-        self._fault = fault
+    def __init__(self, store_fault: str) -> None:
+        self._fault = store_fault
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
-        def fail(*given: Any) -> Any:
+        def fail(*arguments: Any) -> Any:
             raise STORE_FAULTS[self._fault]("as scripted")
 
         return fail
 
 
 @contextmanager
-def sender(configuration: Json | None, receivers: list[str], fault: str = "store") -> Iterator[Address]:
-    """A sender's server for clients over receivers at these addresses; its clock goes on by its pauses alone."""
+def sender(configuration: Json | None, receivers: list[str], store_fault: str = "store") -> Iterator[Address]:
+    """Run a sender's ingress with receivers at these addresses; yield its address. Only pauses advance its clock."""
     parsed = None if configuration is None else parse_configuration(json.dumps(configuration).encode())
-    listed = tuple(
+    receiver_list = tuple(
         Receiver(f"i-{number}", "engines", address, "here", 4, False, 0.0, "v1")
         for number, address in enumerate(receivers, 1)
     )
-    state = ClusterState(parsed, {"engines": listed} if listed else {})
+    state = ClusterState(parsed, {"engines": receiver_list} if receiver_list else {})
     pauses: list[float] = []
 
     def clock() -> float:
         return 1000.0 + sum(pauses)
 
-    path = RequestHandler(state, _FailingStore(fault), "here", clock, pauses.append, random.Random(5))
+    path = RequestHandler(state, _FailingStoreClient(store_fault), "here", clock, pauses.append, random.Random(5))
     ingress = IngressServer(state, path.handle, clock, accept_poll_s=0.01)
     ingress.start(LOOPBACK)
     try:
@@ -912,8 +941,10 @@
 
 
 def own_answers() -> Json:
-    """The bytes of a sender's own answer to each kind of error: plain; with detail and wait, on a closing connection;
-    to a HEAD."""
+    """Return the bytes of a sender's responses to each kind of error.
+
+    These are: a plain one; one with detail and Retry-After on a connection that closes; the one to a HEAD request.
+    """
     return {
         str(kind): [
             _rendered(error_response(kind), False, False),
@@ -924,17 +955,17 @@
     }
 
 
-def _rendered(answer: Any, closing: bool, without_body: bool) -> str:
-    return format_response(answer, answer.body, closing, without_body).decode("latin-1")
+def _rendered(reply: Any, closes_connection: bool, is_head_request: bool) -> str:
+    return format_response(reply, reply.body, closes_connection, is_head_request).decode("latin-1")
 
 
 def rendered_chunk(part: bytes) -> bytes:
-    """One chunk of a body to a client."""
+    """Return one chunk of a body to a client."""
     return format_chunk(part)
 
 
 def read_platform(address: str) -> list[Json] | str:
-    """The records of the platform's whole list; `unavailable` if it could not be read whole."""
+    """Return the records of the platform's complete list; `unavailable` if it could not be read completely."""
     try:
         return [dict(receiver.to_record()) for receiver in PlatformList(address).read()]
     except PlatformUnavailableError:
@@ -942,7 +973,7 @@
 
 
 def releases_of_stopping_sender() -> list[Json]:
-    """The messages by which a sender that stops gives its lease up."""
+    """Return the messages with which a stopping sender releases its lease."""
     sent: list[Json] = []
 
     class Client:
@@ -952,8 +983,8 @@
 
     async def run() -> None:
         settings = parse_settings(tomllib.loads(SETTINGS))
-        nothing = lambda *given: None  # noqa: E731
-        agent = ClusterAgent(settings, Client(), random.Random(1), nothing, nothing, on_sender_count=nothing)
+        ignore = lambda *arguments: None  # noqa: E731
+        agent = ClusterAgent(settings, Client(), random.Random(1), ignore, ignore, on_sender_count=ignore)
         await agent.stop()
 
     asyncio.run(run())
@@ -961,12 +992,12 @@
 
 
 def released_answer() -> Json:
-    """What a control server answers to a lease that is given up."""
+    """Return a control server's reply to the release of a lease."""
 
     async def run(folder: Path) -> Json:
         machine = _Machine(folder)
         try:
-            return await machine.ask("lease.release", sender="sender-a")
+            return await machine.call_handler("lease.release", sender="sender-a")
         finally:
             await machine.close()
 
@@ -975,7 +1006,7 @@
 
 
 def placements() -> Json:
-    """Where keys are placed: the replicas of a key among members, and the share that a session's key draws."""
+    """Return the placement of keys: the replicas of each key among members, and its hash fraction for affinity."""
     members = tuple(f"m{number}" for number in range(7))
     locations = ("a/x", "a/x", "a/y", "b/x", "b/y", "b/y", "c/x")
     keys = [f"p-{number}" for number in range(8)]
@@ -992,7 +1023,7 @@
 
 
 class _InstantStorage:
-    """Runs its work at once, so that nothing that is said hangs on the speed of a disk."""
+    """Runs each transaction immediately, so that no message depends on the speed of a disk."""
 
     def __init__(self, connection: sqlite3.Connection) -> None:
         self._connection = connection
@@ -1002,7 +1033,7 @@
 
 
 class _RecordedStore:
-    """A store that senders call; notes each call as JSON, with its answer."""
+    """A store that senders call; records each call with its reply as JSON."""
 
     def __init__(self, folder: Path) -> None:
         Storage(folder).close()
@@ -1012,22 +1043,22 @@
         self.calls: list[list[Json]] = []
 
     async def call(self, address: str, message: Json, timeout_s: float) -> Json:
-        """Answers as over a connection."""
+        """Return the reply as over a connection."""
         sent = json.loads(json.dumps(message))
-        answer = json.loads(json.dumps(await self._server.dispatch(sent)))
-        self.calls.append([sent, answer])
-        if answer["type"] == "error":
-            raise RpcError(answer["kind"], answer["detail"], answer)
-        return answer
+        reply = json.loads(json.dumps(await self._server.dispatch(sent)))
+        self.calls.append([sent, reply])
+        if reply["type"] == "error":
+            raise RpcError(reply["kind"], reply["detail"], reply)
+        return reply
 
 
 def program_transcript() -> dict[str, Any]:
-    """By step: what senders call at a store for the turns of a program, and what comes of it."""
+    """Return by step the calls of senders to a store for the turns of a program, and their results."""
 
     async def run(folder: Path) -> dict[str, Any]:
         store = _RecordedStore(folder)
         try:
-            return await _play_program(store)
+            return await _run_program(store)
         finally:
             store.connection.close()
 
@@ -1035,42 +1066,42 @@
         return asyncio.run(run(Path(folder)))
 
 
-async def _play_program(store: _RecordedStore) -> dict[str, Any]:
+async def _run_program(store: _RecordedStore) -> dict[str, Any]:
     first, second = _store_client(store, "sender-a"), _store_client(store, "sender-b")
-    found: dict[str, Any] = {}
+    transcript: dict[str, Any] = {}
 
-    async def step(name: str, work: Any) -> Any:
+    async def step(name: str, awaitable: Any) -> Any:
         store.calls.clear()
         result: Any = None
         try:
-            result = await work
-        except (BudgetExceededError, TurnNotFoundError) as refusal:
-            found[name] = {"calls": list(store.calls), "refused": str(refusal)}
+            result = await awaitable
+        except (BudgetExceededError, TurnNotFoundError) as error:
+            transcript[name] = {"calls": list(store.calls), "refused": str(error)}
         else:
             await first.wait_until_settled()
             await second.wait_until_settled()
-            found[name] = {"calls": list(store.calls)}
+            transcript[name] = {"calls": list(store.calls)}
         return result
 
     def turn(name: str, previous: str | None) -> Turn:
         return Turn(name, "p-1", previous, f"{name} \u00ff".encode("latin-1"), b"out\n", 60.5)
 
-    reserved = await step("reserve", first.reserve("p-1", "t-1", 20, 100, PATIENCE_S))
-    await step("append and settle", first.store_turn(turn("t-1", None), PATIENCE_S, Settlement(reserved, 15)))
-    begun = await step("begin at another sender", second.begin_turn("p-1", "t-2", 30, 100, "t-1", PATIENCE_S))
-    reservation, chain = (getattr(begun, field.name) for field in fields(begun))
-    found["begin at another sender"]["chain"] = chain.decode("latin-1")
-    await step("append", second.store_turn(turn("t-2", "t-1"), PATIENCE_S))
-    await step("reserve too much", first.reserve("p-1", "t-3", 90, 100, PATIENCE_S))
-    await step("chain of unknown turn", first.read_history("p-1", "t-9", PATIENCE_S))
-    chain = await step("chain", _store_client(store, "sender-c").read_history("p-1", "t-2", PATIENCE_S))
-    found["chain"]["chain"] = chain.decode("latin-1")
+    reserved = await step("reserve", first.reserve("p-1", "t-1", 20, 100, TIMEOUT_S))
+    await step("append and settle", first.store_turn(turn("t-1", None), TIMEOUT_S, Settlement(reserved, 15)))
+    started = await step("begin at another sender", second.begin_turn("p-1", "t-2", 30, 100, "t-1", TIMEOUT_S))
+    reservation, chain = (getattr(started, field.name) for field in fields(started))
+    transcript["begin at another sender"]["chain"] = chain.decode("latin-1")
+    await step("append", second.store_turn(turn("t-2", "t-1"), TIMEOUT_S))
+    await step("reserve too much", first.reserve("p-1", "t-3", 90, 100, TIMEOUT_S))
+    await step("chain of unknown turn", first.read_history("p-1", "t-9", TIMEOUT_S))
+    chain = await step("chain", _store_client(store, "sender-c").read_history("p-1", "t-2", TIMEOUT_S))
+    transcript["chain"]["chain"] = chain.decode("latin-1")
     await step("settle behind", _settle(second, reservation))
     ledger = await step("read of the ledger", first.read_ledger("p-1"))
-    found["read of the ledger"]["ledger"] = ledger
+    transcript["read of the ledger"]["ledger"] = ledger
     first.close()
     second.close()
-    return found
+    return transcript
 
 
 def _store_client(store: _RecordedStore, proposer: str) -> StoreClient:
--- a/tests/golden/tier_http.py
+++ b/tests/golden/tier_http.py
@@ -1,6 +1,6 @@
-"""Scripted HTTP with the serving tier, byte for byte: what is sent to it, what it sends, what varies replaced.
+"""Scripted HTTP exchanges with the serving tier, byte for byte, with varying parts replaced.
 
-Nothing of the program is imported here but through `tier_api`.
+The program is imported only through `tier_api`.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 from golden import tier_api
 
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 _VARYING = (
     (re.compile(rb"(?m)^Date: [^\r]*"), b"Date: (varies)"),
     (re.compile(rb"(?m)^Server: [^\r]*"), b"Server: (varies)"),
@@ -24,55 +24,57 @@
 )
 
 
-def shown(data: bytes) -> str:
-    """Bytes as text, without what differs from run to run."""
+def mask_varying(data: bytes) -> str:
+    """Return bytes as text, with the parts that differ between runs replaced."""
     for pattern, replacement in _VARYING:
         data = pattern.sub(replacement, data)
     return data.decode("latin-1")
 
 
 def request(line: str, *fields: str, body: bytes = b"") -> bytes:
-    """The bytes of a request; its length is told where it has a body."""
+    """Return the bytes of a request, with Content-Length if it has a body."""
     length = [f"Content-Length: {len(body)}"] if body else []
     return "\r\n".join([line, "Host: tier.example", *fields, *length, "", ""]).encode("latin-1") + body
 
 
 def exchange_once(address: tuple[str, int], data: bytes) -> str:
-    """All that comes back for bytes behind which the sending side is closed at once."""
-    with socket.create_connection(address, PATIENCE_S) as connection:
+    """Send bytes and close the sending side at once; return all that is received."""
+    with socket.create_connection(address, TIMEOUT_S) as connection:
         connection.sendall(data)
         connection.shutdown(socket.SHUT_WR)
-        got = b""
+        response = b""
         while received := connection.recv(65536):
-            got += received
-    return shown(got)
+            response += received
+    return mask_varying(response)
 
 
 def exchange(address: tuple[str, int], *requests: bytes) -> str:
-    """All that comes back on one connection for these requests, each sent once the answer before is whole. A client
-    that closes its sending side counts as gone, so that is done at the end."""
-    got = b""
-    with socket.create_connection(address, PATIENCE_S) as connection:
+    """Send requests on one connection, each after the previous response is complete; return all that is received.
+
+    The sending side is closed at the end only, as the tier treats a client that closes it as disconnected.
+    """
+    received_all = b""
+    with socket.create_connection(address, TIMEOUT_S) as connection:
         for data in requests:
             connection.sendall(data)
-            answer = b""
-            while not _is_whole(answer, data.startswith(b"HEAD")):
+            response = b""
+            while not _is_complete(response, data.startswith(b"HEAD")):
                 received = connection.recv(65536)
                 if not received:
-                    return shown(got + answer)
-                answer += received
-            got += answer
+                    return mask_varying(received_all + response)
+                response += received
+            received_all += response
         connection.shutdown(socket.SHUT_WR)
         while received := connection.recv(65536):
-            got += received
-    return shown(got)
+            received_all += received
+    return mask_varying(received_all)
 
 
-def _is_whole(answer: bytes, to_head: bool) -> bool:
-    head, separator, body = answer.partition(b"\r\n\r\n")
+def _is_complete(response: bytes, is_head_request: bool) -> bool:
+    head, separator, body = response.partition(b"\r\n\r\n")
     if not separator:
         return False
-    if to_head or head.startswith(b"HTTP/1.1 204"):
+    if is_head_request or head.startswith(b"HTTP/1.1 204"):
         return True
     length = re.search(rb"\r\nContent-Length: (\d+)", head)
     if length:
@@ -81,12 +83,14 @@
 
 
 class ScriptedServer:
-    """Answers each request by the next of `answers` (the last one answers the rest); `{id}` stands for the request's
-    id. Notes what it gets. An answer of None closes the connection."""
+    """Sends the next response to each request, the last one also to all further requests, and records the requests.
+
+    `{id}` in a response is replaced by the request's ID. None closes the connection.
+    """
 
-    def __init__(self, *answers: bytes | None, beside: "ScriptedServer | None" = None) -> None:
-        """`beside`: the server whose answers and notes this one shares."""
-        self._answers = list(answers) if beside is None else beside._answers
+    def __init__(self, *responses: bytes | None, beside: "ScriptedServer | None" = None) -> None:
+        """`beside`: another server, whose responses and recorded requests this one shares."""
+        self._responses = list(responses) if beside is None else beside._responses
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.address = "127.0.0.1:%d" % self._listener.getsockname()[1]
         self.requests: list[str] = [] if beside is None else beside.requests
@@ -118,19 +122,19 @@
                 while len(buffer) < (int(length[1]) if length else 0):
                     buffer += connection.recv(65536)
                 body, buffer = (buffer[: int(length[1])], buffer[int(length[1]) :]) if length else (b"", buffer)
-                self.requests.append(shown(head + b"\r\n\r\n" + body))
-                answer = self._answers.pop(0) if len(self._answers) > 1 else self._answers[0]
-                if answer is None:
+                self.requests.append(mask_varying(head + b"\r\n\r\n" + body))
+                response = self._responses.pop(0) if len(self._responses) > 1 else self._responses[0]
+                if response is None:
                     return
-                named = re.search(rb"(?i)\r\nx-dewpin-request-id: ([^\r]*)", head)
-                connection.sendall(answer.replace(b"{id}", named[1] if named else b""))
-                if answer.endswith(b"(cut)"):
+                request_id = re.search(rb"(?i)\r\nx-dewpin-request-id: ([^\r]*)", head)
+                connection.sendall(response.replace(b"{id}", request_id[1] if request_id else b""))
+                if response.endswith(b"(cut)"):
                     return
 
 
 @contextmanager
-def scripted(*servers: ScriptedServer) -> Iterator[list[str]]:
-    """The addresses of servers, which are closed at the end."""
+def running(*servers: ScriptedServer) -> Iterator[list[str]]:
+    """Yield the addresses of the servers; close them at the end."""
     try:
         yield [server.address for server in servers]
     finally:
@@ -140,14 +144,14 @@
 
 # The operator
 
-_MORE_THAN_REMEMBERED = 130
-"""Orders: the register's state remembers fewer, older ones are looked up on disk."""
+_MORE_CHANGES_THAN_IN_STATE = 130
+"""Number of configuration changes that exceeds those in the register's state; older ones are looked up on disk."""
 
 
 def _configuration_body(generation: int, **more: Any) -> bytes:
     route = {"hostname": "one.example", "path_prefix": "/", "backend": "engines", "timeout_ms": 1000, "name": "all"}
-    whole = {"generation": generation, "routes": [route], "services": [{"name": "engines"}], **more}
-    return json.dumps(whole).encode()
+    configuration = {"generation": generation, "routes": [route], "services": [{"name": "engines"}], **more}
+    return json.dumps(configuration).encode()
 
 
 def _operator_calls() -> dict[str, bytes]:
@@ -199,31 +203,32 @@
 
 
 def operator_transcript() -> dict[str, list[str]]:
-    """Each call of the operator with its answer, one after the other on one control server."""
+    """Return each operator call with its response; the calls are made in order, to one control server."""
     with tempfile.TemporaryDirectory() as folder:
         operator = tier_api.Operator(Path(folder))
         try:
-            found = {
-                name: [shown(sent), exchange_once(operator.address, sent)] for name, sent in _operator_calls().items()
+            transcript = {
+                name: [mask_varying(sent), exchange_once(operator.address, sent)]
+                for name, sent in _operator_calls().items()
             }
-            done = request("GET /dewpin/Retire.Get/store-4 HTTP/1.1")
+            finished = request("GET /dewpin/Retire.Get/store-4 HTTP/1.1")
             operator.finish_retirement("store-4")
-            found["retirement done"] = [shown(done), exchange_once(operator.address, done)]
-            again = request("POST /dewpin/Retire.Start/store-4 HTTP/1.1")
-            found["retire once done"] = [shown(again), exchange_once(operator.address, again)]
-            old = {
+            transcript["retirement done"] = [mask_varying(finished), exchange_once(operator.address, finished)]
+            repeated = request("POST /dewpin/Retire.Start/store-4 HTTP/1.1")
+            transcript["retire once done"] = [mask_varying(repeated), exchange_once(operator.address, repeated)]
+            old_changes = {
                 "put of an old order that was taken": (3, 0),
                 "put of an old order that was not taken": (4, 3),
             }
-            operator.take_orders(_MORE_THAN_REMEMBERED)
-            for name, (generation, base) in old.items():
+            operator.accept_changes(_MORE_CHANGES_THAN_IN_STATE)
+            for name, (generation, base) in old_changes.items():
                 fields = f"X-Dewpin-Base-Version: {base}"
                 put = request("POST /dewpin/Config.Put HTTP/1.1", fields, body=_configuration_body(generation))
-                found[name] = [shown(put), exchange_once(operator.address, put)]
+                transcript[name] = [mask_varying(put), exchange_once(operator.address, put)]
             operator.lose_majority()
             get = request("GET /dewpin/Config.Get HTTP/1.1")
-            found["get without majority"] = [shown(get), exchange_once(operator.address, get)]
-            return found
+            transcript["get without majority"] = [mask_varying(get), exchange_once(operator.address, get)]
+            return transcript
         finally:
             operator.close()
 
@@ -232,8 +237,8 @@
 
 
 def readiness_transcript() -> dict[str, list[str]]:
-    """The platform's question whether clients may be sent here."""
-    found = {}
+    """Return the platform's readiness requests with their responses."""
+    transcript = {}
     for name, path, is_ready in (
         ("ready", "/dewpin/ready", True),
         ("not ready", "/dewpin/ready?x=1", False),
@@ -241,8 +246,8 @@
     ):
         with tier_api.ready_server(is_ready) as address:
             sent = request(f"GET {path} HTTP/1.1")
-            found[name] = [shown(sent), exchange(address, sent)]
-    return found
+            transcript[name] = [mask_varying(sent), exchange(address, sent)]
+    return transcript
 
 
 # The platform's list
@@ -258,8 +263,8 @@
 
 
 def platform_transcript() -> dict[str, Any]:
-    """What is asked of the platform for its list, and what is made of its pages."""
-    engine = {
+    """Return the requests for the platform's list, and the records that result from its pages."""
+    full_receiver = {
         "id": "i-1",
         "backend": "engines",
         "address": "10.1.0.9:8081",
@@ -269,10 +274,10 @@
         "cold_left_ms": 812.5,
         "generation": "v2",
     }
-    least = {"id": "i-2", "backend": "plain", "address": "10.1.0.10:8081"}
+    minimal_receiver = {"id": "i-2", "backend": "plain", "address": "10.1.0.10:8081"}
     pages = {
-        "one page": [_page(engine, least)],
-        "two pages": [_page(engine, next_token="a b/\u00e4?"), _page(least, next_token="")],
+        "one page": [_page(full_receiver, minimal_receiver)],
+        "two pages": [_page(full_receiver, next_token="a b/\u00e4?"), _page(minimal_receiver, next_token="")],
         "nobody": [_page()],
         "over its rate": [_status("429 Too Many Requests")],
         "redirect": [b"HTTP/1.1 302 Found\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n"],
@@ -280,13 +285,13 @@
         "no object": [b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"],
         "entry without id": [_page({"backend": "plain"})],
     }
-    found = {}
-    for name, answers in pages.items():
-        server = ScriptedServer(*answers)
-        with scripted(server) as (address,):
+    transcript = {}
+    for name, responses in pages.items():
+        server = ScriptedServer(*responses)
+        with running(server) as (address,):
             records = tier_api.read_platform(address)
-        found[name] = {"records": records, "requests": server.requests}
-    return found
+        transcript[name] = {"records": records, "requests": server.requests}
+    return transcript
 
 
 # Clients and receivers
@@ -294,7 +299,7 @@
 _SIGNED = b"X-Dewpin-Request-Id: {id}\r\nX-Dewpin-Response-Signature: signed\r\n"
 
 
-def _answer(body: bytes = b"done", status: bytes = b"200 OK", fields: bytes = b"", head: bytes = _SIGNED) -> bytes:
+def _response(body: bytes = b"done", status: bytes = b"200 OK", fields: bytes = b"", head: bytes = _SIGNED) -> bytes:
     return b"HTTP/1.1 %b\r\n%b%bContent-Length: %d\r\n\r\n%b" % (status, head, fields, len(body), body)
 
 
@@ -308,7 +313,7 @@
 
 
 _EVENTS = b"Content-Type: text/event-stream\r\n"
-_REFUSAL = _answer(b"", b"503 Service Unavailable", b"X-Dewpin-Not-Executed: 1\r\nRetry-After: 1\r\n", head=b"")
+_REJECTION = _response(b"", b"503 Service Unavailable", b"X-Dewpin-Not-Executed: 1\r\nRetry-After: 1\r\n", head=b"")
 _ID = "X-Dewpin-Request-Id: r-1"
 
 
@@ -329,40 +334,54 @@
     return {"generation": 1, "routes": [route], "services": [service], "limits": limits}
 
 
-_ONCE = {"kind": "non_idempotent", "retries": 0}
+_NON_IDEMPOTENT = {"kind": "non_idempotent", "retries": 0}
 _STREAM = {"kind": "stream", "resumable": True}
 _POST = "POST /work HTTP/1.1"
 
 
 def _client_cases() -> dict[str, tuple[dict[str, Any] | None, list[bytes | None], list[bytes], str]]:
-    """By name: the configuration, the answers of the receivers (two, where there are several answers), the client's
-    requests, how the stores fail."""
-    turn = ("X-Dewpin-Token-Usage: 10, 20", "Program: p-1", "Budget: 100")
-    hops = ("Connection: keep-alive, X-Hop", "X-Hop: 1", "Keep-Alive: timeout=1", "TE: trailers", "Upgrade: h2c")
-    passed = ("X-Many: a", "X-Many: b", "Accept-Encoding: gzip", "User-Agent: client", "Expect-Version: v1")
-    own = ("X-Dewpin-Request-Deadline: 1500", "X-Dewpin-Target-Instance: other", "Priority: 2")
+    """Return by name: configuration, responses of the receivers, requests of the client, and fault of the stores.
+
+    There are two receivers if there are several responses.
+    """
+    budget_fields = ("X-Dewpin-Token-Usage: 10, 20", "Program: p-1", "Budget: 100")
+    hop_by_hop_fields = (
+        "Connection: keep-alive, X-Hop",
+        "X-Hop: 1",
+        "Keep-Alive: timeout=1",
+        "TE: trailers",
+        "Upgrade: h2c",
+    )
+    forwarded_fields = ("X-Many: a", "X-Many: b", "Accept-Encoding: gzip", "User-Agent: client", "Expect-Version: v1")
+    tier_fields = ("X-Dewpin-Request-Deadline: 1500", "X-Dewpin-Target-Instance: other", "Priority: 2")
     fields = b"X-Thing: a\r\nX-Thing: b\r\nConnection: X-Hop\r\nX-Hop: 1\r\nX-Dewpin-Server-Load: 1, 2, 3\r\n"
     return {
-        "get": (_routes(), [_answer()], [request("GET /a%2f..//b;c?q=%7E HTTP/1.1", _ID)], ""),
+        "get": (_routes(), [_response()], [request("GET /a%2f..//b;c?q=%7E HTTP/1.1", _ID)], ""),
         "post with all headers": (
             _routes(priority=3),
-            [_answer(b"done", b"201 Created", fields)],
+            [_response(b"done", b"201 Created", fields)],
             [
                 request(
-                    "PATCH /work HTTP/1.1", _ID, *hops, *passed, *own, "X-Dewpin-Session-Affinity: s-1", body=b"\0in"
+                    "PATCH /work HTTP/1.1",
+                    _ID,
+                    *hop_by_hop_fields,
+                    *forwarded_fields,
+                    *tier_fields,
+                    "X-Dewpin-Session-Affinity: s-1",
+                    body=b"\0in",
                 )
             ],
             "",
         ),
-        "post without priority": (_routes(priority=3), [_answer()], [request(_POST, _ID, body=b"in")], ""),
+        "post without priority": (_routes(priority=3), [_response()], [request(_POST, _ID, body=b"in")], ""),
         "chunked request": (
             _routes(),
-            [_answer()],
+            [_response()],
             [request(_POST, _ID, "Transfer-Encoding: chunked") + b"2\r\nin\r\n0\r\n\r\n"],
             "",
         ),
-        "empty body by length": (_routes(), [_answer(b"")], [request(_POST, _ID, "Content-Length: 0")], ""),
-        "head": (_routes(), [_answer(b"")], [request("HEAD /work HTTP/1.1", _ID)], ""),
+        "empty body by length": (_routes(), [_response(b"")], [request(_POST, _ID, "Content-Length: 0")], ""),
+        "head": (_routes(), [_response(b"")], [request("HEAD /work HTTP/1.1", _ID)], ""),
         "no content": (
             _routes(),
             [b"HTTP/1.1 204 No Content\r\n" + _SIGNED + b"\r\n"],
@@ -372,32 +391,32 @@
         "chunked answer": (_routes(), [_chunked(b"one", b"two")], [request(_POST, _ID)], ""),
         "two requests": (
             _routes(),
-            [_answer(b"one"), _answer(b"two")],
+            [_response(b"one"), _response(b"two")],
             [request(_POST, _ID), request(_POST, "X-Dewpin-Request-Id: r-2")],
             "",
         ),
-        "HTTP/1.0": (_routes(), [_answer()], [request("GET /work HTTP/1.0", _ID)], ""),
-        "client closes": (_routes(), [_answer()], [request(_POST, _ID, "Connection: close")], ""),
+        "HTTP/1.0": (_routes(), [_response()], [request("GET /work HTTP/1.0", _ID)], ""),
+        "client closes": (_routes(), [_response()], [request(_POST, _ID, "Connection: close")], ""),
         "server error": (
-            _routes(**_ONCE),
-            [_answer(b"why", b"500 Internal Server Error")],
+            _routes(**_NON_IDEMPOTENT),
+            [_response(b"why", b"500 Internal Server Error")],
             [request(_POST, _ID)],
             "",
         ),
         "unsigned answer": (
-            _routes(**_ONCE),
-            [_answer(head=b"X-Dewpin-Request-Id: {id}\r\n")],
+            _routes(**_NON_IDEMPOTENT),
+            [_response(head=b"X-Dewpin-Request-Id: {id}\r\n")],
             [request(_POST, _ID)],
             "",
         ),
         "answer to another": (
-            _routes(**_ONCE),
-            [_answer(head=b"X-Dewpin-Request-Id: x\r\n")],
+            _routes(**_NON_IDEMPOTENT),
+            [_response(head=b"X-Dewpin-Request-Id: x\r\n")],
             [request(_POST, _ID)],
             "",
         ),
-        "receiver closes": (_routes(**_ONCE), [None], [request(_POST, _ID)], ""),
-        "receiver refuses, then not": (_routes(), [_REFUSAL, _answer()], [request(_POST, _ID, body=b"in")], ""),
+        "receiver closes": (_routes(**_NON_IDEMPOTENT), [None], [request(_POST, _ID)], ""),
+        "receiver refuses, then not": (_routes(), [_REJECTION, _response()], [request(_POST, _ID, body=b"in")], ""),
         "stream": (
             _routes(**_STREAM),
             [_chunked(_event(1), _event(2), fields=_EVENTS)],
@@ -416,25 +435,25 @@
             [request(_POST, _ID, body=b"in")],
             "",
         ),
-        "no configuration": (None, [_answer()], [request(_POST, _ID)], ""),
-        "no id": (_routes(), [_answer()], [request(_POST)], ""),
-        "no route": (_routes(hostname="other.example"), [_answer()], [request(_POST, _ID)], ""),
-        "budget spent": (_routes(**_STREAM), [_answer()], [request(_POST, _ID, *turn)], "budget"),
+        "no configuration": (None, [_response()], [request(_POST, _ID)], ""),
+        "no id": (_routes(), [_response()], [request(_POST)], ""),
+        "no route": (_routes(hostname="other.example"), [_response()], [request(_POST, _ID)], ""),
+        "budget spent": (_routes(**_STREAM), [_response()], [request(_POST, _ID, *budget_fields)], "budget"),
         "turn unknown": (
             _routes(**_STREAM, retained=True),
-            [_answer()],
+            [_response()],
             [request(_POST, _ID, "Previous: t-0")],
             "turn",
         ),
-        "store unavailable": (_routes(**_STREAM), [_answer()], [request(_POST, _ID, *turn)], "store"),
-        "bad budget": (_routes(**_STREAM), [_answer()], [request(_POST, _ID, "Budget: x")], "store"),
-        "bad usage": (_routes(**_STREAM), [_answer()], [request(_POST, _ID, "Budget: 5")], "store"),
-        "malformed request": (_routes(), [_answer()], [b"GET / HTTP/1.1\r\nBad Field: 1\r\n\r\n"], ""),
-        "body too large": (_routes(), [_answer()], [request(_POST, _ID, "Content-Length: 101")], ""),
-        "headers too large": (_routes(), [_answer()], [request(_POST, _ID, "X-Long: " + "x" * 1100)], ""),
+        "store unavailable": (_routes(**_STREAM), [_response()], [request(_POST, _ID, *budget_fields)], "store"),
+        "bad budget": (_routes(**_STREAM), [_response()], [request(_POST, _ID, "Budget: x")], "store"),
+        "bad usage": (_routes(**_STREAM), [_response()], [request(_POST, _ID, "Budget: 5")], "store"),
+        "malformed request": (_routes(), [_response()], [b"GET / HTTP/1.1\r\nBad Field: 1\r\n\r\n"], ""),
+        "body too large": (_routes(), [_response()], [request(_POST, _ID, "Content-Length: 101")], ""),
+        "headers too large": (_routes(), [_response()], [request(_POST, _ID, "X-Long: " + "x" * 1100)], ""),
         "length and chunks": (
             _routes(),
-            [_answer()],
+            [_response()],
             [request(_POST, _ID, "Transfer-Encoding: chunked", "Content-Length: 2")],
             "",
         ),
@@ -442,17 +461,17 @@
 
 
 def client_transcript(name: str) -> dict[str, Any]:
-    """What a client sends and gets and what the receiver gets meanwhile, in the case of that name."""
-    configuration, answers, requests, fault = _client_cases()[name]
-    server = ScriptedServer(*answers)
-    servers = [server, ScriptedServer(beside=server)] if len(answers) > 1 else [server]
+    """Return what the client and the receiver send and receive in the case of that name."""
+    configuration, responses, requests, store_fault = _client_cases()[name]
+    server = ScriptedServer(*responses)
+    servers = [server, ScriptedServer(beside=server)] if len(responses) > 1 else [server]
     with ExitStack() as stack:
-        listed = stack.enter_context(scripted(*servers))
-        address = stack.enter_context(tier_api.sender(configuration, listed, fault))
-        answer = exchange(address, *requests)
-    return {"client": [shown(data) for data in requests], "receiver": server.requests, "answer": answer}
+        listed = stack.enter_context(running(*servers))
+        address = stack.enter_context(tier_api.sender(configuration, listed, store_fault))
+        response = exchange(address, *requests)
+    return {"client": [mask_varying(data) for data in requests], "receiver": server.requests, "answer": response}
 
 
 def client_cases() -> list[str]:
-    """The names of the cases."""
+    """Return the names of the cases."""
     return list(_client_cases())
