--- a/tests/capacity/test_capacity_fit.py
+++ b/tests/capacity/test_capacity_fit.py
@@ -1,4 +1,4 @@
-"""The fit of measured lines: known slopes, known errors, refusal of what gives no error."""
+"""Linear fit of measurements: slopes, standard errors, and rejection of data without a standard error."""
 
 import math
 
@@ -7,7 +7,7 @@
 from benchmarks.capacity.fit import Estimate, fit_line
 
 
-def test_points_on_a_line_give_it_without_error():
+def test_points_on_a_line_are_fitted_without_error():
     line = fit_line([(1, 5), (2, 7), (4, 11), (10, 23)])
     assert line.slope == pytest.approx(2)
     assert line.intercept == pytest.approx(3)
@@ -16,7 +16,7 @@
     assert line.at(350).error == pytest.approx(0, abs=1e-6)
 
 
-def test_the_errors_are_those_of_the_textbook():
+def test_standard_errors_match_textbook_formulas():
     line = fit_line([(0, 0), (1, 1), (2, 1), (3, 2)])
     # mean x 1.5, sum of squares 5; slope 0.6, intercept 0.1; residuals -0.1, 0.3, -0.3, 0.1: squares 0.2 over 2
     assert line.slope == pytest.approx(0.6)
@@ -27,18 +27,18 @@
     assert line.at(11.5).error == pytest.approx(math.sqrt(0.1 * (1 / 4 + 100 / 5)))
 
 
-def test_extrapolation_is_less_sure_than_the_middle():
+def test_standard_error_grows_with_extrapolation():
     line = fit_line([(0, 0), (1, 1), (2, 1), (3, 2)])
     assert line.at(100).error > line.at(4).error > line.at(1.5).error
 
 
 @pytest.mark.parametrize("points", [[], [(1, 1)], [(1, 1), (2, 2)], [(3, 1), (3, 2), (3, 3)]])
-def test_points_that_tell_no_error_are_refused(points):
+def test_points_without_standard_error_are_rejected(points):
     with pytest.raises(ValueError):
         fit_line(points)
 
 
-def test_errors_are_carried_through_arithmetic():
+def test_errors_propagate_through_arithmetic():
     a, b = Estimate(10, 3), Estimate(20, 4)
     assert (a + b) == Estimate(30, 5)
     assert (2 * a) == Estimate(20, 6)
--- a/tests/capacity/test_capacity_page.py
+++ b/tests/capacity/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The page writer: marked sections, verdicts, missing series, and the page at hand against its results."""
+"""The page writer: marked sections, verdicts, missing series, and the stored page against its results."""
 
 import pytest
 
@@ -33,7 +33,7 @@
     return Series(name, "title", "stand-in", "bytes", "time", "µs", points)
 
 
-def test_only_the_marked_text_is_replaced_and_writing_again_changes_nothing():
+def test_only_marked_sections_are_replaced_and_writing_again_changes_nothing():
     written = replace_sections(PAGE, {"a": "new\ntext", "b": "more"})
     assert written == (
         "before\n<!-- generated: a -->\nnew\ntext\n<!-- end: a -->\nbetween\n"
@@ -51,12 +51,12 @@
         "<!-- generated: a -->\n<!-- generated: a -->\n<!-- end: a -->",
     ],
 )
-def test_marks_that_do_not_fit_are_refused(page):
+def test_unmatched_section_marks_are_rejected(page):
     with pytest.raises(PageError):
         replace_section(page, "a", "text")
 
 
-def test_a_marked_section_that_nobody_writes_is_refused():
+def test_marked_section_without_content_is_rejected():
     with pytest.raises(PageError):
         replace_sections(PAGE, {"a": "text"})
 
@@ -73,11 +73,11 @@
         (None, 10, Verdict.NOT_MEASURED),
     ],
 )
-def test_a_verdict_asks_for_two_standard_errors(value, most, verdict):
+def test_verdict_requires_a_margin_of_two_standard_errors(value, most, verdict):
     assert Row("what", "how", value, "ms", "file", most).verdict() is verdict
 
 
-def test_quantities_are_told_with_their_units():
+def test_quantities_are_formatted_with_their_units():
     assert quantity(0.0163, "share") == "1.63%"
     assert quantity(128e6, "B") == "128 MB"
     assert quantity(10_250, "B/s") == "10.2 kB/s"
@@ -89,29 +89,29 @@
     assert estimate(Estimate(2), "ms") == "2 ms"
 
 
-def test_bars_in_cells_do_not_break_a_table():
+def test_vertical_bars_in_table_cells_are_escaped():
     assert markdown_table(("a",), [("x|y",)]) == "| a |\n| --- |\n| x\\|y |"
 
 
-def test_a_row_whose_series_is_missing_says_so():
+def test_row_without_its_series_is_marked_not_measured():
     context = Context(TARGET, ASSUMED, Results({}, {}))
     row = context.row("what", "how", lambda: context.at("encode", 1), "µs", "file", 5.0)
     assert row.value is None and row.verdict() is Verdict.NOT_MEASURED
 
 
-def test_a_row_takes_its_value_from_the_measured_line():
+def test_row_takes_its_value_from_the_fitted_line():
     context = Context(TARGET, ASSUMED, Results({"encode": series()}, {"encode": RUN}))
     row = context.row("what", "how", lambda: 2 * context.at("encode", 10), "µs", "file")
     assert row.value is not None and row.value.value == pytest.approx(42)
 
 
-def test_without_any_result_the_whole_page_can_be_written_and_no_figure_is_invented():
+def test_page_without_results_marks_figures_not_measured():
     written = sections(Results({}, {}), read_table(SWEEP))
     measured_rows = [line for line in written["sender-bytes"].splitlines() if "state-bytes" in line]
     assert measured_rows and all("not measured" in line for line in measured_rows)
 
 
-def test_the_table_of_a_sweep_is_read_with_its_lines():
+def test_sweep_table_is_parsed_and_fitted():
     processor, connections = read_table(SWEEP)
     assert processor.name == "control server: processor %"
     assert processor.middle == (6.3, 4.8, 3.6) and processor.busiest == (6.7, 5.4, 5.4)
@@ -122,61 +122,61 @@
 
 
 @pytest.mark.parametrize("digest", ["", "day own/srv", "     10    30    100  power\nnothing"])
-def test_what_is_no_sweep_is_refused(digest):
+def test_text_that_is_no_sweep_is_rejected(digest):
     with pytest.raises(SweepError):
         read_table(digest)
 
 
-def test_an_unfinished_sweep_is_refused(tmp_path):
+def test_unfinished_sweep_is_rejected(tmp_path):
     entry = tmp_path / "entry.json"
     entry.write_text('{"cmd": "sweep", "ok": false, "digest": ""}')
     with pytest.raises(SweepError):
         read_entry(entry)
 
 
-def test_results_come_back_as_they_were_saved(tmp_path):
-    held = Results({"encode": series()}, {"encode": RUN})
-    save(held, tmp_path / "results.json")
-    assert load(tmp_path / "results.json") == held
+def test_saved_results_are_loaded_unchanged(tmp_path):
+    results = Results({"encode": series()}, {"encode": RUN})
+    save(results, tmp_path / "results.json")
+    assert load(tmp_path / "results.json") == results
     assert load(tmp_path / "none.json") == Results({}, {})
 
 
-def test_a_series_measured_again_takes_the_place_of_the_old_one():
+def test_repeated_measurement_replaces_the_old_series():
     old = Results({"encode": series()}, {"encode": RUN})
-    anew = series(points=((1.0, 1.0), (2.0, 2.0), (3.0, 3.0)))
-    assert old.with_series(anew, RUN).series["encode"] is anew
-    assert old.series["encode"] is not anew
+    measured_again = series(points=((1.0, 1.0), (2.0, 2.0), (3.0, 3.0)))
+    assert old.with_series(measured_again, RUN).series["encode"] is measured_again
+    assert old.series["encode"] is not measured_again
 
 
-def test_rounds_go_over_all_points_in_turn():
-    seen = []
-    points = sample((1, 2), Effort(0, 2), lambda x: float(seen.append(x) or x * 10))
-    assert seen == [1, 2, 1, 2]
+def test_each_round_measures_all_points_in_order():
+    measured_at = []
+    points = sample((1, 2), Effort(0, 2), lambda x: float(measured_at.append(x) or x * 10))
+    assert measured_at == [1, 2, 1, 2]
     assert points == ((1.0, 10.0), (2.0, 20.0), (1.0, 10.0), (2.0, 20.0))
 
 
-def test_the_list_is_covered_figure_by_figure():
-    held = " ".join(entry.figure for entry in entries(TARGET))
+def test_every_figure_of_the_target_list_is_covered():
+    figures = " ".join(entry.figure for entry in entries(TARGET))
     for figure in (
         *("350 senders", "770 receivers", "3,100 accelerators", "1,600 requests", "520,000 tokens", "1.2 s", "77 ms"),
         *("95%", "24,000 programs", "100 turns", "500,000 tokens", "240 tenants", "7 models", "3 regions", "9 zones"),
         *("850 changes", "14 s", "1.6%", "128 MB", "10 kB/s", "5 machines", "6 failures", "150 restarts"),
         *("a rack", "a zone", "an hour"),
     ):
-        assert figure in held, figure
+        assert figure in figures, figure
 
 
-def test_the_figures_of_the_list_are_those_of_the_target():
+def test_figures_of_the_list_come_from_the_target():
     assert entries(Target(senders=351))[0].figure == "351 senders"
 
 
-def test_an_entry_that_names_no_row_is_an_error():
+def test_entry_with_unknown_row_is_an_error():
     entry = next(entry for entry in entries(TARGET) if entry.rows)
     with pytest.raises(KeyError):
         outcome(entry, {})
 
 
-def test_every_series_that_the_page_uses_is_measured_by_the_command():
+def test_every_stored_series_has_a_measurement():
     assert set(load(command.RESULTS).series) <= set(command.MEASURES)
 
 
@@ -187,11 +187,11 @@
         *("lease-bytes", "lease-answer-bytes", "hello-bytes"),
     ],
 )
-def test_sizes_are_measured_on_the_modules_as_they_are(name):
+def test_measured_sizes_grow_linearly(name):
     line = command.MEASURES[name](QUICK).line()
     assert line.slope > 0 and line.slope_error < 0.05 * line.slope
 
 
-def test_the_page_is_what_its_results_give():
-    again = "the results or a constant of a module changed: run python -m benchmarks.capacity --page"
-    assert command.write_page(load(command.RESULTS)) == command.PAGE.read_text(), again
+def test_page_matches_its_results():
+    hint = "the results or a constant of a module changed; run python -m benchmarks.capacity --page"
+    assert command.write_page(load(command.RESULTS)) == command.PAGE.read_text(), hint
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,20 +1,20 @@
-"""Settings of all tests: hypothesis draws the same examples in every run and has no deadline.
+"""Settings of all tests: Hypothesis generates the same examples in every run and has no deadline.
 
-KNOWN-RED.txt at the root lists tests that fail for a known fault. They run and are reported. The run fails if one of
-them passes, and if the list is malformed, too long or names a test that does not exist.
+KNOWN-RED.txt at the root lists tests that fail because of a known fault. They run and are reported as expected
+failures. The run fails if one of them passes, or if the list is malformed, too long or names a nonexistent test.
 """
 
 import pytest
 from hypothesis import settings
 
-settings.register_profile("same", derandomize=True, deadline=None, database=None)
-settings.load_profile("same")
+settings.register_profile("deterministic", derandomize=True, deadline=None, database=None)
+settings.load_profile("deterministic")
 
 MAX_KNOWN_RED = 3
 
 
 def parse_known_red(text):
-    """Return {test: (cause, issue)} from lines `test | cause | issue`; raises ValueError if the list is invalid."""
+    """Return {test: (cause, issue)} from lines `test | cause | issue`. Raises ValueError if the list is invalid."""
     rows = {}
     for number, line in enumerate(text.splitlines(), 1):
         parts = [part.strip() for part in line.split("|")]
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,25 +1,25 @@
-"""deploy/build and deploy/build-system: when they install. A stand-in for Python logs its command lines."""
+"""When deploy/build and deploy/build-system install dependencies. A fake Python logs its command lines."""
 
 import shutil
 import subprocess
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-STAND_IN = """#!/bin/sh
+FAKE_VENV_PYTHON = """#!/bin/sh
 case "$1" in -c) printf '%s\\n' "{version}";; *) echo "$*" >> "{log}";; esac
 """
-TIER_STAND_IN = """#!/bin/sh
+FAKE_SYSTEM_PYTHON = """#!/bin/sh
 case "$1" in
     -c) echo 3; exit;;
 esac
 echo "$*" >> "{log}"
 case "$*" in
-    *install*) test ! -e "{full}" && mkdir -p "{target}/deps-new";;
+    *install*) test ! -e "{failure_marker}" && mkdir -p "{target}/deps-new";;
 esac
 """
 
 
-def test_build_installs_when_the_lock_has_changed(tmp_path):
+def test_build_installs_when_the_lock_file_has_changed(tmp_path):
     (tmp_path / "deploy").mkdir()
     for name in ("build", "requirements.lock"):
         shutil.copy(ROOT / "deploy" / name, tmp_path / "deploy" / name)
@@ -27,51 +27,53 @@
     version = subprocess.run(
         ["python3", "-c", "import sys; print(sys.version)"], capture_output=True, text=True, check=True
     ).stdout.strip()
-    inside, log = tmp_path / ".venv/bin/python", tmp_path / "log"
-    inside.write_text(STAND_IN.format(version=version, log=log))
-    inside.chmod(0o755)
+    venv_python, log = tmp_path / ".venv/bin/python", tmp_path / "log"
+    venv_python.write_text(FAKE_VENV_PYTHON.format(version=version, log=log))
+    venv_python.chmod(0o755)
 
     def run_build():
         log.write_text("")
         subprocess.run(["sh", str(tmp_path / "deploy/build")], check=True, timeout=60)
         return ["install" in line for line in log.read_text().splitlines()]
 
-    assert run_build() == [True, False]  # an old .venv without a mark: install, then compile
-    assert run_build() == [False]  # the same lock again: compile alone
+    assert run_build() == [True, False]  # a .venv without a record of its lock file: install, then compile
+    assert run_build() == [False]  # unchanged lock file: compile only
     with open(tmp_path / "deploy/requirements.lock", "a") as lock:
         lock.write("# another dependency\n")
     assert run_build() == [True, False]
 
 
-def test_build_system_installs_when_the_lock_has_changed_or_the_last_build_failed(tmp_path):
+def test_build_system_installs_when_the_lock_file_has_changed_or_the_last_build_failed(tmp_path):
     (tmp_path / "deploy").mkdir()
     for name in ("build-system", "system-requirements.lock"):
         shutil.copy(ROOT / "deploy" / name, tmp_path / "deploy" / name)
-    stand_in, log = tmp_path / "bin/python3", tmp_path / "log"
-    stand_in.parent.mkdir()
-    stand_in.write_text(TIER_STAND_IN.format(log=log, target=tmp_path / "target", full=tmp_path / "disk-full"))
-    stand_in.chmod(0o755)
+    fake_python, log = tmp_path / "bin/python3", tmp_path / "log"
+    fake_python.parent.mkdir()
+    fake_python.write_text(
+        FAKE_SYSTEM_PYTHON.format(log=log, target=tmp_path / "target", failure_marker=tmp_path / "fail")
+    )
+    fake_python.chmod(0o755)
 
     def run_build(code=0):
         log.write_text("")
-        done = subprocess.run(
+        completed = subprocess.run(
             ["sh", str(tmp_path / "deploy/build-system")],
             timeout=60,
             capture_output=True,
-            env={"PATH": f"{stand_in.parent}:/usr/bin:/bin"},
+            env={"PATH": f"{fake_python.parent}:/usr/bin:/bin"},
         )
-        assert (done.returncode == 0) == (code == 0), done.stderr
+        assert (completed.returncode == 0) == (code == 0), completed.stderr
         return ["install" in line for line in log.read_text().splitlines()]
 
-    assert run_build() == [True, False, False]  # install, compile what was installed, compile the sources
+    assert run_build() == [True, False, False]  # install, compile the dependencies, compile the sources
     assert "--require-hashes" in (ROOT / "deploy/build-system").read_text()
     (tmp_path / "target/deps/old").write_text("")
-    assert run_build() == [False]  # the same lock again: compile the sources alone
+    assert run_build() == [False]  # unchanged lock file: compile the sources only
     with open(tmp_path / "deploy/system-requirements.lock", "a") as lock:
         lock.write("# another dependency\n")
-    (tmp_path / "disk-full").write_text("")
+    (tmp_path / "fail").write_text("")
     assert run_build(code=1) == [True]
-    (tmp_path / "disk-full").unlink()
+    (tmp_path / "fail").unlink()
     assert (tmp_path / "target/deps/old").exists()
     assert run_build() == [True, False, False]
     assert not (tmp_path / "target/deps/old").exists()
@@ -89,7 +91,7 @@
     assert stores == ["store"] and served == {"front", "store", "control"}
 
 
-def test_locks_have_every_dependency_with_its_hash():
+def test_lock_files_pin_every_dependency_by_hash():
     import tomllib
 
     metadata = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
@@ -99,12 +101,12 @@
     )
     for requirement in metadata["dependencies"]:
         name = requirement.partition(">")[0]
-        line = next(one for one in runtime.splitlines() if one.startswith(name + "=="))
-        assert line in dev  # the checks run what the sender runs
+        line = next(row for row in runtime.splitlines() if row.startswith(name + "=="))
+        assert line in dev  # the checks use the sender's dependency versions
     for requirement in metadata["optional-dependencies"]["tier"]:
         name = requirement.partition(">")[0]
-        line = next(one for one in tier.splitlines() if one.startswith(name + "=="))
-        assert line in dev  # the checks run what the tier runs
+        line = next(row for row in tier.splitlines() if row.startswith(name + "=="))
+        assert line in dev  # the checks use the tier's dependency versions
     for requirement in metadata["optional-dependencies"]["dev"]:
         name = requirement.partition(">")[0].partition("[")[0]
         assert name == "dewpin" or f"\n{name}==" in "\n" + dev
--- a/tests/test_build_lock.py
+++ b/tests/test_build_lock.py
@@ -1,7 +1,7 @@
 """deploy/build and deploy/build-system: one build of a checkout at a time, and recovery from an interrupted build.
 
-Stand-ins for Python log their command lines and install nothing. The installation of the first build lasts until the
-test lets it continue; another one that begins meanwhile logs that and fails.
+A fake Python logs the steps and installs nothing. An installation blocks until the test continues it; one that starts
+while another is running logs `overlap` and fails.
 """
 
 import os
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 LOCKS = {"build": "requirements.lock", "build-system": "system-requirements.lock"}
 TIMEOUT_S = 60
-INSTALLER = """#!/bin/sh
+FAKE_PYTHON = """#!/bin/sh
 cd "{root}"
 case "$*" in
     *"import pip"*) test -e .venv/pip && echo 3;;
@@ -23,8 +23,8 @@
     *venv*) rm -rf .venv; mkdir -p .venv/bin; cp "{python}" .venv/bin/python; touch .venv/pip; echo venv >> log;;
     *install*)
         mkdir installing || {{ echo overlap >> log; exit 1; }}
-        echo begun > begun
-        read -r _ < go-on
+        echo started > started
+        read -r _ < continue
         mkdir -p target/deps-new
         rmdir installing
         echo installed >> log;;
@@ -33,7 +33,7 @@
 
 
 class Checkout:
-    """A copy of the build scripts whose Python is the stand-in above, and the builds that were started in it."""
+    """A copy of the build scripts with the fake Python, and the builds that were started in it."""
 
     def __init__(self, root: Path):
         self.root = root
@@ -42,14 +42,14 @@
             shutil.copy(ROOT / "deploy" / name, root / "deploy" / name)
         self.python = root / "bin/python3"
         self.python.parent.mkdir()
-        self.python.write_text(INSTALLER.format(root=root, python=self.python))
+        self.python.write_text(FAKE_PYTHON.format(root=root, python=self.python))
         self.python.chmod(0o755)
-        self.pipes = {name: self.create_pipe(name) for name in ("begun", "go-on")}
+        self.pipes = {name: self.create_pipe(name) for name in ("started", "continue")}
         self.builds = []
 
     def create_pipe(self, name):
         os.mkfifo(self.root / name)
-        return os.open(self.root / name, os.O_RDWR)  # so that neither end blocks until the other one opens it
+        return os.open(self.root / name, os.O_RDWR)  # with O_RDWR open() does not wait for the other end
 
     def start(self, script):
         command = ["sh", str(self.root / "deploy" / script)]
@@ -58,11 +58,11 @@
         return self.builds[-1]
 
     def wait_for_installation(self):
-        assert is_readable(self.pipes["begun"]), "no installation began"
-        os.read(self.pipes["begun"], 100)
+        assert is_readable(self.pipes["started"]), "no installation started"
+        os.read(self.pipes["started"], 100)
 
     def finish_installation(self):
-        os.write(self.pipes["go-on"], b"go on\n")
+        os.write(self.pipes["continue"], b"continue\n")
 
     def steps(self):
         return (self.root / "log").read_text().split()
@@ -72,13 +72,13 @@
             build.kill()
             build.wait()
             build.stderr.close()
-        os.write(self.pipes["go-on"], b"go on\n" * len(self.builds))  # so that a stand-in that outlived its build ends
+        os.write(self.pipes["continue"], b"continue\n" * len(self.builds))  # ends a fake Python that outlived its build
         for pipe in self.pipes.values():
             os.close(pipe)
 
 
-def is_readable(stream, wait_s=TIMEOUT_S):
-    return select.select([stream], [], [], wait_s)[0]
+def is_readable(stream, timeout_s=TIMEOUT_S):
+    return select.select([stream], [], [], timeout_s)[0]
 
 
 @pytest.fixture
@@ -94,7 +94,7 @@
     checkout.wait_for_installation()
     second = checkout.start(script)
     assert is_readable(second.stderr) and "waiting for it" in second.stderr.readline(), "the second build does not wait"
-    assert not is_readable(checkout.pipes["begun"], wait_s=0.2), "the second build does not wait"
+    assert not is_readable(checkout.pipes["started"], timeout_s=0.2), "the second build does not wait"
     checkout.finish_installation()
     assert [build.wait(TIMEOUT_S) for build in (first, second)] == [0, 0]
     assert checkout.steps() == steps
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: its tests run and are reported, and any other failure fails the run."""
+"""KNOWN-RED.txt: the listed tests run and are reported as expected failures; any other failure fails the run."""
 
 import shutil
 import subprocess
@@ -8,7 +8,7 @@
 import pytest
 
 TESTS_FOLDER = Path(__file__).parent
-TESTS = """
+TEST_MODULE = """
 def test_red():
     assert False
 
@@ -22,12 +22,12 @@
 
 
 def run_pytest(folder, known_red, *arguments):
-    (folder / "test_one.py").write_text(TESTS)
+    (folder / "test_one.py").write_text(TEST_MODULE)
     (folder / "KNOWN-RED.txt").write_text(known_red)
     (folder / "pyproject.toml").write_text("[tool.pytest.ini_options]\naddopts = '-q -rfExX -p no:cacheprovider'\n")
     shutil.copy(TESTS_FOLDER / "conftest.py", folder)
-    done = subprocess.run([sys.executable, "-m", "pytest", *arguments], cwd=folder, capture_output=True, text=True)
-    return done.returncode, done.stdout + done.stderr
+    completed = subprocess.run([sys.executable, "-m", "pytest", *arguments], cwd=folder, capture_output=True, text=True)
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 def test_listed_failure_is_reported_and_does_not_fail_the_run(tmp_path):
@@ -38,9 +38,9 @@
 @pytest.mark.parametrize(
     "known_red, expected",
     [
-        (ROW % "red" + ROW % "green", "XPASS(strict)"),  # one that passes must leave the list
+        (ROW % "red" + ROW % "green", "XPASS(strict)"),  # a listed test that passes
         ("", "FAILED test_one.py::test_red"),
-        (ROW % "red" + ROW % "broken", "FAILED test_one.py::test_broken"),  # it fails by another fault
+        (ROW % "red" + ROW % "broken", "FAILED test_one.py::test_broken"),  # fails with an error, not an assertion
         (ROW % "red" + ROW % "gone", "there is no test_one.py::test_gone"),
         (ROW % "red" * 2, "named twice"),
         ("test_one.py::test_red | a cause\n", "expected `test | cause | issue`"),
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[1]
-ALLOWED_IMPORTS = {  # a package: the packages of ours that it may import
+ALLOWED_IMPORTS = {  # package: the packages of dewpin that it may import
     "core": set(),
     "lab": {"peers"},
     "peers": set(),
@@ -29,10 +29,10 @@
     "controlplane": {"cluster", "consensus"},
     "dataplane": {"cluster", "consensus"},
     "standin": {"cluster"},
-    "tier_cli": {"cluster", "controlplane"},  # the recovery of a register works on a control server's disk
+    "tier_cli": {"cluster", "controlplane"},  # register recovery writes a control server's storage
 }
 TIER = ("cluster", "consensus", "controlplane", "dataplane", "standin", "tier_cli")
-# A package: its sub-packages and modules from the bottom up; each may import only what stands before it.
+# Package: its layers, lowest first. A layer may import only the layers before it.
 SUBPACKAGES = {
     "controlplane": (
         "storage",
@@ -104,10 +104,10 @@
     present = {path.stem for path in folder.iterdir() if path.suffix == ".py" or (path / "__init__.py").exists()}
     assert present - {"__init__"} == set(layers)
     for path in folder.rglob("*.py"):
-        own = path.relative_to(folder).parts[0].removesuffix(".py")
+        subpackage = path.relative_to(folder).parts[0].removesuffix(".py")
         for name in imports(path):
-            if name[:2] == ["dewpin", package] and len(name) > 2 and name[2] != own:
-                assert layers.index(name[2]) < layers.index(own), f"{path}: {'.'.join(name)}"
+            if name[:2] == ["dewpin", package] and len(name) > 2 and name[2] != subpackage:
+                assert layers.index(name[2]) < layers.index(subpackage), f"{path}: {'.'.join(name)}"
 
 
 def test_every_package_has_allowed_imports():
@@ -115,13 +115,13 @@
     assert packages <= set(ALLOWED_IMPORTS)
 
 
-def test_whole_program_is_formatted_described_and_strictly_typed():
+def test_all_packages_are_formatted_documented_and_strictly_typed():
     tool = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]
     ruff = tool["ruff"]
-    unformatted = [*ruff.get("format", {}).get("exclude", []), *ruff["extend-exclude"]]
+    excluded = [*ruff.get("format", {}).get("exclude", []), *ruff["extend-exclude"]]
     for package in ALLOWED_IMPORTS:
         for name in (f"dewpin/{package}/one.py", f"tests/{package}/one.py"):
-            assert not [pattern for pattern in unformatted if fnmatch.fnmatch(name, pattern)]
+            assert not [pattern for pattern in excluded if fnmatch.fnmatch(name, pattern)]
     assert {"N", "D100", "D101", "D102", "D103", "D104"} <= set(ruff["lint"]["select"])
     exempt = {pattern for pattern, rules in ruff["lint"]["per-file-ignores"].items() if {"N", "D"} & set(rules)}
     assert exempt == {"!{dewpin,benchmarks/capacity}/**"}
@@ -129,14 +129,14 @@
     assert "dewpin.*" in strict["module"] and tool["mypy"]["overrides"] == [strict]
 
 
-def test_tier_programs_do_not_load_the_command_lines_libraries():
+def test_tier_programs_do_not_load_libraries_of_the_command_line():
     program = (
         "import sys\nfrom dewpin.cluster import configuration, errors, logs, settings\n"
         "print(sorted({name.partition('.')[0] for name in sys.modules} & "
         "{'click', 'typer', 'rich', 'structlog', 'pythonjsonlogger', 'urllib3', 'hypothesis', 'pytest'}))"
     )
-    done = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]", done.stdout
+    completed = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() == "[]", completed.stdout
 
 
 def test_message_sender_loads_no_unused_library():
@@ -146,16 +146,16 @@
         "print(sorted({name.partition('.')[0] for name in sys.modules} & "
         "{'click', 'rich', 'tomllib', 'numpy', 'hypothesis', 'pytest', 'json'}))"
     )
-    done = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout.strip() in ("[]", "['json']"), done.stdout  # structlog needs json
+    completed = subprocess.run([sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert completed.stdout.strip() in ("[]", "['json']"), completed.stdout  # structlog needs json
 
 
-def test_policy_lists_exactly_the_deciding_modules_of_core():
+def test_policy_lists_exactly_the_decision_modules_of_core():
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     modules = {str(path.relative_to(ROOT)) for path in (ROOT / "dewpin/core").rglob("*.py")}
-    facts = {"dewpin/core/__init__.py", "dewpin/core/model.py"}
+    data_modules = {"dewpin/core/__init__.py", "dewpin/core/model.py"}
     assert len(deploy["policy"]) == len(set(deploy["policy"]))
-    assert set(deploy["policy"]) == modules - facts
+    assert set(deploy["policy"]) == modules - data_modules
     assert all((ROOT / name).exists() for name in deploy["policy"] + deploy["node"])
 
 
@@ -168,15 +168,15 @@
                 assert name[2] == "dispatcher", f"{path}: {'.'.join(name)}"
 
 
-MUTUAL_IMPORTS = {
-    # a message, its destination and its receivers have slots for what the dispatcher keeps with each, and that refers
-    # back to them: the types name each other, the modules don't import each other when they run
+ALLOWED_IMPORT_CYCLES = {
+    # messages, destinations and receivers have slots for the dispatcher's state, which refers back to them; these
+    # imports are for type checking only and do not occur at run time
     frozenset(
         f"dewpin.core.{name}"
         for name in ("call", "destination_limits", "destination_queue", "message_state", "model", "receiver_health")
     ),
 }
-"""Groups of modules that may name each other."""
+"""Groups of modules that may import each other for type checking."""
 
 
 def module_name(path):
@@ -184,7 +184,7 @@
 
 
 def imported_modules(path, known):
-    """The modules that a module imports, for its types alone too: the longest known part of each name."""
+    """Return the modules that a module imports, also for type checking: the longest known prefix of each name."""
     found = set()
     for name in imports(path):
         parts = [".".join(name[:length]) for length in range(len(name), 0, -1)]
@@ -192,26 +192,26 @@
     return found - {module_name(path)}
 
 
-def mutual_imports(graph):
-    """The groups of modules that import each other, also in a circle."""
-    reached = {module: set(targets) for module, targets in graph.items()}
-    for middle in graph:  # Warshall's closure
-        for targets in reached.values():
+def import_cycles(graph):
+    """Return the groups of modules that import each other, directly or indirectly."""
+    reachable = {module: set(targets) for module, targets in graph.items()}
+    for middle in graph:  # transitive closure by Warshall's algorithm
+        for targets in reachable.values():
             if middle in targets:
-                targets |= reached[middle]
+                targets |= reachable[middle]
     return {
-        frozenset(other for other in targets if module in reached[other])
-        for module, targets in reached.items()
+        frozenset(other for other in targets if module in reachable[other])
+        for module, targets in reachable.items()
         if module in targets
     }
 
 
-def test_no_modules_import_each_other():
+def test_import_cycles_are_the_allowed_ones():
     paths = {module_name(path): path for path in (ROOT / "dewpin").rglob("*.py")}
     graph = {name: imported_modules(path, paths) for name, path in paths.items()}
-    assert mutual_imports(graph) == MUTUAL_IMPORTS
+    assert import_cycles(graph) == ALLOWED_IMPORT_CYCLES
 
 
-def test_circle_of_imports_is_found():
+def test_import_cycle_is_found():
     graph = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}, "e": set()}
-    assert mutual_imports(graph) == {frozenset("abc")}
+    assert import_cycles(graph) == {frozenset("abc")}
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs as it is printed, and its layout names every package."""
+"""The README's example runs as printed, and its table of packages is complete."""
 
 import re
 from pathlib import Path
@@ -9,12 +9,12 @@
 
 def test_dispatcher_example_runs_as_printed():
     (example,) = re.findall(r"^```python\n(.*?)^```", README, re.DOTALL | re.MULTILINE)
-    names = {}
-    exec(example, names)
-    assert names["result"].decision is names["Decision"].RELAYED
+    namespace = {}
+    exec(example, namespace)
+    assert namespace["result"].decision is namespace["Decision"].RELAYED
 
 
-def test_layout_names_every_package_and_no_other():
-    named = set(re.findall(r"^\| `dewpin/(\w+)/` \|", README, re.MULTILINE))
+def test_package_table_lists_every_package_and_no_other():
+    listed = set(re.findall(r"^\| `dewpin/(\w+)/` \|", README, re.MULTILINE))
     packages = {path.parent.name for path in (ROOT / "dewpin").glob("*/__init__.py")}
-    assert named == packages
+    assert listed == packages
