--- a/tests/scripted/__init__.py
+++ b/tests/scripted/__init__.py
@@ -1,5 +1,5 @@
-"""Parts of the tier in one process of tests, call by call: a clock that jumps, disks in memory, scripted links.
+"""Components of the tier in one test process: a virtual clock, storage in memory, and a network with scripted faults.
 
-Calls are carried whole, so a test says in a line what happens to one of them. What goes over connections, byte by byte
-and with drawn faults, is simulated in `tests/simulation`.
+The unit of the network is a whole call, so that a test decides about a single call in one line. Connections with
+their bytes and random faults are simulated in `tests/simulation`.
 """
--- a/tests/scripted/disk.py
+++ b/tests/scripted/disk.py
@@ -1,4 +1,4 @@
-"""Disks in memory: databases with the tier's schema that are full, slow or silent when a test says so."""
+"""Storage in memory: databases with the tier's schema that a test can make full, slow, failing or unresponsive."""
 
 import asyncio
 import sqlite3
@@ -7,11 +7,11 @@
 from dewpin.controlplane.storage.schema import migrate
 
 FOREVER_S = 1e6
-NO_ROOM = "database or disk is full"
+DISK_FULL = "database or disk is full"
 
 
 class MemoryDisk:
-    """A storage that runs each transaction at once. `full`: a transaction that changes something fails."""
+    """A storage that runs each transaction immediately. `full`: transactions that change a row fail."""
 
     def __init__(self):
         self.connection = sqlite3.connect(":memory:", isolation_level=None, check_same_thread=False)
@@ -24,7 +24,7 @@
         try:
             result = work(self.connection)
             if self.full and self.connection.total_changes != self._changes:
-                raise StorageError(NO_ROOM)
+                raise StorageError(DISK_FULL)
             self.connection.execute("COMMIT")
             return result
         except BaseException:
@@ -35,7 +35,7 @@
 
 
 class Disk(MemoryDisk):
-    """Rows of one machine. `fails`: writes raise; `stalls`: nothing returns; `delay_s`: how long each call takes."""
+    """The storage of one machine. `fails`: writes raise; `stalls`: no call returns; `delay_s`: time per call."""
 
     def __init__(self, incarnation="one"):
         super().__init__()
@@ -48,7 +48,7 @@
     async def write(self, statements):
         await self._wait()
         if self.fails:
-            raise StorageError(NO_ROOM)
+            raise StorageError(DISK_FULL)
         self.writes += 1
         self.connection.execute("BEGIN")
         for sql, values in statements:
--- a/tests/scripted/network.py
+++ b/tests/scripted/network.py
@@ -1,4 +1,4 @@
-"""A network that carries calls whole between processes of one test, with links that are cut."""
+"""A network that delivers whole calls between the processes of a test, with links that can be cut."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 FOREVER_S = 1e6
 
 
-def over_the_wire(message):
-    """A message as the other side reads it."""
-    (read,) = Decoder().feed(encode(message))
-    return read
+def encode_and_decode(message):
+    """Return a message as its recipient decodes it."""
+    (decoded,) = Decoder().feed(encode(message))
+    return decoded
 
 
 class Network:
-    """Carries calls between addresses."""
+    """Delivers calls between addresses."""
 
     def __init__(self):
         self.handlers = {}
@@ -28,19 +28,19 @@
         self.on_call = lambda source, target, message: None
 
     def cut(self, *addresses):
-        """Cuts these off from all others."""
-        for one in addresses:
-            self.cuts |= {frozenset((one, other)) for other in self.handlers if other not in addresses}
+        """Cut the links between these and all other addresses."""
+        for address in addresses:
+            self.cuts |= {frozenset((address, other)) for other in self.handlers if other not in addresses}
 
     def cut_one_way(self, *sources):
-        """Lets nothing out from these to any other; what the others send still arrives."""
-        for one in sources:
-            self.one_way_cuts |= {(one, other) for other in self.handlers if other not in sources}
+        """Cut the links from these to all other addresses; messages in the other direction still arrive."""
+        for address in sources:
+            self.one_way_cuts |= {(address, other) for other in self.handlers if other not in sources}
 
     def cut_inwards(self, *targets):
-        """Lets nothing in to these from any other; what they send still arrives."""
-        for one in targets:
-            self.one_way_cuts |= {(other, one) for other in self.handlers if other not in targets}
+        """Cut the links from all other addresses to these; messages in the other direction still arrive."""
+        for address in targets:
+            self.one_way_cuts |= {(other, address) for other in self.handlers if other not in targets}
 
     def join(self):
         self.cuts.clear()
@@ -56,45 +56,45 @@
 
 
 class Client:
-    """The calls of one process. A subclass says what befalls a call on its way and its answer on the way back."""
+    """The calls of one process. Subclasses override what happens to a call and to its reply on the way."""
 
     def __init__(self, network, source):
         self.network = network
         self.source = source
 
     async def call(self, address, message, timeout_s):
-        message = over_the_wire(message)
+        message = encode_and_decode(message)
         self.network.calls.append((self.source, address, message["type"]))
         self.network.on_call(self.source, address, message)
         try:
-            return over_the_wire(await asyncio.wait_for(self._call(address, message), timeout_s))
+            return encode_and_decode(await asyncio.wait_for(self._call(address, message), timeout_s))
         except TimeoutError:
             raise RpcError("timeout", address) from None
 
     async def _call(self, address, message):
         await self.deliver(address, message)
-        answer = await self.handle(address, message)
+        reply = await self.handle(address, message)
         await self.bring_back(address, message)
-        if answer.get("type") == "error":
-            raise RpcError(answer["kind"], answer["detail"], answer)
-        return answer
+        if reply.get("type") == "error":
+            raise RpcError(reply["kind"], reply["detail"], reply)
+        return reply
 
     async def deliver(self, address, message):
         """Return once the call has arrived."""
         await self._travel(self.source, address)
 
     async def handle(self, address, message):
-        """Return what the process at `address` answers, a refusal as the message of its error."""
+        """Return the reply of the process at `address`, with an RpcError encoded as an error message."""
         handler = self.network.handlers.get(address, {}).get(message["type"])
         if handler is None:
             raise RpcError("connect", address)
         try:
             return await handler(message)
-        except RpcError as fault:
-            return over_the_wire({**fault.message, **error_message(fault.kind, fault.detail)})
+        except RpcError as error:
+            return encode_and_decode({**error.message, **error_message(error.kind, error.detail)})
 
     async def bring_back(self, address, message):
-        """Return once the answer has come back."""
+        """Return once the reply has arrived."""
         await self._travel(address, self.source)
 
     async def _travel(self, source, target):
--- a/tests/scripted/rated_links.py
+++ b/tests/scripted/rated_links.py
@@ -1,4 +1,4 @@
-"""Links of a rate: what a message's bytes cost in time."""
+"""Links with a bandwidth: the transfer time of a message depends on its size."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 
 class LinkNetwork(Network):
-    """Each machine's outgoing link carries `mbit` million bits a second, first come, first served; None: at once.
+    """A network in which each machine's outgoing link is a FIFO queue with `mbit` Mbit/s; None: no limit.
 
-    `compresses`: count what a connection between dewpin's processes carries, one compressed stream each way; else the
-    plain netstrings, as if nothing could be made shorter.
+    `compresses`: count the bytes of a compressed stream for each direction, as between dewpin's processes; otherwise
+    those of the plain netstrings, as if nothing could be compressed.
     """
 
     def __init__(self, compresses=False):
@@ -23,11 +23,11 @@
         self._streams = {}
         self.bytes = 0
         self.largest = 0
-        self.rates = {}  # by address, where a machine's link has a rate of its own
+        self.rates = {}  # by address, for links with a bandwidth of their own
         self.set_rate(None)
 
     def set_rate(self, mbit):
-        """Changes the rate; what waited for a link before is forgotten."""
+        """Set the bandwidth and clear the queues of all links."""
         self.mbit = mbit
         self._free_s = {}
 
@@ -42,7 +42,7 @@
         return len(stream.encode(frame))
 
     async def carry(self, source, target, message):
-        """Waits until the message has left the link and has arrived."""
+        """Wait until the link has sent the message and it has arrived."""
         mbit = self.rates.get(source, self.mbit)
         if mbit is None:
             return
@@ -56,7 +56,7 @@
 
 
 class LinkClient(Client):
-    """Calls over the links. A call that is given up still takes its time on the link."""
+    """Calls over the links. An abandoned call still uses the bandwidth of the links."""
 
     async def _call(self, address, message):
         if not self.network.reaches(self.source, address):
@@ -70,6 +70,6 @@
         handler = self.network.handlers.get(address, {}).get(message["type"])
         if handler is None or not self.network.reaches(self.source, address):
             raise RpcError("connect", address)
-        answer = await handler(message)
-        await self.network.carry(address, self.source, answer)
-        return answer
+        reply = await handler(message)
+        await self.network.carry(address, self.source, reply)
+        return reply
--- a/tests/scripted/registers.py
+++ b/tests/scripted/registers.py
@@ -1,4 +1,4 @@
-"""Members of the register on scripted links and disks."""
+"""Members of the register on a scripted network and storage in memory."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class Registers:
-    """Several members of the register, named by single letters that are their addresses as well."""
+    """Members of a register, named by single letters that are also their addresses."""
 
     def __init__(self, names="abc", members="abc"):
         self.network = Network()
@@ -33,7 +33,7 @@
             await self.members[name].bootstrap(self.initial_state)
 
     async def restart(self, name, wiped=False):
-        """Starts a member's process anew, from its disk or (under another id) from an empty one."""
+        """Start a member's process again, from its storage or (as a member with a new ID) from an empty one."""
         if wiped:
             self.disks[name] = Disk()
         self.members[name] = self._member(name)
--- a/tests/scripted/stores.py
+++ b/tests/scripted/stores.py
@@ -1,4 +1,4 @@
-"""Stores and senders on scripted links and disks in memory, with machines that are lost."""
+"""Stores and senders on a scripted network and storage in memory, with machine failures."""
 
 import asyncio
 import random
@@ -15,19 +15,19 @@
 
 
 def turn(name, previous=None, program="p", body=b"", retain_s=60.0):
-    """A turn whose input and output tell its name."""
+    """Return a turn whose input contains its name."""
     return Turn(name, program, previous, b"<" + name.encode() + body, b">", retain_s)
 
 
 def all_turns(machine):
-    """Every turn that a store holds, of whatever program."""
+    """Return all turns of a store."""
     connection = machine.disk.connection
     keys = connection.execute("SELECT turn, program FROM turns").fetchall()
     return turn_table.read_turns(connection, keys, 1 << 30).records
 
 
 class Machine:
-    """One store machine: its disk, the store that runs on it, and what its link does to calls."""
+    """A store machine: its storage, its store, and the faults of its link."""
 
     def __init__(self, world, name):
         self.world = world
@@ -37,7 +37,7 @@
         self.up = True
         self.frozen = False
         self.loses_answers = False
-        self.refuses = set()  # message types that never arrive
+        self.refuses = set()  # message types that are lost before they arrive
         self.delay_s = world.delay_s
         self.seen = []
         self.start_empty()
@@ -47,13 +47,13 @@
         return Member(self.store.member_id, self.address)
 
     def start_empty(self):
-        """Start with an empty disk, as a new incarnation."""
+        """Start with empty storage, as a new member."""
         self.lives += 1
         self.disk = MemoryDisk()
         self._start(f"{self.name}-{self.lives}")
 
     def restart(self):
-        """Start again on the same disk; the store knows no view until it has loaded or been told one."""
+        """Restart on the same storage; the store has no view until it loads or adopts one."""
         self._start(self.store.member_id)
 
     def _start(self, member_id):
@@ -70,7 +70,7 @@
 
 
 class Link(Client):
-    """The calls of one process to stores. A machine that is down refuses connects; one cut off or frozen is silent."""
+    """The calls of one process to stores. A machine that is down refuses connections; frozen and cut-off ones hang."""
 
     def __init__(self, world, source):
         super().__init__(world.network, source)
@@ -97,7 +97,7 @@
 
 
 class World:
-    """Store machines under a view, and senders that use them."""
+    """Store machines with a view, and senders that use them."""
 
     def __init__(self, names=("a", "b", "c"), losses=1, in_view=None, syncs=True, delay_s=0.001):
         self.count = 2 * losses + 1
@@ -122,7 +122,7 @@
         return self.machines[address.partition(":")[0]]
 
     def tell(self, view, names=None):
-        """Let stores adopt a view."""
+        """Let the stores adopt a view; `names`: only these."""
         self.view = view
         for name in names or self.machines:
             self.machines[name].store.adopt(view)
@@ -131,8 +131,8 @@
         return tuple(self.machines[name].member for name in names)
 
     def tell_locations(self, locations):
-        """Let the machines be in these places, as the next view tells it."""
-        stable = tuple(Member(one.id, one.address, locations[one.address[0]]) for one in self.view.stable)
+        """Set the locations of the machines, in a new view."""
+        stable = tuple(Member(member.id, member.address, locations[member.address[0]]) for member in self.view.stable)
         self.tell(StoreView(self.view.epoch + 1, stable, None))
 
     def client(self, name="sender", seed=1, location=""):
@@ -148,17 +148,19 @@
         return client
 
     async def hold_everywhere(self):
-        """Let every replica hold what any of them holds, as if the senders had asked them all."""
-        holders = [machine for machine in self.machines.values() if machine.member in self.view.stable]
-        for machine in holders:
-            records = [record for other in holders for record in all_turns(other)]
-            own = [record for record in records if self.view.holds(machine.member.id, record.program, self.count)]
-            await machine.disk.transact(lambda connection, own=own: turn_table.put(connection, own, self.wall_ms(), 0))
+        """Store every turn on all of its replicas, as if senders had reached each of them."""
+        replicas = [machine for machine in self.machines.values() if machine.member in self.view.stable]
+        for machine in replicas:
+            records = [record for other in replicas for record in all_turns(other)]
+            held = [record for record in records if self.view.holds(machine.member.id, record.program, self.count)]
+            await machine.disk.transact(
+                lambda connection, held=held: turn_table.put(connection, held, self.wall_ms(), 0)
+            )
 
     async def until(self, condition, timeout_s=10.0):
-        """Let time pass until `condition` holds."""
+        """Wait until `condition()` holds; fail after `timeout_s` seconds."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + timeout_s
         while not condition():
-            assert loop.time() < end_s, "it never came to that"
+            assert loop.time() < end_s, "the condition did not hold in time"
             await asyncio.sleep(0.01)
