--- a/tests/controlplane/test_catch_up.py
+++ b/tests/controlplane/test_catch_up.py
@@ -175,7 +175,7 @@
         await registers.begin()
         registers.network.cut("c")
         await registers.members["a"].propose(put(7, 0, 100_000), WAIT_S)
-        registers.network.join()
+        registers.network.restore_links()
         registers.network.down.add("b")
         await registers.members["a"].propose(successor, WAIT_S)
         registers.network.down = {"a"}
@@ -193,7 +193,7 @@
         registers.network.cut("c")
         state = await registers.members["a"].propose(put(7, 0, LONG), WAIT_S)
         await registers.members["b"].propose(read, WAIT_S)
-        registers.network.join()
+        registers.network.restore_links()
         registers.network.set_rate(86)
         offsets = []
 
@@ -244,7 +244,7 @@
         registers.network.cut("c")
         old = registers.members["a"].to_wire(await registers.members["a"].propose(put(7, 0, LONG), WAIT_S), ())
         await registers.members["a"].propose(put(8, 7, LONG), WAIT_S)
-        registers.network.join()
+        registers.network.restore_links()
         await registers.members["c"].adopt_chosen(ZERO_BALLOT, old, "a")
         return registers.members["c"].chosen["configuration"]["generation"]
 
--- a/tests/controlplane/test_change_history.py
+++ b/tests/controlplane/test_change_history.py
@@ -128,7 +128,7 @@
     async def scenario(registers):
         registers.network.cut("c")
         await make_changes(registers.members["a"], 1, last)
-        registers.network.join()
+        registers.network.restore_links()
         member = await registers.restart("c")
         assert member.chosen is None
         await member.propose(read, PROPOSE_TIMEOUT_S)
--- a/tests/controlplane/test_control_server.py
+++ b/tests/controlplane/test_control_server.py
@@ -71,7 +71,7 @@
         await asyncio.sleep(3.0)
         with pytest.raises(RpcError, match=ErrorKind.NO_QUORUM):
             await world.control_servers[3].handlers["lease.renew"](renewal())
-        world.network.join()
+        world.network.restore_links()
         return await world.until(lambda: world.generation(3) == 8)
 
     assert play(scene) < 1.0
@@ -83,7 +83,7 @@
         with pytest.raises(RegisterUnavailableError):
             await world.put(1, 7, 0)
         await world.put(2, 8, 0)
-        world.network.join()
+        world.network.restore_links()
         await world.until(lambda: world.generation(1) == 8)
         return world.generation(2), world.generation(3)
 
@@ -205,7 +205,7 @@
         world.cut_from_platform = {2, 3}
         await world.until(lambda: shows_drain(world, 1))
         world.platform_down = True
-        world.network.join()
+        world.network.restore_links()
         return await drain_known(world, (2, 3))
 
     assert play(scene) < 1.0
--- a/tests/controlplane/test_control_server_random.py
+++ b/tests/controlplane/test_control_server_random.py
@@ -79,7 +79,7 @@
         if kind == "cut":
             self.network.cut(self.address(number))
             await asyncio.sleep(rng.uniform(0.1, 4.0))
-            self.network.join()
+            self.network.restore_links()
         if kind == "freeze":
             self.network.down.add(self.address(number))
             await asyncio.sleep(rng.uniform(0.1, 4.0))
--- a/tests/controlplane/test_isolation.py
+++ b/tests/controlplane/test_isolation.py
@@ -62,7 +62,7 @@
         assert all(results) and results
         for other in {1, 2, 3} - {number}:
             assert await rejections(world, other) == [False, False]
-        world.network.join()
+        world.network.restore_links()
         recovery_s = await world.until(lambda: world.control_servers[number].freshness.is_current())
         assert world.generation(number) == 8
         return recovery_s
@@ -150,7 +150,7 @@
             for other in {1, 2, 3} - {number}:
                 assert await read_configuration(world, other) == (200, 8)
             assert await read_configuration(world, number) == ((200, 8) if how is None else (503, None))
-        world.network.join()
+        world.network.restore_links()
         await world.until(lambda: world.control_servers[number].freshness.is_current())
         assert await read_configuration(world, number) == (200, 8)
 
@@ -311,7 +311,7 @@
         world.freeze(1)
         await asyncio.sleep(frozen_s)
         members = world.members()
-        world.network.join()
+        world.network.restore_links()
         world.network.cuts = {frozenset((world.address(1), world.address(3)))}
         world.thaw(1)
         states = []
@@ -319,7 +319,7 @@
             await asyncio.sleep(0.01)
             states.append((world.members(), world.addresses(world.next_stores() or {}) or world.stores()))
             if len(states) == 60:
-                world.network.join()
+                world.network.restore_links()
         return members, states
 
     members, states = play(scenario)
@@ -388,7 +388,7 @@
         drain(world)
         await drain_known(world, (1, 2, 3))
         versions = [world.control_servers[number].list_reader.directory.version for number in (1, 2, 3)]
-        world.network.join()
+        world.network.restore_links()
         seen = []
         for _ in range(300):
             await asyncio.sleep(0.01)
--- a/tests/controlplane/test_ledger_copies.py
+++ b/tests/controlplane/test_ledger_copies.py
@@ -58,13 +58,13 @@
         world = World(names="abcd", in_view="abc", syncs=False)
         await accept(world, "abc", 3, BEFORE)
         await accept(world, "a", 5, RESERVED)
-        world.tell(StoreView(2, world.members("abc"), world.members("bcd")))
+        world.announce_view(StoreView(2, world.members("abc"), world.members("bcd")))
         await prepare(world, "bc", 7)
         await accept(world, "c", 7, SETTLED)
         await copy(world, b="c", d="c")
         if finished:
             await copy(world, c="b")
-            world.tell(StoreView(3, world.members("bcd")))
+            world.announce_view(StoreView(3, world.members("bcd")))
         first = world.client("first")
         cut(world, "first", "c")
         seen_first = await asyncio.wait_for(first.read_ledger("p"), 5.0)
@@ -110,10 +110,10 @@
     async def scene():
         world = World(names="abcde", in_view="abc", syncs=False)
         await accept(world, "ab", 5, RESERVED)
-        world.tell(StoreView(2, world.members("abc"), world.members("cde")))
+        world.announce_view(StoreView(2, world.members("abc"), world.members("cde")))
         await prepare(world, "abde", 9)
         await copy(world, c="b", d="b", e="b")
-        world.tell(StoreView(3, world.members("cde")))
+        world.announce_view(StoreView(3, world.members("cde")))
         reader = world.client("reader")
         cut(world, "reader", "c")
         assert await asyncio.wait_for(reader.read_ledger("p"), 5.0) == RESERVED
--- a/tests/controlplane/test_ledger_losses.py
+++ b/tests/controlplane/test_ledger_losses.py
@@ -56,10 +56,12 @@
 async def replace_lost(world, lost, newcomers):
     """Change the view from what was lost to the newcomers; return as soon as the change has ended."""
     names = [name for name in world.machines if world.machines[name].member in world.view.stable and name not in lost]
-    world.tell(StoreView(world.view.epoch + 1, world.view.stable, world.members([*names, *newcomers])), live(world))
+    world.announce_view(
+        StoreView(world.view.epoch + 1, world.view.stable, world.members([*names, *newcomers])), live(world)
+    )
     machines = [world.machines[name] for name in (*names, *newcomers)]
     await world.until(lambda: all(world.view.epoch in machine.synced for machine in machines))
-    world.tell(StoreView(world.view.epoch + 1, world.view.next), live(world))
+    world.announce_view(StoreView(world.view.epoch + 1, world.view.next), live(world))
 
 
 def live(world):
@@ -145,7 +147,7 @@
             world.machines[name].start_empty()
             world.machines[name].store.adopt(world.view)
         changing = StoreView(2, world.view.stable, world.members("abc"))
-        world.tell(changing)
+        world.announce_view(changing)
         await asyncio.sleep(30.0)
         assert all(2 not in machine.synced for machine in world.machines.values()), "no majority to copy from is left"
         reader = world.client("reader")
--- a/tests/controlplane/test_operator_changes.py
+++ b/tests/controlplane/test_operator_changes.py
@@ -70,7 +70,7 @@
     async def scene(registers):
         registers.network.cut("c")
         answers = await asyncio.gather(*(operator_status(registers.members[name], 7, 0) for name in "ca"))
-        registers.network.join()
+        registers.network.restore_links()
         return answers, await operator_status(registers.members["c"], 7, 0)
 
     assert run_scenario(scene) == ([503, 200], 200)
@@ -83,7 +83,7 @@
             operator_status(registers.members["c"], 7, 0, b"small side"),
             operator_status(registers.members["a"], 7, 0, b"great side"),
         )
-        registers.network.join()
+        registers.network.restore_links()
         await operator_status(registers.members["a"], 8, 7)
         return answers, await operator_status(registers.members["c"], 7, 0, b"small side")
 
@@ -193,7 +193,7 @@
             *(operator_status(registers.members["a"], 7 + n, 0, b"order %d" % n) for n in range(8))
         )
         took_s = clock() - began_s
-        registers.network.join()
+        registers.network.restore_links()
         member = registers.members["a"]
         after = [await operator_status(member, 7 + n, 0, b"order %d" % n) for n in range(8)]
         return answers, took_s, after
--- a/tests/controlplane/test_repeated_requests.py
+++ b/tests/controlplane/test_repeated_requests.py
@@ -163,9 +163,9 @@
         await client.wait_until_settled()
         monkeypatch.setattr(stores.Link, "_call", repeater.wrap(stores.Link._call))
         view = type(world.view)(2, world.view.stable, world.members("bcd"))
-        world.tell(view)
+        world.announce_view(view)
         await world.until(lambda: all(2 in world.machines[name].synced for name in "bcd"))
-        world.tell(type(world.view)(3, world.members("bcd"), None))
+        world.announce_view(type(world.view)(3, world.members("bcd"), None))
         world.machines["a"].up = False
         other = world.client("two", seed + 1)
         other.adopt(world.view)
--- a/tests/controlplane/test_senders_and_control_servers.py
+++ b/tests/controlplane/test_senders_and_control_servers.py
@@ -253,7 +253,7 @@
         await fleet.put(1, 8, 7)
         seen = await watched(fleet, CUT_S, lambda: (fleet.is_ready(1), agent.is_state_current()))
         assert seen == [(True, False)] * len(seen)
-        fleet.network.join()
+        fleet.network.restore_links()
         return await fleet.until(lambda: agent.is_state_current() and fleet.generations[1] == 8)
 
     assert play(2, scene) < APPLY_S
--- a/tests/controlplane/test_state_freshness_random.py
+++ b/tests/controlplane/test_state_freshness_random.py
@@ -147,7 +147,7 @@
         await asyncio.sleep(fault_duration_s)
         if kind == "freeze":
             fleet.thaw(number)
-        fleet.network.join()
+        fleet.network.restore_links()
         fleet.disks[number].delay_s = 0.0
         await asyncio.sleep(rng.uniform(0.0, 3.0))
 
--- a/tests/controlplane/test_store.py
+++ b/tests/controlplane/test_store.py
@@ -51,7 +51,7 @@
         world = World(syncs=False)
         store = world.machines["a"]
         older = world.view
-        world.tell(StoreView(older.epoch + 1, older.stable))
+        world.announce_view(StoreView(older.epoch + 1, older.stable))
         writes = [
             (wire.TURN_PUT, {"turns": [record("t").to_json()]}),
             (wire.LEDGER_PREPARE, {"program": "p", "ballot": [1, "s"]}),
@@ -96,7 +96,7 @@
     async def scene():
         world = World(names="abcd", in_view="abc", syncs=False)
         changing = StoreView(2, world.members("abc"), world.members("bcd"))
-        world.tell(changing, names="a")
+        world.announce_view(changing, names="a")
         await ask(world.machines["a"], wire.PULL_LEDGERS, changing, member="d-1", after="", most=10)
         world.machines["a"].restart()
         await world.machines["a"].store.load()
@@ -197,10 +197,10 @@
     """Lead the view from its stable members to those of `following`, as the register's owner does."""
     stable = world.view.stable
     changing = StoreView(world.view.epoch + 1, stable, world.members(following))
-    world.tell(changing)
+    world.announce_view(changing)
     await world.until(lambda: all(changing.epoch in world.machines[name].synced for name in following))
     await asyncio.sleep(pause_s)
-    world.tell(StoreView(changing.epoch + 1, world.members(following)))
+    world.announce_view(StoreView(changing.epoch + 1, world.members(following)))
 
 
 def test_replacing_all_stores_loses_nothing():
@@ -230,12 +230,12 @@
 def test_wiped_store_returns_as_another_member_and_copies_everything():
     async def scene():
         world = World()
-        world.machines["b"].refuses = {"turn.put"}
+        world.machines["b"].dropped_types = {"turn.put"}
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
         client.close()
         world.machines["a"].start_empty()
-        world.machines["b"].refuses = set()
+        world.machines["b"].dropped_types = set()
         await change_view(world, "abc")
         assert [turns_of(machine) for machine in world.machines.values()] == [{"t1"}] * 3
         world.machines["c"].up = False
@@ -251,7 +251,7 @@
         await client.store_turn(turn("t1"), 1.0)
         for name in "bc":
             world.machines[name].up = False
-        world.tell(StoreView(2, world.members("abc"), world.members("abd")))
+        world.announce_view(StoreView(2, world.members("abc"), world.members("abd")))
         await asyncio.sleep(30.0)
         assert 2 not in world.machines["d"].synced
         world.machines["b"].up = True
@@ -267,7 +267,7 @@
         client = world.client()
         for number in range(50):
             await client.store_turn(turn(f"t{number}", program=f"p{number}"), 1.0)
-        world.tell(StoreView(2, world.members("abc"), world.members("bcd")))
+        world.announce_view(StoreView(2, world.members("abc"), world.members("bcd")))
         world.machines["a"].frozen = True
         await world.until(lambda: 2 in world.machines["d"].synced, timeout_s=3.0)
         assert len(turns_of(world.machines["d"])) == 50
@@ -356,11 +356,11 @@
 def test_smaller_view_has_turns_that_a_remaining_store_had_missed():
     async def scene():
         world = World()
-        world.machines["c"].refuses = {"turn.put"}
+        world.machines["c"].dropped_types = {"turn.put"}
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
         client.close()
-        world.machines["c"].refuses = set()
+        world.machines["c"].dropped_types = set()
         await change_view(world, "bc")
         assert turns_of(world.machines["c"]) == {"t1"}
 
@@ -372,10 +372,10 @@
         world = World(names="abcde", in_view="abc")
         await world.client().store_turn(turn("t1"), 1.0)
         world.machines["a"].up = world.machines["b"].up = False
-        world.tell(StoreView(2, world.members("abc"), world.members("bcd")))
+        world.announce_view(StoreView(2, world.members("abc"), world.members("bcd")))
         await asyncio.sleep(1.0)
         world.machines["a"].up = world.machines["b"].up = True
-        world.tell(StoreView(3, world.members("abc"), world.members("cde")))
+        world.announce_view(StoreView(3, world.members("abc"), world.members("cde")))
         await world.until(lambda: 3 in world.machines["e"].synced and 3 in world.machines["d"].synced)
         assert 2 not in world.machines["d"].synced
         assert turns_of(world.machines["e"]) == {"t1"}
@@ -394,7 +394,7 @@
         client = world.client()
         for number in range(40):
             await client.store_turn(turn(f"t{number}", program=f"p{number}"), 1.0)
-        await world.hold_everywhere()
+        await world.copy_to_all_replicas()
         fetched = []
         for name in "abc":
             handlers = world.machines[name].store.handlers
--- a/tests/controlplane/test_store_copy.py
+++ b/tests/controlplane/test_store_copy.py
@@ -25,14 +25,14 @@
         await client.store_turn(turn(f"t{number:04}", program=f"p{number}", body=body), 1.0)
     await client.wait_until_settled()
     client.close()
-    await world.hold_everywhere()
+    await world.copy_to_all_replicas()
     return world
 
 
 def change(world):
     """Begin the change in which d takes the place of a."""
     world.machines["a"].up = False
-    world.tell(StoreView(world.view.epoch + 1, world.members("abc"), world.members("bcd")))
+    world.announce_view(StoreView(world.view.epoch + 1, world.members("abc"), world.members("bcd")))
 
 
 def bodies_of(machine):
@@ -145,7 +145,7 @@
         world.machines["d"].restart()
         del asked[:]
         asked.append("of the interrupted copy")
-        world.tell(StoreView(world.view.epoch + 1, world.members("abc"), world.members("bcd")))
+        world.announce_view(StoreView(world.view.epoch + 1, world.members("abc"), world.members("bcd")))
         await until_copied(world)
         assert kept.isdisjoint(asked)
         assert bodies_of(world.machines["d"]) == bodies_of(world.machines["b"])
--- a/tests/controlplane/test_store_faults.py
+++ b/tests/controlplane/test_store_faults.py
@@ -94,9 +94,9 @@
     machine.up = True
     following = world.members("abc")
     changing = StoreView(world.view.epoch + 1, world.view.stable, following)
-    world.tell(changing)
+    world.announce_view(changing)
     await world.until(lambda: all(changing.epoch in one.synced for one in world.machines.values()))
-    world.tell(StoreView(changing.epoch + 1, following))
+    world.announce_view(StoreView(changing.epoch + 1, following))
 
 
 @pytest.mark.parametrize("seed", range(16))
--- a/tests/controlplane/test_store_leaving.py
+++ b/tests/controlplane/test_store_leaving.py
@@ -36,7 +36,7 @@
 async def lead(world, following):
     """Begin a change of the view to these stores; machines that are down hear nothing of it."""
     changing = StoreView(world.view.epoch + 1, world.view.stable, world.members(following))
-    world.tell(changing, [name for name, machine in world.machines.items() if machine.up])
+    world.announce_view(changing, [name for name, machine in world.machines.items() if machine.up])
 
 
 async def finish(world, timeout_s=10.0):
@@ -44,7 +44,7 @@
     next_ids = world.view.next_ids
     machines = [machine for machine in world.machines.values() if machine.store.member_id in next_ids]
     await world.until(lambda: all(world.view.epoch in machine.synced for machine in machines), timeout_s)
-    world.tell(StoreView(world.view.epoch + 1, world.view.next))
+    world.announce_view(StoreView(world.view.epoch + 1, world.view.next))
 
 
 async def readable(world, program, name):
@@ -148,8 +148,8 @@
         await asyncio.sleep(0.2)
         newcomer.frozen = True
         others = "abc"
-        world.tell(StoreView(first + 1, world.view.stable, world.members("abc")), others)
-        world.tell(StoreView(first + 2, world.members("abc")), others)
+        world.announce_view(StoreView(first + 1, world.view.stable, world.members("abc")), others)
+        world.announce_view(StoreView(first + 2, world.members("abc")), others)
         await asyncio.sleep(5.0)
         newcomer.frozen = False
         world.cuts.clear()
--- a/tests/controlplane/test_system_register.py
+++ b/tests/controlplane/test_system_register.py
@@ -284,7 +284,7 @@
         with pytest.raises(RegisterUnavailableError):
             await member.propose(read, 1.0)
         assert member.chosen is None
-        registers.network.join()
+        registers.network.restore_links()
         return generation_of(await member.propose(read, PROPOSE_TIMEOUT_S))
 
     assert run(scenario()) == 8
@@ -358,7 +358,7 @@
         await registers.members["a"].propose(set_members({"a": "a", "b": "b", "d": "d"}, {}), PROPOSE_TIMEOUT_S)
         await registers.members["a"].propose(successor, PROPOSE_TIMEOUT_S)
         await registers.members["a"].propose(put(7, 0), PROPOSE_TIMEOUT_S)
-        registers.network.join()
+        registers.network.restore_links()
         registers.network.down = {"a", "d"}
         with pytest.raises(RegisterUnavailableError):
             await registers.members["c"].propose(put(8, 0), PROPOSE_TIMEOUT_S)
--- a/tests/dataplane/test_program_continuation.py
+++ b/tests/dataplane/test_program_continuation.py
@@ -27,7 +27,7 @@
         world.clock_ms += 59_000
         for machine in world.machines.values():
             machine.restart()
-        world.tell(world.view)
+        world.announce_view(world.view)
         for machine in world.machines.values():
             await machine.store.purge_batch()
         after = world.client("after")
--- a/tests/dataplane/test_quorum_round.py
+++ b/tests/dataplane/test_quorum_round.py
@@ -31,18 +31,18 @@
 
 
 def asked(world, kind="turn.put"):
-    return sorted(name for name, machine in world.machines.items() if kind in machine.seen)
+    return sorted(name for name, machine in world.machines.items() if kind in machine.received_types)
 
 
 def test_other_replicas_are_asked_after_the_hedge_delay():
     async def scene():
         world = World(names="abcde", losses=2)
-        world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
+        world.set_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
         client = world.client(location="r/near")
         await client.store_turn(turn("before"), 1.0)
         await client.wait_until_settled()
         for machine in world.machines.values():
-            del machine.seen[:]
+            del machine.received_types[:]
         world.machines["a"].frozen = world.machines["b"].frozen = True
         began_s = asyncio.get_running_loop().time()
         await client.store_turn(turn("t"), 1.0)
@@ -79,7 +79,7 @@
         for number in range(10):
             await client.store_turn(turn(f"t{number}"), 1.0)
         await client.wait_until_settled()
-        return {name: machine.seen.count("turn.put") for name, machine in world.machines.items()}
+        return {name: machine.received_types.count("turn.put") for name, machine in world.machines.items()}
 
     counts = run(scene())
     assert sum(counts.values()) <= 10 * 3 + 2
@@ -88,7 +88,7 @@
 def test_budget_holds_for_senders_with_different_nearest_majorities():
     async def scene():
         world = World(names="abcde", losses=2)
-        world.tell_locations({name: f"r/{name}" for name in "abcde"})
+        world.set_locations({name: f"r/{name}" for name in "abcde"})
         clients = [
             world.client(f"sender-{name}", seed=number, location=f"r/{name}") for number, name in enumerate("abcde")
         ]
@@ -148,7 +148,7 @@
         await client.wait_until_settled()
         world.machines["d"].frozen = True
         view = StoreView(2, world.members("abd"))
-        world.tell(view)
+        world.announce_view(view)
         client.adopt(view)
         began_s = asyncio.get_running_loop().time()
         await client.store_turn(turn("t"), 1.0)
@@ -174,7 +174,7 @@
 def test_other_replicas_are_asked_at_once_after_a_refused_connection():
     async def scene():
         world = World(names="abcde", losses=2, delay_s=0.05)
-        world.tell_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
+        world.set_locations({"a": "r/near", "b": "r/near", "c": "r/near", "d": "r/far", "e": "r/far"})
         client = world.client(location="r/near")
         for number in range(10):
             await client.store_turn(turn(f"t{number}"), 1.0)
--- a/tests/dataplane/test_store_client.py
+++ b/tests/dataplane/test_store_client.py
@@ -42,7 +42,7 @@
         await client.store_turn(turn("t1"), 1.0)
         await client.store_turn(turn("t2", "t1"), 1.0)
         history = await client.read_history("p", "t2", 1.0)
-        return history, [kind for machine in world.machines.values() for kind in machine.seen]
+        return history, [kind for machine in world.machines.values() for kind in machine.received_types]
 
     history, seen = run(scene())
     assert history == b"<t1><t2>"
@@ -119,16 +119,16 @@
     async def scene():
         world = World(names="abcde", losses=2)
         locations = {"a": "r/far", "b": "r/near", "c": "r/far", "d": "r/near", "e": "r/near"}
-        world.tell_locations(locations)
+        world.set_locations(locations)
         client = world.client("one", location="r/near")
         await client.store_turn(turn("first"), 1.0)
         await client.wait_until_settled()
         for machine in world.machines.values():
-            del machine.seen[:]
+            del machine.received_types[:]
         for number in range(20):
             await client.store_turn(turn(f"t{number}"), 1.0)
             await client.wait_until_settled()
-        return {name: machine.seen.count("turn.put") for name, machine in world.machines.items()}
+        return {name: machine.received_types.count("turn.put") for name, machine in world.machines.items()}
 
     assert run(scene()) == {"a": 0, "b": 20, "c": 0, "d": 20, "e": 20}
 
@@ -139,7 +139,7 @@
         writer, reader = world.client("one"), world.client("two")
         await writer.store_turn(turn("t1"), 1.0)
         assert await reader.read_history("p", "t1", 1.0) == b"<t1>"
-        return sum(machine.seen.count("turn.chain") for machine in world.machines.values())
+        return sum(machine.received_types.count("turn.chain") for machine in world.machines.values())
 
     assert run(scene()) == 1
 
@@ -160,10 +160,10 @@
 def test_read_finds_turn_that_the_first_replica_lacks():
     async def scene():
         world = World()
-        world.machines["a"].refuses = {"turn.put"}
+        world.machines["a"].dropped_types = {"turn.put"}
         await world.client("one").store_turn(turn("t1"), 1.0)
         histories = {await world.client("two", seed).read_history("p", "t1", 1.0) for seed in range(10)}
-        return histories, "turn.chain" in world.machines["a"].seen
+        return histories, "turn.chain" in world.machines["a"].received_types
 
     assert run(scene()) == ({b"<t1>"}, True)
 
@@ -173,9 +173,9 @@
         world = World()
         writer = world.client("one")
         await writer.store_turn(turn("t1"), 1.0)
-        world.machines["a"].refuses = {"turn.put"}
+        world.machines["a"].dropped_types = {"turn.put"}
         await writer.store_turn(turn("t2", "t1"), 1.0)
-        world.machines["a"].refuses = set()
+        world.machines["a"].dropped_types = set()
         await writer.store_turn(turn("t3", "t2"), 1.0)
         return await world.client("two").read_history("p", "t3", 1.0)
 
@@ -190,7 +190,7 @@
         await asyncio.sleep(2.0)
         world.machines["a"].up = True
         await asyncio.sleep(2.0)
-        return "turn.put" in world.machines["a"].seen
+        return "turn.put" in world.machines["a"].received_types
 
     assert run(scene())
 
@@ -271,7 +271,7 @@
     async def scene():
         world = World(syncs=False)
         client = world.client()
-        world.tell(StoreView(2, world.view.stable))
+        world.announce_view(StoreView(2, world.view.stable))
         await client.store_turn(turn("t1"), 1.0)
         return await client.read_history("p", "t1", 1.0)
 
@@ -281,11 +281,13 @@
 def test_store_adopts_newer_view_from_a_request():
     async def scene():
         world = World(syncs=False)
-        world.tell(StoreView(2, world.view.stable), names="a")
+        world.announce_view(StoreView(2, world.view.stable), names="a")
         client = world.client()
         await client.store_turn(turn("t1"), 1.0)
         await asyncio.sleep(1.0)
-        asked = {machine.store.view.epoch for machine in world.machines.values() if "turn.put" in machine.seen}
+        asked = {
+            machine.store.view.epoch for machine in world.machines.values() if "turn.put" in machine.received_types
+        }
         world.machines["b"].up = False
         await client.store_turn(turn("t2"), 1.0)
         await asyncio.sleep(1.0)
@@ -298,7 +300,7 @@
     async def scene():
         world = World()
         writer = world.client("one")
-        world.machines["a"].refuses = {"turn.put"}
+        world.machines["a"].dropped_types = {"turn.put"}
         await writer.store_turn(turn("t1"), 1.0)
         world.machines["b"].start_empty()
         world.machines["b"].store.adopt(world.view)
@@ -314,7 +316,7 @@
 def test_write_during_a_view_change_needs_majorities_of_both_views():
     async def scene():
         world = World(names="abcdef", in_view="abc", syncs=False)
-        world.tell(StoreView(2, world.members("abc"), world.members("def")))
+        world.announce_view(StoreView(2, world.members("abc"), world.members("def")))
         for name in "ef":
             world.machines[name].up = False
         client = world.client()
@@ -411,7 +413,7 @@
         world = World()
         await world.client("one").store_turn(turn("t1"), 1.0)
         for machine in world.machines.values():
-            machine.refuses = {"turn.chain"}
+            machine.dropped_types = {"turn.chain"}
         client = world.client("two")
         with pytest.raises(StoreUnavailableError):
             await client.begin_turn("p", "t2", 10, 100, "t1", 0.3)
--- a/tests/dataplane/test_store_client_budgets.py
+++ b/tests/dataplane/test_store_client_budgets.py
@@ -34,10 +34,10 @@
         client.settle(await client.reserve("p", "t1", 10, 100, 1.0), 10)
         await client.wait_until_settled()
         for machine in world.machines.values():
-            machine.seen.clear()
+            machine.received_types.clear()
         client.settle(await client.reserve("p", "t2", 10, 100, 1.0), 10)
         await client.wait_until_settled()
-        return sorted(machine.seen for machine in world.machines.values())
+        return sorted(machine.received_types for machine in world.machines.values())
 
     assert run(scene()) == [[], ["ledger.accept", "ledger.accept"], ["ledger.accept", "ledger.accept"]]
 
@@ -108,13 +108,13 @@
     async def scene():
         world = World()
         for machine in world.machines.values():
-            machine.refuses = {"ledger.accept"}
+            machine.dropped_types = {"ledger.accept"}
         dying = world.client("dying")
         with pytest.raises(StoreUnavailableError):
             await dying.reserve("p", "t1", 10, 100, 0.2)
         dying.close()
         for machine in world.machines.values():
-            machine.refuses = set()
+            machine.dropped_types = set()
         return await world.client("alive").reserve("p", "t2", 100, 100, 1.0)
 
     assert run(scene()).turn_id == "t2"
@@ -124,14 +124,14 @@
     """Let a sender die whose reservation of 60 tokens only one replica accepted."""
     others = [machine for machine in world.machines.values() if machine.name != name]
     for machine in others:
-        machine.refuses = {"ledger.accept"}
+        machine.dropped_types = {"ledger.accept"}
     dying = world.client("dying")
     with pytest.raises(StoreUnavailableError):
         await dying.reserve("p", "t1", 60, 100, 0.2)
     dying.close()
-    assert "ledger.accept" in world.machines[name].seen
+    assert "ledger.accept" in world.machines[name].received_types
     for machine in others:
-        machine.refuses = set()
+        machine.dropped_types = set()
 
 
 def test_change_accepted_by_a_minority_is_completed_by_the_next_ballot_that_meets_it():
@@ -212,10 +212,10 @@
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         for machine in world.machines.values():
-            machine.seen.clear()
+            machine.received_types.clear()
         await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
-        seen = sorted(machine.seen for machine in world.machines.values())
+        seen = sorted(machine.received_types for machine in world.machines.values())
         assert seen == [[], ["turn.put"], ["turn.put"]]
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
         return client
@@ -229,10 +229,10 @@
         client = world.client()
         await store_with_settlement(client, "t1")
         for machine in world.machines.values():
-            machine.seen.clear()
+            machine.received_types.clear()
         await store_with_settlement(client, "t2", "t1")
         await client.wait_until_settled()
-        return sorted(machine.seen for machine in world.machines.values())
+        return sorted(machine.received_types for machine in world.machines.values())
 
     assert run(scene()) == [[], ["ledger.accept", "turn.put"], ["ledger.accept", "turn.put"]]
 
@@ -256,7 +256,7 @@
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         for machine in world.machines.values():
-            machine.refuses = {"turn.put"}
+            machine.dropped_types = {"turn.put"}
         with pytest.raises(StoreUnavailableError):
             await client.store_turn(turn("t1"), 0.3, Settlement(reservation, 7))
         await client.wait_until_settled()
@@ -307,7 +307,7 @@
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
         changing = StoreView(2, world.view.stable, world.members("abd"))
-        world.tell(changing)
+        world.announce_view(changing)
         await client.store_turn(turn("t1"), 1.0, Settlement(reservation, 7))
         await client.wait_until_settled()
         assert await world.client("reader").read_ledger("p") == {"spent": 7, "open": {}}
@@ -343,7 +343,7 @@
         world = World(names=("a", "b", "c", "d"), in_view=("a", "b", "c"))
         client = world.client()
         reservation = await client.reserve("p", "t1", 60, 100, 1.0)
-        world.tell(StoreView(2, world.view.stable, world.members("abd")))
+        world.announce_view(StoreView(2, world.view.stable, world.members("abd")))
         carried = []
         for machine in world.machines.values():
             put = machine.store.handlers["turn.put"]
--- a/tests/scripted/network.py
+++ b/tests/scripted/network.py
@@ -42,7 +42,7 @@
         for address in targets:
             self.one_way_cuts |= {(other, address) for other in self.handlers if other not in targets}
 
-    def join(self):
+    def restore_links(self):
         self.cuts.clear()
         self.one_way_cuts.clear()
 
@@ -74,7 +74,7 @@
     async def _call(self, address, message):
         await self.deliver(address, message)
         reply = await self.handle(address, message)
-        await self.bring_back(address, message)
+        await self.deliver_reply(address, message)
         if reply.get("type") == "error":
             raise RpcError(reply["kind"], reply["detail"], reply)
         return reply
@@ -93,7 +93,7 @@
         except RpcError as error:
             return encode_and_decode({**error.message, **error_message(error.kind, error.detail)})
 
-    async def bring_back(self, address, message):
+    async def deliver_reply(self, address, message):
         """Return once the reply has arrived."""
         await self._travel(address, self.source)
 
--- a/tests/scripted/stores.py
+++ b/tests/scripted/stores.py
@@ -33,13 +33,13 @@
         self.world = world
         self.name = name
         self.address = f"{name}:1"
-        self.lives = 0
+        self.incarnations = 0
         self.up = True
         self.frozen = False
         self.loses_answers = False
-        self.refuses = set()  # message types that are lost before they arrive
+        self.dropped_types = set()  # message types that are lost before they arrive
         self.delay_s = world.delay_s
-        self.seen = []
+        self.received_types = []
         self.start_empty()
 
     @property
@@ -48,9 +48,9 @@
 
     def start_empty(self):
         """Start with empty storage, as a new member."""
-        self.lives += 1
+        self.incarnations += 1
         self.disk = MemoryDisk()
-        self._start(f"{self.name}-{self.lives}")
+        self._start(f"{self.name}-{self.incarnations}")
 
     def restart(self):
         """Restart on the same storage; the store has no view until it loads or adopts one."""
@@ -81,15 +81,15 @@
         caller = self.world.machines.get(self.source)
         if caller is not None and not caller.up:
             raise RpcError("connect", address)
-        is_cut = (self.source, machine.name) in self.world.cuts or message["type"] in machine.refuses
+        is_cut = (self.source, machine.name) in self.world.cuts or message["type"] in machine.dropped_types
         await asyncio.sleep(machine.delay_s)
         if not machine.up:
             raise RpcError("connect", address)
         if machine.frozen or is_cut or (caller is not None and caller.frozen):
             await asyncio.sleep(FOREVER_S)
-        machine.seen.append(message["type"])
+        machine.received_types.append(message["type"])
 
-    async def bring_back(self, address, message):
+    async def deliver_reply(self, address, message):
         machine = self.world.machine_at(address)
         self.world.after_answer(machine, message)
         if machine.loses_answers:
@@ -110,7 +110,7 @@
         self.machines = {name: Machine(self, name) for name in names}
         stable = tuple(self.machines[name].member for name in (in_view or names))
         self.view = StoreView(1, stable, None)
-        self.tell(self.view)
+        self.announce_view(self.view)
 
     def wall_ms(self):
         return self.clock_ms
@@ -121,7 +121,7 @@
     def machine_at(self, address):
         return self.machines[address.partition(":")[0]]
 
-    def tell(self, view, names=None):
+    def announce_view(self, view, names=None):
         """Let the stores adopt a view; `names`: only these."""
         self.view = view
         for name in names or self.machines:
@@ -130,10 +130,10 @@
     def members(self, names):
         return tuple(self.machines[name].member for name in names)
 
-    def tell_locations(self, locations):
+    def set_locations(self, locations):
         """Set the locations of the machines, in a new view."""
         stable = tuple(Member(member.id, member.address, locations[member.address[0]]) for member in self.view.stable)
-        self.tell(StoreView(self.view.epoch + 1, stable, None))
+        self.announce_view(StoreView(self.view.epoch + 1, stable, None))
 
     def client(self, name="sender", seed=1, location=""):
         client = StoreClient(
@@ -147,7 +147,7 @@
         client.adopt(self.view)
         return client
 
-    async def hold_everywhere(self):
+    async def copy_to_all_replicas(self):
         """Store every turn on all of its replicas, as if senders had reached each of them."""
         replicas = [machine for machine in self.machines.values() if machine.member in self.view.stable]
         for machine in replicas:
