--- a/tests/capacity/test_capacity_page.py
+++ b/tests/capacity/test_capacity_page.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, most, verdict",
+    "value, limit, verdict",
     [
         (Estimate(5, 1), 10, Verdict.INSIDE),
         (Estimate(9, 1), 10, Verdict.IN_DOUBT),
@@ -73,8 +73,8 @@
         (None, 10, Verdict.NOT_MEASURED),
     ],
 )
-def test_verdict_requires_a_margin_of_two_standard_errors(value, most, verdict):
-    assert Row("what", "how", value, "ms", "file", most).verdict() is verdict
+def test_verdict_requires_a_margin_of_two_standard_errors(value, limit, verdict):
+    assert Row("what", "how", value, "ms", "file", limit).verdict() is verdict
 
 
 def test_quantities_are_formatted_with_their_units():
--- a/tests/console/test_console.py
+++ b/tests/console/test_console.py
@@ -108,7 +108,7 @@
         def used_receivers():
             return {call[3] for call in platform.calls}
 
-        async def hand_in(count):
+        async def submit_messages(count):
             platform.calls.clear()
             for number in range(count):
                 ident = f"m{len(platform.watch_writers)}-{id(used_receivers)}-{number}-{platform.revision}-{count}"
@@ -119,23 +119,23 @@
         for _ in range(2):  # the request is idempotent
             assert (await call(sender, b"POST /_receivers/detach?host=r0"))[0] == 200
         assert (await read_metrics(sender))["targets_disabled"] == 1
-        await hand_in(6)
+        await submit_messages(6)
         assert used_receivers() == {1}
         await wait_until(lambda: platform.watch_writers)
         platform.set_phase(0, "leaving")
         await wait_until(lambda: platform.watch_writers)
         platform.set_phase(0, "active")  # a list update does not attach it
         await wait_until(lambda: platform.watch_writers)
-        await hand_in(7)
+        await submit_messages(7)
         assert used_receivers() == {1}
         await sender.end(signal.SIGKILL)
         await sender.start()
-        await hand_in(8)
+        await submit_messages(8)
         assert used_receivers() == {1}
         assert (await call(sender, b"POST /_receivers/attach?host=r0"))[0] == 200
         assert (await call(sender, b"POST /_receivers/attach?host=r0"))[0] == 200
         assert (await call(sender, b"POST /_receivers/detach?host=r1"))[0] == 200
-        await hand_in(9)
+        await submit_messages(9)
         assert used_receivers() == {0}
         assert (await call(sender, b"POST /_receivers/attach?host=r1"))[0] == 200
         assert (await read_metrics(sender))["targets_disabled"] == 0
--- a/tests/golden/sender/program_scene.py
+++ b/tests/golden/sender/program_scene.py
@@ -9,7 +9,7 @@
 from golden import sender_api
 from golden.sender.wire_scenes import converse, response, submission
 
-TIMING_DEPENDENT = {"health", "usual_ms", "pace", "trickle"}  # depend on the receivers that timing selected
+TIMING_DEPENDENT = {"health", "usual_ms", "pace", "trickle"}  # vary with the receivers, chosen by the time of day
 QUEUE_CLASSES = {"good": "notice", "broken": "charge", "told": "status", "held": "notice", "unknown": "of no class"}
 
 
--- a/tests/golden/sender/simulated_day.py
+++ b/tests/golden/sender/simulated_day.py
@@ -432,9 +432,19 @@
         message = Message(process.number, ticket, queue_class, destination, key, self.now + left)
         process.messages[ticket] = message
         account = self.random.randrange(2)
-        hint = 12.0 if bits & 1 else 0.0
+        load_hint = 12.0 if bits & 1 else 0.0
         self.event(
-            30, "HQHHQddfB", process.number, ticket, queue_class, account, key, left, hint, float(destination), bits
+            30,
+            "HQHHQddfB",
+            process.number,
+            ticket,
+            queue_class,
+            account,
+            key,
+            left,
+            load_hint,
+            float(destination),
+            bits,
         )
         if self.random.random() < 0.04:
             self.after(self.random.uniform(1.0, 3000.0), self.withdraw, process, message)
@@ -444,14 +454,14 @@
             message.is_over = message.is_withdrawn = True
             self.event(60, "HQ", process.number, message.ticket)
 
-    def end_message(self, sender, name, ticket, hold_off=0.0):
+    def end_message(self, sender, name, ticket, retry_after_ms=0.0):
         message = self.processes[sender].messages[ticket]
         message.is_over = True
         if name == "not_now" and self.random.random() < 0.6:
             process = self.processes[sender]
             marks = SITES[process.site]["settings"]["Callers"]["MarksRetry"]
             bits = MARKED_AS_RETRY if marks else 0
-            self.after(hold_off + self.random.uniform(20.0, 400.0), self.resubmit, process, message, bits)
+            self.after(retry_after_ms + self.random.uniform(20.0, 400.0), self.resubmit, process, message, bits)
 
     def wakeup(self, process, handle):
         if process and self.processes.get(process.number) is process:
--- a/tests/golden/sender_api.py
+++ b/tests/golden/sender_api.py
@@ -507,8 +507,8 @@
     def __init__(self, notices):
         self.notices, self.unacknowledged = notices, ()
 
-    def publish(self, ident, deferred, ms, on_acknowledged):
-        self.notices.publish(text(ident), deferred, ms, on_acknowledged)
+    def publish(self, ident, is_deferred, ms, on_acknowledged):
+        self.notices.publish(text(ident), is_deferred, ms, on_acknowledged)
 
 
 def plain_address(address):
@@ -519,15 +519,15 @@
 # -- the protocols ------------------------------------------------------------------------------------------------
 
 
-def read_messages(pieces, answers=False):
+def read_messages(pieces, are_responses=False):
     """Parse bytes that arrive in these pieces; return (messages, status of the rejection or None)."""
-    parser, messages, status = ResponseParser() if answers else RequestParser(), [], None
+    parser, messages, status = ResponseParser() if are_responses else RequestParser(), [], None
     try:
         for piece in pieces:
             parser.feed(piece)
             while message := parser.next_message():
                 messages.append(message)
-        if answers and (message := parser.end_of_input()):
+        if are_responses and (message := parser.end_of_input()):
             messages.append(message)
     except MalformedMessageError as error:
         status = error.status
@@ -553,8 +553,8 @@
 class StubRelay:
     """Replaces the relay at the clients' listener: records submissions and returns a scripted result."""
 
-    def __init__(self, answer, is_stopping=False):
-        self.result, self.is_draining, self.calls = answer, is_stopping, []
+    def __init__(self, result, is_stopping=False):
+        self.result, self.is_draining, self.calls = result, is_stopping, []
 
     def submit(self, request):
         self.calls.append(
