--- a/benchmarks/compare.py
+++ b/benchmarks/compare.py
@@ -22,7 +22,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT / "tests"), str(ROOT)]
-from driver import Outside, Sender, read_message  # noqa: E402
+from driver import Platform, Sender, read_message  # noqa: E402
 
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
@@ -44,9 +44,9 @@
 
 async def run_once(tree, mails, clients, flags):
     """Run a sender until it has forwarded all messages; return its figures by name."""
-    outside = await Outside().open(3)
+    outside = await Platform().open(3)
     with tempfile.TemporaryDirectory() as folder:
-        configuration = Sender(outside, Path(folder)).told
+        configuration = Sender(outside, Path(folder)).config
         port = free_port()
         configuration["listen"] = f"127.0.0.1:{port}"
         configuration["settings"]["Allowed"]["MaxOpen"] = 10_000
--- a/tests/controlplane/test_ledger_losses.py
+++ b/tests/controlplane/test_ledger_losses.py
@@ -58,12 +58,12 @@
 async def replace_lost(world, lost, new_names):
     """Replace the lost stores in the view by new ones; return as soon as the change has completed."""
     names = [name for name in world.machines if world.machines[name].member in world.view.stable and name not in lost]
-    world.tell(
+    world.announce_view(
         StoreView(world.view.epoch + 1, world.view.stable, world.members([*names, *new_names])), running_names(world)
     )
     machines = [world.machines[name] for name in (*names, *new_names)]
     await world.until(lambda: all(world.view.epoch in machine.synced for machine in machines))
-    world.tell(StoreView(world.view.epoch + 1, world.view.next), running_names(world))
+    world.announce_view(StoreView(world.view.epoch + 1, world.view.next), running_names(world))
 
 
 def running_names(world):
@@ -149,7 +149,7 @@
             world.machines[name].start_empty()
             world.machines[name].store.adopt(world.view)
         changing = StoreView(2, world.view.stable, world.members("abc"))
-        world.tell(changing)
+        world.announce_view(changing)
         await asyncio.sleep(30.0)
         assert all(2 not in machine.synced for machine in world.machines.values()), "no majority is left to copy from"
         reader = world.client("reader")
