--- a/dewpin/controlplane/local_store.py
+++ b/dewpin/controlplane/local_store.py
@@ -12,7 +12,7 @@
 from dewpin.controlplane.register.system_state import SystemState
 from dewpin.controlplane.storage import Storage
 from dewpin.controlplane.store.replica_sync import StoreSync
-from dewpin.controlplane.store.store import Store, time_of_day_ms
+from dewpin.controlplane.store.store import Store, unix_time_ms
 
 
 class LocalStore:
@@ -24,7 +24,7 @@
         storage: Storage,
         client: RpcClient,
         on_synced: Callable[[int], None],
-        wall_clock_ms: Callable[[], int] = time_of_day_ms,
+        wall_clock_ms: Callable[[], int] = unix_time_ms,
     ) -> None:
         replica_count = settings.fault_tolerance.replica_count
         self._store = Store(storage, storage.incarnation, replica_count, wall_clock_ms)
--- a/dewpin/controlplane/store/store.py
+++ b/dewpin/controlplane/store/store.py
@@ -22,8 +22,8 @@
 log = logging.getLogger(__name__)
 
 
-def time_of_day_ms() -> int:
-    """Return the wall-clock time of this machine in ms."""
+def unix_time_ms() -> int:
+    """Return the wall-clock time of this machine, in ms since the Unix epoch."""
     return int(time.time() * 1000)
 
 
@@ -48,7 +48,7 @@
         storage: TransactionalStorage,
         member_id: str,
         replica_count: int,
-        wall_clock_ms: Callable[[], int] = time_of_day_ms,
+        wall_clock_ms: Callable[[], int] = unix_time_ms,
         on_view: Callable[[StoreView], None] = _ignore_view,
     ) -> None:
         """Create the store of member `member_id`; `on_view` is called with each adopted view."""
