--- a/dewpin/controlplane/register/recovery.py
+++ b/dewpin/controlplane/register/recovery.py
@@ -2,7 +2,7 @@
 
 The operator stops the survivor with the newest version and names the members and stores that are permanently lost. The
 survivor becomes the only member, under a new id. Its replica then contains a state without the lost ones, with a ballot
-and a version far above any they may have used. A lost member that does come back is superseded, because the survivor no
+and a version far above any they may have used. A lost member that returns is superseded, because the survivor no
 longer replies under the id that the former majority knows. The other survivors remain stores and rejoin the register
 like new processes. Changes, turns and settlements that only the lost members stored are lost.
 
@@ -203,11 +203,11 @@
         for peer_id in sorted(set(lost) - known)
     ]
     if member in lost:
-        errors.append(f"--lost {member}: expected another member than this disk's own")
+        errors.append(f"--lost {member}: expected a member other than this disk's own")
     has_majority = all(len(members - set(lost)) >= majority_of(members) for members in quorum_sets(state))
     if has_majority:
         remaining = [peer_id for peer_id in _member_ids(state) if peer_id not in lost]
-        errors.append(f"--lost: expected so many that no majority remains; start {_join_ids(remaining)} instead")
+        errors.append(f"--lost: expected enough members that no majority remains; start {_join_ids(remaining)} instead")
     return errors
 
 
--- a/dewpin/standin/polling.py
+++ b/dewpin/standin/polling.py
@@ -22,5 +22,5 @@
         if value:
             return value
         if time.monotonic() >= deadline:
-            raise ConditionNotMetError(f"{description}: not within {timeout_s:g} s")
+            raise ConditionNotMetError(f"{description}: not met within {timeout_s:g} s")
         time.sleep(POLL_INTERVAL_S)
--- a/dewpin/tier_cli/commands.py
+++ b/dewpin/tier_cli/commands.py
@@ -95,7 +95,7 @@
     file: ConfigurationFile,
     address: Address,
     base: Annotated[
-        int | None, typer.Option(help="The version that this one replaces; default: the current one.", min=0)
+        int | None, typer.Option(help="The version to replace; default: the current version.", min=0)
     ] = None,
     timeout_s: Timeout = DEFAULT_TIMEOUT_S,
     as_json: AsJson = False,
