--- a/dewpin/cluster/configuration/reading.py
+++ b/dewpin/cluster/configuration/reading.py
@@ -17,7 +17,7 @@
 
 
 def parse_configuration(body: bytes) -> Configuration:
-    """Parse and validate a configuration; raises InvalidConfigurationError with every fault."""
+    """Parse and validate a configuration. Raises InvalidConfigurationError with every fault."""
     raw = read_object(body)
     faults = check_shape(raw, RawConfiguration)
     faults += check_rules(raw, faults)
@@ -50,7 +50,7 @@
 
 
 def _unique_fields(pairs: list[tuple[str, Any]]) -> JsonObject:
-    """Build an object; rejects duplicate fields, since they could not be read back unchanged."""
+    """Build an object. Raises ValueError for duplicate fields, since they could not be read back unchanged."""
     built = dict(pairs)
     if len(built) < len(pairs):
         names = [name for name, _ in pairs]
--- a/dewpin/cluster/netstring.py
+++ b/dewpin/cluster/netstring.py
@@ -3,8 +3,9 @@
 A frame consists of the length of the payload in decimal digits, a colon, the payload and a comma. The payload is one
 JSON object.
 
-Binary data, which JSON cannot represent or only at a multiple of its length, follows the object: if the `raw` field of
-the object is a number, a second netstring of that many arbitrary bytes follows, which are the value of `raw`.
+JSON has no form for binary data, and encoding it as text would multiply its length. Binary data therefore follows the
+object: if the `raw` field of the object is a number, a second netstring with that number of arbitrary bytes follows,
+which are the value of `raw`.
 """
 
 from __future__ import annotations
--- a/dewpin/cluster/placement.py
+++ b/dewpin/cluster/placement.py
@@ -20,7 +20,7 @@
 
 
 class LocationCount:
-    """Number of the members chosen so far in each region and zone."""
+    """Counts the members chosen so far in each region and zone."""
 
     def __init__(self, locations: Iterable[str] = ()) -> None:
         self._zones: Counter[str] = Counter()
@@ -34,7 +34,7 @@
         self._regions[region_of(location)] += 1
 
     def occupancy(self, location: str) -> tuple[int, int]:
-        """Return the number of members in the region and in the zone of `location`; the lowest is to be chosen next."""
+        """Return the numbers of members in the region and the zone of `location`; the lowest pair is chosen next."""
         return self._regions[region_of(location)], self._zones[location]
 
 
@@ -74,7 +74,7 @@
 
 
 def replica_count(machines: int, zones: int, regions: int) -> int:
-    """Return the number of replicas of which a majority survives the loss of so many machines, zones or regions."""
+    """Return the number of replicas whose majority survives the loss of this many machines, zones or regions."""
     return 2 * max(machines, zones, regions) + 1
 
 
@@ -84,7 +84,6 @@
 
 
 def max_unreachable(members: int, count: int) -> int:
-    """Return how many of the `members` may be unreachable with a majority of the `count` replicas of every key still
-    reachable."""
+    """Return how many members may be unreachable without costing any key the majority of its `count` replicas."""
     size = min(members, count)
     return size - majority(size)
--- a/dewpin/cluster/rpc/errors.py
+++ b/dewpin/cluster/rpc/errors.py
@@ -12,7 +12,7 @@
 
 
 class RpcError(DewpinError):
-    """A call got no reply or an error message as its reply.
+    """A call that got no reply, or whose reply is an error message.
 
     `kind`: the `kind` of the error message, or one of `timeout`, `connect`, `closed`, `too_large`.
     `detail`: text for logs; may be empty.
--- a/dewpin/cluster/settings/model.py
+++ b/dewpin/cluster/settings/model.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many machines that count for the quorum, or zones, or regions may fail at the same time."""
+    """How many machines that count for the quorum, how many zones or how many regions may fail at the same time."""
 
     machines: int = 1
     zones: int = 0
@@ -43,7 +43,7 @@
 
     @property
     def replica_count(self) -> int:
-        """The number of replicas of each record that tolerates these failures."""
+        """The number of replicas of each record that is needed to tolerate these failures."""
         return replica_count(self.machines, self.zones, self.regions)
 
 
@@ -51,20 +51,20 @@
 class Bounds:
     """The time bounds that the system must meet, with defaults for those that the file omits.
 
-    The ones that the tier uses:
-
-    `config_apply_ms`: until an acknowledged configuration is in force everywhere.
-    `downgrade_ms`: for which an older configuration may still be in force.
-    `ack_ms`: for which a change requested by the operator is retried.
-    `contact_ms`: after which a machine that receives nothing counts as disconnected.
-    `catch_up_s`: granted to a machine after its start or its reconnection.
-    `recovery_s`: until turns stored before a failure are served again.
-    `drain_ms`: for which a draining receiver keeps running.
-    `grace_s`: between SIGTERM and SIGKILL.
-    `finish_s`: for programs after the end of traffic.
-    `seed_lag_s`: by which lists of seeds may be outdated.
-    `addr_reuse_s`: after which the address of a receiver may be reassigned.
-    `skew_ms`: between the clocks of machines.
+    The tier uses these bounds:
+
+    `config_apply_ms`: maximum time until an acknowledged configuration is in force everywhere.
+    `downgrade_ms`: maximum time for which an older configuration may still be in force.
+    `ack_ms`: time for which a change requested by the operator is retried.
+    `contact_ms`: time after which a machine that receives nothing counts as disconnected.
+    `catch_up_s`: time granted to a machine after its start or its reconnection.
+    `recovery_s`: maximum time until turns stored before a failure are served again.
+    `drain_ms`: time for which a draining receiver keeps running.
+    `grace_s`: time between SIGTERM and SIGKILL.
+    `finish_s`: time granted to programs after the end of traffic.
+    `seed_lag_s`: maximum time by which lists of seeds may be outdated.
+    `addr_reuse_s`: time after which the address of a receiver may be reassigned.
+    `skew_ms`: maximum difference between the clocks of machines.
     """
 
     seed_lag_s: float = 3.0
--- a/dewpin/cluster/settings/reading.py
+++ b/dewpin/cluster/settings/reading.py
@@ -35,7 +35,7 @@
 
 
 def parse_settings(raw: JsonObject) -> Settings:
-    """Validate the content of a settings file; raises InvalidSettingsError with every fault."""
+    """Validate the content of a settings file. Raises InvalidSettingsError with every fault."""
     faults = check_shape(raw, RawSettings)
     faults += check_rules(raw, faults)
     if faults:
--- a/dewpin/cluster/store_requests.py
+++ b/dewpin/cluster/store_requests.py
@@ -106,7 +106,7 @@
     """Second phase of a ballot for the budget ledger of `program`.
 
     `value`: the value of the ledger to accept.
-    `next_ballot`: ballot to promise together with the acceptance, for the sender's next change; None for none.
+    `next_ballot`: ballot to promise together with the acceptance, for the sender's next change; None if there is none.
     """
 
     kind: ClassVar[str] = wire.LEDGER_ACCEPT
--- a/dewpin/cluster/store_view.py
+++ b/dewpin/cluster/store_view.py
@@ -86,7 +86,7 @@
         return any(member in replica_set for replica_set in self.write_sets(key, count))
 
     def max_unreachable(self, count: int) -> int:
-        """Return how many stable members may be unreachable with a majority of every key's replicas still reachable."""
+        """Return how many stable members may be unreachable without costing any key the majority of its replicas."""
         return max_unreachable(len(self.stable), count)
 
     def to_json(self) -> dict[str, Any]:
--- a/dewpin/controlplane/control_server.py
+++ b/dewpin/controlplane/control_server.py
@@ -39,13 +39,13 @@
 """A control server from which nothing was received for longer is not assigned to read the platform's list."""
 MAX_STATE_AGE_FRACTION = 0.5
 """Fraction of the time limit for applying a configuration; the rest is left for distribution to the senders."""
-MIN_MAX_STATE_AGE_HEARTBEATS = 3
+MIN_STATE_AGE_LIMIT_HEARTBEATS = 3
 
 
 def max_state_age_s(bounds: Bounds) -> float:
-    """Return the age of the last confirmation by a majority beyond which a control server serves no state."""
+    """Return the maximum age of the last confirmation by a majority with which a control server serves its state."""
     max_age_s = MAX_STATE_AGE_FRACTION * bounds.config_apply_ms / 1000
-    return max(max_age_s, MIN_MAX_STATE_AGE_HEARTBEATS * HEARTBEAT_PERIOD_S)
+    return max(max_age_s, MIN_STATE_AGE_LIMIT_HEARTBEATS * HEARTBEAT_PERIOD_S)
 
 
 class ControlServerStorage(RegisterDatabase, Protocol):
--- a/dewpin/controlplane/membership/peers.py
+++ b/dewpin/controlplane/membership/peers.py
@@ -33,7 +33,8 @@
         is_bootstrap: whether it may bootstrap the register.
         has_list_failed: whether its last read of the platform's list failed.
         location: region and zone, empty if it has none; None from earlier releases, which do not send it.
-        reaches_majority: whether it has contact with a majority of the register's members; None as for `location`.
+        reaches_majority: whether it has contact with a majority of the register's members; None from earlier
+            releases, which do not send it.
     """
 
     id: str
@@ -71,7 +72,7 @@
 
     @classmethod
     def decode(cls, record: Message) -> PeerDescription:
-        """Decodes a description. Earlier releases omit the last two fields. Raises KeyError or TypeError on error."""
+        """Decodes a description; earlier releases omit the last two fields. Raises KeyError or TypeError on failure."""
         return cls(
             id=record["id"],
             name=record["name"],
--- a/dewpin/controlplane/platform_list_reader.py
+++ b/dewpin/controlplane/platform_list_reader.py
@@ -1,8 +1,8 @@
 """Reads the platform's list of receivers: decides when a read is due, and tracks the age of the directory.
 
-One control server is the assigned reader. The others also read once the list is older than the periodic reads of the
-assigned reader should allow. The age refers to the current version of the directory, so an age reported by another
-process is used only if it refers to the same version.
+One control server is the assigned reader. The others read the list, too, once it is older than it becomes while the
+assigned reader reads it periodically. The age refers to the current version of the directory, so an age reported by
+another process is used only if it refers to the same version.
 """
 
 from __future__ import annotations
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -27,7 +27,7 @@
     """The storage interface that the register requires."""
 
     async def write(self, statements: list[Statement]) -> None:
-        """Writes in one transaction; returns once synced. Raises StorageError if that may have failed."""
+        """Writes in one transaction; returns once synced. Raises StorageError if the write may have failed."""
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
         """Returns the rows selected by a statement."""
@@ -57,7 +57,7 @@
         self._durable_ballot = self._replica.accepted
 
     async def persist(self) -> None:
-        """Writes the complete current replica and returns once it is synced. Raises StorageError if it may not be."""
+        """Writes the complete replica; returns once synced. Raises StorageError if the write may have failed."""
         replica, accepted = self._replica, self._replica.accepted
         value, bodies = _without_body(replica.value)
         row = (REGISTER_KEY, json.dumps(replica.promised), json.dumps(accepted), json.dumps(value))
--- a/dewpin/controlplane/store/turn_copy.py
+++ b/dewpin/controlplane/store/turn_copy.py
@@ -82,13 +82,13 @@
         """Write fetched turns, together with all others that are waiting; return once they are synced to disk."""
         self._unwritten.append(fetched)
         async with self._write_lock:
-            if not any(one is fetched for one in self._unwritten):
+            if not any(waiting is fetched for waiting in self._unwritten):
                 return  # written in the batch of another call
             batch, self._unwritten = self._unwritten, []
             try:
                 await self._write_batch(batch)
             except BaseException:  # cancelled: the turns of the other calls still have to be written
-                self._unwritten = [*(one for one in batch if one is not fetched), *self._unwritten]
+                self._unwritten = [*(other for other in batch if other is not fetched), *self._unwritten]
                 raise
 
     async def _write_batch(self, batch: Sequence[FetchedTurns]) -> None:
--- a/dewpin/controlplane/store/view_guard.py
+++ b/dewpin/controlplane/store/view_guard.py
@@ -87,7 +87,8 @@
         """Return the view under which to answer the request `message`.
 
         A newer view in the request is adopted first. Raises RpcError: `another_incarnation` if the request is addressed
-        to another member, `stale_epoch` (with this store's view) if the epochs differ, `malformed`.
+        to another member, `stale_epoch` (with this store's view) if the epochs differ, `malformed` if the header
+        is invalid.
         """
         header = decode_request(RequestHeader.decode, message)
         if header.member != self.member_id:
@@ -103,7 +104,7 @@
     def check_replica(self, message: Message, program: str) -> None:
         """Check `message` with `check_view`, and that this store is a replica of `program`.
 
-        Raises RpcError, `not_replica` if it is none.
+        Raises RpcError as `check_view` does, and RpcError (`not_replica`) if this store is not a replica.
         """
         view = self.check_view(message)
         if not view.holds(self.member_id, program, self.replica_count):
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -25,7 +25,8 @@
 DRAIN_MARGIN_S = 0.7
 """Requests in progress are aborted this long before the end of the grace period, so that the process can exit."""
 MAX_DRAIN_MARGIN_SHARE = 0.125
-"""Maximum margin as a share of the grace period: a request may be aborted only in the last sixth of the period."""
+"""Maximum margin as a share of the grace period; less than a sixth, since a request may be aborted only in the last
+sixth of the period."""
 MAX_SETTLE_TIME_S = 1.0
 """How long a sender without requests waits for pending settlements and the release of its lease."""
 
--- a/dewpin/dataplane/load_balancing/slot_allocation.py
+++ b/dewpin/dataplane/load_balancing/slot_allocation.py
@@ -9,7 +9,7 @@
   healthy and not too loaded. Otherwise a request goes to the receiver with the lowest cost: load relative to capacity,
   with penalties for errors, for another zone and for not responding.
 * A request that finds no free slot may be queued. A free slot goes to the route whose last slot was granted earliest;
-  each step of a lower priority number counts as `PRIORITY_STEP_S` of additional waiting time.
+  each step of a higher priority number delays a route's turn by `PRIORITY_STEP_S`.
 
 All times are seconds of one monotonic clock.
 """
@@ -48,7 +48,7 @@
 ASSUMED_SENDERS = 8
 """Number of senders assumed to share a receiver's connections while it is unknown."""
 MIN_CONNECTIONS = 2
-"""Connections to a receiver that each sender may use, however many senders there are."""
+"""Minimum number of connections to a receiver that each sender may use, whatever the number of senders."""
 MIN_CALL_TIME_S = 0.001
 """Lower bound of the call time from which the queue length is computed."""
 RECHECK_PERIOD_S = REPORTED_LOAD_HALF_LIFE_S / 4
@@ -69,7 +69,7 @@
         route: name of the request's route; free slots are shared between routes.
         priority: priority number of the route; 0 is the highest priority.
         latency_target_s: latency target of the route.
-        wait_until: latest time until which the request may be queued.
+        wait_until: time until which the request may be queued.
         sticky_key: requests with the same key should go to the same receiver.
         avoid_until: by receiver id, the time before which that receiver must not be selected.
     """
@@ -108,7 +108,7 @@
         self.sender_count = 0
 
     def load_of(self, receiver_id: str) -> ReceiverLoad:
-        """Return the load of a receiver; for one that is no longer listed, an object that is not stored."""
+        """Return the load of a receiver; for a receiver that is no longer listed, a new object that is not stored."""
         return self._loads.get(receiver_id) or ReceiverLoad()
 
     def update_receivers(self, service: str, receivers: tuple[Receiver, ...]) -> None:
@@ -231,7 +231,10 @@
         return min(candidates, key=lambda receiver: self._cost(receiver, now))
 
     def _sticky_rank(self, key: str, receiver: Receiver) -> tuple[bool, float]:
-        """Rank receivers of this zone first: the prompts of a session are large, and its clients stay in their zone."""
+        """Return the sort key of a receiver for a sticky key; receivers of this zone come first.
+
+        The prompts of a session are large, and its clients stay in their zone.
+        """
         return receiver.zone != self._zone, rendezvous_rank(key, receiver)
 
     def _cost(self, receiver: Receiver, now: float) -> float:
--- a/dewpin/dataplane/membership/body_fetch.py
+++ b/dewpin/dataplane/membership/body_fetch.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 PAGE_TIMEOUT_S = 1.7
-"""As for a watch: allows for several pages at 2 Mbit/s and for the source's wait for a page that it lacks itself."""
+"""Same as for a watch: allows for several pages at 2 Mbit/s and for a source that is still waiting for the page."""
 RETRY_AFTER_NO_RESPONSE_S = 3.0
 """Retry delay for a source that did not respond."""
 RETRY_AFTER_REFUSAL_S = 0.3
--- a/dewpin/dataplane/membership/cluster_agent.py
+++ b/dewpin/dataplane/membership/cluster_agent.py
@@ -104,7 +104,7 @@
     def is_state_current(self) -> bool:
         """Return whether a majority has confirmed the state within the time limit for applying a change.
 
-        A change that is missing from such a state was acknowledged within that time limit, if at all.
+        A change that is missing from such a state is not acknowledged, or was acknowledged within the last such period.
         """
         return self.knowledge.is_current()
 
@@ -128,7 +128,7 @@
         await self._lease.release()
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply the reloadable settings of a changed file, such as seeds and platform address; the others stay."""
+        """Apply the reloadable settings of a changed file, such as seeds and platform address; keep the others."""
         self.settings = reloaded(self.settings, settings)
         self._control_servers.set_seeds(self._seed_addresses())
 
--- a/dewpin/dataplane/membership/cluster_knowledge.py
+++ b/dewpin/dataplane/membership/cluster_knowledge.py
@@ -20,7 +20,7 @@
     """The system state and the receiver list of one sender.
 
     sources: the sources of updates and bodies.
-    system_state: the system state, whose body may still be being fetched.
+    system_state: the system state; its configuration may lack the body while that is being fetched.
     receiver_list: the known receivers.
     confirmation: the confirmation of the system state by a majority.
     on_state: called with each system state that takes effect.
--- a/dewpin/dataplane/membership/state_confirmation.py
+++ b/dewpin/dataplane/membership/state_confirmation.py
@@ -1,4 +1,4 @@
-"""Tracks until which time a majority has confirmed that the sender's system state was the newest."""
+"""Tracks the time as of which a majority has confirmed the sender's system state as the newest."""
 
 from __future__ import annotations
 
--- a/dewpin/dataplane/metrics.py
+++ b/dewpin/dataplane/metrics.py
@@ -38,4 +38,4 @@
 
     def as_mapping(self) -> dict[str, int]:
         """Return the counters by name."""
-        return {each.name: getattr(self, each.name) for each in fields(self)}
+        return {counter.name: getattr(self, counter.name) for counter in fields(self)}
--- a/dewpin/dataplane/programs/ledger_ballot.py
+++ b/dewpin/dataplane/programs/ledger_ballot.py
@@ -53,7 +53,7 @@
 class LedgerBallot:
     """One ballot for the ledger of a program under one store view, without I/O.
 
-    quorum_sets: the replica sets, of each of which a majority is required.
+    quorum_sets: the replica sets; a majority of each is required.
     proposal: the state machine of the proposer.
     next_ballot: the ballot to be promised by the replicas that accept.
     """
@@ -73,7 +73,7 @@
         self.next_ballot = next_ballot
 
     def start(self) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
-        """Return the first requests, by member; empty if a promise makes a read unnecessary, which ends the ballot."""
+        """Return the first requests, by member; empty for a read that a promise answers, which ends the ballot."""
         return self._by_member(self.proposal.start())
 
     def receive(self, member: str, reply: Reply) -> dict[str, LedgerPrepareRequest | LedgerAcceptRequest]:
@@ -152,7 +152,7 @@
         return LedgerBallot(program, view, quorum_sets, proposal, next_ballot)
 
     def end_ballot(self, ballot: LedgerBallot) -> Result | None:
-        """Return the result of a ballot, None if it is unknown; keep the promise that was given with the result."""
+        """Return the result of a ballot; None if it is unknown. Keeps the promise that was given with the result."""
         result = ballot.proposal.result
         if result is None:
             return None
--- a/dewpin/dataplane/programs/program_store.py
+++ b/dewpin/dataplane/programs/program_store.py
@@ -73,7 +73,8 @@
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
         """Replace a reservation by the tokens that the client received.
 
-        Returns immediately; the settlement is made, and retried, in the background."""
+        Returns immediately; the settlement is made, and retried, in the background.
+        """
 
     def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
         """Return the concatenated input and output of all turns up to `previous_id`, oldest first.
--- a/dewpin/dataplane/programs/quorum_round.py
+++ b/dewpin/dataplane/programs/quorum_round.py
@@ -1,9 +1,9 @@
 """A round of calls to the replicas required for a quorum, with hedged requests to the others after a delay.
 
 The nearest majority of each replica set is asked first, together with the replicas that are due for a probe. The others
-are sent hedged requests as soon as a call to one of the first fails, or when the hedge delay, a multiple of the latency
-of the slowest of them, has passed. For the protocol, a request that is never sent is equivalent to one that the network
-lost, so the guarantees of a round that asks all replicas apply to this one, too.
+are sent hedged requests as soon as a call to a replica asked first fails, or after the hedge delay, a multiple of the
+latency of the slowest replica in these majorities. For the protocol, a request that is never sent is equivalent to one
+that the network lost, so the guarantees of a round that asks all replicas apply to this one, too.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from dewpin.dataplane.programs.replica_calls import ReplicaCalls, ReplicaReply, ReplicaRound
 
 HEDGE_LATENCY_FACTOR = 3.0
-"""The hedge delay is the expected latency of the slowest replica asked first, multiplied by this factor."""
+"""The hedge delay is the expected latency of the slowest replica in the nearest majorities times this factor."""
 MIN_HEDGE_DELAY_S = 0.02
 MAX_HEDGE_DELAY_S = 0.2
 
@@ -31,7 +31,7 @@
     """Context manager that asks the nearest majorities of the quorum sets first and the other members later.
 
     calls, view, decode, continues_after_end: see `ReplicaRound`.
-    quorum_sets: the replica sets, of each of which a majority is required.
+    quorum_sets: the replica sets; a majority of each is required.
     deadline_s: when retries end, in seconds of the loop's clock.
     replica_round: the underlying calls; it ends with the block.
 
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -205,7 +205,7 @@
     """Return the groups of members in the order to ask them.
 
     The first groups are single replicas, nearest first, and form a majority, so that at least one of them has each
-    durable turn; then follow the other replicas as one group and all other stores as another.
+    durable turn. The other replicas follow as one group, and all other stores as another.
     """
     now_s = asyncio.get_running_loop().time()
     replicas = calls.health.nearest_first(view, view.stable_replicas(program, replica_count), now_s)
--- a/dewpin/dataplane/upstream/connection_pool.py
+++ b/dewpin/dataplane/upstream/connection_pool.py
@@ -62,9 +62,9 @@
     def acquire_idle(self, is_idempotent: bool, request_id: str = "") -> ReceiverConnection | None:
         """Return an idle connection that is usable for a call, or None; unusable connections that it finds are closed.
 
-        A connection on which the same request was sent before is closed, because a late response to that may still
-        arrive. If the most recently used connection has been idle for too long for a call that is not idempotent but is
-        still kept alive, the least recently used one is closed to make room for the new connection that the call needs.
+        A connection on which the same request was sent before is closed, because a late response to the earlier call
+        may still arrive. A call that is not idempotent needs a new connection if even the most recently used one has
+        been idle for too long; if that one is still kept alive, the least recently used one is closed to make room.
         """
         while True:
             with self._lock:
--- a/dewpin/standin/client.py
+++ b/dewpin/standin/client.py
@@ -20,7 +20,7 @@
     """A request of a client.
 
     fields: header fields in addition to those of every request.
-    id: request id; None: generated.
+    id: request id; generated if it is None.
     """
 
     host: str
@@ -70,7 +70,7 @@
         self.fields = {name.lower(): value for name, value in self._response.getheaders()}
 
     def read_event(self) -> tuple[int, str] | None:
-        """Return id and data of the next event, or None at the end; raises HTTPException if the body is incomplete."""
+        """Return the id and data of the next event, None at the end; raises HTTPException if the body is incomplete."""
         lines = []
         while line := self._response.readline(MAX_LINE_BYTES):
             if not line.strip():
@@ -139,7 +139,7 @@
 
 
 def parse_events(body: bytes) -> Iterator[tuple[int, str]]:
-    """Return id and data of each event."""
+    """Yield the id and the data of each event."""
     for block in body.decode().split("\n\n"):
         fields = dict(line.split(": ", 1) for line in block.splitlines() if ": " in line)
         if "id" in fields:
--- a/dewpin/standin/instances.py
+++ b/dewpin/standin/instances.py
@@ -94,7 +94,7 @@
         self._append(tuple(instance for instance in self._latest if instance.id != instance_id), now_s)
 
     def page(self, now_s: float, token: str | None = None, zone: str | None = None) -> InstancePage:
-        """Return a page, without a token the first; all pages show the state of the list at the first page.
+        """Return the page of a token, or the first page without one; all pages show the list as of the first page.
 
         Raises UnknownPageTokenError.
         """
--- a/dewpin/standin/protocol.py
+++ b/dewpin/standin/protocol.py
@@ -22,7 +22,7 @@
 GET_PATH = "/dewpin/Config.Get"
 
 HOLD_AFTER = "Standin-Hold-After"
-"""Makes a stream receiver pause after so many events until it is released; sent only by tests."""
+"""Number of events after which a stream receiver pauses until it is released; sent only by tests."""
 DRAIN_PATH = "/standin/drain"
 RELEASE_PATH = "/standin/release"
 REQUESTS_PATH = "/standin/requests"
--- a/dewpin/tier_cli/output.py
+++ b/dewpin/tier_cli/output.py
@@ -15,7 +15,7 @@
 
 
 def finish(as_json: bool, text: str, **result: object) -> None:
-    """Print the result of a command: `text`, or with `as_json` `result` as one JSON object."""
+    """Print the result of a command: `text`, or `result` as one JSON object if `as_json` is set."""
     typer.echo(json.dumps(result) if as_json else text)
 
 
--- a/dewpin/tier_cli/propagation.py
+++ b/dewpin/tier_cli/propagation.py
@@ -13,8 +13,9 @@
 class Propagation:
     """The cost of propagating the body of a configuration.
 
-    `compressed_bytes`: transferred per connection; `seconds`: until all children of one sender have the body, which is
-    a lower bound for all senders. Levels of the tree overlap, as pages are forwarded before the body is complete.
+    `compressed_bytes`: number of bytes transferred on each connection.
+    `seconds`: time until all children of one sender have the body, which is a lower bound of the time for all senders.
+        Levels of the tree overlap, since pages are forwarded before the body is complete.
     """
 
     compressed_bytes: int
