--- a/dewpin/controlplane/sender_service.py
+++ b/dewpin/controlplane/sender_service.py
@@ -70,7 +70,7 @@
     async def _handle_renew(self, message: Message) -> Message:
         request = RenewRequest.decode(message)
         if not self._freshness.is_current():
-            raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed the state recently")
+            raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed what is known here")
         now_s = self._clock()
         control_addresses = self._control_addresses()
         grantors = len(control_addresses)
