--- a/dewpin/config/keys.py
+++ b/dewpin/config/keys.py
@@ -77,13 +77,13 @@
         """Return a description of the range with its unit, or "" if every value of the type is allowed."""
         limits, parts = self.limits, []
         if limits.ge is not None and not (limits.ge == 0 and limits.le is None):
-            parts.append(f"{self._format_limit(limits.ge)} or more")
+            parts.append(f"at least {self._format_limit(limits.ge)}")
         if limits.le is not None:
-            parts.append(f"{self._format_limit(limits.le)} at most")
+            parts.append(f"at most {self._format_limit(limits.le)}")
         if limits.min_length:
             parts.append("not empty")
         if limits.max_length:
-            parts.append(f"{limits.max_length} characters at most")
+            parts.append(f"at most {limits.max_length} characters")
         if self.choices:
             parts.append("one of " + ", ".join(self.choices))
         return ", ".join(parts)
--- a/dewpin/config/sections.py
+++ b/dewpin/config/sections.py
@@ -202,7 +202,7 @@
 
     max_idle_connections: Annotated[
         int,
-        key("Maximum number of idle connections; 0: an eighth of the descriptors, 128 at most.", ge=0, le=65_536),
+        key("Maximum number of idle connections; 0: an eighth of the descriptors, at most 128.", ge=0, le=65_536),
     ] = field(name="idle", default=0)
 
 
@@ -265,7 +265,7 @@
 
 
 class Console(msgspec.Struct, forbid_unknown_fields=True):
-    """HTTP endpoint for operators: readiness, metrics, detaching and attaching receivers. Off without an address."""
+    """HTTP server for operators: readiness, metrics, detaching and attaching receivers. Disabled without an address."""
 
     address: Annotated[
         str,
