--- a/dewpin/log/events.py
+++ b/dewpin/log/events.py
@@ -17,11 +17,11 @@
     "queue_class": "queue class of the message",
     "key": "ordering key of the message; empty if it is unordered",
     "bytes": "size of the message body, or of the file concerned",
-    "lifetime_ms": "remaining queue lifetime",
+    "lifetime_ms": "remaining lifetime of the message",
     "timeout_ms": "time-out for the response",
     "outcome": "outcome of the attempt, as listed in docs/architecture.md",
     "may_have_executed": "whether the receiver may have executed the message",
-    "took_ms": "time from the request to send, connecting included, to the outcome",
+    "took_ms": "time from the start of the attempt, including connecting, to its outcome",
     "retry_after_ms": "delay before a retry: requested by a receiver, or sent to a client or the platform",
     "ending": "relayed, deferred or bounced",
     "why": "cause, as text",
@@ -171,7 +171,7 @@
     "message.rejected",
     Level.DEBUG,
     "rejected with status {status}",
-    "A client's request to send a message was rejected: the message is not sent.",
+    "A client's request was rejected: its message was not accepted.",
     "message queue_class destination retry_after_ms why",
 )
 
