--- a/dewpin/lab/fleet/scenario.py
+++ b/dewpin/lab/fleet/scenario.py
@@ -183,7 +183,7 @@
     try:
         return make_scenario(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise ValueError(f"no TOML: {error}") from None
+        raise ValueError(f"invalid TOML: {error}") from None
 
 
 def make_scenario(tables: dict[str, Any]) -> Scenario:
@@ -204,7 +204,7 @@
 
 
 def platform_settings(scenario: Scenario, sender_number: int) -> dict[str, Any]:
-    """Return the settings of a sender's decision module in the platform's format."""
+    """Return the settings of a sender's dispatcher in the platform's format."""
     senders, receivers, load = scenario.senders, scenario.receivers, scenario.load
     services = [
         {
--- a/dewpin/simulator/adapter.py
+++ b/dewpin/simulator/adapter.py
@@ -236,7 +236,7 @@
             return
         elif number not in self.senders:
             name = wire.EVENT_NAMES[type(event)]
-            raise wire.WireFormatError(f"{location}: expected an instance that runs for {name}, got {number}")
+            raise wire.WireFormatError(f"{location}: expected a running sender for {name}, got {number}")
         if isinstance(event, events.Targets):
             self._check_list_exists(event, location)
         try:
--- a/tests/lab/test_scenario.py
+++ b/tests/lab/test_scenario.py
@@ -11,7 +11,7 @@
         ("[load]\nrate = 0", "load.rate"),
         ("[[faults]]\nat = 1\nwhat = 'rain'", "what"),
         ("[[faults]]\nat = 1\nwhat = 'cut'\nzone = 'x'", "faults[0].zone"),
-        ("[", "no TOML"),
+        ("[", "invalid TOML"),
         ("[load.classes]\nodd = 1", "load.classes"),
         ("[[faults]]\nat = 99\nwhat = 'join'", "after the end"),
     ],
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -96,7 +96,7 @@
     [
         (encode_batch(4, 0.0, b"\xee"), "record 0: expected a known record code, got 238"),
         (encode_batch(4, 0.0, QUERY[:20]), "record 0: expected a complete query"),
-        (encode_batch(4, 0.0, QUERY), "expected an instance that runs for query, got 3"),
+        (encode_batch(4, 0.0, QUERY), "expected a running sender for query, got 3"),
         (encode_batch(4, 0.0)[:15], "batch header"),
     ],
 )
