--- a/dewpin/config/consistency.py
+++ b/dewpin/config/consistency.py
@@ -146,7 +146,7 @@
     try:
         call_slots = int(decision_settings["FamilyInfo"]["CallSlots"])
     except (KeyError, TypeError, ValueError):
-        call_slots = 0  # reported by the decision module's own check
+        call_slots = 0  # the dispatcher's own check reports it
     max_descriptors = deployment.limits.max_descriptors
     idle = deployment.calls.max_idle_connections or min(MAX_DEFAULT_IDLE_CONNECTIONS, max_descriptors // 8)
     if 2 * call_slots + idle + RESERVED_DESCRIPTORS <= max_descriptors:
--- a/dewpin/config/loading.py
+++ b/dewpin/config/loading.py
@@ -34,8 +34,8 @@
 
     Attributes:
         deployment: values of all keys.
-        known: the platform's latest receiver list, in the agent's format.
-        module: settings of the decision module.
+        known: the platform's latest endpoint list, in the agent's format.
+        module: settings of the dispatcher, in the platform's format.
         origins: origin of each value by key path: "flag", "config.json limits.memory_mb", "dewpin.toml:12" or
             "default".
         warnings: messages about values that are allowed but probably unintended.
--- a/dewpin/core/circuit_breaker.py
+++ b/dewpin/core/circuit_breaker.py
@@ -59,9 +59,10 @@
         """Opens a receiver's circuit breaker; the probe calls of all senders together stay below its cold capacity.
 
         The capacity per overload window is derived from the queue's own traffic, so that the sum over hundreds of
-        senders is right. If a sparse queue is rejected (`is_sparse`), its rate is estimated from the earlier messages
-        (n - 1 of them, plus 1/2: the Jeffreys estimate), and the gap after a rejected probe is no shorter than after a
-        successful one: a sparse queue is always evaluated right after an arrival, which makes its rate look too high.
+        senders is right. If a call of a sparse queue is rejected (`is_sparse`), the rate is estimated from the earlier
+        messages (n - 1 of them, plus 1/2: the Jeffreys estimate), and the gap after a rejected probe is no shorter than
+        after a successful one: a sparse queue is always evaluated right after an arrival, which makes its rate look too
+        high.
         """
         settings = self.settings
         ready_count = max(1, sum(other.state == READY for other in receiver.destination.receivers))
--- a/dewpin/core/destination_limits.py
+++ b/dewpin/core/destination_limits.py
@@ -78,7 +78,7 @@
         """
         if now >= self.stuck_at():
             return 1
-        if self.in_flight <= receivers:  # the measured concurrency only adds to this
+        if self.in_flight <= receivers:  # the measured concurrency can only raise this limit
             return receivers + 1
         max_bucket_count = max(self.good_answers.recent(now, 16))
         return receivers + 1 + CONCURRENCY_HEADROOM * max_bucket_count * (self.usual_call_ms or 1000.0) / 1000.0
--- a/dewpin/core/dispatcher.py
+++ b/dewpin/core/dispatcher.py
@@ -83,7 +83,7 @@
 
 
 class NextDue(NamedTuple):
-    """The message to call `dispatch` for after `delay_ms`; None if no pending message progresses by time alone."""
+    """The message to call `dispatch` for after `delay_ms`; None if no pending message becomes due as time passes."""
 
     delay_ms: float
     message: Message | None
@@ -119,7 +119,8 @@
         self.retry_policy = RetryPolicy(self.settings, self.random)
         self.ranking = MessageRanking(self.settings, self.sender, self.retry_policy)
         self._message_count = self._queue_count = 0
-        self._waiting_queues: list[DestinationQueue] = []  # sorted by `sequence`; empty queues cost an event nothing
+        # Sorted by `sequence`. Empty queues are not included, so that they add nothing to the cost of an event.
+        self._waiting_queues: list[DestinationQueue] = []
         self._paused: list[HeapEntry] = []
         self._give_ups: list[HeapEntry] = []
 
@@ -229,7 +230,10 @@
         return message
 
     def _next_sendable(self, now: float) -> NextDue:
-        """Selects the queue that used the least slot time recently, of those with a message that can be sent now."""
+        """Returns the next message of the queue with the least recent slot time among those that can send one now.
+
+        If none can, returns the message that becomes due first.
+        """
         next_entries = [heap[0] for heap in (self._give_ups, self._paused) if heap]
         earliest = min(next_entries, key=lambda entry: entry[0], default=None)
         next_queue, next_message = None, None
@@ -287,7 +291,7 @@
 
     @property
     def ejected_receivers(self) -> set[Receiver]:
-        """Returns the receivers whose circuit breaker is open."""
+        """The receivers whose circuit breaker is open."""
         return self.sender.ejected_receivers
 
     def limits_of(self, receiver: Receiver) -> DestinationLimits:
@@ -303,7 +307,7 @@
         queue = destination.queue
         if queue is None:
             self._queue_count += 1
-            started_at = self.sender.started_at or 0.0  # None: the value of the queue is about to be restored
+            started_at = self.sender.started_at or 0.0  # None: a restored value replaces 0.0
             queue = DestinationQueue(destination, self._queue_count, len(self.settings.classes), started_at)
             destination.queue = queue
             self.queues.append(queue)
--- a/dewpin/core/key_order.py
+++ b/dewpin/core/key_order.py
@@ -16,7 +16,7 @@
     """Serializes the messages of each ordering key, for queue classes that require it.
 
     messages_by_key: pending messages of each key, in order of arrival; the first one may be sent.
-    gaps: by key, until when its next message waits because an earlier one may still be processed.
+    gaps: by key, the time until which its next message waits because an earlier one may still be processed.
     """
 
     def __init__(self, settings: DispatcherSettings) -> None:
--- a/dewpin/core/message_ranking.py
+++ b/dewpin/core/message_ranking.py
@@ -26,7 +26,9 @@
         self.has_safe_class = any(queue_class.effect is Effect.SAFE for queue_class in settings.classes)
 
     def next_message(self, queue: DestinationQueue, now: float) -> Message | None:
-        """Returns the next message of a queue: the one that loses the most value by waiting, then the one due first.
+        """Returns the next message of a queue: the one that loses the most value by waiting.
+
+        Among messages that lose the same value, it is the one whose latency target ends first.
 
         While all ready receivers are being probed, messages that are safe to send again go first.
         """
--- a/dewpin/core/model.py
+++ b/dewpin/core/model.py
@@ -45,7 +45,7 @@
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "unreached"  # no connection was made
     DROPPED = "dropped"  # the connection was lost before the whole request was sent
-    RESET = "reset"  # the connection was lost after that
+    RESET = "reset"  # the connection was lost after the whole request was sent
     CANCELLED = "called off"
     NOT_SENT = "unsent"  # no byte of it was sent
 
--- a/dewpin/core/outcome_recorder.py
+++ b/dewpin/core/outcome_recorder.py
@@ -21,14 +21,14 @@
 MIN_LONG_FAILURE_MS = 1000.0
 """A failure that took at least this long is stronger evidence than a quick one; no crash recovers sooner."""
 MAX_RATE_LIMIT_WAIT_MS = 2500.0
-"""No rate limit asks for a longer wait: the destination is unavailable and will return cold."""
+"""A longer requested wait is not due to a rate limit: the destination is unavailable and will return cold."""
 MIN_SUSTAINED_REJECTIONS = 3
 """This many rejections without a success, over `SUSTAINED_REJECTION_MS`, mean that a destination is unavailable."""
 LOSSY_PATH_FAILURES = 3
 """This many consecutive failures are an outage even if calls are lost on the network path."""
 FULL_TABLE_REFUSAL_SHARE = 0.1
-"""Share of the calls to a kind of receiver whose connection is refused at once. Above it the connection tables of that
-kind are full, and no connection may stay idle for a message that has to wait."""
+"""Share of the calls to a kind of receiver whose connection is refused at once. Above this share, the connection tables
+of that kind count as full, and no connection may stay idle for a message that has to wait."""
 RETRY_AFTER_JITTER_MS = (1.0, 50.0)
 GROWTH_START_JITTER = (0.2, 1.0)
 MAX_TIMEOUT_DOUBLINGS = 2
@@ -116,7 +116,7 @@
         limits.timeouts = limits.rejections = 0
         limits.good_at = now
         if not health.slow_start and now - health.connect_failed_at < MIN_LONG_FAILURE_MS:
-            self.sender.full_table_kinds.add(receiver.kind)  # refused a connection just before: full table, no crash
+            self.sender.full_table_kinds.add(receiver.kind)  # it refused a connection just before: full table, no crash
         self._update_call_time(limits, result.message.duration_ms)
         # a success offsets one failure, so a receiver that fails most but not all calls is ejected as well
         health.failures = 0 if self.sender.is_path_lossy else max(0, health.failures - 1)
@@ -172,7 +172,7 @@
                 self.sender.full_table_kinds.add(receiver.kind)
         if limits.rejections == 0:
             limits.first_rejected_at = now
-        limits.rejections += 1  # counted per destination, whichever receiver rejected
+        limits.rejections += 1  # counted for all receivers under these limits
         is_unavailable = (
             limits.rejections >= MIN_SUSTAINED_REJECTIONS
             and now - limits.first_rejected_at > SUSTAINED_REJECTION_MS
--- a/dewpin/core/rate_control.py
+++ b/dewpin/core/rate_control.py
@@ -13,7 +13,7 @@
 MAX_GROWTH_SLOWDOWN = 8.0
 """After repeated rejections, a rate takes up to this many times as long to double."""
 MAX_CALLS_PER_DOUBLING = 16.0
-"""A destination's rate doubles in at most the time of this many calls; with more calls a limit is noticed in time."""
+"""Upper limit of the slowed-down doubling time: the time of this many calls, which suffice to notice a limit."""
 MIN_SUCCESSES = 4
 """Fewer successes than this say little about a rate."""
 MIN_TRAFFIC_SHARE = 0.2
@@ -31,12 +31,12 @@
         self.traffic = traffic
 
     def reduce_rate(self, receiver: Receiver, limits: DestinationLimits, now: float) -> None:
-        """Sets a rate, the recently accepted one or half of the previous one, from the end of the requested wait.
+        """Limits calls to the recently accepted rate or half of the previous limit, from the end of the requested wait.
 
-        Without it, calls that were held back by one rejection or wait would all become due together, at one sender or
-        at hundreds. It also prevents rejected calls from permanently using up a limit: if a rejection without a
-        requested wait occurs at a rate at which hardly any call succeeded, the next rate grows half as fast. Senders
-        that observe little of the traffic would exceed the limit otherwise.
+        Otherwise calls that were held back by one rejection or wait would all become due together, at one sender or at
+        hundreds. This also prevents rejected calls from permanently using up the destination's limit: if a rejection
+        without a requested wait occurs at a rate at which hardly any call succeeded, the next rate grows half as fast.
+        Senders that observe little of the traffic would exceed the limit otherwise.
         """
         own_rate = self.traffic.estimate(receiver, now)
         start_at = max(now, limits.retry_after_until)
--- a/dewpin/core/receiver_selection.py
+++ b/dewpin/core/receiver_selection.py
@@ -14,14 +14,15 @@
 UNKNOWN_TIME = float("inf")
 """The time of an event that depends on an update that has not arrived."""
 
-# The fractional parts of their multiples are evenly distributed over 0 to 1, also if only every second one is used.
+# The fractional parts of the multiples of these numbers are evenly distributed over 0 to 1, also if only every second
+# multiple is used.
 GOLDEN_RATIO = 0.5 * (5.0**0.5 - 1.0)
 SILVER_RATIO = 2.0**0.5 - 1.0
 
 ROTATION_IDLE_TIMES = 4.0
 """A sender stays with a receiver for this many idle time-outs, so that most idle connections are reused."""
 RECENT_FAILURE_MESSAGES_MS = 10000.0
-"""Divided by the message rate, how long a failure counts as recent: the time of ten messages."""
+"""A failure counts as recent for this time divided by the messages per second: the time of ten messages."""
 
 
 class ReceiverSelector:
@@ -43,14 +44,15 @@
     def select(self, queue: DestinationQueue, message: Message, now: float) -> Receiver | None:
         """Returns the available receiver with the fewest calls in flight, or None if no receiver is available now.
 
-        Ties are resolved in favor of this sender's zone, then of the receiver that responded last. Where hardly any of
-        the sender's calls overlap, its own zone is preferred only for a share of its messages, which is the share of
-        all receivers that the zone has; for the rest, zones with more than their share are preferred. Then the rotation
-        decides: each sender starts at its own position in an order that is the same at all senders, and advances by one
-        so rarely that most idle connections are reused.
+        Ties are resolved in favor of this sender's zone, then of the receiver that responded last.
 
-        This prevents that all senders prefer the same receivers, that a zone with few receivers takes the load of all
-        of its senders, and that other receivers stay idle, where each sender observes little of the load.
+        If hardly any of the sender's calls overlap, ties are resolved differently. The sender's own zone is preferred
+        only for a share of the messages: the zone's number of receivers, divided by the average over all zones. For the
+        other messages, zones with more receivers than the average are preferred. Remaining ties are resolved by
+        rotation: each sender starts at its own position in an order that is the same at all senders, and advances by
+        one position so rarely that most idle connections are reused. Such a sender observes little of the load;
+        otherwise all senders would prefer the same receivers, a zone with few receivers would take the load of all of
+        its senders, and other receivers would stay idle.
         """
         receivers = queue.destination.receivers
         available = [receiver for receiver in receivers if self.available_at(receiver, message, now) <= now]
@@ -126,7 +128,7 @@
     def _deprioritized_zones(
         self, receivers: list[Receiver], available: list[Receiver], ready_count: int, is_sparse: bool, rotation: float
     ) -> set[int]:
-        """Returns the zones, of those with an available receiver, whose receivers lose ties."""
+        """Returns the zones whose receivers lose ties; only zones with an available receiver are considered."""
         zones = {receiver.zone for receiver in available}
         shares = {
             zone: self.settings.zone_count
--- a/dewpin/core/retry_policy.py
+++ b/dewpin/core/retry_policy.py
@@ -26,7 +26,7 @@
 
 
 class RetryPolicy:
-    """Classifies an outcome before it decides on a retry."""
+    """Decides what follows an outcome, from what the outcome proves about the message."""
 
     def __init__(self, settings: DispatcherSettings, random: RandomSource) -> None:
         self.settings = settings
--- a/dewpin/core/sender_state.py
+++ b/dewpin/core/sender_state.py
@@ -48,7 +48,7 @@
 
     @property
     def is_path_lossy(self) -> bool:
-        """Returns whether calls after an unanswered one often succeed; consecutive failures are then not an outage.
+        """Whether calls after an unanswered one often succeed; consecutive failures are then not an outage.
 
         This covers packet loss, lost responses and faults of the sender itself, where everything else works.
         """
--- a/dewpin/daemon/configuration_source.py
+++ b/dewpin/daemon/configuration_source.py
@@ -15,7 +15,7 @@
 
 
 def dispatcher_seed(sender: Sender) -> int:
-    """Return the decision module's 64-bit seed, derived from the configured seed and the sender's name.
+    """Return the dispatcher's 64-bit seed, derived from the configured seed and the sender's name.
 
     The name makes senders with the same configured seed draw different random numbers.
     """
@@ -40,7 +40,7 @@
         self.operator_path = operator_path
 
     def read(self, must_end: bool = False) -> Configuration:
-        """Read and validate the whole configuration, including the settings of the decision module.
+        """Read and validate the whole configuration, including the settings of the dispatcher.
 
         `must_end`: the operator's file must end with an `[end]` table. Raises ConfigurationError with all issues found.
         """
--- a/dewpin/daemon/control_socket.py
+++ b/dewpin/daemon/control_socket.py
@@ -54,7 +54,7 @@
         self.size = 0
 
     def connection_made(self, transport: Any) -> None:
-        """Start the time-out; abort the connection if there are too many."""
+        """Start the time-out; abort the connection if too many are open."""
         self.transport = transport
         self.control.connections.add(self)
         self.timeout = asyncio.get_running_loop().call_later(CALL_TIMEOUT_SECONDS, transport.abort)
--- a/dewpin/daemon/reload.py
+++ b/dewpin/daemon/reload.py
@@ -9,7 +9,7 @@
 from ..log import events, log_event, log_internal_error
 from .sender_parts import SenderParts
 
-MODULE_SETTINGS = "settings"  # reported for the platform's settings of the decision module, which have no key
+MODULE_SETTINGS = "settings"  # reported for the platform's settings of the dispatcher, which have no key
 
 
 async def reload_at_signals(
--- a/dewpin/daemon/sender_parts.py
+++ b/dewpin/daemon/sender_parts.py
@@ -28,7 +28,7 @@
         operator_actions: operations for the console.
         console: the HTTP server for operators.
         pool: connections to receivers.
-        facade: the decision module.
+        facade: the relay's interface to the dispatcher.
         claim: this process's claim on a folder that a previous process still holds.
         folder_lock: the lock of the state folder; None while the previous process holds it.
         journal: messages on disk.
--- a/dewpin/daemon/status.py
+++ b/dewpin/daemon/status.py
@@ -52,7 +52,7 @@
 async def _largest_queues(
     facade: "Facade", queues: Sequence[Any], max_queues: int, now_ms: float, pause: Pause
 ) -> list[dict[str, Any]]:
-    """Describe the queues with the most messages; of equal ones, the one with the older first message first."""
+    """Describe the queues with the most messages; queues of equal size are in the order of their first messages."""
     sizes_and_positions = []
     for position, queue in enumerate(queues):
         sizes_and_positions.append((queue_size(queue), -position))
--- a/dewpin/lab/event_loop.py
+++ b/dewpin/lab/event_loop.py
@@ -17,7 +17,9 @@
 from .machine import CURRENT_MACHINE, Machine
 
 MAX_LAST_EVENTS = 40  # shown in the message of a StalledError
-MIN_CLEANUP_SIZE = 100  # above it cancelled timers and finished tasks are removed, once they are half of all
+# Cancelled timers are removed if there are more than this many timers and more than half of them are cancelled.
+# Finished tasks are removed once the number of tasks exceeds twice that after the last removal by more than this.
+MIN_CLEANUP_SIZE = 100
 
 
 class StalledError(Exception):
@@ -25,7 +27,7 @@
 
 
 class ScheduledCall(asyncio.TimerHandle):
-    """A call that is due at once or at a time, with the machine that made it."""
+    """A call that is due immediately or at a given time, with the machine that scheduled it."""
 
     __slots__ = ("_machine",)
 
--- a/dewpin/lab/fleet/agents.py
+++ b/dewpin/lab/fleet/agents.py
@@ -63,7 +63,7 @@
         self.agents = [Agent(sender) for sender in range(sender_count)]
         self.rejects_list_requests = False
         self._receivers = receivers
-        self._changed_receivers: list[Receiver] = []  # change n made revision n + 1; updates send the current state
+        self._changed_receivers: list[Receiver] = []  # change n created revision n + 1
         self._collector = collector
         self._random = random_source
         self._clock = clock
@@ -152,7 +152,7 @@
             self._send_list(agent, *watch)
 
     def _send_list(self, agent: Agent, connection: HttpConnection, known_revision: int | None) -> None:
-        """Send the changes since a revision, or the whole list if it is None."""
+        """Send the receivers that changed since a revision, in their current state; the whole list if it is None."""
         if known_revision is None:
             listed = [receiver for receiver in self._receivers.receivers if receiver.phase != ReceiverPhase.LEFT]
         else:
--- a/dewpin/lab/fleet/datagram_proxies.py
+++ b/dewpin/lab/fleet/datagram_proxies.py
@@ -71,7 +71,7 @@
         max_lag_ms: maximum delay; the delay of each datagram is random.
         target: address of the recipient; None: not known yet.
         reverse: the proxy whose address the recipient uses for the sender.
-        address: of this proxy's socket.
+        address: address of this proxy's socket.
     """
 
     address: tuple[str, int]
--- a/dewpin/lab/fleet/fault_injector.py
+++ b/dewpin/lab/fleet/fault_injector.py
@@ -82,7 +82,7 @@
         return self._sample_share(active, fault.receivers)
 
     def _links_between(self, senders: list[SenderProcess], receivers: list[Receiver]) -> list[FaultyLink]:
-        """Return the links between these; an empty list stands for all."""
+        """Return the links between these parties; an empty list stands for all senders or receivers."""
         all_receivers = self._environment.receivers
         groups = sorted({all_receivers.group_of(sender.number) for sender in senders or self._senders})
         return [receiver.links[group] for receiver in receivers or all_receivers.receivers for group in groups]
--- a/dewpin/lab/fleet/load_test.py
+++ b/dewpin/lab/fleet/load_test.py
@@ -27,7 +27,7 @@
 LAG_CHECK_SECONDS = 0.02  # interval of the checks for lag of the test itself
 END_CHECK_MS = 100.0
 END_SLACK_MS = 2000.0  # after the end of the last message's lifetime
-SPARE_DESCRIPTORS = 2000  # besides those that listen
+SPARE_DESCRIPTORS = 2000  # besides those of listening sockets
 
 
 class LoadTest:
--- a/dewpin/lab/fleet/metrics.py
+++ b/dewpin/lab/fleet/metrics.py
@@ -34,7 +34,7 @@
     Args:
         collector: the recorded results of the test.
         receivers: all receivers by name.
-        lifetime_ms: lifetime of a message; a call without a response counts as in flight for so long.
+        lifetime_ms: lifetime of a message; a call without a response counts as in flight for this time.
     """
     calls = collector.calls
     calls_by_receiver: dict[str, int] = dict.fromkeys(receivers, 0)
--- a/dewpin/lab/fleet/records.py
+++ b/dewpin/lab/fleet/records.py
@@ -35,7 +35,7 @@
 class SenderEvent(Enum):
     """An event of a sender's process."""
 
-    KILLED = "killed"  # or stopped
+    KILLED = "killed"  # or terminated or suspended
     FOLDER_LOST = "lost"
     READY = "ready"
 
--- a/dewpin/lab/machine.py
+++ b/dewpin/lab/machine.py
@@ -11,7 +11,7 @@
 
 
 class MachineLoop(Protocol):
-    """What a machine needs of its event loop."""
+    """The interface of the event loop that a machine uses."""
 
     def create_task(self, coro: Any) -> "asyncio.Task[Any]":
         """Start a task."""
--- a/dewpin/lab/network.py
+++ b/dewpin/lab/network.py
@@ -98,7 +98,7 @@
     ) -> tuple[SimulatedTransport, Any]:
         """Open a connection of the calling machine, from `host`.
 
-        Raises OSError if it is refused; never returns if there is no answer.
+        Raises OSError if it is refused; never returns if the other side does not respond.
         """
         machine = CURRENT_MACHINE.get()
         local = (host, self._next_port)
@@ -140,7 +140,7 @@
         return transport
 
     def deliver_held(self) -> None:
-        """Deliver what cut links held on connections that still exist; to be called after links were restored."""
+        """Deliver the data that cut links held, on connections that still exist; call this once links are restored."""
         for transport in sorted(self.transports, key=lambda transport: transport.number):
             if transport.has_held_deliveries and not transport.link.is_cut:
                 transport.send_held()
--- a/dewpin/lab/transport.py
+++ b/dewpin/lab/transport.py
@@ -9,7 +9,7 @@
 
 from .machine import Machine
 
-WINDOW_BYTES = 65536  # in flight or unread at the other end; beyond it the writer's buffer fills
+WINDOW_BYTES = 65536  # maximum in flight or unread at the other end; further data is buffered
 DEFAULT_HIGH_WATER_BYTES = 65536
 DEFAULT_LATENCY_S = 0.0002
 
@@ -17,7 +17,7 @@
 
 
 class TransportLoop(Protocol):
-    """What one end of a connection needs of the event loop."""
+    """The interface of the event loop that a transport uses."""
 
     now: float
     random: Random
@@ -30,7 +30,7 @@
 
 
 class TransportNetwork(Protocol):
-    """What one end of a connection needs of the network: see `SimulatedNetwork`."""
+    """The interface of `SimulatedNetwork` that a transport uses."""
 
     user_timeout_s: float | None
     transports: "set[SimulatedTransport]"
@@ -108,7 +108,7 @@
         self._loop = network.loop
         self._write_buffer = deque[bytes]()  # written but not sent, as the window is full
         self._write_buffer_bytes = 0
-        self._bytes_in_flight = 0  # or unread at the other end
+        self._bytes_in_flight = 0  # including those unread at the other end
         self._unread = deque[bytes]()
         self._is_eof_written = False
         self._is_eof_received = False
@@ -117,7 +117,7 @@
         self._is_writing_paused = False
         self._high_water_bytes = DEFAULT_HIGH_WATER_BYTES
         self._low_water_bytes = DEFAULT_HIGH_WATER_BYTES // 4
-        self._last_arrival_at = 0.0  # of all that was sent so far, so that order is kept
+        self._last_arrival_at = 0.0  # of everything sent so far; later data must not arrive earlier
         self._held_deliveries = deque[Callable[[SimulatedTransport], None]]()  # stopped by a cut link
         self._is_user_timeout_running = False
 
@@ -267,7 +267,7 @@
             self._send(delivery)
 
     def _start_user_timeout(self) -> None:
-        """Simulate TCP_USER_TIMEOUT: data that stays unacknowledged for so long ends the connection at its sender."""
+        """Simulate TCP_USER_TIMEOUT: data that stays unacknowledged for this time ends the connection at its sender."""
         timeout_s = self._network.user_timeout_s
         if timeout_s is not None and not self._is_user_timeout_running:
             self._is_user_timeout_running = True
--- a/dewpin/net/connection.py
+++ b/dewpin/net/connection.py
@@ -20,7 +20,7 @@
 
     RESPONSE = "response"  # a complete response was received
     NOT_FULLY_SENT = "not fully sent"  # the connection was closed before the whole request was sent
-    CONNECTION_LOST = "connection lost"  # the connection was closed after that
+    CONNECTION_LOST = "connection lost"  # the connection was closed after the whole request was sent
     MALFORMED = "malformed"  # the received bytes are not a response, or it was not complete in time
 
 
--- a/dewpin/net/connection_pool.py
+++ b/dewpin/net/connection_pool.py
@@ -11,7 +11,7 @@
 from .call import Call
 from .connection import Connection
 
-IDLE_MARGIN_MS = 1000.0  # an idle connection is no longer used this long before the receiver closes it
+IDLE_MARGIN_MS = 1000.0  # an idle connection is used until this time before the receiver closes it
 SWEEP_TOLERANCE_SECONDS = 0.001  # timers may fire slightly early
 
 
--- a/dewpin/net/connection_table.py
+++ b/dewpin/net/connection_table.py
@@ -24,7 +24,7 @@
     Attributes:
         max_connections: maximum number of open connections.
         max_buffered_bytes: maximum number of buffered bytes of incomplete requests on all connections together.
-        read_timeout_seconds: time for a request to arrive completely; for the first one since the accept.
+        read_timeout_seconds: time for a request to arrive completely; for the first request, counted from the accept.
         min_idle_seconds: idle time after which a connection may be closed to make room for others.
         keep_alive_timeout_seconds: idle time after which a connection is closed.
     """
--- a/dewpin/net/http_body.py
+++ b/dewpin/net/http_body.py
@@ -114,7 +114,7 @@
             return False
         if buffer[end : end + 2] != b"\r\n":
             raise MalformedMessageError(400, "chunk data is not followed by a line end")
-        self.decoded_bytes += size  # not earlier: an incomplete chunk is checked again whenever bytes arrive
+        self.decoded_bytes += size  # only now: an incomplete chunk is checked again whenever bytes arrive
         self._chunks.append(bytes(buffer[start:end]))
         del buffer[: end + 2]
         return True
--- a/dewpin/net/http_parser.py
+++ b/dewpin/net/http_parser.py
@@ -95,7 +95,7 @@
             return False
         start_line, *field_lines = bytes(buffer[:end]).split(b"\r\n")
         message = self._message = self._parse_start_line(start_line)
-        # Not earlier: a malformed start line must stay in the buffer so that the next line is not parsed in its place.
+        # Only now: a malformed start line must stay in the buffer so that the next line is not parsed in its place.
         del buffer[: end + 4]
         self._searched_bytes = 0
         self._parse_fields(field_lines, message.fields)
--- a/dewpin/net/notice_publisher.py
+++ b/dewpin/net/notice_publisher.py
@@ -56,13 +56,13 @@
     def publish(
         self, message_id: bytes, is_deferred: bool, retry_after_ms: float, on_acknowledged: Callable[[], None]
     ) -> None:
-        """Send a notice that a message was given up until it is acknowledged, then call `on_acknowledged`.
+        """Send a notice that a message was given up, repeatedly until it is acknowledged.
 
         Args:
             message_id: the message's id.
             is_deferred: whether the client can safely submit the message again.
             retry_after_ms: recommended delay before that; 0 if not specified.
-            on_acknowledged: called once.
+            on_acknowledged: called once, when the notice is acknowledged.
         """
         notice: dict[str, Any] = {
             "message": message_id.decode("latin-1"),
--- a/dewpin/net/server.py
+++ b/dewpin/net/server.py
@@ -71,7 +71,7 @@
         The previous process's accept queue drains, so that no connection is in it when its listener is closed. If the
         kernel does not support the filter, it distributes new connections, and both processes respond.
         """
-        select_later_listener = array("B", struct.pack("HBBI", BPF_RETURN, 0, 0, 1))  # the later of the two listeners
+        select_later_listener = array("B", struct.pack("HBBI", BPF_RETURN, 0, 0, 1))  # the second of the two listeners
         program = struct.pack("HP", 1, select_later_listener.buffer_info()[0])
         try:
             self.listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, program)
--- a/dewpin/net/watch_schedule.py
+++ b/dewpin/net/watch_schedule.py
@@ -2,7 +2,7 @@
 
 import random
 
-# All times of the watch are fractions of this one; docs/rare-moments.md adds them up.
+# Most times of the watch are fractions of MAX_STALENESS_SECONDS; docs/rare-moments.md adds them up.
 MAX_STALENESS_SECONDS = 6.0  # time after which a sender is assumed to know an update, even if its requests failed
 WATCH_SECONDS = MAX_STALENESS_SECONDS / 4.0  # time for which the agent keeps a watch request open
 RESPONSE_TIMEOUT_SECONDS = MAX_STALENESS_SECONDS / 6.0  # after the watch time, or for a request that does not watch
--- a/dewpin/peers/lease_candidate.py
+++ b/dewpin/peers/lease_candidate.py
@@ -23,7 +23,7 @@
 
     `index` and `candidates`: its index and the number of candidates, which make its fencing tokens unique. `drift`:
     maximum relative drift of two clocks over a term. `wants_lease`: set to True to request the lease.
-    `next_request_at_ms`: time of the next request. `fencing_token`: of the current request or lease, 0 for none."""
+    `next_request_at_ms`: time of the next request. `fencing_token`: token of the current request or lease; 0: none."""
 
     def __init__(
         self,
--- a/dewpin/peers/lease_voter.py
+++ b/dewpin/peers/lease_voter.py
@@ -32,7 +32,7 @@
     If a call sets `has_unsaved_votes`, `votes` must be stored before the messages that it returned are sent. After a
     start the voter makes no new grants for `term_ms`, because earlier grants may still be in force and their times are
     not stored. Without stored votes (`votes` None) it is recovering: it grants nothing until enough other voters have
-    reported their grants for every majority that included this voter to contain one of them."""
+    reported their grants. Every majority that included this voter must contain at least one of them."""
 
     def __init__(self, name: str, voters: Sequence[str], term_ms: float, now_ms: float, votes: Votes | None) -> None:
         self.name = name
@@ -74,8 +74,9 @@
         granted_token, holder = self.votes.get(role, NO_VOTE)
         free_at_ms = max(self.no_grants_until_ms, self.granted_until_ms.get(role, 0.0) if holder else 0.0)
         candidate = f"{peer}/{request.incarnation}"
-        # A renewal: the lease was granted to nobody else since. A higher token is granted only to a candidate that has
-        # acknowledged the last one: a candidate that can send but not receive would block the lease indefinitely.
+        # A renewal: no other candidate was granted the lease in the meantime. A higher token is granted only to a
+        # candidate that has acknowledged the last one: otherwise a candidate that can send but not receive would block
+        # the lease indefinitely.
         is_renewal = candidate == holder and (
             request.fencing_token == granted_token
             or request.fencing_token > granted_token == request.acknowledged_token
--- a/dewpin/peers/membership.py
+++ b/dewpin/peers/membership.py
@@ -51,10 +51,10 @@
     """One member's view of the group.
 
     `seeds`: addresses of arbitrary members, contacted until one responds. `period_ms`: interval between probes.
-    `timeout_ms`: for an ack. `own_record`: the record of this member that is sent to others. `members`: all other known
-    members. `active_count`: how many of them are alive or suspected. `has_joined`: whether any member has responded.
-    `is_replaced`: another process was started under this name, and this one sends nothing more. `has_left`: it left
-    voluntarily. `rejected_count`: records rejected as invalid or because the list was full."""
+    `timeout_ms`: timeout of an ack. `own_record`: the record of this member that is sent to others. `members`: all
+    other known members. `active_count`: how many of them are alive or suspected. `has_joined`: whether any member has
+    responded. `is_replaced`: another process was started under this name, and this one sends nothing more. `has_left`:
+    it left voluntarily. `rejected_count`: number of records rejected as invalid or because the list was full."""
 
     def __init__(
         self,
@@ -294,7 +294,7 @@
             self.own_record = msgspec.structs.replace(own, refutations=record.refutations + 1)
             self._updates.add(self.own_record)
         elif record.precedence < own.precedence and record.state != MemberState.ALIVE:
-            self._updates.add(own)  # of an earlier incarnation: announces this one
+            self._updates.add(own)  # the record is of an earlier incarnation: announce this one
 
     def _merge_record(self, record: MemberRecord, now_ms: float) -> None:
         member = self.members.get(record.name)
@@ -303,7 +303,7 @@
                 self.rejected_count += 1
                 return
             if record.state >= MemberState.LOST:
-                return  # unknown here: adding it would let members re-add lost ones to each other forever
+                return  # otherwise members would re-add lost members to each other's lists forever
             member = self.members[record.name] = KnownMember(record, now_ms)
             self._prober.schedule(record.name)
             previous_state = MemberState.LEFT
--- a/dewpin/peers/node.py
+++ b/dewpin/peers/node.py
@@ -68,7 +68,7 @@
 
     `peers`: {name: address} of peers with fixed addresses, which take precedence over those reported by members.
     `membership` and `candidates` are set by the owner before the socket is opened. `voter`: None if this peer is not a
-    voter. `dropped_datagrams`: datagrams that were malformed, came from an unknown peer or could not be sent."""
+    voter. `dropped_datagrams`: number of datagrams that were malformed, from an unknown peer, or could not be sent."""
 
     def __init__(
         self,
--- a/dewpin/relay/lifecycle_log.py
+++ b/dewpin/relay/lifecycle_log.py
@@ -63,7 +63,7 @@
     log_event(
         events.ATTEMPT_FINISHED,
         message=record.message_id,
-        attempt=record.attempts + (record.in_flight is None),  # one that was not sent is not counted yet
+        attempt=record.attempts + (record.in_flight is None),  # an unsent attempt is not counted
         receiver=receiver.receiver_id,
         destination=record.destination,
         outcome=result.outcome,
--- a/dewpin/relay/message_lifecycle.py
+++ b/dewpin/relay/message_lifecycle.py
@@ -353,7 +353,7 @@
     # -- hand-over between two processes of one sender --------------------------------------------------------
 
     def hand_over(self, handover_log: HandoverLogWriter) -> None:
-        """Leaves journal and decisions to the next process; later events of this one go to the hand-over log."""
+        """Leaves journal and decisions to the next process; later events of this process go to the hand-over log."""
         self.may_start_attempts = False
         self.attempts_in_flight -= self.notice_barrier.drop_all()  # these attempts were never sent
         self.handover_log = handover_log
--- a/dewpin/relay/previous_process.py
+++ b/dewpin/relay/previous_process.py
@@ -37,18 +37,18 @@
 
     @property
     def attempt_count(self) -> int:
-        """Number of attempts that it has in flight."""
+        """Number of attempts that the previous process has in flight."""
         return len(self._attempts)
 
     def add_attempt(self, record: MessageRecord, receiver: Receiver) -> None:
-        """Records an attempt that it has in flight."""
+        """Records an attempt that the previous process has in flight."""
         self._attempts[record.serial] = record, receiver
 
     def consume_log(self, is_gone: bool) -> None:
-        """Handles the log entries that it has written since the last call.
+        """Handles the log entries that the previous process has written since the last call.
 
-        `is_gone`: whether it has ended; attempts without a reported result are then lost. Exceptions of the successor
-        are passed on; the next call handles the event again.
+        `is_gone`: whether that process has ended; attempts without a reported result are then lost. Exceptions of the
+        successor are passed on; the next call handles the event again.
         """
         for event in self._reader.read_events():
             if isinstance(event, AcceptedMessage):
--- a/dewpin/relay/receiver_detachment.py
+++ b/dewpin/relay/receiver_detachment.py
@@ -1,4 +1,7 @@
-"""Detaches receivers on behalf of operators: records it, then excludes them from dispatch until they are attached."""
+"""Detaches receivers on behalf of operators.
+
+A detachment is recorded first; the receiver then gets no new attempts until it is attached again.
+"""
 
 from __future__ import annotations
 
--- a/dewpin/relay/recent_message_ids.py
+++ b/dewpin/relay/recent_message_ids.py
@@ -6,8 +6,9 @@
 class RecentMessageIds:
     """Remembers ids for at least `lifetime_ms`, the maximum lifetime of a message, in two generations.
 
-    A message whose id is submitted again, by any client, would be delivered twice, or after it has ended. Memory is
-    bounded: if there are more ids than a generation can hold, ids are dropped earlier."""
+    They are used to reject a message whose id was accepted before, from any client: it would be delivered twice, or
+    after it has ended. Memory is bounded: if there are more ids than a generation can hold, ids are dropped
+    earlier."""
 
     def __init__(self, lifetime_ms: float) -> None:
         self._lifetime_ms = lifetime_ms
--- a/dewpin/spool/endpoint_cache.py
+++ b/dewpin/spool/endpoint_cache.py
@@ -19,7 +19,7 @@
 DISK_SHARE = 1.0 / 32.0
 """Share of the disk limit for both files of a rewrite together."""
 CHANGE_ALLOWANCE_BYTES = 2048
-"""Bytes of changes that may always follow a snapshot, however small it is."""
+"""Bytes of changes that may follow a snapshot of any size."""
 MAX_GONE_RECEIVERS = 200
 """Maximum number of receivers that are kept after they are gone."""
 
--- a/dewpin/spool/journal.py
+++ b/dewpin/spool/journal.py
@@ -99,7 +99,7 @@
         attempt = Attempt(receiver, now_ms)
         if not self._append(codec.encode_attempt_started(message.serial, attempt)):
             return False
-        # Not earlier: the append may trigger a compaction, which would write the attempt in flight as well.
+        # Set only after the append, which may trigger a compaction that would also write the attempt in flight.
         message.in_flight = attempt
         message.attempts += 1
         return True
