--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulated runs of the control side and its clients: both programs' code on a simulated loop, network and disks."""
+"""Simulates the control plane and its clients: the code of both programs on a simulated loop, network and disks."""
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -1,7 +1,7 @@
 """The disk of a simulated machine, behind the interface of `dewpin.controlplane.storage.Storage`.
 
-What was committed is what a loss of power leaves. Of the transactions under way at a loss, a part is kept that begins
-with the first, as the write-ahead log of sqlite3 keeps it, and nobody is told of it.
+Committed transactions survive a loss of power. Of the transactions in progress at that moment, a prefix survives, as
+with the write-ahead log of sqlite3; their callers get no result.
 """
 
 import sqlite3
@@ -15,8 +15,9 @@
 
 
 class Disk:
-    """One folder's database. `slow_s`: how much longer a commit takes; `full`: it takes no writes; `silent`: no commit
-    ends; `acknowledges_early`: a wrong variant that answers before the commit, for tests of the runs themselves."""
+    """The database of one data directory. `slow_s`: maximum additional time of a commit; `full`: writes fail;
+    `silent`: commits do not complete; `acknowledges_early`: a wrong variant that replies before the commit, for tests
+    of the simulation itself."""
 
     def __init__(self, loop, incarnation):
         self._loop = loop
@@ -28,7 +29,7 @@
         self._pending = deque()
         self._committing = []
         self._commit_since_s = None
-        self._run = 0
+        self._commit_number = 0
         self._connection = sqlite3.connect(":memory:", isolation_level=None)
         migrate(self._connection)
         self._connection.execute("UPDATE meta SET value = ? WHERE name = 'incarnation'", (incarnation,))
@@ -46,7 +47,7 @@
     async def transact(self, work):
         since_s = self._commit_since_s
         if since_s is not None and self._loop.now - since_s > MAX_COMMIT_S:
-            raise StorageError("the disk does not answer")
+            raise StorageError("the disk does not respond")
         future = self._loop.create_future()
         self._pending.append((work, future))
         if self._commit_since_s is None:
@@ -61,36 +62,36 @@
     def silent(self, silent):
         self._silent = silent
         if not silent and self._commit_since_s is not None:
-            self._run += 1
-            self._later(SYNC_S, self._run)
+            self._commit_number += 1
+            self._schedule_finish(SYNC_S, self._commit_number)
 
-    def lose_power(self, dice):
-        """Drop what was under way, but for some first part of it; nobody hears of either."""
-        self._run += 1
-        for work, _ in self._committing[: dice.randint(0, len(self._committing))]:
+    def lose_power(self, rng):
+        """Drop the transactions in progress except a random prefix of them; no caller gets a result."""
+        self._commit_number += 1
+        for work, _ in self._committing[: rng.randint(0, len(self._committing))]:
             self._apply(work)
         self._committing = []
         self._pending.clear()
         self._commit_since_s = None
 
     def _begin(self):
-        self._run += 1
+        self._commit_number += 1
         self._commit_since_s = self._loop.now
         self._committing = [self._pending.popleft() for _ in range(min(len(self._pending), MAX_JOBS_IN_COMMIT))]
         if self.acknowledges_early:
             for work, future in self._committing:
-                self._tell(future, *self._attempt(work))
-        self._later(SYNC_S + self.slow_s * self._loop.random.random(), self._run)
+                self._set_result(future, *self._attempt(work))
+        self._schedule_finish(SYNC_S + self.slow_s * self._loop.random.random(), self._commit_number)
 
-    def _later(self, wait_s, run):
-        self._loop.call_at(self._loop.now + wait_s, self._finish, run, context=Context())
+    def _schedule_finish(self, wait_s, commit_number):
+        self._loop.call_at(self._loop.now + wait_s, self._finish, commit_number, context=Context())
 
-    def _finish(self, run):
-        if self._silent or run != self._run or self._commit_since_s is None:
+    def _finish(self, commit_number):
+        if self._silent or commit_number != self._commit_number or self._commit_since_s is None:
             return
         group, self._committing = self._committing, []
         for work, future in group:
-            self._tell(future, *self._apply(work))
+            self._set_result(future, *self._apply(work))
         self._commit_since_s = None
         if self._pending:
             self._begin()
@@ -105,7 +106,7 @@
             self._connection.execute("ROLLBACK")
 
     def _apply(self, work):
-        """Run a transaction; return its result and its error."""
+        """Run and commit a transaction; return its result and its error."""
         before = self._connection.total_changes
         self._connection.execute("BEGIN")
         try:
@@ -119,7 +120,7 @@
             return None, StorageError(str(error)) if isinstance(error, sqlite3.Error) else error
 
     @staticmethod
-    def _tell(future, result, error):
+    def _set_result(future, result, error):
         if future.done():
             return
         if error is not None:
--- a/tests/simulation/hosts.py
+++ b/tests/simulation/hosts.py
@@ -1,4 +1,4 @@
-"""The machines of a simulated run: what `dewpin.controlplane` and `dewpin.dataplane` start, on a simulated loop."""
+"""The machines of a simulated run: components of `dewpin.controlplane` and `dewpin.dataplane` on a simulated loop."""
 
 import asyncio
 import random
@@ -19,16 +19,16 @@
 from dewpin.lab.machine import Machine
 
 from .disk import Disk
-from .operator_calls import answer_of
-from .release_messages import EarlierReleaseClient, earlier_handlers
+from .operator_calls import run_operator_call
+from .release_messages import EarlierReleaseClient, earlier_release_handlers
 
 FIRST_PORT, LAST_PORT = 7380, 7395
-DAY_BEGAN_MS = 1_790_000_000_000
-MOST_DRIFT = 1e-4
+WALL_CLOCK_START_MS = 1_790_000_000_000
+MAX_CLOCK_DRIFT = 1e-4
 
 
 class Host:
-    """A machine: its place, and the process that runs on it or none. `life` counts its processes.
+    """A machine: its address and zone, and its process, if one runs. `process_number` counts its processes.
 
     `is_earlier_release`: its next process sends and reads the messages of an earlier release.
     """
@@ -38,61 +38,61 @@
     def __init__(self, world, name, ip, zone):
         self.world, self.name, self.ip, self.zone = world, name, ip, zone
         self.machine = None
-        self.life = 0
-        self.day_step_ms = 0
-        self.powered = True
+        self.process_number = 0
+        self.wall_clock_offset_ms = 0
+        self.has_power = True
         self.removed = False
         self.is_earlier_release = False
         self.first_started_s = self.removed_s = float("inf")
-        self.boots = 0
+        self.scheduled_boots = 0
 
     @property
-    def runs(self):
+    def is_running(self):
         return self.machine is not None and self.machine.alive
 
     @property
-    def serves(self):
-        """Whether the process runs now, neither ended nor frozen."""
-        return self.runs and not self.machine.paused
+    def is_responsive(self):
+        """Whether the process runs and is not frozen."""
+        return self.is_running and not self.machine.paused
 
-    def was_there(self, now_s):
-        """Whether the machine had been started and was not yet taken away at a time."""
+    def existed_at(self, now_s):
+        """Whether the machine had been started and not yet removed at a time."""
         return self.first_started_s <= now_s < self.removed_s
 
-    def time_of_day_ms(self):
-        return int(DAY_BEGAN_MS + self.world.loop.now * 1000 + self.day_step_ms)
+    def wall_clock_ms(self):
+        return int(WALL_CLOCK_START_MS + self.world.loop.now * 1000 + self.wall_clock_offset_ms)
 
     def random(self, purpose):
-        return random.Random(f"{self.world.seed}/{self.name}/{self.life}/{purpose}")
+        return random.Random(f"{self.world.seed}/{self.name}/{self.process_number}/{purpose}")
 
     def client(self):
-        """The client of a process that starts now."""
+        """The RPC client of a process that starts now."""
         return EarlierReleaseClient() if self.is_earlier_release else RpcClient()
 
     def handlers(self, handlers):
-        """What a process that starts now does with messages."""
-        return self.world.disturbed(earlier_handlers(handlers) if self.is_earlier_release else handlers)
+        """The RPC handlers of a process that starts now."""
+        return self.world.with_duplicates(earlier_release_handlers(handlers) if self.is_earlier_release else handlers)
 
     def boot(self, bootstrap=False):
         """Start the process."""
         self.first_started_s = min(self.first_started_s, self.world.loop.now)
-        self.life += 1
-        rate = 1.0 + MOST_DRIFT * self.world.dice.uniform(-1, 1)
+        self.process_number += 1
+        rate = 1.0 + MAX_CLOCK_DRIFT * self.world.rng.uniform(-1, 1)
         self.machine = Machine(self.world.loop, self.ip, rate)
         self.machine.start(self._run(bootstrap))
 
     def settings(self, bootstrap):
         settings = {
             "node_name": self.name,
-            "serves": list(self.world.serves[self.kind]),
+            "serves": list(self.world.roles[self.kind]),
             "ip": self.ip,
             "zone": self.zone,
             "region": "west",
             "port_range": [FIRST_PORT, LAST_PORT],
             "seeds": [f"{seed}:8144" for seed in self.world.seeds()],
             "bootstrap": bootstrap,
-            "listen": {name: f"{self.ip}:{port}" for name, port in self.world.listens[self.kind].items()},
-            "fault_tolerance": {"machines": self.world.losses},
+            "listen": {name: f"{self.ip}:{port}" for name, port in self.world.listen_ports[self.kind].items()},
+            "fault_tolerance": {"machines": self.world.tolerated_losses},
             "bounds": self.world.bounds,
             "cloud": {"address": "10.200.0.100:8142", "rate_per_s": 44.0},
         }
@@ -101,18 +101,18 @@
         return parse_settings(settings)
 
     def stop(self):
-        """As SIGTERM: the process ends by itself."""
+        """Stop the process as SIGTERM does: it shuts down by itself."""
         self.machine.start(self._stop())
 
     async def _stop(self):
-        await self._wind_up()
-        # as the world's own work: what follows must not end with this process
-        self.world.loop.call_soon(self.world.process_ended, self, self.life, context=Context())
+        await self._shut_down()
+        # in the world's own context: the follow-up work must not be cancelled with this process
+        self.world.loop.call_soon(self.world.process_ended, self, self.process_number, context=Context())
 
     async def _run(self, bootstrap):
         raise NotImplementedError
 
-    async def _wind_up(self):
+    async def _shut_down(self):
         raise NotImplementedError
 
 
@@ -126,10 +126,10 @@
         self.disk = None
         self.control_server = None
         self.api = None
-        self.put_in_empty_disk()
+        self.replace_disk()
 
-    def put_in_empty_disk(self):
-        self.disk = Disk(self.world.loop, f"{self.world.dice.getrandbits(64):016x}")
+    def replace_disk(self):
+        self.disk = Disk(self.world.loop, f"{self.world.rng.getrandbits(64):016x}")
 
     async def _run(self, bootstrap):
         self.control_server = self.api = None
@@ -145,7 +145,7 @@
         )
         server = RpcServer(control_server.handlers)
         on_synced = control_server.record_synced_epoch
-        store = LocalStore(settings, self.disk, client, on_synced, self.time_of_day_ms)
+        store = LocalStore(settings, self.disk, client, on_synced, self.wall_clock_ms)
         await store.start()
         control_server.attach_store(store)
         server.handlers.update(store.handlers)
@@ -157,10 +157,10 @@
         self.api = OperatorApi(control_server.register, loop, settings.fault_tolerance.replica_count)
 
     async def call_operator_api(self, make_call):
-        """The answer of a call of the operator; None where the process doesn't take calls yet."""
-        return None if self.api is None else await answer_of(lambda: make_call(self.api))
+        """The response to an operator call; None if the process does not accept calls yet."""
+        return None if self.api is None else await run_operator_call(lambda: make_call(self.api))
 
-    async def _wind_up(self):
+    async def _shut_down(self):
         if self.control_server is not None:
             self.control_server.leave()
             await asyncio.sleep(LEAVE_NOTICE_S)
@@ -169,7 +169,7 @@
 
 
 class FrontHost(Host):
-    """A machine that runs `dewpin.dataplane`, but for its servers of HTTP."""
+    """A machine that runs `dewpin.dataplane` without its HTTP servers."""
 
     kind = "front"
 
@@ -190,7 +190,7 @@
             self.random("stores"),
             HistoryCache(clock_s=loop.time),
             f"{self.random('proposer').getrandbits(48):012x}",
-            self.time_of_day_ms,
+            self.wall_clock_ms,
         )
         updater = ClusterStateUpdater(state, store_client.adopt)
         agent = ClusterAgent(
@@ -210,16 +210,16 @@
         state.is_current = agent.is_state_current
         self.agent, self.state, self.store_client = agent, state, store_client
 
-    async def _wind_up(self):
+    async def _shut_down(self):
         if self.agent is not None:
             await asyncio.gather(self.agent.stop(), self.store_client.wait_until_settled())
 
     @property
     def is_ready(self):
-        return self.serves and self.agent is not None and sender_readiness.is_ready(self.state, self.agent)
+        return self.is_responsive and self.agent is not None and sender_readiness.is_ready(self.state, self.agent)
 
-    def generation(self):
-        """The configuration that a request meets now: its number and a mark of its body; None before there is one."""
+    def served_configuration(self):
+        """The configuration that serves a request now: its generation and body id; None before there is one."""
         configuration = self.state.configuration if self.state is not None else None
         if configuration is None:
             return None
--- a/tests/simulation/loop.py
+++ b/tests/simulation/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a simulated run: asyncio's calls for servers and connections lead to the simulated network."""
+"""The event loop of a simulated run: asyncio's server and connection calls use the simulated network."""
 
 import asyncio
 import itertools
@@ -8,18 +8,19 @@
 from dewpin.lab.network import SimulatedNetwork
 
 USER_TIMEOUT_S = 2.0
-"""What the programs set as TCP_USER_TIMEOUT (`dewpin/cluster/rpc`)."""
+"""The TCP_USER_TIMEOUT that the programs set (`dewpin/cluster/rpc`)."""
 
-_numbers = itertools.count()
+_task_numbers = itertools.count()
 
 
 class NumberedTask(asyncio.Task):
-    """A task whose hash is a number and not its place in memory, so that sets of tasks have one order in every run."""
+    """A task whose hash is a sequence number, not its memory address: sets of tasks iterate in the same order in every
+    run."""
 
     def __init__(self, work, *, loop, **options):
-        self.number = next(_numbers)
+        self.number = next(_task_numbers)
         super().__init__(work, loop=loop, **options)
-        self._log_destroy_pending = False  # what a killed machine had begun is never finished
+        self._log_destroy_pending = False  # tasks of a killed machine never complete
 
     def __hash__(self):
         return self.number
@@ -29,7 +30,7 @@
 
 
 class SimulatedLoop(SimulatedEventLoop):
-    """A SimulatedEventLoop with a network; a connection starts at the address of the machine that asks for it."""
+    """A SimulatedEventLoop with a network; a connection's source address is that of the machine that opens it."""
 
     def __init__(self, seed):
         super().__init__(seed, start_time=1000.0)
--- a/tests/simulation/operator_calls.py
+++ b/tests/simulation/operator_calls.py
@@ -1,7 +1,7 @@
 """Runs the blocking calls of `OperatorApi` on a simulated loop, where no thread may block.
 
-A call is run until it waits for an agreement; the agreement is awaited, and the call is run again from its beginning
-with the outcome at hand, and with the times that it read before. It has no other effects, and so does the same again.
+A call runs until it waits for a proposal. The proposal is awaited, and the call is run again from its beginning with
+the known outcome and with the clock readings of the earlier run. A call has no other effects, so it repeats exactly.
 """
 
 import asyncio
@@ -9,16 +9,16 @@
 from dewpin.controlplane import operator_api
 
 
-class _AgreementNeeded(BaseException):
-    """The call waits for this coroutine."""
+class _ProposalNeeded(BaseException):
+    """Raised when the call waits for this coroutine."""
 
-    def __init__(self, agreement):
+    def __init__(self, proposal):
         super().__init__()
-        self.agreement = agreement
+        self.proposal = proposal
 
 
-class _Settled:
-    """Stands for the future of an agreement whose outcome is known."""
+class _KnownOutcome:
+    """Replaces the future of a proposal whose outcome is known."""
 
     def __init__(self, value, error):
         self._value, self._error = value, error
@@ -30,24 +30,24 @@
 
 
 class _ReplayedAsyncio:
-    """Stands for the module `asyncio` in `operator_api`."""
+    """Replaces the module `asyncio` in `operator_api`."""
 
     def __init__(self):
-        self.settled = iter(())
+        self.known_outcomes = iter(())
 
     def __getattr__(self, name):
         return getattr(asyncio, name)
 
-    def run_coroutine_threadsafe(self, agreement, loop):
-        settled = next(self.settled, None)
-        if settled is None:
-            raise _AgreementNeeded(agreement)
-        agreement.close()
-        return settled
+    def run_coroutine_threadsafe(self, proposal, loop):
+        outcome = next(self.known_outcomes, None)
+        if outcome is None:
+            raise _ProposalNeeded(proposal)
+        proposal.close()
+        return outcome
 
 
 class _ReplayedTime:
-    """Stands for the module `time` in `operator_api`."""
+    """Replaces the module `time` in `operator_api`."""
 
     def __init__(self):
         self.readings, self.position = [], 0
@@ -59,24 +59,24 @@
         return self.readings[self.position - 1]
 
 
-_REPLAYED = operator_api.asyncio = _ReplayedAsyncio()
-_TIME = operator_api.time = _ReplayedTime()
+_REPLAYED_ASYNCIO = operator_api.asyncio = _ReplayedAsyncio()
+_REPLAYED_TIME = operator_api.time = _ReplayedTime()
 
 
-async def answer_of(call):
-    """The answer of a call of OperatorApi, given as a function without arguments."""
+async def run_operator_call(call):
+    """Run a call of OperatorApi, given as a function without arguments, and return its response."""
     outcomes, readings = [], []
     while True:
-        _REPLAYED.settled = iter(outcomes)
-        _TIME.readings, _TIME.position = readings, 0
+        _REPLAYED_ASYNCIO.known_outcomes = iter(outcomes)
+        _REPLAYED_TIME.readings, _REPLAYED_TIME.position = readings, 0
         try:
             return call()
-        except _AgreementNeeded as needed:
-            outcomes.append(await _outcome(needed.agreement))
+        except _ProposalNeeded as needed:
+            outcomes.append(await _outcome(needed.proposal))
 
 
-async def _outcome(agreement):
+async def _outcome(proposal):
     try:
-        return _Settled(await agreement, None)
+        return _KnownOutcome(await proposal, None)
     except Exception as error:
-        return _Settled(None, error)
+        return _KnownOutcome(None, error)
--- a/tests/simulation/oracle.py
+++ b/tests/simulation/oracle.py
@@ -1,4 +1,7 @@
-"""What must hold, judged from what operators, clients and receivers saw. Knows nothing of the programs' code."""
+"""Checks the safety and recovery rules against what operators, clients and receivers observed.
+
+Does not depend on the programs' code.
+"""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -9,67 +12,68 @@
 
 
 @dataclass(eq=False)
-class Order:
-    """A configuration that an operator sends: `mark` stands for its body, with `filling` bytes more than needed."""
+class ConfigurationChange:
+    """A configuration that an operator sends. `body_id` identifies its body, which has `padding_bytes` of padding."""
 
     base: int
     generation: int
-    mark: str
-    filling: int = 0
+    body_id: str
+    padding_bytes: int = 0
     sent_s: float = 0.0
     acknowledged_s: float | None = None
     refused_s: float | None = None
 
     @property
-    def what(self):
-        return self.generation, self.mark
+    def configuration(self):
+        return self.generation, self.body_id
 
     def __str__(self):
-        return f"{self.generation}/{self.mark} on {self.base}"
+        return f"{self.generation}/{self.body_id} on {self.base}"
 
 
 @dataclass
 class Program:
-    """An agent program: its budget, and its turns as its client saw them."""
+    """An agent program: its token budget, and its turns as observed by its client."""
 
     name: str
     budget: int
-    most: int
-    handed_out: int = 0
-    turns: dict = field(default_factory=dict)  # id -> (input + output, previous, acknowledged_s)
-    attempts: dict = field(default_factory=dict)  # id -> (ended_s or None, tokens, whole)
+    max_tokens: int
+    emitted_tokens: int = 0
+    turns: dict = field(default_factory=dict)  # turn id -> (input + output, previous turn, acknowledged_s)
+    attempts: dict = field(default_factory=dict)  # turn id -> (ended_s or None, tokens, is complete)
 
 
 @dataclass(frozen=True)
-class Served:
-    """A request at a front: sent then, met this configuration (number and mark) in this life of the process."""
+class ServedRequest:
+    """A request at a front: when it was sent, and the configuration (generation and body id) and process that served
+    it."""
 
     ip: str
-    life: int
+    process_number: int
     sent_s: float
     handled_s: float
     ready: bool
-    met: tuple | None
+    configuration: tuple | None
 
 
 class Oracle:
-    """Collects what was seen, and tells what it breaks. `bounds`: the figures of the rules."""
+    """Collects observations and records rule violations. `bounds`: the limits of the rules, named as in settings."""
 
     def __init__(self, bounds, now):
         self.bounds = bounds
         self.now = now
         self.contact = Contact(bounds["contact_ms"] / 1000, now)
-        self.orders = []
+        self.changes = []
         self.programs = []
-        self.served = []
-        self.broken = []
-        self.figures = defaultdict(float)
+        self.served_requests = []
+        self.violations = []
+        self.statistics = defaultdict(float)
         self.healed_s = None
 
-    def breaks(self, rule, text):
-        self.broken.append(f"{rule} at {self.now():.3f}: {text}")
+    def report_violation(self, rule, text):
+        self.violations.append(f"{rule} at {self.now():.3f}: {text}")
 
-    # Trouble
+    # Faults
 
     def machine_started(self, ip, kind):
         self.contact.started(ip, kind)
@@ -80,210 +84,235 @@
     def machine_removed(self, ip):
         self.contact.removed(ip)
 
-    def trouble_began(self, ip, what):
-        self.contact.trouble_began(ip)
+    def fault_began(self, ip, kind):
+        self.contact.fault_began(ip)
 
-    def trouble_ended(self, ip, what):
-        self.contact.trouble_ended(ip)
+    def fault_ended(self, ip, kind):
+        self.contact.fault_ended(ip)
 
-    def slowed(self, ip, is_on):
+    def set_slow(self, ip, is_on):
         if is_on:
-            self.contact.trouble_began(ip, slow=True)
+            self.contact.fault_began(ip, slow=True)
         else:
-            self.contact.trouble_ended(ip)
+            self.contact.fault_ended(ip)
 
-    def cut_began(self, source, target):
-        self.contact.cut_began((source, target))
+    def link_cut(self, source, target):
+        self.contact.link_cut((source, target))
 
-    def cut_ended(self, source, target):
-        self.contact.cut_ended((source, target))
+    def link_restored(self, source, target):
+        self.contact.link_restored((source, target))
 
     def healed(self):
         self.healed_s = self.now()
 
-    # Orders
+    # Configuration changes
 
-    def order_sent(self, order):
-        if order not in self.orders:
-            order.sent_s = self.now()
-            self.orders.append(order)
+    def change_sent(self, change):
+        if change not in self.changes:
+            change.sent_s = self.now()
+            self.changes.append(change)
 
-    def order_answered(self, order, status):
-        """The clear answer of one try; other answers say nothing."""
+    def change_answered(self, change, status):
+        """Record the reply to one attempt; statuses other than 4xx and success leave the outcome open."""
         if status == ACKNOWLEDGED:
-            self._acknowledged(order)
+            self._record_acknowledged(change)
         elif status == REFUSED:
-            self._refused(order)
+            self._record_rejected(change)
         elif 400 <= status < 500:
-            self.breaks("CONFIG", f"{order} was answered {status}")
-
-    def _acknowledged(self, order):
-        if order.refused_s is not None:
-            self.breaks("CONFIG", f"{order} was acknowledged after it was refused")
-        for other in self.orders:
-            taken = other.acknowledged_s is not None and other.what != order.what
-            if taken and (other.base == order.base or other.generation == order.generation):
-                self.breaks("CONFIG", f"{order} and {other} were both acknowledged")
-        if order.acknowledged_s is None:
-            order.acknowledged_s = self.now()
-            self.figures["acknowledged"] += 1
-        for other in self.orders:  # the same order of another operator
-            if other.what == order.what and other.base == order.base and other.acknowledged_s is None:
+            self.report_violation("CONFIG", f"{change} was answered {status}")
+
+    def _record_acknowledged(self, change):
+        if change.refused_s is not None:
+            self.report_violation("CONFIG", f"{change} was acknowledged after it was rejected")
+        for other in self.changes:
+            was_acknowledged = other.acknowledged_s is not None and other.configuration != change.configuration
+            if was_acknowledged and (other.base == change.base or other.generation == change.generation):
+                self.report_violation("CONFIG", f"{change} and {other} were both acknowledged")
+        if change.acknowledged_s is None:
+            change.acknowledged_s = self.now()
+            self.statistics["acknowledged"] += 1
+        for other in self.changes:  # the same change sent by another operator
+            if (
+                other.configuration == change.configuration
+                and other.base == change.base
+                and other.acknowledged_s is None
+            ):
                 other.acknowledged_s = self.now()
 
-    def _refused(self, order):
-        if order.refused_s is None:
-            order.refused_s = self.now()
-            self.figures["refused"] += 1
-        if order.acknowledged_s is not None and not self._others_sent_on(order):
-            self.breaks("CONFIG", f"{order} was refused, though acknowledged with no change since")
+    def _record_rejected(self, change):
+        if change.refused_s is None:
+            change.refused_s = self.now()
+            self.statistics["refused"] += 1
+        if change.acknowledged_s is not None and not self._has_successors(change):
+            self.report_violation("CONFIG", f"{change} was rejected although acknowledged with no later change")
 
-    def _others_sent_on(self, order):
-        return any(other.base == order.generation for other in self.orders)
+    def _has_successors(self, change):
+        return any(other.base == change.generation for other in self.changes)
 
     def newest_acknowledged(self, until_s=float("inf")):
-        taken = [one for one in self.orders if one.acknowledged_s is not None and one.acknowledged_s <= until_s]
-        return max(taken, key=lambda one: one.generation, default=None)
+        acknowledged = [one for one in self.changes if one.acknowledged_s is not None and one.acknowledged_s <= until_s]
+        return max(acknowledged, key=lambda one: one.generation, default=None)
 
-    def read_answered(self, sent_s, met):
-        """What Config.Get told at any time at any machine, in touch or not: nothing older than what was acknowledged
-        before it was asked. The rules leave `config_apply_ms` more."""
-        self.figures["reads"] += 1
+    def read_answered(self, sent_s, configuration):
+        """Check a reply of Config.Get at any machine, in contact or not: it is never older than what was acknowledged
+        before the call. This is stricter than the rules, which allow `config_apply_ms` more."""
+        self.statistics["reads"] += 1
         newest = self.newest_acknowledged(sent_s)
-        if newest is not None and met[0] < newest.generation:
-            self.breaks("CONFIG", f"{met[0]} was read, {newest} was acknowledged before")
-        self._check_in_force(met, "read")
+        if newest is not None and configuration[0] < newest.generation:
+            self.report_violation("CONFIG", f"{configuration[0]} was read after {newest} was acknowledged")
+        self._check_in_force(configuration, "read")
 
-    def read_refused(self, sent_s, status):
-        """Config.Get answered without a configuration: 404 says that there is none, a 5xx says nothing."""
-        self.figures["reads_refused"] += 1
+    def read_failed(self, sent_s, status):
+        """Check a reply of Config.Get without a configuration: 404 means that there is none, a 5xx proves nothing."""
+        self.statistics["reads_refused"] += 1
         newest = self.newest_acknowledged(sent_s)
         if newest is not None and status < 500:
-            self.breaks("CONFIG", f"a read was answered {status}, {newest} was acknowledged before")
+            self.report_violation("CONFIG", f"a read got status {status} after {newest} was acknowledged")
 
-    def read_back(self, status, met):
-        """What Config.Get told, in calm times."""
+    def check_read_back(self, status, configuration):
+        """Check a reply of Config.Get in the absence of faults."""
         newest = self.newest_acknowledged()
-        if status != ACKNOWLEDGED or met is None:
+        if status != ACKNOWLEDGED or configuration is None:
             if newest is not None:
-                self.breaks("LOST", f"the configuration can't be read back: {status}")
+                self.report_violation("LOST", f"the configuration cannot be read back: status {status}")
             return
-        if newest is not None and met[0] < newest.generation:
-            self.breaks("LOST", f"{met[0]} was read back, {newest} was acknowledged")
-        self._check_in_force(met, "read back")
+        if newest is not None and configuration[0] < newest.generation:
+            self.report_violation("LOST", f"{configuration[0]} was read back after {newest} was acknowledged")
+        self._check_in_force(configuration, "read back")
 
-    def _check_in_force(self, met, where):
-        sent = [order for order in self.orders if order.what == met]
+    def _check_in_force(self, configuration, where):
+        sent = [change for change in self.changes if change.configuration == configuration]
         if not sent:
-            self.breaks("CONFIG", f"{met} was never sent ({where})")
-        elif all(order.refused_s is not None and order.acknowledged_s is None for order in sent):
-            self.breaks("CONFIG", f"{sent[0]} was refused and is in force ({where})")
-        newest = [one for one in self.orders if one.acknowledged_s is not None and one.generation == met[0]]
-        if newest and all(one.what != met for one in newest):
-            self.breaks("CONFIG", f"{met} is in force, {newest[0]} was acknowledged under its number ({where})")
+            self.report_violation("CONFIG", f"{configuration} was never sent ({where})")
+        elif all(change.refused_s is not None and change.acknowledged_s is None for change in sent):
+            self.report_violation("CONFIG", f"{sent[0]} was rejected but is in force ({where})")
+        newest = [one for one in self.changes if one.acknowledged_s is not None and one.generation == configuration[0]]
+        if newest and all(one.configuration != configuration for one in newest):
+            self.report_violation(
+                "CONFIG", f"{configuration} is in force, {newest[0]} was acknowledged under its number ({where})"
+            )
 
     # Requests at fronts
 
-    def request_served(self, served):
-        self.served.append(served)
+    def request_served(self, request):
+        self.served_requests.append(request)
 
-    def judge_served(self):
-        """To be called at the end: which configurations requests met."""
-        newest_met = {}
+    def check_served_requests(self):
+        """Check the configurations that served requests; called once at the end of a run."""
+        newest_served = {}
         checked, first_ready = set(), set()
-        for one in self.served:
-            if one.met is None:
+        for one in self.served_requests:
+            if one.configuration is None:
                 continue
-            if one.met not in checked:
-                checked.add(one.met)
-                self._check_in_force(one.met, f"at {one.ip}")
-            life = one.ip, one.life
-            if one.ready and life not in first_ready:
-                first_ready.add(life)
-                self._judge_first(one)
-            if one.met[0] < newest_met.get(life, 0):
-                self.breaks(
-                    "CONFIG", f"{one.ip} went back to {one.met[0]} from {newest_met[life]} ({one.handled_s:.3f})"
+            if one.configuration not in checked:
+                checked.add(one.configuration)
+                self._check_in_force(one.configuration, f"at {one.ip}")
+            process = one.ip, one.process_number
+            if one.ready and process not in first_ready:
+                first_ready.add(process)
+                self._check_first_ready(one)
+            if one.configuration[0] < newest_served.get(process, 0):
+                self.report_violation(
+                    "CONFIG",
+                    f"{one.ip} reverted to {one.configuration[0]} from {newest_served[process]} at {one.handled_s:.3f}",
                 )
-            newest_met[life] = max(newest_met.get(life, 0), one.met[0])
-        self._judge_ages()
-
-    def _judge_first(self, served):
-        """A front that has just started is ready only on what a majority has confirmed since its start."""
-        newest = self.newest_acknowledged(self.contact.life_began_s(served.ip, served.handled_s))
-        if newest is not None and served.met[0] < newest.generation:
-            self.breaks("FRESH", f"{served.ip} was ready with {served.met[0]} after a start later than {newest}")
-
-    def _judge_ages(self):
-        taken = sorted((one for one in self.orders if one.acknowledged_s is not None), key=lambda one: one.generation)
-        for served in self.served:
-            if served.met is None:
+            newest_served[process] = max(newest_served.get(process, 0), one.configuration[0])
+        self._check_stale_requests()
+
+    def _check_first_ready(self, request):
+        """Check that a new process of a front is ready only with a configuration that a majority confirmed since its
+        start."""
+        newest = self.newest_acknowledged(self.contact.process_started_s(request.ip, request.handled_s))
+        if newest is not None and request.configuration[0] < newest.generation:
+            self.report_violation(
+                "FRESH",
+                f"{request.ip}, started after {newest} was acknowledged, was ready with {request.configuration[0]}",
+            )
+
+    def _check_stale_requests(self):
+        acknowledged = sorted(
+            (one for one in self.changes if one.acknowledged_s is not None), key=lambda one: one.generation
+        )
+        for request in self.served_requests:
+            if request.configuration is None:
                 continue
-            newer = [one for one in taken if one.generation > served.met[0]]
+            newer = [one for one in acknowledged if one.generation > request.configuration[0]]
             if newer:
-                self._judge_age(served, min(newer, key=lambda one: one.acknowledged_s))
+                self._check_age(request, min(newer, key=lambda one: one.acknowledged_s))
 
-    def _judge_age(self, served, order):
-        age_s = served.sent_s - order.acknowledged_s
+    def _check_age(self, request, change):
+        age_s = request.sent_s - change.acknowledged_s
         apply_s = self.bounds["config_apply_ms"] / 1000
-        if served.ready:
-            self.figures["oldest_served_ready_s"] = max(self.figures["oldest_served_ready_s"], age_s)
+        if request.ready:
+            self.statistics["oldest_served_ready_s"] = max(self.statistics["oldest_served_ready_s"], age_s)
         if age_s <= apply_s:
             return
-        if self.contact.in_touch(served.ip, served.sent_s):
-            self.breaks(
-                "CONFIG", f"{served.ip} served {served.met[0]} {age_s:.3f} s after {order} ({served.sent_s:.3f})"
+        if self.contact.is_in_contact(request.ip, request.sent_s):
+            self.report_violation(
+                "CONFIG",
+                f"{request.ip} served {request.configuration[0]} {age_s:.3f} s after {change} ({request.sent_s:.3f})",
             )
         elif age_s > apply_s + self.bounds["skew_ms"] / 1000:
-            if self.contact.is_outer(served.ip, order.acknowledged_s, served.sent_s):
-                self.breaks("CONFIG", f"{served.ip}, outer, served {served.met[0]} {age_s:.3f} s after {order}")
+            if self.contact.had_reachable_majority(request.ip, change.acknowledged_s, request.sent_s):
+                self.report_violation(
+                    "CONFIG",
+                    f"{request.ip}, out of contact, served {request.configuration[0]} {age_s:.3f} s after {change}",
+                )
 
     # Programs
 
-    def program(self, name, budget, most):
-        program = Program(name, budget, most)
+    def program(self, name, budget, max_tokens):
+        program = Program(name, budget, max_tokens)
         self.programs.append(program)
         return program
 
     def turn_sent(self, program, turn):
-        program.attempts[turn] = (None, program.most, False)
-
-    def tokens_handed_out(self, program, turn, tokens):
-        program.handed_out += tokens
-        if program.handed_out > program.budget + program.most:
-            self.breaks("BUDGET", f"{program.name}: {program.handed_out} of {program.budget}, {program.most} in a turn")
+        program.attempts[turn] = (None, program.max_tokens, False)
+
+    def tokens_emitted(self, program, turn, tokens):
+        program.emitted_tokens += tokens
+        if program.emitted_tokens > program.budget + program.max_tokens:
+            self.report_violation(
+                "BUDGET",
+                f"{program.name}: {program.emitted_tokens} tokens of {program.budget}, {program.max_tokens} per turn",
+            )
 
-    def turn_ended(self, program, turn, previous, tokens, body):
-        """A turn was answered whole."""
+    def turn_completed(self, program, turn, previous, tokens, body):
+        """Record that a turn was answered completely."""
         program.attempts[turn] = (self.now(), tokens, True)
         program.turns[turn] = (body, previous, self.now())
-        self.figures["turns"] += 1
+        self.statistics["turns"] += 1
 
-    def turn_refused(self, program, turn, kind, previous, retain_s):
-        """A turn was answered with a failure of the system's own."""
+    def turn_failed(self, program, turn, kind, previous, retain_s):
+        """Record that a turn failed with an error of the system itself."""
         program.attempts[turn] = (self.now(), 0, False)
-        self.figures[f"turns_{kind}"] += 1
+        self.statistics[f"turns_{kind}"] += 1
         if kind == "turn_unknown":
             acknowledged = program.turns.get(previous)
             if acknowledged is not None and self.now() - acknowledged[2] < retain_s:
-                self.breaks("LOST", f"{program.name}: {previous}, acknowledged at {acknowledged[2]:.3f}, is unknown")
+                self.report_violation(
+                    "LOST", f"{program.name}: {previous}, acknowledged at {acknowledged[2]:.3f}, is unknown"
+                )
         if kind == "budget_spent":
-            self._judge_spent(program, turn)
+            self._check_budget_error(program, turn)
 
-    def _judge_spent(self, program, turn):
+    def _check_budget_error(self, program, turn):
         settle_s = self.bounds["settle_ms"] / 1000
-        most = 0
+        committed_tokens = 0
         for other, (ended_s, tokens, _) in program.attempts.items():
             if other != turn:
                 has_settled = ended_s is not None and ended_s < self.now() - settle_s
-                most += tokens if has_settled else program.most
-        if most + program.most <= program.budget:
-            self.figures["spent_too_early"] += 1
-            if self.contact.is_calm(self.now() - 10.0, self.now()):
-                self.breaks("BUDGET", f"{program.name}: 402 with {most} of {program.budget} gone, in calm times")
-
-    def chain_read(self, program, last, body):
-        """The body of a chain that a receiver would get."""
+                committed_tokens += tokens if has_settled else program.max_tokens
+        if committed_tokens + program.max_tokens <= program.budget:
+            self.statistics["spent_too_early"] += 1
+            if self.contact.is_fault_free(self.now() - 10.0, self.now()):
+                self.report_violation(
+                    "BUDGET",
+                    f"{program.name}: 402 with {committed_tokens} of {program.budget} tokens used and no recent faults",
+                )
+
+    def history_read(self, program, last, body):
+        """Check the history body that a receiver would get."""
         expected = b""
         turn = last
         while turn is not None:
@@ -292,4 +321,6 @@
             text, turn, _ = program.turns[turn]
             expected = text + expected
         if body != expected:
-            self.breaks("UNASKED", f"{program.name}: the chain of {last} has {len(body)} bytes, not {len(expected)}")
+            self.report_violation(
+                "UNASKED", f"{program.name}: the history of {last} has {len(body)} bytes, not {len(expected)}"
+            )
--- a/tests/simulation/run.py
+++ b/tests/simulation/run.py
@@ -1,4 +1,4 @@
-"""One simulated run: a scenario under a seed, from the first start to the oracle's word."""
+"""One simulated run: a scenario under a seed, from the first start to the oracle's checks."""
 
 import asyncio
 import gc
@@ -12,52 +12,52 @@
 from . import scenarios
 from .clients import Clients
 from .operators import Operators
-from .recovery import read_back, take_an_order
+from .recovery import check_change_latency, check_recovered_state
 from .world import World
 
-LONGEST_S = 900.0
-START_S = 12.0
+MAX_RUN_S = 900.0
+STARTUP_TIMEOUT_S = 12.0
 
 
 @dataclass
 class Result:
-    """How a run ended. `broken`: what the oracle found, and errors that the programs logged."""
+    """The result of a run. `violations`: those found by the oracle, and errors that the programs logged."""
 
     scenario: str
     seed: int
-    broken: list = field(default_factory=list)
+    violations: list = field(default_factory=list)
     digest: str = ""
     simulated_s: float = 0.0
-    figures: dict = field(default_factory=dict)
+    statistics: dict = field(default_factory=dict)
     log: list = field(default_factory=list)
 
 
-class Play:
-    """What a scenario works with."""
+class ScenarioContext:
+    """The world, operators and clients of a run, passed to its scenario."""
 
     def __init__(self, world):
         self.world = world
-        self.dice = world.dice
+        self.rng = world.rng
         self.operators = Operators(world)
         self.clients = Clients(world)
         self.tasks = []
 
-    def begin(self, work):
-        """Run something beside the scenario, until the trouble ends."""
+    def start(self, work):
+        """Run a coroutine concurrently with the scenario, until the faults end."""
         task = asyncio.ensure_future(work)
         self.tasks.append(task)
         return task
 
-    async def wait(self, least_s, most_s):
-        await asyncio.sleep(self.dice.uniform(least_s, most_s))
+    async def wait(self, min_s, max_s):
+        await asyncio.sleep(self.rng.uniform(min_s, max_s))
 
-    def end_tasks(self):
+    def cancel_tasks(self):
         for task in self.tasks:
             task.cancel()
 
 
-class _ErrorsLogged(logging.Handler):
-    """Takes the errors that the programs log: an exception that nobody foresaw is a fault of its own."""
+class _ErrorCollector(logging.Handler):
+    """Collects the errors that the programs log: an unexpected exception counts as a violation."""
 
     def __init__(self):
         super().__init__(logging.ERROR)
@@ -74,65 +74,65 @@
 
 
 def run(scenario, seed):
-    """Run a scenario under a seed. Nothing but these two and the code decides what happens."""
+    """Run a scenario under a seed. The run depends on these two and the code alone."""
     module = importlib.import_module(f"{scenarios.__name__}.{scenario}")
-    sys.unraisablehook = lambda _: None  # of coroutines that a killed machine never ends
+    sys.unraisablehook = lambda _: None  # raised by coroutines of killed machines, which never complete
     warnings.filterwarnings("ignore", "coroutine .* was never awaited")
-    errors = _ErrorsLogged()
+    errors = _ErrorCollector()
     logging.getLogger().addHandler(errors)
     logging.disable(logging.WARNING)
-    world = World(seed, **_world_of(module, seed))
+    world = World(seed, **_world_options(module, seed))
     result = Result(scenario, seed)
     try:
-        world.loop.run(_whole(world, module), LONGEST_S)
+        world.loop.run(_run_world(world, module), MAX_RUN_S)
     except Exception as error:
-        result.broken.append(f"RUN {error!r}")
+        result.violations.append(f"RUN {error!r}")
     finally:
         logging.disable(logging.NOTSET)
         logging.getLogger().removeHandler(errors)
-    result.broken += world.oracle.broken + errors.lines + [f"LOOP {fault}" for fault in world.loop.errors]
+    result.violations += world.oracle.violations + errors.lines + [f"LOOP {fault}" for fault in world.loop.errors]
     result.digest, result.simulated_s = world.loop.digest(), world.loop.now - 1000.0
-    result.figures, result.log = dict(world.oracle.figures), world.log
+    result.statistics, result.log = dict(world.oracle.statistics), world.log
     del world
     gc.collect()
     return result
 
 
-def _world_of(module, seed):
-    """What a scenario says of its machines: the same for all seeds, or by the seed."""
-    return module.world_of(seed) if hasattr(module, "world_of") else module.WORLD
+def _world_options(module, seed):
+    """The arguments of `World` that a scenario defines, for all seeds or by seed."""
+    return module.world_options(seed) if hasattr(module, "world_options") else module.WORLD
 
 
-async def _whole(world, module):
-    play = Play(world)
+async def _run_world(world, module):
+    context = ScenarioContext(world)
     world.boot_all()
-    await _first_configuration(play)
-    play.begin(play.clients.request_for_ever())
-    await module.play(play)
-    await _end(play)
+    await _first_configuration(context)
+    context.start(context.clients.request_forever())
+    await module.run_scenario(context)
+    await _finish(context)
 
 
-async def _first_configuration(play):
-    world, operators = play.world, play.operators
+async def _first_configuration(context):
+    world, operators = context.world, context.operators
     await asyncio.sleep(1.0)
-    await operators.put(operators.new_order(0), tries_s=START_S)
+    await operators.put(operators.new_change(0), retry_for_s=STARTUP_TIMEOUT_S)
     while not all(front.is_ready for front in world.fronts()):
-        if world.loop.now > 1000 + START_S:
-            world.oracle.breaks("START", "not all fronts are ready in time")
+        if world.loop.now > 1000 + STARTUP_TIMEOUT_S:
+            world.oracle.report_violation("START", "some fronts did not become ready in time")
             return
         await asyncio.sleep(0.1)
 
 
-async def _end(play):
-    """End all trouble, and look whether everything that has to be there is."""
-    world, operators, oracle = play.world, play.operators, play.world.oracle
-    operators.answers_lost = 0.0
+async def _finish(context):
+    """End all faults and check that everything that must survive is available."""
+    world, operators, oracle = context.world, context.operators, context.world.oracle
+    operators.reply_loss = 0.0
     world.heal()
-    for task in play.tasks[1:]:
+    for task in context.tasks[1:]:
         task.cancel()
     await asyncio.sleep(world.bounds["contact_ms"] / 1000)
-    await take_an_order(play)
+    await check_change_latency(context)
     await asyncio.sleep(world.bounds["recovery_s"] - world.bounds["contact_ms"] / 1000)
-    await read_back(play)
-    play.end_tasks()
-    oracle.judge_served()
+    await check_recovered_state(context)
+    context.cancel_tasks()
+    oracle.check_served_requests()
--- a/tests/simulation/scenarios/__init__.py
+++ b/tests/simulation/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""One scenario for each of the five points of `docs/control-safety.md`; each draws times and victims from the seed."""
+"""Scenarios for the five points of `docs/control-safety.md`. Each draws times and affected machines from the seed."""
--- a/tests/simulation/scenarios/catch_up.py
+++ b/tests/simulation/scenarios/catch_up.py
@@ -1,4 +1,4 @@
-"""Point 4: hundreds of changes, large bodies, members that are away for long; then restarts of some and of all."""
+"""Point 4: hundreds of changes, large bodies, long outages of members; then restarts of one or all machines."""
 
 import asyncio
 
@@ -7,43 +7,43 @@
 BODIES = (0, 0, 0, 4_000, 30_000)
 
 
-async def play(play):
-    world, dice = play.world, play.dice
-    play.begin(play.clients.programs_for_ever(3.0))
-    away = play.begin(_members_away(play))
-    base = await play.operators.current()
+async def run_scenario(context):
+    world, rng = context.world, context.rng
+    context.start(context.clients.run_programs_forever(3.0))
+    outages = context.start(_repeat_member_outages(context))
+    base = await context.operators.current()
     for _ in range(CHANGES):
-        order = play.operators.new_order(base, filling=dice.choice(BODIES))
-        if await play.operators.put(order) == 200:
-            base = order.generation
+        change = context.operators.new_change(base, padding_bytes=rng.choice(BODIES))
+        if await context.operators.put(change) == 200:
+            base = change.generation
         else:
-            base = await play.operators.current()
-    away.cancel()
+            base = await context.operators.current()
+    outages.cancel()
     world.heal()
     await asyncio.sleep(world.bounds["catch_up_s"])
-    await _restarts(play)
+    await _restarts(context)
 
 
-async def _members_away(play):
-    """One member after the other is away, some of them without their disk."""
-    world, dice = play.world, play.dice
+async def _repeat_member_outages(context):
+    """Take one member after the other down, some with the loss of their disk."""
+    world, rng = context.world, context.rng
     while True:
-        victim = dice.choice(world.stores())
-        back_s = dice.uniform(1, 12)
-        dice.choice((world.kill, world.power_off, world.wipe))(victim, back_s)
-        await asyncio.sleep(back_s + world.bounds["catch_up_s"])
+        victim = rng.choice(world.stores())
+        downtime_s = rng.uniform(1, 12)
+        rng.choice((world.kill, world.power_off, world.wipe))(victim, downtime_s)
+        await asyncio.sleep(downtime_s + world.bounds["catch_up_s"])
 
 
-async def _restarts(play):
-    """All at once, or one after the other; a disk is lost right after."""
-    world, dice = play.world, play.dice
-    if dice.random() < 0.5:
+async def _restarts(context):
+    """Restart all machines at once or the stores one after the other; then wipe a disk."""
+    world, rng = context.world, context.rng
+    if rng.random() < 0.5:
         for host in [*world.stores(), *world.fronts()]:
-            world.power_off(host, dice.uniform(0.2, 1.0))
+            world.power_off(host, rng.uniform(0.2, 1.0))
     else:
         for host in world.stores():
-            world.kill(host, dice.uniform(0.2, 2.0))
-            await play.wait(2.5, world.bounds["catch_up_s"] + 2.5)
+            world.kill(host, rng.uniform(0.2, 2.0))
+            await context.wait(2.5, world.bounds["catch_up_s"] + 2.5)
     await asyncio.sleep(1.0 + world.bounds["catch_up_s"])
-    world.wipe(dice.choice(world.stores()), 0.5)
+    world.wipe(rng.choice(world.stores()), 0.5)
     await asyncio.sleep(0.5 + world.bounds["catch_up_s"])
--- a/tests/simulation/scenarios/frozen_and_woken.py
+++ b/tests/simulation/scenarios/frozen_and_woken.py
@@ -1,7 +1,7 @@
-"""Points 1 to 3: processes stand still for up to half a minute and wake with all that they held before.
+"""Points 1 to 3: processes are frozen for up to half a minute and resume with the state that they had before.
 
-Leases, ballots, copies, reservations and connections of theirs are old then, and the others have gone on. Fronts that
-start anew just before may reach only the one that wakes.
+Their leases, ballots, copies, reservations and connections are outdated then, as the other processes continued. Fronts
+that restart just before may reach only the store that resumes.
 """
 
 import asyncio
@@ -11,33 +11,33 @@
 READ_EVERY_S = 0.3
 
 
-async def play(play):
-    world, dice = play.world, play.dice
-    play.begin(play.operators.change_for_ever(1.0))
-    play.begin(play.operators.read_everywhere_for_ever(READ_EVERY_S))
-    play.begin(play.clients.programs_for_ever(0.6))
+async def run_scenario(context):
+    world, rng = context.world, context.rng
+    context.start(context.operators.make_changes_forever(1.0))
+    context.start(context.operators.read_everywhere_forever(READ_EVERY_S))
+    context.start(context.clients.run_programs_forever(0.6))
     for _ in range(ROUNDS):
-        await play.wait(0.2, 3)
-        fronts = dice.sample(world.fronts(), dice.randint(0, 3))
-        frozen = [dice.choice(world.stores()), *fronts]
+        await context.wait(0.2, 3)
+        fronts = rng.sample(world.fronts(), rng.randint(0, 3))
+        frozen = [rng.choice(world.stores()), *fronts]
         for host in frozen:
             world.freeze(host)
-        await play.wait(0.5, dice.choice((3.0, 8.0, 28.0)))
-        pairs = _lure(play, frozen[0]) if dice.random() < 0.5 else ()
-        await play.wait(0.2, 0.6)
-        for host in dice.sample(frozen, len(frozen)):
-            world.thaw(host)
-            await play.wait(0, 0.5)
-        world.join(pairs)
+        await context.wait(0.5, rng.choice((3.0, 8.0, 28.0)))
+        pairs = _restart_fronts_isolated(context, frozen[0]) if rng.random() < 0.5 else ()
+        await context.wait(0.2, 0.6)
+        for host in rng.sample(frozen, len(frozen)):
+            world.unfreeze(host)
+            await context.wait(0, 0.5)
+        world.restore_links(pairs)
         await asyncio.sleep(world.bounds["catch_up_s"])
 
 
-def _lure(play, woken):
-    """Start some fronts anew that reach no store but the one that stands still. Returns what `join` takes."""
-    world = play.world
-    others = [host.ip for host in world.stores() if host is not woken]
-    fronts = play.dice.sample(world.fronts(), play.dice.randint(1, 2))
+def _restart_fronts_isolated(context, frozen):
+    """Restart some fronts that reach no store but the frozen one. Returns the cut pairs."""
+    world = context.world
+    others = [host.ip for host in world.stores() if host is not frozen]
+    fronts = context.rng.sample(world.fronts(), context.rng.randint(1, 2))
     for front in fronts:
-        world.kill(front, play.dice.uniform(0.01, 0.2))
+        world.kill(front, context.rng.uniform(0.01, 0.2))
     addresses = [front.ip for front in fronts]
-    return world.cut(addresses, others) + world.cut(others, addresses)
+    return world.cut_links(addresses, others) + world.cut_links(others, addresses)
--- a/tests/simulation/scenarios/full_disks.py
+++ b/tests/simulation/scenarios/full_disks.py
@@ -1,62 +1,62 @@
-"""Points 2 and 3: disks that are full for long, as many as may be lost and then most, and room that comes back.
+"""Points 2 and 3: disks are full for long, first as many as may be lost and then most; then space is freed.
 
-A full disk takes no write that it can't sync: it answers no ballot and keeps no turn, and what it has acknowledged
-stays. While a majority is full, service may rest.
+A full disk accepts no write that it cannot sync: its store answers no ballot and stores no turn, and acknowledged data
+stays. While a majority is full, service may be unavailable.
 """
 
 import asyncio
 
-from ..recovery import read_back, take_an_order, turns_are_taken
+from ..recovery import check_change_latency, check_recovered_state, check_turns_accepted
 
 WORLD = {"stores": 3, "fronts": 3}
 READ_EVERY_S = 0.4
 
 
-async def play(play):
-    world, dice = play.world, play.dice
-    play.begin(play.operators.change_for_ever(1.5))
-    play.begin(play.operators.read_everywhere_for_ever(READ_EVERY_S))
-    play.begin(play.clients.programs_for_ever(0.6))
+async def run_scenario(context):
+    world, rng = context.world, context.rng
+    context.start(context.operators.make_changes_forever(1.5))
+    context.start(context.operators.read_everywhere_forever(READ_EVERY_S))
+    context.start(context.clients.run_programs_forever(0.6))
     for _ in range(2):
-        await play.wait(0.5, 3)
-        await _one_is_full(play)
+        await context.wait(0.5, 3)
+        await _fill_one_disk(context)
         await asyncio.sleep(world.bounds["catch_up_s"])
-    world.oracle.contact.rest_began()
-    full = dice.sample(world.stores(), dice.randint(2, 3))
-    _fill(play, full)
-    await play.wait(1, 8)
-    if dice.random() < 0.5:
-        world.kill(dice.choice(full), dice.uniform(0.2, 1))
-    await play.wait(1, 4)
-    _make_room(play, full)
+    world.oracle.contact.allowed_outage_began()
+    full = rng.sample(world.stores(), rng.randint(2, 3))
+    _fill(context, full)
+    await context.wait(1, 8)
+    if rng.random() < 0.5:
+        world.kill(rng.choice(full), rng.uniform(0.2, 1))
+    await context.wait(1, 4)
+    _free_space(context, full)
     await asyncio.sleep(world.bounds["recovery_s"])
-    world.oracle.contact.rest_ended()
-    await take_an_order(play)
-    await read_back(play)
-    await turns_are_taken(play)
+    world.oracle.contact.allowed_outage_ended()
+    await check_change_latency(context)
+    await check_recovered_state(context)
+    await check_turns_accepted(context)
 
 
-async def _one_is_full(play):
-    """Turns and orders are taken while one disk is full, whatever happens to its process."""
-    host = play.dice.choice(play.world.stores())
-    _fill(play, [host])
-    await play.wait(2, 8)
-    if play.dice.random() < 0.4:
-        play.world.kill(host, play.dice.uniform(0.2, 1))
-        await play.wait(1, 3)
-    await turns_are_taken(play)
-    _make_room(play, [host])
+async def _fill_one_disk(context):
+    """Check that turns are accepted while one disk is full, even if its process is killed."""
+    host = context.rng.choice(context.world.stores())
+    _fill(context, [host])
+    await context.wait(2, 8)
+    if context.rng.random() < 0.4:
+        context.world.kill(host, context.rng.uniform(0.2, 1))
+        await context.wait(1, 3)
+    await check_turns_accepted(context)
+    _free_space(context, [host])
 
 
-def _fill(play, hosts):
+def _fill(context, hosts):
     for host in hosts:
-        play.world.note("disk full", host)
-        play.world.oracle.slowed(host.ip, True)
+        context.world.record_event("disk full", host)
+        context.world.oracle.set_slow(host.ip, True)
         host.disk.full = True
 
 
-def _make_room(play, hosts):
+def _free_space(context, hosts):
     for host in hosts:
-        play.world.note("room on the disk", host)
+        context.world.record_event("room on the disk", host)
         host.disk.full = False
-        play.world.oracle.slowed(host.ip, False)
+        context.world.oracle.set_slow(host.ip, False)
--- a/tests/simulation/scenarios/halves_of_five.py
+++ b/tests/simulation/scenarios/halves_of_five.py
@@ -1,5 +1,5 @@
-"""Points 1 to 3 with five counted machines, of which two may be lost, cut into halves as in `halves`."""
+"""Points 1 to 3 with five stores, of which two may be lost, partitioned as in `halves`."""
 
-from .halves import play as play  # the same plot; the world decides the rest
+from .halves import run_scenario as run_scenario  # the same steps; WORLD makes the difference
 
-WORLD = {"stores": 5, "fronts": 3, "losses": 2}
+WORLD = {"stores": 5, "fronts": 3, "tolerated_losses": 2}
--- a/tests/simulation/scenarios/mixed_releases.py
+++ b/tests/simulation/scenarios/mixed_releases.py
@@ -1,7 +1,7 @@
-"""Points 1 to 5: machines go one after the other from an earlier release's messages to today's, and some back again.
+"""Points 1 to 5: machines are upgraded one by one from an earlier release's messages, and some are downgraded.
 
-An earlier release sends and reads none of the fields that came later (`release_messages.py`). Orders, turns and a
-store's copy go on meanwhile; machines are killed, and one disk is lost.
+An earlier release sends and reads none of the fields that were added later (`release_messages.py`). Changes, turns and
+a store's copy continue meanwhile; a store is added, killed or loses its disk.
 """
 
 import asyncio
@@ -9,56 +9,58 @@
 from ..hosts import StoreHost
 
 WORLD = {"stores": 3, "fronts": 3}
-STOPPED_S = 0.6
-FILLING = 100_000
-"""Bytes of some configurations: senders of today fetch them by pages, those of an earlier release get them whole."""
+STOP_DURATION_S = 0.6
+PADDING_BYTES = 100_000
+"""Size of some configurations: current senders fetch them by pages, those of an earlier release get them whole."""
 
 
-async def play(play):
-    world, dice = play.world, play.dice
-    play.begin(_orders_for_ever(play))
-    play.begin(play.clients.programs_for_ever(0.8))
+async def run_scenario(context):
+    world, rng = context.world, context.rng
+    context.start(_change_configuration_forever(context))
+    context.start(context.clients.run_programs_forever(0.8))
     hosts = [*world.stores(), *world.fronts()]
-    for host in dice.sample(hosts, dice.randint(1, len(hosts))):
-        await _change_release(play, host, is_earlier=True)
-    await play.wait(0.5, 3)
-    await dice.choice((_add_store, _wipe, _kill))(play)
-    for host in dice.sample(world.stores() + world.fronts(), dice.randint(2, 4)):
-        await _change_release(play, host, is_earlier=not host.is_earlier_release)
+    for host in rng.sample(hosts, rng.randint(1, len(hosts))):
+        await _change_release(context, host, is_earlier=True)
+    await context.wait(0.5, 3)
+    await rng.choice((_add_store, _wipe, _kill))(context)
+    for host in rng.sample(world.stores() + world.fronts(), rng.randint(2, 4)):
+        await _change_release(context, host, is_earlier=not host.is_earlier_release)
     for host in world.stores() + world.fronts():
         if host.is_earlier_release:
-            await _change_release(play, host, is_earlier=False)
+            await _change_release(context, host, is_earlier=False)
 
 
-async def _change_release(play, host, is_earlier):
-    """Stop a machine's process and start it again with another release."""
-    play.world.note("earlier release" if is_earlier else "release of today", host)
-    play.world.stop(host, STOPPED_S)
-    await asyncio.sleep(STOPPED_S / 2)
+async def _change_release(context, host, is_earlier):
+    """Stop a machine's process and start it with the other release."""
+    context.world.record_event("earlier release" if is_earlier else "release of today", host)
+    context.world.stop(host, STOP_DURATION_S)
+    await asyncio.sleep(STOP_DURATION_S / 2)
     host.is_earlier_release = is_earlier
-    await asyncio.sleep(play.world.bounds["catch_up_s"])
+    await asyncio.sleep(context.world.bounds["catch_up_s"])
 
 
-async def _orders_for_ever(play):
-    """One operator after another, some with long configurations."""
-    operators = play.operators
+async def _change_configuration_forever(context):
+    """Make changes one after the other, some with large configurations."""
+    operators = context.operators
     while True:
-        order = operators.new_order(await operators.current(), filling=play.dice.choice((0, 0, FILLING)))
-        await operators.put(order, tries_s=6.0)
-        await play.wait(0.5, 3)
+        change = operators.new_change(
+            await operators.current(), padding_bytes=context.rng.choice((0, 0, PADDING_BYTES))
+        )
+        await operators.put(change, retry_for_s=6.0)
+        await context.wait(0.5, 3)
 
 
-async def _add_store(play):
-    play.world.boot(play.world.add(StoreHost))
-    await asyncio.sleep(play.world.bounds["catch_up_s"])
+async def _add_store(context):
+    context.world.boot(context.world.add(StoreHost))
+    await asyncio.sleep(context.world.bounds["catch_up_s"])
 
 
-async def _wipe(play):
-    back_s = play.dice.uniform(0.3, 2)
-    play.world.wipe(play.dice.choice(play.world.stores()), back_s)
-    await asyncio.sleep(back_s + play.world.bounds["catch_up_s"])
+async def _wipe(context):
+    downtime_s = context.rng.uniform(0.3, 2)
+    context.world.wipe(context.rng.choice(context.world.stores()), downtime_s)
+    await asyncio.sleep(downtime_s + context.world.bounds["catch_up_s"])
 
 
-async def _kill(play):
-    play.world.kill(play.dice.choice(play.world.stores()), play.dice.uniform(0.2, 2))
-    await asyncio.sleep(2 + play.world.bounds["catch_up_s"])
+async def _kill(context):
+    context.world.kill(context.rng.choice(context.world.stores()), context.rng.uniform(0.2, 2))
+    await asyncio.sleep(2 + context.world.bounds["catch_up_s"])
--- a/tests/simulation/scenarios/retired_at_once.py
+++ b/tests/simulation/scenarios/retired_at_once.py
@@ -1,24 +1,24 @@
-"""Point 3: a retiring store's machine is taken away the moment it may, and one other store is lost right then."""
+"""Point 3: a retiring store's machine is removed as soon as its retirement is done, and another store is lost then."""
 
 import asyncio
 
 from ..hosts import StoreHost
-from ..recovery import turns_are_taken
+from ..recovery import check_turns_accepted
 
 WORLD = {"stores": 3, "fronts": 2}
 
 
-async def play(play):
-    world, dice = play.world, play.dice
-    play.begin(play.clients.programs_for_ever(1.2))
-    await play.wait(1, 3)
+async def run_scenario(context):
+    world, rng = context.world, context.rng
+    context.start(context.clients.run_programs_forever(1.2))
+    await context.wait(1, 3)
     world.boot(world.add(StoreHost))
-    await play.wait(world.bounds["catch_up_s"], world.bounds["catch_up_s"] + 2)
-    if not await play.operators.retire(dice.choice(world.stores()), within_s=20.0):
-        world.oracle.breaks("RETIRE", "a store was not let go in 20 s of calm times")
+    await context.wait(world.bounds["catch_up_s"], world.bounds["catch_up_s"] + 2)
+    if not await context.operators.retire(rng.choice(world.stores()), within_s=20.0):
+        world.oracle.report_violation("RETIRE", "a retirement without faults was not done within 20 s")
         return
-    await play.wait(0, dice.choice((0.01, 0.3)))
-    back_s = dice.uniform(0.3, 3)
-    dice.choice((world.wipe, world.power_off))(dice.choice(world.stores()), back_s)
-    await asyncio.sleep(back_s + world.bounds["recovery_s"])
-    await turns_are_taken(play)
+    await context.wait(0, rng.choice((0.01, 0.3)))
+    downtime_s = rng.uniform(0.3, 3)
+    rng.choice((world.wipe, world.power_off))(rng.choice(world.stores()), downtime_s)
+    await asyncio.sleep(downtime_s + world.bounds["recovery_s"])
+    await check_turns_accepted(context)
--- a/tests/simulation/scenarios/second_loss.py
+++ b/tests/simulation/scenarios/second_loss.py
@@ -1,4 +1,4 @@
-"""Point 3: a loss, its repair, and the next loss at the edge of `catch_up_s`; replacements, retirement, wiped disks."""
+"""Point 3: a loss, its repair, and the next loss just after `catch_up_s`; replacements, retirement, wiped disks."""
 
 import asyncio
 
@@ -9,69 +9,69 @@
 EDGE_S = 0.3
 
 
-async def play(play):
-    play.begin(play.clients.programs_for_ever(0.8))
-    play.begin(play.operators.change_for_ever(4.0))
-    await play.wait(2, 5)
+async def run_scenario(context):
+    context.start(context.clients.run_programs_forever(0.8))
+    context.start(context.operators.make_changes_forever(4.0))
+    await context.wait(2, 5)
     for _ in range(ROUNDS):
-        loss = play.dice.choice(LOSSES)
-        victim = play.dice.choice(play.world.stores())
-        play.world.note(loss.__name__, victim)
-        await loss(play, victim)
-        catch_up_s = play.world.bounds["catch_up_s"]
-        await play.wait(catch_up_s, catch_up_s + play.dice.choice((EDGE_S, 4.0)))
+        loss = context.rng.choice(LOSSES)
+        victim = context.rng.choice(context.world.stores())
+        context.world.record_event(loss.__name__, victim)
+        await loss(context, victim)
+        catch_up_s = context.world.bounds["catch_up_s"]
+        await context.wait(catch_up_s, catch_up_s + context.rng.choice((EDGE_S, 4.0)))
 
 
-async def _wipe(play, victim):
-    back_s = play.dice.choice((play.dice.uniform(0.3, 3), play.dice.uniform(18, 24)))
-    play.world.wipe(victim, back_s)
-    await asyncio.sleep(back_s)
+async def _wipe(context, victim):
+    downtime_s = context.rng.choice((context.rng.uniform(0.3, 3), context.rng.uniform(18, 24)))
+    context.world.wipe(victim, downtime_s)
+    await asyncio.sleep(downtime_s)
 
 
-async def _power_off(play, victim):
-    back_s = play.dice.choice((play.dice.uniform(0.3, 3), play.dice.uniform(18, 24)))
-    play.world.power_off(victim, back_s)
-    await asyncio.sleep(back_s)
+async def _power_off(context, victim):
+    downtime_s = context.rng.choice((context.rng.uniform(0.3, 3), context.rng.uniform(18, 24)))
+    context.world.power_off(victim, downtime_s)
+    await asyncio.sleep(downtime_s)
 
 
-async def _freeze(play, victim):
-    play.world.freeze(victim)
-    await play.wait(0.5, 23)
-    play.world.thaw(victim)
+async def _freeze(context, victim):
+    context.world.freeze(victim)
+    await context.wait(0.5, 23)
+    context.world.unfreeze(victim)
 
 
-async def _cut(play, victim):
-    others = [ip for ip in play.world.everyone() if ip != victim.ip]
-    pairs = play.world.cut([victim.ip], others) + play.world.cut(others, [victim.ip])
-    await play.wait(0.5, 23)
-    play.world.join(pairs)
+async def _cut(context, victim):
+    others = [ip for ip in context.world.all_addresses() if ip != victim.ip]
+    pairs = context.world.cut_links([victim.ip], others) + context.world.cut_links(others, [victim.ip])
+    await context.wait(0.5, 23)
+    context.world.restore_links(pairs)
 
 
-async def _replace(play, victim):
-    """The machine is gone; an empty one takes its place at another address, under its name or another."""
-    world, dice = play.world, play.dice
-    name = dice.choice((victim.name, None))
+async def _replace(context, victim):
+    """Remove the machine; an empty one replaces it at another address, under the same name or another."""
+    world, rng = context.world, context.rng
+    name = rng.choice((victim.name, None))
     world.remove(victim)
-    await play.wait(0.1, 3)
+    await context.wait(0.1, 3)
     world.boot(world.add(StoreHost, name, victim.zone))
 
 
-async def _replace_planned(play, victim):
-    """The new machine comes first, and the old one is stopped for good a while after."""
-    world, dice = play.world, play.dice
-    world.boot(world.add(StoreHost, dice.choice((victim.name, None)), victim.zone))
-    await asyncio.sleep(world.bounds["catch_up_s"] + dice.uniform(0, 3))
+async def _replace_planned(context, victim):
+    """Add the new machine first, and stop the old one permanently some time later."""
+    world, rng = context.world, context.rng
+    world.boot(world.add(StoreHost, rng.choice((victim.name, None)), victim.zone))
+    await asyncio.sleep(world.bounds["catch_up_s"] + rng.uniform(0, 3))
     world.stop(victim, None)
     await asyncio.sleep(1.0)
     world.remove(victim)
 
 
-async def _retire(play, victim):
-    """A machine more comes, and another one is emptied and taken away."""
-    world = play.world
+async def _retire(context, victim):
+    """Add a machine, then retire another one and remove it."""
+    world = context.world
     world.boot(world.add(StoreHost))
-    await asyncio.sleep(world.bounds["catch_up_s"] + play.dice.uniform(0, 3))
-    await play.operators.retire(victim, within_s=20.0)
+    await asyncio.sleep(world.bounds["catch_up_s"] + context.rng.uniform(0, 3))
+    await context.operators.retire(victim, within_s=20.0)
 
 
 LOSSES = (_wipe, _wipe, _power_off, _freeze, _replace, _replace_planned, _retire, _cut)
--- a/tests/simulation/scenarios/taken_away.py
+++ b/tests/simulation/scenarios/taken_away.py
@@ -1,65 +1,65 @@
-"""Points 1 and 3: control machines are taken away for good, with and without notice, and replaced at other addresses.
+"""Points 1 and 3: control machines are removed permanently, with and without notice, and replaced at other addresses.
 
-The victim is the one whose disk has lasted longest, the one that reads the platform's list, or any. With two tolerated
-losses the next one goes before the first replacement has caught up.
+The removed machine is the oldest, the one that reads the platform's list, or any. With two tolerated losses the next
+one may be removed before the first replacement has caught up.
 """
 
 import asyncio
 
 from ..hosts import StoreHost
-from ..recovery import turns_are_taken
+from ..recovery import check_turns_accepted
 
 WORLD = {"stores": 3, "fronts": 3}
-WORLD_OF_TWO = {"stores": 5, "fronts": 3, "losses": 2}
+WORLD_TOLERATING_TWO = {"stores": 5, "fronts": 3, "tolerated_losses": 2}
 LEAVES_WITHIN_S = 0.8
 NOTICED_WITHIN_S = 3.0
 
 
-def world_of(seed):
-    """With odd seeds one machine may be lost at once, with even ones two."""
-    return WORLD if seed % 2 else WORLD_OF_TWO
+def world_options(seed):
+    """With odd seeds the system tolerates one lost machine, with even ones two."""
+    return WORLD if seed % 2 else WORLD_TOLERATING_TWO
 
 
-async def play(play):
-    world, dice = play.world, play.dice
-    play.begin(play.operators.change_for_ever(2.0))
-    play.begin(play.clients.programs_for_ever(0.8))
-    await play.wait(1, 4)
+async def run_scenario(context):
+    world, rng = context.world, context.rng
+    context.start(context.operators.make_changes_forever(2.0))
+    context.start(context.clients.run_programs_forever(0.8))
+    await context.wait(1, 4)
     for _ in range(3):
-        losses = dice.randint(1, world.losses)
+        losses = rng.randint(1, world.tolerated_losses)
         for number in range(losses):
-            await _take_away(play, dice.choice((_oldest, _reader, _any))(play))
+            await _take_away(context, rng.choice((_oldest, _reader, _any))(context))
             if number + 1 < losses:
-                await play.wait(0, world.bounds["catch_up_s"])
-        await play.wait(world.bounds["catch_up_s"], world.bounds["catch_up_s"] + dice.choice((0.3, 4.0)))
-    await turns_are_taken(play)
+                await context.wait(0, world.bounds["catch_up_s"])
+        await context.wait(world.bounds["catch_up_s"], world.bounds["catch_up_s"] + rng.choice((0.3, 4.0)))
+    await check_turns_accepted(context)
 
 
-async def _take_away(play, victim):
-    """Take a machine away, with notice or without, and put up an empty one at another address."""
-    world, dice = play.world, play.dice
-    world.note("taken away", victim)
-    if dice.random() < 0.5:
+async def _take_away(context, victim):
+    """Remove a machine, with notice or without, and add an empty one at another address."""
+    world, rng = context.world, context.rng
+    world.record_event("taken away", victim)
+    if rng.random() < 0.5:
         world.stop(victim, None)
         await asyncio.sleep(LEAVES_WITHIN_S)
     world.remove(victim)
-    await play.wait(0.1, NOTICED_WITHIN_S)
-    world.boot(world.add(StoreHost, dice.choice((victim.name, None)), victim.zone))
+    await context.wait(0.1, NOTICED_WITHIN_S)
+    world.boot(world.add(StoreHost, rng.choice((victim.name, None)), victim.zone))
 
 
-def _oldest(play):
-    return min(play.world.stores(), key=lambda host: host.first_started_s)
+def _oldest(context):
+    return min(context.world.stores(), key=lambda host: host.first_started_s)
 
 
-def _reader(play):
-    """The machine whose process reads the platform's list, as far as any does."""
+def _reader(context):
+    """A machine whose process reads the platform's list, or any machine if none does."""
     readers = [
         host
-        for host in play.world.stores()
-        if host.serves and host.control_server is not None and host.control_server._is_assigned_reader()
+        for host in context.world.stores()
+        if host.is_responsive and host.control_server is not None and host.control_server._is_assigned_reader()
     ]
-    return play.dice.choice(readers or play.world.stores())
+    return context.rng.choice(readers or context.world.stores())
 
 
-def _any(play):
-    return play.dice.choice(play.world.stores())
+def _any(context):
+    return context.rng.choice(context.world.stores())
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,4 +1,4 @@
-"""Some seeds of each scenario, and that a seed replays exactly. Each run is a process of its own, with fixed hashes."""
+"""Runs some seeds of each scenario and checks that a seed replays exactly, each in a process with a fixed hash seed."""
 
 import os
 import subprocess
--- a/tests/simulation/wrong_variants.py
+++ b/tests/simulation/wrong_variants.py
@@ -1,7 +1,7 @@
-"""Wrong variants of the programs, with the scenario that has to find each: `python -m tests.simulation.wrong_variants`.
+"""Wrong variants of the programs and the scenario that must detect each: `python -m tests.simulation.wrong_variants`.
 
-A variant is put in place in a process of its own; the seeds are tried one after the other until one breaks a rule. Each
-counts how often it decided otherwise than the right text: one that never does shows nothing.
+A variant is applied in a process of its own, and seeds are run one after the other until one violates a rule. Each
+counts how often its decision deviates from the correct code: a variant that never deviates tests nothing.
 """
 
 import argparse
@@ -27,7 +27,7 @@
 from dewpin.dataplane.membership.cluster_knowledge import ClusterKnowledge
 from dewpin.dataplane.programs import ledger, turn_client
 
-from .__main__ import with_fixed_hashes
+from .__main__ import reexec_with_fixed_hash_seed
 from .disk import Disk
 from .hosts import StoreHost
 from .run import run
@@ -35,20 +35,20 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A wrong variant: how it is put in place, the scenario that finds it, and the most seeds that this may take."""
+    """A wrong variant: the function that applies it, the scenario that detects it, and the maximum number of seeds."""
 
-    put_in_place: object
+    apply: object
     scenario: str
-    most_seeds: int
+    max_seeds: int
 
 
 @dataclass(frozen=True)
-class Trial:
-    """How a variant fared: the seed that found it and what it broke, None without; how many seeds were run, and how
-    often the variant decided otherwise than the right text in them."""
+class VariantResult:
+    """The result of a variant: the seed that detected it and the violation, or None; the number of seeds run, and how
+    often the variant deviated from the correct code in them."""
 
     seed: int | None
-    broken: str | None
+    violation: str | None
     seeds: int
     deviations: int
 
@@ -56,147 +56,147 @@
 _deviations = 0
 
 
-def _deviates(is_other=True):
-    """Count a decision that the right text would not have made, if it is one."""
+def _record_deviation(is_deviation=True):
+    """Count a decision if it deviates from that of the correct code."""
     global _deviations
-    _deviations += bool(is_other)
+    _deviations += bool(is_deviation)
 
 
 def _acknowledge_before_sync():
-    make = Disk.__init__
+    original_init = Disk.__init__
 
-    def made(self, *given):
-        make(self, *given)
+    def patched_init(self, *given):
+        original_init(self, *given)
         self.acknowledges_early = True
-        _deviates()
+        _record_deviation()
 
-    Disk.__init__ = made
+    Disk.__init__ = patched_init
 
 
 def _forget_promises_over_a_restart():
-    load = SystemRegister.load
+    original_load = SystemRegister.load
 
-    async def loaded(self):
-        await load(self)
+    async def load_without_promises(self):
+        await original_load(self)
         replica = self.acceptor.replica
-        _deviates(replica.promised != replica.accepted)
+        _record_deviation(replica.promised != replica.accepted)
         replica.promised = replica.accepted
         self._proposer.resume()
 
-    SystemRegister.load = loaded
+    SystemRegister.load = load_without_promises
 
 
 def _count_a_wiped_member():
-    empty = StoreHost.put_in_empty_disk
+    original_replace_disk = StoreHost.replace_disk
 
-    def emptied(self):
-        before = self.disk
-        empty(self)
-        if before is not None:
-            self.disk.incarnation = before.incarnation
-            _deviates()
+    def replace_disk_keeping_identity(self):
+        previous = self.disk
+        original_replace_disk(self)
+        if previous is not None:
+            self.disk.incarnation = previous.incarnation
+            _record_deviation()
 
-    StoreHost.put_in_empty_disk = emptied
+    StoreHost.replace_disk = replace_disk_keeping_identity
 
 
 def _take_what_one_member_accepted_as_chosen():
-    is_chosen = proposal.Proposal._is_chosen
+    original_is_chosen = proposal.Proposal._is_chosen
 
-    def taken(self, sets):
-        _deviates(not is_chosen(self, sets))
+    def always_chosen(self, sets):
+        _record_deviation(not original_is_chosen(self, sets))
         return True
 
-    proposal.Proposal._is_chosen = taken
+    proposal.Proposal._is_chosen = always_chosen
 
 
 def _read_without_a_majority():
-    operator_api.OperatorApi._propose = _from_what_is_known(operator_api.OperatorApi._propose)
+    operator_api.OperatorApi._propose = _answer_reads_locally(operator_api.OperatorApi._propose)
 
 
-def _from_what_is_known(agreed):
-    def known(self, change):
+def _answer_reads_locally(original_propose):
+    def propose(self, change):
         state = self._register.newest
         if state is None or change(state) is not state:
-            return agreed(self, change)
-        _deviates()
+            return original_propose(self, change)
+        _record_deviation()
         return state
 
-    return known
+    return propose
 
 
 def _renew_without_a_majority():
-    is_current = StateFreshness.is_current
+    original_is_current = StateFreshness.is_current
 
-    def current(self):
-        _deviates(not is_current(self))
+    def always_current(self):
+        _record_deviation(not original_is_current(self))
         return True
 
-    StateFreshness.is_current = current
+    StateFreshness.is_current = always_current
     StateFreshness.age_s = lambda self: 0.0
 
 
 def _refuse_a_repeated_order():
-    put = operator_api.put_configuration
+    original_put = operator_api.put_configuration
 
-    def forgetful(*given):
-        change = put(*given)
+    def put_rejecting_repeats(*given):
+        change = original_put(*given)
 
-        def changed(state):
+        def change_rejecting_repeats(state):
             if [state["configuration"] and state["configuration"]["generation"]] == [given[1]]:
-                _deviates()
+                _record_deviation()
                 raise operator_api.VersionMismatchError("refused again")
             return change(state)
 
-        return changed
+        return change_rejecting_repeats
 
-    operator_api.put_configuration = forgetful
+    operator_api.put_configuration = put_rejecting_repeats
 
 
 def _finish_a_view_before_all_have_copied():
-    all_synced = reconfiguration._have_all_synced
+    original_all_synced = reconfiguration._have_all_synced
 
-    def synced(stores, epoch, knowledge):
-        _deviates(not all_synced(stores, epoch, knowledge))
+    def always_synced(stores, epoch, knowledge):
+        _record_deviation(not original_all_synced(stores, epoch, knowledge))
         return True
 
-    reconfiguration._have_all_synced = synced
+    reconfiguration._have_all_synced = always_synced
 
 
 def _copy_nothing():
-    async def at_once(self, view):
-        _deviates(self._store.member_id in view.next_ids)
+    async def finish_without_copying(self, view):
+        _record_deviation(self._store.member_id in view.next_ids)
         self._on_synced(view.epoch)
 
-    StoreSync._run = at_once
+    StoreSync._run = finish_without_copying
 
 
 def _let_a_leaving_store_go_early():
-    done = reconfiguration._finish_completed_retirement
+    original_finish = reconfiguration._finish_completed_retirement
 
-    def early(state, knowledge):
+    def finish_early(state, knowledge):
         for name in state["retiring"]:
-            _deviates(done(state, knowledge) is None)
+            _record_deviation(original_finish(state, knowledge) is None)
             return reconfiguration.finish_retirement(name)
         return None
 
-    reconfiguration._finish_completed_retirement = early
+    reconfiguration._finish_completed_retirement = finish_early
 
 
 def _write_a_turn_to_one_replica():
-    has_majorities = turn_client.has_majorities
+    original_has_majorities = turn_client.has_majorities
 
-    def stored_once(sets, stored):
-        _deviates(stored and not has_majorities(sets, stored))
+    def is_stored_anywhere(sets, stored):
+        _record_deviation(stored and not original_has_majorities(sets, stored))
         return bool(stored)
 
-    turn_client.has_majorities = stored_once
+    turn_client.has_majorities = is_stored_anywhere
 
 
 def _believe_one_store_that_denies_a_turn():
     max_unreachable = StoreView.max_unreachable
 
     def all_but_one(self, count):
-        _deviates(max_unreachable(self, count) < len(self.stable) - 1)
+        _record_deviation(max_unreachable(self, count) < len(self.stable) - 1)
         return len(self.stable) - 1
 
     StoreView.max_unreachable = all_but_one
@@ -204,7 +204,7 @@
 
 def _two_majorities_that_do_not_meet():
     def half_of(members):
-        _deviates()
+        _record_deviation()
         return max(1, len(members) // 2)
 
     proposal.majority_of = half_of
@@ -215,8 +215,8 @@
         def change(value):
             if value is None or turn not in value["open"]:
                 return value
-            _deviates()
-            left = {other: most for other, most in value["open"].items() if other != turn}
+            _record_deviation()
+            left = {other: max_tokens for other, max_tokens in value["open"].items() if other != turn}
             return ledger.Ledger(spent=max(0, value["spent"] + used - value["open"][turn]), open=left)
 
         return change
@@ -225,99 +225,99 @@
 
 
 def _take_any_state_that_is_told():
-    """Both guards are gone: a parent tells what it has, newer or not, and its child takes it."""
-    take, tell = ClusterKnowledge.apply_update, relay_service._update
+    """Removes both guards: a parent sends its state even if it is not newer, and its child accepts it."""
+    original_apply_update, original_update = ClusterKnowledge.apply_update, relay_service._update
 
-    def taken(self, update, asked_s):
+    def accept_any_update(self, update, asked_s):
         if update.state is not None:
             complete = self.system_state.complete
-            _deviates(complete is not None and update.state["version"] < complete["version"])
+            _record_deviation(complete is not None and update.state["version"] < complete["version"])
             self.system_state.complete = self.system_state.newest = None
-        take(self, update, asked_s)
+        original_apply_update(self, update, asked_s)
 
-    def told(knowledge, request):
-        return replace(tell(knowledge, request), state=knowledge.state)
+    def send_any_state(knowledge, request):
+        return replace(original_update(knowledge, request), state=knowledge.state)
 
-    ClusterKnowledge.apply_update = taken
-    relay_service._update = told
+    ClusterKnowledge.apply_update = accept_any_update
+    relay_service._update = send_any_state
 
 
 def _answer_under_any_epoch():
-    """Both guards are gone: the check before the disk is asked, and the one behind it."""
-    check = ViewGuard.check_view
+    """Removes both guards: the check before the disk access and the one in the transaction."""
+    original_check_view = ViewGuard.check_view
 
-    def checked(self, message):
+    def check_without_epoch(self, message):
         view = self.view
         if view is not None and message.get("to") == self.member_id:
-            _deviates(message.get("epoch") != view.epoch)
+            _record_deviation(message.get("epoch") != view.epoch)
             return view
-        return check(self, message)
+        return original_check_view(self, message)
 
-    async def transact(self, view_epoch, work):
+    async def transact_without_epoch(self, view_epoch, work):
         view = self.view
-        return await make_transaction(self, view.epoch if view is not None else view_epoch, work)
+        return await original_transact(self, view.epoch if view is not None else view_epoch, work)
 
-    make_transaction = ViewGuard.transact
-    ViewGuard.check_view = checked
-    ViewGuard.transact = transact
+    original_transact = ViewGuard.transact
+    ViewGuard.check_view = check_without_epoch
+    ViewGuard.transact = transact_without_epoch
 
 
 def _take_an_answer_without_its_number():
-    receive = ClientConnection.data_received
+    original_data_received = ClientConnection.data_received
 
-    def received(self, data):
+    def data_received(self, data):
         waiting = self._pending
 
-        class InTheirOrder(dict):
+        class RepliesInCallOrder(dict):
             def pop(self, number, default=None):
                 first = next(iter(waiting), number)
-                _deviates(first != number)
+                _record_deviation(first != number)
                 return waiting.pop(first, default)
 
-        self._pending = InTheirOrder(waiting)
+        self._pending = RepliesInCallOrder(waiting)
         try:
-            receive(self, data)
+            original_data_received(self, data)
         finally:
             self._pending = waiting
 
-    ClientConnection.data_received = received
+    ClientConnection.data_received = data_received
 
 
 def _count_a_copied_ledger_as_a_vote():
-    load = ledger_replica.load
+    original_load = ledger_replica.load
 
-    def voted(connection, program):
-        replica = load(connection, program)
-        _deviates(replica.copied)
+    def load_as_vote(connection, program):
+        replica = original_load(connection, program)
+        _record_deviation(replica.copied)
         return replace(replica, copied=False)
 
-    ledger_replica.load = voted
+    ledger_replica.load = load_as_vote
 
 
 def _leave_bodies_out_for_every_release():
-    state_for = relay_service._state_for
+    original_state_for = relay_service._state_for
 
     def state_without_body(request, state):
-        known = replace(request, body_generation=request.body_generation or 0)
-        _deviates(request.body_generation is None)
-        return state_for(known, state)
+        assumed = replace(request, body_generation=request.body_generation or 0)
+        _record_deviation(request.body_generation is None)
+        return original_state_for(assumed, state)
 
     relay_service._state_for = state_without_body
 
 
 def _take_a_full_disk_for_a_sync():
-    transact = Disk.transact
+    original_transact = Disk.transact
 
-    async def transacted(self, work):
+    async def transact_despite_errors(self, work):
         try:
-            return await transact(self, work)
+            return await original_transact(self, work)
         except StorageError:
-            _deviates()
+            _record_deviation()
             connection = sqlite3.connect(":memory:", isolation_level=None)
             self._connection.backup(connection)
             return work(connection)
 
-    Disk.transact = transacted
+    Disk.transact = transact_despite_errors
 
 
 VARIANTS = {
@@ -344,40 +344,42 @@
 }
 
 
-def first_broken(name, scenario=None, most_seeds=None):
-    """Run a variant until a seed finds it."""
+def find_violation(name, scenario=None, max_seeds=None):
+    """Run a variant until a seed detects it."""
     variant = VARIANTS[name]
-    variant.put_in_place()
-    most_seeds = most_seeds or variant.most_seeds
-    for seed in range(1, most_seeds + 1):
+    variant.apply()
+    max_seeds = max_seeds or variant.max_seeds
+    for seed in range(1, max_seeds + 1):
         result = run(scenario or variant.scenario, seed)
-        if result.broken:
-            return Trial(seed, result.broken[0], seed, _deviations)
-    return Trial(None, None, most_seeds, _deviations)
+        if result.violations:
+            return VariantResult(seed, result.violations[0], seed, _deviations)
+    return VariantResult(None, None, max_seeds, _deviations)
 
 
 def main():
     parser = argparse.ArgumentParser(prog="python -m tests.simulation.wrong_variants", description=__doc__)
     parser.add_argument("--variant", action="append", choices=sorted(VARIANTS), help="default: all")
-    parser.add_argument("--scenario", help="in place of the one that has to find the variant")
-    parser.add_argument("--seeds", type=int, help="at most, in place of the variant's own bound")
+    parser.add_argument("--scenario", help="in place of the one that must detect the variant")
+    parser.add_argument("--seeds", type=int, help="maximum number, in place of the variant's own")
     parser.add_argument("--jobs", type=int, default=4)
-    given = parser.parse_args()
-    names = given.variant or list(VARIANTS)
-    missed = 0
-    with ProcessPoolExecutor(given.jobs, max_tasks_per_child=1) as pool:
+    arguments = parser.parse_args()
+    names = arguments.variant or list(VARIANTS)
+    undetected = 0
+    with ProcessPoolExecutor(arguments.jobs, max_tasks_per_child=1) as pool:
         began_s = time.monotonic()
-        asked = {pool.submit(partial(first_broken, name, given.scenario, given.seeds)): name for name in names}
+        asked = {
+            pool.submit(partial(find_violation, name, arguments.scenario, arguments.seeds)): name for name in names
+        }
         for future in as_completed(asked):
-            name, trial = asked[future], future.result()
-            missed += trial.seed is None
-            told = f"seed {trial.seed}: {trial.broken}" if trial.seed else f"NOT FOUND in {trial.seeds} seeds"
-            scenario = given.scenario or VARIANTS[name].scenario
-            print(f"{name} ({scenario}, {trial.deviations} deviations): {told}", flush=True)
-    print(f"{len(names)} variants, {missed} not found; {time.monotonic() - began_s:.0f} s")
-    return 1 if missed else 0
+            name, result = asked[future], future.result()
+            undetected += result.seed is None
+            outcome = f"seed {result.seed}: {result.violation}" if result.seed else f"NOT FOUND in {result.seeds} seeds"
+            scenario = arguments.scenario or VARIANTS[name].scenario
+            print(f"{name} ({scenario}, {result.deviations} deviations): {outcome}", flush=True)
+    print(f"{len(names)} variants, {undetected} not found; {time.monotonic() - began_s:.0f} s")
+    return 1 if undetected else 0
 
 
 if __name__ == "__main__":
-    with_fixed_hashes("tests.simulation.wrong_variants")
+    reexec_with_fixed_hash_seed("tests.simulation.wrong_variants")
     sys.exit(main())
