--- a/tests/model/catalogue.py
+++ b/tests/model/catalogue.py
@@ -1,4 +1,4 @@
-"""The models by name, with their bounds: the quick ones run with the tests, the deep ones by a command."""
+"""The models by name, with their bounds: the quick ones run with the tests, the deep ones from the command line."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.model.register_model import RegisterModel
 from tests.model.retirement_model import RetirementModel, keys
 
-MOST_STATES = 20_000_000
-"""Far above all models here: each is explored whole, or the search is cut off and says so."""
+MAX_STATES = 20_000_000
+"""Far above the size of all models here: each is explored completely, or its report says that it was cut off."""
 
 CONFIGURATION_X, CONFIGURATION_Y, READ = ("put", 1, 0, "x"), ("put", 1, 0, "y"), ("read",)
 REPLACE_C, REPLACE_WIPED_C, SETTLE = ("members", "abd"), ("members", "abC"), ("settle",)
@@ -20,7 +20,7 @@
 SETTLE_EARLY, READ_LEDGER = ("settle", "early", 1), ("read", "", 0)
 BUDGET = 3
 STABLE, CHANGING, CHANGED = (1,), (2,), (3,)
-"""The epochs under which a ballot of a sender may begin."""
+"""The epochs in which a ballot of a sender may begin."""
 
 
 def _register(
@@ -46,7 +46,7 @@
     other_epochs: tuple[tuple[int, ...], ...] = (CHANGED,),
     **bounds: object,
 ) -> Model:
-    """A settlement whose first ballot begins before the change and the second one after it, and another sender."""
+    """A settlement whose ballots begin before and after the change, and another sender with one operation."""
     operations = ((EARLY, SETTLE_EARLY), (other,))
     epochs = ((STABLE, STABLE, CHANGED), other_epochs)
     ballots = (3, len(other_epochs))
@@ -55,10 +55,10 @@
 
 QUICK: dict[str, Callable[[], Model]] = {
     "register: two configurations, two ballots each": lambda: _register(
-        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(2, 2), skips=(0, 1)
+        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(2, 2), skipped_ballots=(0, 1)
     ),
     "register: two configurations, processes tell each other": lambda: _register(
-        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(2, 2), hears=True
+        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(2, 2), shares_chosen=True
     ),
     "register: two configurations, the own replica may fail": lambda: _register(
         (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(1, 2), reaches_itself=False
@@ -85,10 +85,10 @@
         (CONFIGURATION_X,), (REPLACE_WIPED_C, SETTLE, READ), ballots=_ballots(1, 3), wipes="c"
     ),
     "register: two configurations, answers come late": lambda: _register(
-        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(1, 2), late_answers=True
+        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(1, 2), late_replies=True
     ),
     "ledgers: two reservations, answers come late": lambda: _ledger(
-        ((EARLY,), (LATE,)), (1, 1), epochs=(STABLE,), late_answers=True
+        ((EARLY,), (LATE,)), (1, 1), epochs=(STABLE,), late_replies=True
     ),
     "ledgers: two reservations": lambda: _ledger(((EARLY,), (LATE,)), (2, 2), epochs=(STABLE,)),
     "ledgers: a settlement under a prepared ballot": lambda: _ledger(
@@ -100,7 +100,7 @@
     "ledgers: a settlement through the change, reserved at a and b": lambda: _settlement("ab"),
     "ledgers: a settlement through the change, reserved at b and c": lambda: _settlement("bc"),
     "contact: two seconds": lambda: ContactModel(2),
-    "contact: a change of members begins": lambda: ContactModel(2, C_FOR_D_BEGINS, tells_least=True),
+    "contact: a change of members begins": lambda: ContactModel(2, C_FOR_D_BEGINS, reports_earliest=True),
     "contact: a change of members ends": lambda: ContactModel(1, C_FOR_D_ENDS),
     "contact: the change that drops the process ends": lambda: ContactModel(1, SELF_FOR_D[1:]),
     "retirement of d: a record at a, b and c": lambda: RetirementModel(keys()["abc"]),
@@ -108,7 +108,7 @@
     "retirement of d: a record at a, c and d": lambda: RetirementModel(keys()["acd"]),
     "retirement of d: a record at b, c and d": lambda: RetirementModel(keys()["bcd"]),
 }
-"""Explored whole with every run of the tests."""
+"""Explored completely in every test run."""
 
 DEEP: dict[str, Callable[[], Model]] = {
     "register: two configurations, three ballots each": lambda: _register(
@@ -127,17 +127,17 @@
         (CONFIGURATION_X, READ), (REPLACE_C,), ballots=_ballots(2, 1), crashes=1
     ),
     "register: a configuration and a read, answers come late": lambda: _register(
-        (CONFIGURATION_X, READ), (CONFIGURATION_Y,), ballots=_ballots(2, 1), late_answers=True
+        (CONFIGURATION_X, READ), (CONFIGURATION_Y,), ballots=_ballots(2, 1), late_replies=True
     ),
     "register: two configurations, two ballots each, answers come late": lambda: _register(
-        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(2, 2), late_answers=True
+        (CONFIGURATION_X,), (CONFIGURATION_Y,), ballots=_ballots(2, 2), late_replies=True
     ),
     "ledgers: a settlement, answers come late": lambda: _ledger(
-        ((EARLY, SETTLE_EARLY), (LATE,)), (2, 1), epochs=(STABLE,), late_answers=True
+        ((EARLY, SETTLE_EARLY), (LATE,)), (2, 1), epochs=(STABLE,), late_replies=True
     ),
-    "ledgers: a settlement through the change, answers come late": lambda: _settlement("ab", late_answers=True),
+    "ledgers: a settlement through the change, answers come late": lambda: _settlement("ab", late_replies=True),
     "ledgers: conflicts are heard": lambda: _ledger(
-        ((EARLY, SETTLE_EARLY), (LATE,)), (2, 2), epochs=(STABLE,), hears_conflicts=True
+        ((EARLY, SETTLE_EARLY), (LATE,)), (2, 2), epochs=(STABLE,), delivers_conflicts=True
     ),
     "ledgers: two reservations while the view changes": lambda: _ledger(
         ((EARLY,), (LATE,)), (1, 1), epochs=(CHANGING,)
@@ -163,7 +163,7 @@
     ),
     "contact: three seconds": lambda: ContactModel(3),
     "contact: a change of members begins, two seconds": lambda: ContactModel(2, C_FOR_D_BEGINS),
-    "contact: a whole change of members": lambda: ContactModel(1, C_FOR_D, tells_least=True),
-    "contact: the change that drops the process": lambda: ContactModel(1, SELF_FOR_D, tells_least=True),
+    "contact: a whole change of members": lambda: ContactModel(1, C_FOR_D, reports_earliest=True),
+    "contact: the change that drops the process": lambda: ContactModel(1, SELF_FOR_D, reports_earliest=True),
 }
-"""Explored by the command: minutes to an hour each."""
+"""Explored from the command line: minutes to an hour each."""
--- a/tests/model/component.py
+++ b/tests/model/component.py
@@ -1,8 +1,8 @@
-"""Real objects as parts of a model's state.
+"""Real objects as components of a model's state.
 
-The objects under test are mutable and some wait inside coroutines, so they can't be copied. A component keeps for each
-of its states the events that led there first; a step replays these on a new object, applies one event more and interns
-the outcome by its fingerprint. Each step is computed once: the search itself only follows numbers.
+The objects under test are mutable and some are suspended in coroutines, so they cannot be copied. A component keeps for
+each of its states the events that first led to it. A step replays these on a new object, applies one more event and
+interns the result by its fingerprint. Each step is computed once; the search itself only handles state numbers.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 Output = Hashable
 
 
-class Live(Protocol):
-    """A real object with the surroundings that the model gives it."""
+class Part(Protocol):
+    """A real object in an environment provided by the model."""
 
     def apply(self, event: Event) -> Output:
-        """Takes an event; returns what the object let out."""
+        """Applies an event and returns the object's output."""
 
     def fingerprint(self) -> Hashable:
-        """All that its later behaviour depends on."""
+        """Everything that its later behaviour depends on."""
 
 
 class Component:
-    """The states of one part, by number; number 0 is the state that `make` gives."""
+    """The states of one part, by number; state 0 is the one that `make` returns."""
 
-    def __init__(self, make: Callable[[], Live]) -> None:
+    def __init__(self, make: Callable[[], Part]) -> None:
         self._make = make
         self._numbers: dict[Hashable, int] = {}
         self._histories: list[tuple[Event, ...]] = []
@@ -38,7 +38,7 @@
         self._intern(make(), ())
 
     def step(self, number: int, event: Event) -> tuple[int, Output]:
-        """The state after `event` in the state of that number, and what was let out."""
+        """The number of the state after `event` in the given state, and the output."""
         known = self._steps.get((number, event))
         if known is None:
             known = self._steps[(number, event)] = self._replay(number, event)
@@ -49,14 +49,14 @@
         return self._fingerprints[number]
 
     def _replay(self, number: int, event: Event) -> tuple[int, Output]:
-        live = self._make()
+        part = self._make()
         for past in self._histories[number]:
-            live.apply(past)
-        output = live.apply(event)
-        return self._intern(live, (*self._histories[number], event)), output
+            part.apply(past)
+        output = part.apply(event)
+        return self._intern(part, (*self._histories[number], event)), output
 
-    def _intern(self, live: Live, history: tuple[Event, ...]) -> int:
-        fingerprint = live.fingerprint()
+    def _intern(self, part: Part, history: tuple[Event, ...]) -> int:
+        fingerprint = part.fingerprint()
         number = self._numbers.setdefault(fingerprint, len(self._numbers))
         if number == len(self._histories):
             self._histories.append(history)
@@ -64,15 +64,15 @@
         return number
 
 
-class Interned:
-    """Messages by number, so that a state holds numbers only."""
+class InternTable:
+    """Assigns numbers to messages, so that a state contains numbers only."""
 
     def __init__(self) -> None:
         self._numbers: dict[Hashable, int] = {}
         self.values: list[Any] = []
 
     def number(self, value: Any) -> int:
-        """The number of a message; equal messages have the same one."""
+        """The number of a message; equal messages have the same number."""
         number = self._numbers.setdefault(freeze(value), len(self._numbers))
         if number == len(self.values):
             self.values.append(value)
@@ -96,15 +96,15 @@
 
 
 def freeze_proposal(proposal: Any) -> Hashable:
-    """A proposal under way; its change is known from where its owner stands."""
+    """A proposal in progress, without its callables: the change follows from the state of its owner."""
     if proposal is None:
         return None
-    held = {name: one for name, one in vars(proposal).items() if not callable(one)}
-    return freeze(held)
+    attributes = {name: one for name, one in vars(proposal).items() if not callable(one)}
+    return freeze(attributes)
 
 
-def position(coroutine: Any) -> Hashable:
-    """Where a waiting coroutine stands: function and line, innermost last."""
+def await_position(coroutine: Any) -> Hashable:
+    """Where a coroutine is suspended: function names and line numbers, innermost last."""
     places = []
     while coroutine is not None and getattr(coroutine, "cr_frame", None) is not None:
         places.append((coroutine.cr_code.co_name, coroutine.cr_frame.f_lineno))
--- a/tests/model/contact_model.py
+++ b/tests/model/contact_model.py
@@ -1,20 +1,22 @@
-"""The model of majority contact: a control process that may be cut off, the answers to its heartbeats, newer versions.
-
-A heartbeat goes to each member in each tick. It is handled and its answer arrives at any later time, or never; the
-process may stand still in between (only the clock goes on). Versions may change the members, so that two sets vote.
-Property: the process counts its version as confirmed as of T only if no newer one was chosen before T. A version counts
-as chosen as soon as majorities of its own sets have accepted it; what a proposer waits for is never less.
-
-Runs that can't be told apart are one state:
-
-- an answer tells some version that the member held between the question and the arrival. Which one is decided when it
-  arrives, so a heartbeat on its way carries the versions that it may tell;
-- a heartbeat that was never sent, or is lost on either way, is one whose answer never arrives;
-- a heartbeat is left out once a later one of the same member was heard: `MajorityContact.record_acknowledgement` takes
-  none that was asked earlier. Only a member that votes no more is forgotten, and here none comes back;
-- once the process holds the last version nothing follows: no newer one can be chosen, so that none can be missed;
-- with `tells_least` an answer tells what the member held when it was asked. A word counts where its version is not
-  above the one held, so one that tells more never confirms more: `_majority_time` rises with each time in `confirming`.
+"""Models majority contact: a control process that may be isolated, the replies to its heartbeats, newer versions.
+
+A heartbeat is sent to each member in each tick. It is handled and its reply arrives at any later time, or never; the
+process may be paused in between (only the clock advances). Versions may change the members, so that two quorum sets
+apply. Property: the process counts its version as confirmed as of T only if no newer one was chosen before T. A version
+counts as chosen as soon as majorities of its own quorum sets have accepted it; a proposer never waits for less.
+
+Indistinguishable runs are merged into one state:
+
+- a reply reports some version that the member held between the sending of the heartbeat and the arrival of the reply.
+  It is selected on arrival, so a heartbeat in flight carries all versions that its reply may report;
+- a heartbeat that was never sent, or is lost in either direction, is one whose reply never arrives;
+- a heartbeat is dropped once a reply to a later one of the same member has arrived:
+  `MajorityContact.record_acknowledgement` ignores replies to earlier ones. Only a member that no longer votes is
+  forgotten, and no such member returns in this model;
+- there are no steps once the process has the last version: no newer one can be chosen, so none can be missed;
+- with `reports_earliest` a reply reports the version that the member held when the heartbeat was sent. A reply counts
+  if its version is not above the local one, so a later version never confirms more: `_majority_time` is monotonic in
+  each time in `confirming`.
 """
 
 from __future__ import annotations
@@ -30,11 +32,11 @@
 from tests.model.explorer import Label
 
 OWN = "a"
-"""The process itself."""
+"""The member name of the process under test."""
 
 
 class Version(NamedTuple):
-    """Who votes on a version, by single letters."""
+    """The voters of a version, as strings of single-letter names."""
 
     members: str
     former_members: str
@@ -48,43 +50,45 @@
 
 
 class ContactPart:
-    """The real contact; takes `answered MEMBER ASKED VERSION NOW HELD OWN` and `update NOW HELD OWN`."""
+    """The real MajorityContact. Events: `answered MEMBER SENT VERSION NOW LOCAL OWN` and `update NOW LOCAL OWN`, where
+    LOCAL is the local version and OWN the version accepted by the own replica."""
 
     def __init__(self, versions: Versions) -> None:
         self._versions = versions
         self._contact = MajorityContact(OWN)
 
     def apply(self, event: Event) -> Any:
-        """Returns the time as of which the version held is confirmed."""
+        """Returns the time as of which the local version is confirmed."""
         kind, *rest = event
         if kind == "answered":
-            member, asked_s, version, *rest = rest
-            self._contact.record_acknowledgement(member, MemberAcknowledgement(asked_s, version))
-        now_s, held, own = rest
-        self._contact.update(_state_of(self._versions, held), own, now_s)
+            member, sent_s, version, *rest = rest
+            self._contact.record_acknowledgement(member, MemberAcknowledgement(sent_s, version))
+        now_s, local_version, own = rest
+        self._contact.update(_state_of(self._versions, local_version), own, now_s)
         return self._contact.confirmed_at_s
 
     def fingerprint(self) -> Any:
-        """All that it keeps."""
+        """All attributes of the contact."""
         return freeze(vars(self._contact))
 
 
 class Heartbeat(NamedTuple):
-    """A heartbeat on its way, and the versions that its answer may tell."""
+    """A heartbeat in flight, and the versions that its reply may report."""
 
     member: str
-    asked_s: int
+    sent_s: int
     versions: tuple[int, ...]
 
 
-class World(NamedTuple):
-    """A state. `accepted`: versions of the members; `chosen_s`: for each version but the first when it was chosen."""
+class ModelState(NamedTuple):
+    """A state. `accepted`: the versions accepted by the members; `chosen_s`: for each version but the first, the time
+    at which it was chosen; `local_version`: the version that the process has."""
 
     contact: int
     now_s: int
     accepted: tuple[int, ...]
-    on_their_way: frozenset[Heartbeat]
-    held: int
+    in_flight: frozenset[Heartbeat]
+    local_version: int
     chosen_s: tuple[int | None, ...]
     fault: str | None
 
@@ -92,83 +96,88 @@
 class ContactModel:
     """Explores the real contact over `last_s` ticks of the clock, while `versions` are chosen one after the other."""
 
-    def __init__(self, last_s: int, versions: Versions = UNCHANGED, tells_least: bool = False) -> None:
+    def __init__(self, last_s: int, versions: Versions = UNCHANGED, reports_earliest: bool = False) -> None:
         self._last_s = last_s
-        self._tells_least = tells_least
+        self._reports_earliest = reports_earliest
         self._versions = versions
         self._members = sorted({member for version in versions for names in version for member in names})
         self._sets = [quorum_sets(_state_of(versions, number)) for number in range(len(versions))]
         self._contact = Component(functools.partial(ContactPart, versions))
 
-    def initial(self) -> World:
-        """Who votes twice on version 0 holds it, so that it is chosen; the first heartbeats are on their way."""
+    def initial(self) -> ModelState:
+        """Version 0 is accepted by the members of both its sets and thus chosen; the first heartbeats are in flight."""
         holders = set.intersection(*map(set, self._versions[0]))
         accepted = tuple(0 if member in holders else -1 for member in self._members)
-        state = World(0, 0, accepted, frozenset(), 0, (None,) * (len(self._versions) - 1), None)
-        return self._asked(state)
+        state = ModelState(0, 0, accepted, frozenset(), 0, (None,) * (len(self._versions) - 1), None)
+        return self._send_heartbeats(state)
 
-    def fault(self, state: World) -> str | None:
-        """The property that was broken by the step that led here."""
+    def fault(self, state: ModelState) -> str | None:
+        """The property violated by the step that led here."""
         return state.fault
 
-    def steps(self, state: World) -> Iterator[tuple[Label, World]]:
-        """The clock goes on, members accept, answers arrive, a newer version is learnt."""
-        if state.held == len(self._versions) - 1:
+    def steps(self, state: ModelState) -> Iterator[tuple[Label, ModelState]]:
+        """The clock advances, members accept, replies arrive, the process learns a newer version."""
+        if state.local_version == len(self._versions) - 1:
             return
         if state.now_s < self._last_s:
-            yield ("tick",), self._asked(state._replace(now_s=state.now_s + 1))
+            yield ("tick",), self._send_heartbeats(state._replace(now_s=state.now_s + 1))
         for number, member in enumerate(self._members):
             for version in range(state.accepted[number] + 1, len(self._versions)):
                 if self._may_accept(state, member, version):
                     yield ("accepts", member, version), self._accept(state, number, version)
-        for heartbeat in state.on_their_way:
-            member, asked_s, versions = heartbeat
-            later = [one for one in state.on_their_way if one.member != member or one.asked_s > asked_s]
-            rest = state._replace(on_their_way=frozenset(later))
+        for heartbeat in state.in_flight:
+            member, sent_s, versions = heartbeat
+            later = [one for one in state.in_flight if one.member != member or one.sent_s > sent_s]
+            rest = state._replace(in_flight=frozenset(later))
             for version in versions:
-                yield ("hears", member, asked_s, version), self._judged(rest, ("answered", member, asked_s, version))
-        for version in range(state.held + 1, len(self._versions)):
+                yield ("hears", member, sent_s, version), self._evaluate(rest, ("answered", member, sent_s, version))
+        for version in range(state.local_version + 1, len(self._versions)):
             if state.chosen_s[version - 1] is not None:
-                yield ("learns", version), self._judged(state._replace(held=version), ("update",))
+                yield ("learns", version), self._evaluate(state._replace(local_version=version), ("update",))
 
-    def _asked(self, state: World) -> World:
+    def _send_heartbeats(self, state: ModelState) -> ModelState:
         new = {
             Heartbeat(member, state.now_s, (accepted,))
             for member, accepted in zip(self._members, state.accepted, strict=True)
             if member != OWN
         }
-        return state._replace(on_their_way=state.on_their_way | new)
+        return state._replace(in_flight=state.in_flight | new)
 
-    def _may_accept(self, state: World, member: str, version: int) -> bool:
-        """Whether the version may be proposed to the member: the one before it is chosen, and it votes on either."""
+    def _may_accept(self, state: ModelState, member: str, version: int) -> bool:
+        """Whether the version may be proposed to the member: the previous one is chosen, and the member votes on one of
+        the two."""
         is_chosen = version <= 1 or state.chosen_s[version - 2] is not None
         voters = frozenset[str]().union(*self._sets[max(version - 1, 0)], *self._sets[version])
         return is_chosen and member in voters
 
-    def _accept(self, state: World, number: int, version: int) -> World:
+    def _accept(self, state: ModelState, number: int, version: int) -> ModelState:
         member = self._members[number]
         accepted = (*state.accepted[:number], version, *state.accepted[number + 1 :])
-        on_their_way = frozenset(
-            one._replace(versions=(*one.versions, version)) if one.member == member and not self._tells_least else one
-            for one in state.on_their_way
+        in_flight = frozenset(
+            one._replace(versions=(*one.versions, version))
+            if one.member == member and not self._reports_earliest
+            else one
+            for one in state.in_flight
         )
         chosen_s = tuple(
             state.now_s if known_s is None and self._is_chosen(accepted, newer) else known_s
             for newer, known_s in enumerate(state.chosen_s, 1)
         )
-        return state._replace(accepted=accepted, on_their_way=on_their_way, chosen_s=chosen_s)
+        return state._replace(accepted=accepted, in_flight=in_flight, chosen_s=chosen_s)
 
     def _is_chosen(self, accepted: tuple[int, ...], version: int) -> bool:
-        holders = {member for member, held in zip(self._members, accepted, strict=True) if held >= version}
+        holders = {member for member, newest in zip(self._members, accepted, strict=True) if newest >= version}
         return has_majorities(self._sets[version], holders)
 
-    def _judged(self, state: World, event: Event) -> World:
+    def _evaluate(self, state: ModelState, event: Event) -> ModelState:
         own_accepted = state.accepted[self._members.index(OWN)]
-        number, confirmed_at_s = self._contact.step(state.contact, (*event, state.now_s, state.held, own_accepted))
+        number, confirmed_at_s = self._contact.step(
+            state.contact, (*event, state.now_s, state.local_version, own_accepted)
+        )
         fault = None
         for newer, chosen_s in enumerate(state.chosen_s, 1):
-            if newer > state.held and chosen_s is not None and chosen_s < confirmed_at_s:
-                counted = f"version {state.held} counts as the newest as of {confirmed_at_s}"
+            if newer > state.local_version and chosen_s is not None and chosen_s < confirmed_at_s:
+                counted = f"version {state.local_version} counts as the newest as of {confirmed_at_s}"
                 fault = f"{counted}, {newer} was chosen at {chosen_s}"
         return state._replace(contact=number, fault=fault)
 
--- a/tests/model/coroutines.py
+++ b/tests/model/coroutines.py
@@ -1,4 +1,4 @@
-"""Runs coroutines of real objects without an event loop: the model decides when each one continues."""
+"""Runs coroutines of real objects without an event loop: the model decides when each one resumes."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def run_to_completion(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Return the result of a coroutine that never waits."""
+    """Return the result of a coroutine that never suspends."""
     try:
         coroutine.send(None)
     except StopIteration as end:
         return end.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
 
 
 def resume(coroutine: Coroutine[Any, Any, Any], failure: BaseException | None = None) -> None:
-    """Run a coroutine until it waits again; a failure is raised where it waits.
+    """Run a coroutine until it suspends again; `failure` is raised at its suspension point.
 
     Raises StopIteration when the coroutine returns, and whatever it raises itself.
     """
@@ -35,8 +35,8 @@
 
 
 class ZeroBackoff(random.Random):
-    """Makes every back-off between two ballots zero: the model's steps are the time."""
+    """Makes every back-off between two ballots zero, as a model has no time."""
 
     def random(self) -> float:
-        """Half a unit below zero, so that delays of 0.5 + random() units vanish."""
+        """Return -0.5, so that delays of 0.5 + random() units are zero."""
         return -0.5
--- a/tests/model/explorer.py
+++ b/tests/model/explorer.py
@@ -1,4 +1,4 @@
-"""Breadth-first search through every state of a model, and the shortest way to a state that breaks a property."""
+"""Breadth-first search through all states of a model, with the shortest path to a state that violates a property."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class Model(Protocol):
-    """What can be explored. States are values; two that the model's canonical form makes equal count as one."""
+    """A model that can be explored. States are hashable values; equal ones count as one state."""
 
     def initial(self) -> State:
-        """The state to begin from."""
+        """The initial state."""
 
     def steps(self, state: State) -> Iterable[tuple[Label, State]]:
-        """Every step that may be taken next: what happens, and the state after it."""
+        """All possible next steps: a label and the state after the step."""
 
     def fault(self, state: State) -> str | None:
-        """The property that the state breaks, or None."""
+        """A description of the property that the state violates, or None."""
 
 
 @dataclass(frozen=True)
 class Report:
-    """What a search has seen. `complete`: no state was left out for `most_states`."""
+    """The result of a search. `complete`: all states were visited, as `max_states` was not reached."""
 
     states: int
     steps: int
@@ -35,7 +35,7 @@
     trace: tuple[Label, ...] = ()
 
     def text(self) -> str:
-        """The report in a few lines, with the trace of a fault."""
+        """The report in a few lines, with the trace to a fault."""
         size = f"{self.states} states, {self.steps} steps, depth {self.depth}, {'all' if self.complete else 'cut off'}"
         if self.fault is None:
             return size
@@ -43,35 +43,35 @@
         return "\n".join([f"{self.fault} ({size})", *lines])
 
 
-def explore(model: Model, most_states: int) -> Report:
-    """Visits all states of `model`, or the first `most_states` of them; ends at the first fault."""
+def explore(model: Model, max_states: int) -> Report:
+    """Visits all states of `model`, or the first `max_states` of them; stops at the first fault."""
     start = model.initial()
-    came_from: dict[State, tuple[State, Label] | None] = {start: None}
-    level, depth, steps = [start], 0, 0
-    while level:
-        following: list[State] = []
-        for state in level:
+    predecessors: dict[State, tuple[State, Label] | None] = {start: None}
+    frontier, depth, steps = [start], 0, 0
+    while frontier:
+        next_frontier: list[State] = []
+        for state in frontier:
             for label, after in model.steps(state):
                 steps += 1
-                if after in came_from:
+                if after in predecessors:
                     continue
-                if len(came_from) >= most_states:
-                    return Report(len(came_from), steps, depth, complete=False)
-                came_from[after] = (state, label)
+                if len(predecessors) >= max_states:
+                    return Report(len(predecessors), steps, depth, complete=False)
+                predecessors[after] = (state, label)
                 fault = model.fault(after)
                 if fault is not None:
-                    return Report(len(came_from), steps, depth + 1, False, fault, _trace(came_from, after))
-                following.append(after)
-        level = following
-        depth += 1 if level else 0
-    return Report(len(came_from), steps, depth, complete=True)
+                    return Report(len(predecessors), steps, depth + 1, False, fault, _trace(predecessors, after))
+                next_frontier.append(after)
+        frontier = next_frontier
+        depth += 1 if frontier else 0
+    return Report(len(predecessors), steps, depth, complete=True)
 
 
-def _trace(came_from: dict[State, tuple[State, Label] | None], state: State) -> tuple[Label, ...]:
+def _trace(predecessors: dict[State, tuple[State, Label] | None], state: State) -> tuple[Label, ...]:
     labels: list[Label] = []
-    origin = came_from[state]
+    origin = predecessors[state]
     while origin is not None:
         state, label = origin
         labels.append(label)
-        origin = came_from[state]
+        origin = predecessors[state]
     return tuple(reversed(labels))
--- a/tests/model/ledger_machine.py
+++ b/tests/model/ledger_machine.py
@@ -1,9 +1,9 @@
-"""Random runs of a program's ledger through changes of the stores, beyond the bounds of the explored model.
+"""Random runs of a program's ledger during changes of the stores, beyond the bounds of the explored model.
 
-Three real stores and two spare ones, three real senders, driven by hypothesis. Stores are replaced one after the other,
-crash and lose their disks, one at most before the change that replaces it has ended. The network keeps every request,
-so that any may come late, twice or never, and an answer comes with its request. The properties are those of
-`ledger_model.py`.
+Three real stores, two spare ones and three real senders, driven by hypothesis. Stores are replaced one after the other,
+crash and lose their disks; at most one has lost its disk until the change that replaces it has ended. The network keeps
+requests, so that any may arrive late, twice or never; a reply arrives when its request is handled. The properties are
+those of `ledger_model.py`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 SENDERS = "pqr"
 BUDGET = 90
 MOST_TURNS = 7
-"""A turn reserves and uses tokens of a power of two of its own: the tokens spent tell which turns are settled."""
+"""Each turn reserves and uses a distinct power of two of tokens: the spent tokens show which turns are settled."""
 
 senders = some.sampled_from(SENDERS)
 stores = some.sampled_from(STORES + SPARES)
--- a/tests/model/ledger_parts.py
+++ b/tests/model/ledger_parts.py
@@ -1,7 +1,7 @@
-"""A store and a sender as parts of the ledger model: the real `Store` and `LedgerClient`, unmodified.
+"""A store and a sender as components of the ledger model: the real `Store` and `LedgerClient`, unmodified.
 
-Only what surrounds them is the model's: the disk is sqlite in memory, and a ballot's requests wait in its network
-instead of a `QuorumRound`.
+Only their environment is modelled: the disk is an in-memory sqlite database, and a ballot's requests are queued in the
+model's network instead of a `QuorumRound`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from dewpin.dataplane.programs.ledger_ballot import LedgerBallot
 from dewpin.dataplane.programs.ledger_client import LedgerClient
 from dewpin.dataplane.programs.store_view_tracker import StoreViewTracker
-from tests.model.component import Event, freeze, freeze_proposal, position
+from tests.model.component import Event, await_position, freeze, freeze_proposal
 from tests.model.coroutines import Suspension, ZeroBackoff, resume, run_to_completion
 
 PROGRAM = "program"
@@ -39,12 +39,12 @@
 
 
 def members(names: str) -> tuple[Member, ...]:
-    """Members named by single letters."""
+    """Members with single-letter names."""
     return tuple(Member(name, f"{name}:1") for name in names)
 
 
 class StoreFingerprint(NamedTuple):
-    """What a store's behaviour depends on; epoch 0 stands for no view."""
+    """The state that a store's behaviour depends on; epoch 0 means no view."""
 
     epoch: int
     durable_epoch: int
@@ -54,20 +54,20 @@
 
 
 class SenderFingerprint(NamedTuple):
-    """What a sender's behaviour depends on. `ballot`: of the round under way, None while it is idle."""
+    """The state that a sender's behaviour depends on. `ballot`: the ballot in progress, None while idle."""
 
     epoch: int
-    done: int
+    completed: int
     ballots: int
     ballot: Ballot | None
     is_accepting: bool
-    kept: Any
-    under_way: Any
+    memory: Any
+    pending: Any
 
 
 class StorePart:
-    """A store with one program's ledger; a crash takes its memory and leaves its disk. Where none is to come, states
-    that differ only in what a crash would leave are one."""
+    """A store with one program's ledger; a crash clears its memory and keeps its disk. Without `may_crash`, states that
+    differ only in what would survive a crash are merged."""
 
     def __init__(self, name: str, views: dict[int, StoreView], epoch: int | None, may_crash: bool) -> None:
         self._may_crash = may_crash
@@ -82,8 +82,8 @@
         self._store = Store(self._disk, self._name, REPLICA_COUNT, wall_clock_ms=lambda: NOW_MS)
 
     def apply(self, event: Event) -> Any:
-        """`adopt EPOCH`, `request MESSAGE`, `pull MESSAGE`, `copying EPOCH` (what a copy begins with), `merge RECORDS`
-        or `crash`. Returns the answer, or the records of a pull."""
+        """Events: `adopt EPOCH`, `request MESSAGE`, `pull MESSAGE`, `copying EPOCH` (the start of a copy),
+        `merge RECORDS` and `crash`. Returns the reply, or the records of a pull."""
         kind, *rest = event
         if kind == "adopt":
             self._store.adopt(self._views[rest[0]])
@@ -100,20 +100,20 @@
             return run_to_completion(
                 self._disk.transact(lambda connection: ledger_replica.merge(connection, records, NOW_MS))
             )
-        answer = self._answer(json.loads(rest[0]))
-        if kind == "pull" and answer is not None:
-            return json.dumps(json.loads(answer)["ledgers"])
-        return answer
+        reply = self._handle_request(json.loads(rest[0]))
+        if kind == "pull" and reply is not None:
+            return json.dumps(json.loads(reply)["ledgers"])
+        return reply
 
-    def _answer(self, message: dict[str, Any]) -> str | None:
-        """The answer's text, or None where the request is refused."""
+    def _handle_request(self, message: dict[str, Any]) -> str | None:
+        """The reply as JSON, or None if the request is rejected."""
         try:
             return json.dumps(run_to_completion(self._store.handlers[message["type"]](message)))
         except RpcError:
             return None
 
     def fingerprint(self) -> StoreFingerprint:
-        """The view in memory and on disk, and all rows of ledgers."""
+        """The epochs in memory and on disk, and all ledger rows."""
         view = self._store.view
         durable = read_durable_view(self._disk.connection)
         held = ledger_replica.load(self._disk.connection, PROGRAM)
@@ -123,7 +123,7 @@
 
 
 class _ModelClient(LedgerClient):
-    """The client whose ballots wait for the model."""
+    """A client whose ballots suspend until the model delivers replies."""
 
     ballot: LedgerBallot | None = None
     ballots = 0
@@ -137,7 +137,7 @@
 
 
 class SenderPart:
-    """A sender that makes its operations one after the other, each in as many ballots as it takes."""
+    """A sender that performs its operations one after the other, each in as many ballots as needed."""
 
     def __init__(
         self, name: str, views: dict[int, StoreView], operations: tuple[Operation, ...], budget: int, clock_ms: int
@@ -145,49 +145,49 @@
         self._views = views
         self._operations = operations
         self._budget = budget
-        holder = StoreViewTracker()
-        holder.adopt(views[1])
+        tracker = StoreViewTracker()
+        tracker.adopt(views[1])
         background = BackgroundTasks()
-        self._client = _ModelClient(None, holder, REPLICA_COUNT, name, ZeroBackoff(), lambda: clock_ms, background)
-        self._done = 0
+        self._client = _ModelClient(None, tracker, REPLICA_COUNT, name, ZeroBackoff(), lambda: clock_ms, background)
+        self._completed = 0
         self._running: Coroutine[Any, Any, Any] | None = None
 
     def add(self, operation: Operation) -> None:
-        """Adds an operation behind the others."""
+        """Appends an operation."""
         self._operations = (*self._operations, operation)
 
     def apply(self, event: Event) -> Any:
-        """`begin EPOCH`, `move EPOCH` (a newer view ends the ballot), `reply MEMBER MESSAGE`, `give_up` or `time_out`.
-        Returns the requests, and how the operation ended where it did."""
+        """Events: `begin EPOCH`, `move EPOCH` (a newer view ends the ballot), `reply MEMBER MESSAGE`, `give_up` and
+        `time_out`. Returns the requests sent, and the outcome if the operation has ended."""
         kind, *rest = event
         self._client.waiting = {}
         if kind == "time_out":
-            return self._end_unclear()
+            return self._abandon()
         if kind == "begin":
             self._client._views.adopt(self._views[rest[0]])
-            self._running = self._operation(self._operations[self._done])
+            self._running = self._operation(self._operations[self._completed])
             return self._resume()
         if kind == "move":
             self._client._views.adopt(self._views[rest[0]])
             return self._resume(StaleViewError())
         if kind == "give_up":
             return self._resume()
-        member, answer = rest
+        member, reply = rest
         ballot = self._client.ballot
         assert ballot is not None
         try:
-            requests = ballot.receive(member, decode_reply(json.loads(answer)))
-        except BudgetExceededError as spent:  # it rises through the driver of the ballot
+            requests = ballot.receive(member, decode_reply(json.loads(reply)))
+        except BudgetExceededError as spent:  # propagates through the driver of the ballot
             return self._resume(spent)
         if not ballot.has_ended:
-            return self._texts(requests), None
+            return self._encode_requests(requests), None
         return self._resume()
 
-    def _end_unclear(self) -> Any:
+    def _abandon(self) -> Any:
         assert self._running is not None
         self._running.close()
         self._client.ballot, self._running = None, None
-        self._done += 1
+        self._completed += 1
         return (), None
 
     def _operation(self, operation: Operation) -> Coroutine[Any, Any, Any]:
@@ -203,45 +203,45 @@
         assert self._running is not None
         ended = None
         try:
-            while True:  # a back-off between two ballots passes at once
+            while True:  # a back-off between two ballots takes no time
                 resume(self._running, failure)
                 failure = None
-                if position(self._running)[-1][0] == "_exchange_messages":
+                if await_position(self._running)[-1][0] == "_exchange_messages":
                     break
         except StopIteration:
             ended = "made"
         except BudgetExceededError:
             ended = "spent"
         if ended is None:
-            return self._texts(self._client.waiting), None
+            return self._encode_requests(self._client.waiting), None
         assert self._client.ballot is not None and self._client.ballot.proposal.result is not None
         value = self._client.ballot.proposal.result.value
         self._client.ballot, self._running = None, None
-        self._done += 1
+        self._completed += 1
         return (), (ended, json.dumps(value))
 
-    def _texts(self, requests: dict[str, LedgerPrepareRequest | LedgerAcceptRequest]) -> tuple[str, ...]:
+    def _encode_requests(self, requests: dict[str, LedgerPrepareRequest | LedgerAcceptRequest]) -> tuple[str, ...]:
         assert self._client.ballot is not None
         view = self._client.ballot.view
         texts = []
-        for member, asked in requests.items():
+        for member, request in requests.items():
             header = RequestHeader(view.epoch, member, view)
-            texts.append(json.dumps(header.encode(asked.kind, asked.fields())))
+            texts.append(json.dumps(header.encode(request.kind, request.fields())))
         return tuple(texts)
 
     def fingerprint(self) -> SenderFingerprint:
-        """Where the sender stands, and all that it keeps."""
+        """The sender's suspension point and its whole state."""
         client, proposer = self._client, self._client._proposer
         proposal = None if client.ballot is None else client.ballot.proposal
         view = client._views.newest
         assert view is not None
-        kept = (proposer._counter, freeze(dict(proposer._promises)), freeze(client._pending_settlements))
+        memory = (proposer._counter, freeze(dict(proposer._promises)), freeze(client._pending_settlements))
         return SenderFingerprint(
             view.epoch,
-            self._done,
+            self._completed,
             client.ballots,
             None if proposal is None else proposal.ballot,
             proposal is not None and proposal._accept is not None,
-            kept,
-            (position(self._running), freeze_proposal(proposal)),
+            memory,
+            (await_position(self._running), freeze_proposal(proposal)),
         )
--- a/tests/model/random_runs.py
+++ b/tests/model/random_runs.py
@@ -1,4 +1,7 @@
-"""How hypothesis draws the random runs: the same with each run of the tests, others with the variable `RUNS`."""
+"""Settings of hypothesis for the random runs: fixed by default, newly drawn with the environment variable `RUNS`.
+
+Hypothesis derives the seed of fixed runs from the source text of the machine's class, docstrings included.
+"""
 
 from __future__ import annotations
 
@@ -7,11 +10,11 @@
 from hypothesis import HealthCheck, Phase, settings
 
 RUNS = int(os.environ.get("RUNS", "0"))
-"""How many runs to draw anew; 0 for the same few as ever."""
+"""Number of newly drawn runs; 0 for the fixed default runs."""
 
 
 def run_settings(runs: int, steps: int, shrinks: bool) -> settings:
-    """The settings for so many runs of so many steps; `shrinks`: a failing run is made shorter."""
+    """The settings for `runs` runs of `steps` steps; `shrinks`: a failing run is shrunk."""
     return settings(
         max_examples=RUNS or runs,
         stateful_step_count=steps,
--- a/tests/model/register_machine.py
+++ b/tests/model/register_machine.py
@@ -1,8 +1,8 @@
 """Random runs of five registers, beyond the bounds of the explored models: the real registers, driven by hypothesis.
 
-Three processes propose orders, reads and changes of members; two may lose their disks and come back under new names.
-The network keeps every request, so that any may come late, twice or never, and an answer comes with its request. The
-properties are those of `register_model.py`.
+Three processes propose configurations, reads and member changes; two may lose their disks and return under new names.
+The network keeps requests, so that any may arrive late, twice or never; a reply arrives when its request is handled.
+The properties are those of `register_model.py`.
 """
 
 from __future__ import annotations
--- a/tests/model/register_parts.py
+++ b/tests/model/register_parts.py
@@ -1,8 +1,8 @@
-"""A control process as a part of the register model: the real `SystemRegister` on a disk of the model's.
+"""A control process as a component of the register model: the real `SystemRegister` on a disk of the model.
 
-It takes part as a member and proposes. Only what surrounds it is the model's: rows in memory for the disk, and a
-ballot's requests wait in the model's network instead of an `RpcClient`. A row counts as synced at once, as no reply
-leaves before. An operation ends unclear once its process has used up its ballots.
+It is a member and a proposer. Only its environment is modelled: the disk is a set of rows in memory, and a ballot's
+requests are queued in the model's network instead of an `RpcClient`. A row counts as synced at once, as no reply is
+sent before. An operation ends with an unknown outcome once its process has used up its ballots.
 """
 
 from __future__ import annotations
@@ -30,31 +30,31 @@
     set_members,
     successor,
 )
-from tests.model.component import Event, freeze, freeze_proposal, position
+from tests.model.component import Event, await_position, freeze, freeze_proposal
 from tests.model.coroutines import Suspension, ZeroBackoff, resume, run_to_completion
 
 FIRST_MEMBERS = ("a", "b", "c")
 Operation = tuple[Any, ...]
-"""`put GENERATION BASE BODY`, `read`, `members NAMES`, or `settle`: finish what a change of members began."""
+"""`put GENERATION BASE BODY`, `read`, `members NAMES`, or `settle` (finish a member change)."""
 
 
 class ProcessFingerprint(NamedTuple):
-    """What a process's behaviour depends on. `ballot`: of the round under way, None while it is idle."""
+    """The state that a process's behaviour depends on. `ballot`: the ballot in progress, None while idle."""
 
     member: str
     promised: Ballot
     ballot: Ballot | None
     is_accepting: bool
     ballots: int
-    done: int
+    completed: int
     chosen: str | None
     chosen_ballot: Ballot
     held: str | None
     rest: Any
 
 
-class _Rows:
-    """A disk that has synced everything that was written: the replica's rows and the bodies."""
+class _MemoryRows:
+    """A disk on which every write is synced at once: the replica's rows and the bodies."""
 
     def __init__(self) -> None:
         self.rows: dict[str, tuple[Any, ...]] = {}
@@ -82,7 +82,7 @@
 
 
 class _ModelProposer(RegisterProposer):
-    """The proposer whose ballots wait for the model."""
+    """A proposer whose ballots suspend until the model delivers replies."""
 
     proposal: Proposal | None = None
     ballots = 0
@@ -96,14 +96,14 @@
 
 
 class _IgnoredTasks(BackgroundTasks):
-    """Starts nothing: the change history, whose writes are all that is left, decides nothing here."""
+    """Starts no task: only writes of the change history would run, which have no effect in the model."""
 
     def start(self, work: Coroutine[Any, Any, None]) -> Any:
         work.close()
 
 
 class _ModelRegister(SystemRegister):
-    """The register with that proposer."""
+    """A register with a model proposer and without background tasks."""
 
     def __init__(self, member: str, address: str, disk: Any, client: Any, rng: random.Random) -> None:
         super().__init__(member, address, disk, client, rng)
@@ -112,8 +112,8 @@
         self._proposer = self.proposer
 
 
-def change_of(operation: Operation, newest: SystemState | None) -> ChangeFunction:
-    """The change that an operation makes; a change of members is planned on the newest state known."""
+def change_function(operation: Operation, newest: SystemState | None) -> ChangeFunction:
+    """The change function of an operation; a member change is based on the newest known state."""
     kind, *rest = operation
     if kind == "put":
         generation, base, body = rest
@@ -127,19 +127,19 @@
 
 
 class ProcessPart:
-    """A process that makes its operations one after the other; a crash takes its memory, a wipe its disk as well."""
+    """A process that performs its operations one after the other; a crash clears its memory, a wipe also its disk."""
 
     def __init__(
         self,
         name: str,
         operations: tuple[Operation, ...],
-        most_ballots: int,
+        max_ballots: int,
         first_members: tuple[str, ...] = FIRST_MEMBERS,
     ) -> None:
-        self._most_ballots = most_ballots
+        self._max_ballots = max_ballots
         self._operations = operations
-        self._disk = _Rows()
-        self._done = 0
+        self._disk = _MemoryRows()
+        self._completed = 0
         self._running: Coroutine[Any, Any, SystemState] | None = None
         self._start(name)
         if name in first_members:
@@ -147,7 +147,7 @@
             run_to_completion(self._register.bootstrap(first))
 
     def add(self, operation: Operation) -> None:
-        """One more operation, after all others."""
+        """Appends an operation."""
         self._operations = (*self._operations, operation)
 
     def _start(self, member: str, ballots: int = 0) -> None:
@@ -156,38 +156,39 @@
         run_to_completion(self._register.load())
 
     def apply(self, event: Event) -> Any:
-        """`request TEXT` gives the answer's text. `begin SKIPPED` (so many ballots), `reply MEMBER TEXT`, `give_up` (no
-        answer comes any more) and `time_out` (of the operation) give the requests sent and how the operation ended
-        where it did. `crash`, `wipe NAME` and `hear BALLOT STATE` (known elsewhere to be chosen) give nothing."""
+        """Events: `request TEXT` returns the reply's text. `begin SKIPPED` (a number of ballots), `reply MEMBER TEXT`,
+        `give_up` (no further reply arrives) and `time_out` (of the operation) return the requests sent, and the outcome
+        if the operation has ended. `crash`, `wipe NAME` and `hear BALLOT STATE` (a state known elsewhere to be chosen)
+        return nothing."""
         kind, *rest = event
         if kind == "request":
-            return self._answer(json.loads(rest[0]))
+            return self._handle_request(json.loads(rest[0]))
         if kind == "hear":
             self._register.record_chosen(Ballot(*rest[0]), json.loads(rest[1]))
             return None
         if kind in ("crash", "wipe"):
-            return self._end(*rest)
+            return self._restart(*rest)
         self._register.proposer.waiting = []
         if kind == "begin":
             self._register.proposer._counter += rest[0]
-            change = change_of(self._operations[self._done], self._register.newest)
+            change = change_function(self._operations[self._completed], self._register.newest)
             self._running = self._register.proposer.propose_in_turn(change)
             return self._resume()
         if kind == "reply":
-            return self._reply(*rest)
+            return self._receive_reply(*rest)
         return self._resume(asyncio.CancelledError() if kind == "time_out" else None)
 
-    def _end(self, new_name: str | None = None) -> None:
-        """Ends the process; the next one starts on the same disk, or under a new name on an empty one."""
+    def _restart(self, new_name: str | None = None) -> None:
+        """Restarts the process on the same disk, or under a new name on an empty one."""
         if self._running is not None:
             self._running.close()
-            self._done += 1
+            self._completed += 1
         self._running = None
         if new_name is not None:
-            self._disk = _Rows()
+            self._disk = _MemoryRows()
         self._start(new_name or self._register.member, self._register.proposer.ballots)
 
-    def _answer(self, message: dict[str, Any]) -> str | None:
+    def _handle_request(self, message: dict[str, Any]) -> str | None:
         handlers = {
             "register.prepare": self._register.acceptor.handle_prepare,
             "register.accept": self._register.acceptor.handle_accept,
@@ -197,55 +198,55 @@
         except RpcError:
             return None
 
-    def _reply(self, member: str, text: str) -> Any:
+    def _receive_reply(self, member: str, text: str) -> Any:
         proposal = self._register.proposer.proposal
         assert proposal is not None
         try:
             requests = proposal.receive(member, decode_reply(json.loads(text)))
-        except ChangeRejectedError as refusal:  # it would rise through the driver of the ballot
-            return self._resume(refusal)
-        return self._resume() if proposal.result is not None else (_texts(requests), None)
+        except ChangeRejectedError as rejection:  # would propagate through the driver of the ballot
+            return self._resume(rejection)
+        return self._resume() if proposal.result is not None else (_encode_requests(requests), None)
 
     def _resume(self, failure: BaseException | None = None) -> Any:
         assert self._running is not None
         outcome = None
         try:
-            while True:  # a back-off between two ballots passes at once
+            while True:  # a back-off between two ballots takes no time
                 resume(self._running, failure)
                 failure = None
-                if self._register.proposer.ballots > self._most_ballots:
+                if self._register.proposer.ballots > self._max_ballots:
                     failure = asyncio.CancelledError()
-                elif position(self._running)[-1][0] == "_drive":
-                    return _texts(self._register.proposer.waiting), None
+                elif await_position(self._running)[-1][0] == "_drive":
+                    return _encode_requests(self._register.proposer.waiting), None
         except StopIteration:
             outcome = "made"
-        except ChangeRejectedError as refusal:
-            outcome = type(refusal).__name__
+        except ChangeRejectedError as rejection:
+            outcome = type(rejection).__name__
         except asyncio.CancelledError:
             outcome = "unclear"
         proposal = self._register.proposer.proposal
         value = None
         if outcome != "unclear" and proposal is not None and proposal.result is not None:
-            value = _text_of(proposal.result.value)
+            value = _encode_state(proposal.result.value)
         self._register.proposer.proposal, self._running = None, None
-        self._done += 1
+        self._completed += 1
         return (), (outcome, value)
 
     def fingerprint(self) -> ProcessFingerprint:
-        """Where the process stands, and all that it keeps."""
+        """The process's suspension point and its whole state."""
         register = self._register
         replica, proposal = register.acceptor.replica, register.proposer.proposal if self._running is not None else None
-        rejection = None if proposal is None else type(_guarded_change_of(proposal).rejection).__name__
+        rejection = None if proposal is None else type(_guarded_change(proposal).rejection).__name__
         return ProcessFingerprint(
             register.member,
             replica.promised,
             None if proposal is None else proposal.ballot,
             proposal is not None and proposal._accept is not None,
             register.proposer.ballots,
-            self._done,
-            None if register.chosen is None else _text_of(register.chosen),
+            self._completed,
+            None if register.chosen is None else _encode_state(register.chosen),
             register.chosen_ballot,
-            None if replica.value is None else _text_of(replica.value),
+            None if replica.value is None else _encode_state(replica.value),
             (
                 replica.accepted,
                 register.proposer._counter,
@@ -253,26 +254,26 @@
                 freeze(self._disk.rows),
                 freeze(self._disk.bodies),
                 rejection,
-                position(self._running),
+                await_position(self._running),
                 freeze_proposal(proposal),
             ),
         )
 
 
-def _guarded_change_of(proposal: Proposal) -> Any:
+def _guarded_change(proposal: Proposal) -> Any:
     return proposal._change.__self__  # type: ignore[attr-defined]
 
 
-def _text_of(state: SystemState) -> str:
+def _encode_state(state: SystemState) -> str:
     return json.dumps(state, sort_keys=True)
 
 
-def _texts(requests: list[Request]) -> tuple[str, ...]:
-    return tuple(json.dumps(_call_of(request).encode(), sort_keys=True) for request in requests)
+def _encode_requests(requests: list[Request]) -> tuple[str, ...]:
+    return tuple(json.dumps(_rpc_request(request).encode(), sort_keys=True) for request in requests)
 
 
-def _call_of(request: Request) -> PrepareRequest | AcceptRequest:
-    """The call of a request, with bodies: where the other side has to fetch one is no matter here."""
+def _rpc_request(request: Request) -> PrepareRequest | AcceptRequest:
+    """The RPC message of a request, with bodies included: fetching them separately is not modelled."""
     body = request.body
     if isinstance(body, Prepare):
         return PrepareRequest(request.member, body.ballot, body.known)
--- a/tests/model/request_network.py
+++ b/tests/model/request_network.py
@@ -1,4 +1,4 @@
-"""The network of random runs: it keeps every request, so that any may come late, twice or never."""
+"""The network of random runs: it keeps requests, so that any may arrive late, twice or never."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 from hypothesis import strategies as some
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-MOST_KEPT = 60
-"""Old requests that may still come; the oldest are lost."""
+MAX_KEPT_REQUESTS = 60
+"""Maximum number of requests that may still arrive; the oldest are dropped."""
 
 
 class RequestNetwork(RuleBasedStateMachine):
-    """A state machine whose parts send requests, as texts by the name of their sender. An answer comes with its
-    request, or is lost."""
+    """A state machine whose parts send requests, stored as (sender's name, text). A reply arrives when its request is
+    handled, or is lost."""
 
     def __init__(self) -> None:
         super().__init__()
         self._requests: list[tuple[str, str]] = []
         self._handled: set[tuple[str, str]] = set()
 
-    @rule(number=some.integers(0, MOST_KEPT - 1), is_answered=some.booleans())
+    @rule(number=some.integers(0, MAX_KEPT_REQUESTS - 1), is_answered=some.booleans())
     def one_request(self, number: int, is_answered: bool) -> None:
-        """One request comes, late or again; its answer may be lost."""
+        """One request arrives, late or again; its reply may be lost."""
         if number < len(self._requests):
             self._deliver(*self._requests[number], is_answered)
 
     def _send(self, name: str, texts: Iterable[str]) -> None:
-        """Keeps new requests, in an order that does not depend on the hashes of their addressees."""
-        self._requests = [*self._requests, *((name, text) for text in sorted(texts))][-MOST_KEPT:]
+        """Adds new requests, in an order that does not depend on the hash seed."""
+        self._requests = [*self._requests, *((name, text) for text in sorted(texts))][-MAX_KEPT_REQUESTS:]
 
     def _pending(self, name: str) -> Iterator[str]:
-        """The requests of a sender that have not come yet, and whose answers it waits for when they are asked for."""
+        """The requests of a sender that were not handled yet and whose replies it awaits when each is yielded."""
         for sender, text in list(self._requests):
             if sender == name and (sender, text) not in self._handled and self._is_awaited(sender, text):
                 yield text
 
     def _is_awaited(self, sender: str, text: str) -> bool:
-        """Whether the sender waits for the answer."""
+        """Whether the sender awaits the reply."""
         raise NotImplementedError
 
     def _deliver(self, sender: str, text: str, is_answered: bool) -> None:
-        """Lets a request come, and its answer if it `is_answered`."""
+        """Delivers a request, and its reply if `is_answered`."""
         raise NotImplementedError
--- a/tests/model/test_copied_votes.py
+++ b/tests/model/test_copied_votes.py
@@ -1,4 +1,4 @@
-"""A ledger's value that a store copied for a change of the view, and that was never chosen, by scripted deliveries."""
+"""Scripted deliveries in which stores copy a ledger value that was never chosen during a view change."""
 
 from scripted.disk import MemoryDisk
 
@@ -29,19 +29,19 @@
         self.disks = {name: MemoryDisk().connection for name in names}
 
     def answer(self, request):
-        """What the member answers to a proposal's request."""
+        """The addressed member's reply to a proposal's request."""
         connection, body = self.disks[request.member], request.body
         if isinstance(body, Prepare):
             return ledger_replica.prepare(connection, PROGRAM, body.ballot, NOW_MS)
         return ledger_replica.accept(connection, PROGRAM, body.ballot, body.value, body.next_ballot, NOW_MS)
 
     def copy(self, source, target):
-        """Copies as a store that is to hold the ledger after a change of the view."""
+        """Copies the ledger as a new replica does during a view change."""
         records = ledger_replica.read_page(self.disks[source], "", 10)
         ledger_replica.merge(self.disks[target], records, NOW_MS)
 
     def run(self, view, ballot, change, first_round, second_round):
-        """One ballot whose rounds reach only the members named; its result."""
+        """Runs one ballot whose rounds reach only the given members. Returns its result."""
         sets = view.write_sets(PROGRAM, 3)
         proposal = Proposal(ballot, None, lambda value: sets, change, ZERO_BALLOT)
         requests = proposal.start()
@@ -55,8 +55,9 @@
 
 
 def test_copied_unchosen_value_is_not_read_as_chosen():
-    """Found by reading, and by the model of ledgers: the early sender's value is at a alone, the late sender's at c
-    alone. b and d copy a; now the early value seems to be held by majorities of {a, b, c} and {a, b, d}."""
+    """Guards against counting copies as votes; found by code review and by the ledger model. The early sender's value
+    is only at a, the late sender's only at c. After b and d have copied it from a, the early value appears to be
+    accepted by majorities of {a, b, c} and {a, b, d}."""
     ledgers = Ledgers("abcd")
     reserve_early, reserve_late = ledger.reserve("early", 2, 3), ledger.reserve("late", 2, 3)
     assert ledgers.run(STABLE_VIEW, EARLY_SENDER, reserve_early, "ab", "a") is None
@@ -69,4 +70,4 @@
         again = ledgers.run(CHANGING_VIEW, Ballot(8, "early"), reserve_early, "abd", "abd")
     assert again is not None and "early" in again.value["open"]
     read = ledgers.run(CHANGING_VIEW, Ballot(9, "late"), ledger.read, "bcd", "bcd")
-    assert read is not None and "early" in read.value["open"], "a reservation that was acknowledged is gone"
+    assert read is not None and "early" in read.value["open"], "an acknowledged reservation is lost"
--- a/tests/model/test_former_members.py
+++ b/tests/model/test_former_members.py
@@ -1,4 +1,4 @@
-"""A change of members that only a majority of the new ones accepted, by scripted deliveries between real registers."""
+"""Scripted deliveries between real registers: a member change accepted only by a majority of the new members."""
 
 import json
 
@@ -10,14 +10,15 @@
 
 
 class Registers:
-    """Processes with the operations that each makes in turn; `told`: the states that were given as results."""
+    """Processes with the operations that each performs in turn; `results`: the system states that they returned."""
 
     def __init__(self, **operations):
         self._parts = {name: ProcessPart(name, operations.get(name, ()), MOST_BALLOTS) for name in "abcd"}
-        self.told = []
+        self.results = []
 
     def run(self, proposer, first_round, second_round):
-        """Makes the proposer's next operation in one ballot whose rounds reach only the members named; how it ended."""
+        """Runs the proposer's next operation in one ballot whose rounds reach only the given members. Returns its
+        outcome."""
         part = self._parts[proposer]
         texts, ended = part.apply(("begin", 0))
         waiting = [json.loads(text) for text in texts]
@@ -32,17 +33,17 @@
             _, ended = part.apply(("time_out",))
         outcome, state = ended
         if state is not None:
-            self.told.append(json.loads(state))
+            self.results.append(json.loads(state))
         return outcome
 
 
 def test_member_change_unknown_to_former_members_is_not_read_as_chosen():
-    """Found by the model, with quorum sets that leave the former members out: the change is at a and d, a majority of
-    {a, b, d}; b and c, a majority of {a, b, c}, know nothing of it."""
+    """Guards against quorum sets without the former members; found by the model. The change is at a and d, a majority
+    of {a, b, d}; b and c, a majority of {a, b, c}, do not know of it."""
     registers = Registers(a=(READ, READ), b=(REPLACE_C, CONFIGURATION_X))
     assert registers.run("b", "ab", "ad") == "unclear"
     registers.run("a", "ad", "ad")
     assert registers.run("b", "bc", "bc") == "made"
     assert registers.run("a", "abc", "abc") == "made"
-    assert all(_on_one_line(one, other) for one in registers.told for other in registers.told), "two histories"
-    assert registers.told[-1]["accepted"], "an order that was acknowledged is gone"
+    assert all(_on_one_line(one, other) for one in registers.results for other in registers.results), "two histories"
+    assert registers.results[-1]["accepted"], "an acknowledged configuration is lost"
--- a/tests/model/test_ledger_machine.py
+++ b/tests/model/test_ledger_machine.py
@@ -1,6 +1,6 @@
-"""Random runs of a ledger through changes of the stores, without `RUNS` the same each time, with it drawn anew.
+"""Random runs of a ledger during store changes: fixed by default, newly drawn with the environment variable `RUNS`.
 
-`RUNS=2000 python -m pytest tests/model/test_ledger_machine.py` draws so many.
+`RUNS=2000 python -m pytest tests/model/test_ledger_machine.py` draws 2000 runs.
 """
 
 from hypothesis.stateful import run_state_machine_as_test
--- a/tests/model/test_prepared_ballots.py
+++ b/tests/model/test_prepared_ballots.py
@@ -1,4 +1,4 @@
-"""Ballots that a ledger's replicas promised beside the accept before, by scripted deliveries between real parts."""
+"""Scripted deliveries between real components: ballots that replicas promised together with the previous accept."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize(("epoch", "first_round"), [(1, wire.LEDGER_ACCEPT), (2, wire.LEDGER_PREPARE)])
 def test_prepared_ballot_is_used_only_in_epoch_of_its_promises(epoch, first_round):
-    """The promises came from stores of that epoch's view; those of the next one have their own."""
+    """The promises are valid only in the epoch in which they were made: the next view has other stores."""
     stores = {name: StorePart(name, VIEWS, 1, False) for name in "abc"}
     sender = SenderPart("p", VIEWS, RESERVATIONS, BUDGET, 0)
     texts, ended = sender.apply(("begin", 1))
--- a/tests/model/test_register_machine.py
+++ b/tests/model/test_register_machine.py
@@ -1,6 +1,7 @@
-"""Random runs of five registers; `RUNS=2000 python -m pytest tests/model/test_register_machine.py` draws more of them.
+"""Random runs of five registers: fixed by default (`derandomize`), newly drawn with the environment variable `RUNS`.
 
-Without `RUNS` the runs are the same each time (`derandomize`); with it they are drawn anew."""
+`RUNS=2000 python -m pytest tests/model/test_register_machine.py` draws 2000 runs.
+"""
 
 from hypothesis.stateful import run_state_machine_as_test
 
--- a/tests/model/test_retirement_model.py
+++ b/tests/model/test_retirement_model.py
@@ -1,4 +1,4 @@
-"""What the model of a retirement reaches: without these states its properties would hold for nothing."""
+"""Checks that the retirement model reaches certain states, without which its properties would hold trivially."""
 
 import json
 
@@ -14,5 +14,5 @@
         waiting += after
     done = [state for state in seen if state.acknowledged and json.loads(state.system)["retired"] == ["machine-d"]]
     assert any(not state.wiped for state in done)
-    replaced = [state for state in done if state.fate == RETURNED and state.wiped == "a"]
+    replaced = [state for state in done if state.wiped_status == RETURNED and state.wiped == "a"]
     assert any(set(json.loads(state.system)["stores"]["stable"]) == {"A", "b", "c"} for state in replaced)
