--- a/dewpin/cluster/platform_list.py
+++ b/dewpin/cluster/platform_list.py
@@ -38,7 +38,7 @@
         )
 
     def read(self) -> list[Receiver]:
-        """Return all receivers; blocks the thread. Raises PlatformUnavailableError unless every page was read."""
+        """Return all receivers, blocking the thread. Raises PlatformUnavailableError unless every page was read."""
         return list(self._pages())
 
     def _pages(self) -> Iterator[Receiver]:
--- a/dewpin/cluster/settings/rules.py
+++ b/dewpin/cluster/settings/rules.py
@@ -50,7 +50,7 @@
 
 
 def _check_serves(raw: JsonObject) -> list[Fault]:
-    """Check that the services of the process have their listen addresses and data folder; ignores unknown services."""
+    """Check that the services of the process have their listen addresses and data folder; ignore unknown services."""
     listen = raw.get("listen")
     entries = listen if isinstance(listen, dict) else {}
     faults = [
--- a/dewpin/consensus/messages.py
+++ b/dewpin/consensus/messages.py
@@ -13,13 +13,13 @@
 
 
 def ballot_from_json(pair: Sequence[Any]) -> Ballot:
-    """Decodes a ballot from a JSON pair of counter and proposer. Raises TypeError or ValueError if it is malformed."""
+    """Decode a ballot from a JSON pair of counter and proposer. Raises TypeError or ValueError if it is malformed."""
     counter, proposer = pair
     return Ballot(int(counter), str(proposer))
 
 
 def encode_reply(reply: Reply) -> dict[str, Any]:
-    """Encodes a replica's reply as a message."""
+    """Encode a replica's reply as a message."""
     if isinstance(reply, Promise):
         return {"type": PROMISE, "accepted": list(reply.accepted), "value": reply.value, "copied": reply.copied}
     if isinstance(reply, Accepted):
@@ -28,7 +28,7 @@
 
 
 def decode_reply(message: dict[str, Any]) -> Reply:
-    """Decodes a replica's reply. Raises KeyError, TypeError or ValueError if it is malformed."""
+    """Decode a replica's reply. Raises KeyError, TypeError or ValueError if it is malformed."""
     if message["type"] == PROMISE:
         return Promise(ballot_from_json(message["accepted"]), message["value"], bool(message.get("copied", False)))
     if message["type"] == ACCEPTED:
--- a/dewpin/consensus/proposal.py
+++ b/dewpin/consensus/proposal.py
@@ -26,12 +26,12 @@
 
 
 def majority_of(members: Collection[str]) -> int:
-    """Returns the smallest number of members that forms a majority."""
+    """Return the smallest number of members that forms a majority."""
     return len(members) // 2 + 1
 
 
 def has_majorities(sets: Iterable[MemberSet], voters: Collection[str]) -> bool:
-    """Returns whether `voters` include a majority of each of `sets`."""
+    """Return whether `voters` include a majority of each of `sets`."""
     return all(len(members.intersection(voters)) >= majority_of(members) for members in sets)
 
 
@@ -125,11 +125,11 @@
         self._next_ballot = next_ballot
 
     def start(self) -> list[Request]:
-        """Returns the first requests. They are empty for a prepared read, which sets `result` immediately."""
+        """Return the first requests. They are empty for a prepared read, which sets `result` immediately."""
         return self._begin_accept() if self._prepared else self._prepare_members()
 
     def receive(self, member: str, reply: Reply) -> list[Request]:
-        """Processes a member's reply and returns the next requests. Sets `result` when the proposal ends."""
+        """Process a member's reply and return the next requests. Set `result` when the proposal ends."""
         if self.result is not None:
             return []
         if isinstance(reply, Conflict):
@@ -169,7 +169,7 @@
         return self._send_accept(value, [*sets, *self._quorum_sets(value)])
 
     def _is_chosen(self, sets: Sequence[MemberSet]) -> bool:
-        """Returns whether majorities are known to have accepted the highest value, so it needs no second round.
+        """Return whether majorities are known to have accepted the highest value, so it needs no second round.
 
         A copied value is not a vote: the replica that holds it may have promised a greater ballot before the copy.
         """
--- a/dewpin/consensus/replica.py
+++ b/dewpin/consensus/replica.py
@@ -71,7 +71,7 @@
     copied: bool = False
 
     def prepare(self, ballot: Ballot, known: Ballot | None = None) -> Promise | Conflict:
-        """First round: promises `ballot` unless an equal or greater one was promised before.
+        """First round: promise `ballot` unless an equal or greater one was promised before.
 
         `known`: the ballot of the newest value that the proposer has. The promise omits a value that is not newer.
         """
@@ -82,7 +82,7 @@
         return Promise(self.accepted, None if is_known else self.value, self.copied)
 
     def accept(self, ballot: Ballot, value: JsonValue, next_ballot: Ballot | None = None) -> Accepted | Conflict:
-        """Second round: accepts `value` unless a greater ballot was promised.
+        """Second round: accept `value` unless a greater ballot was promised.
 
         `next_ballot` is promised too, which lets the proposer skip the first round of its next proposal.
         """
--- a/dewpin/controlplane/membership/cluster_observation.py
+++ b/dewpin/controlplane/membership/cluster_observation.py
@@ -37,37 +37,37 @@
     contact_since_s: float | None
 
     def all_peers(self) -> list[Peer]:
-        """Returns this process and all known peers."""
+        """Return this process and all known peers."""
         return [self.local_peer, *self.peers.peers.values()]
 
     def since_last_received_s(self, peer_id: str) -> float:
-        """Returns the time since the last message from a process."""
+        """Return the time since the last message from a process."""
         return 0.0 if peer_id == self.local_peer.id else self.peers.since_last_received_s(peer_id, self.now_s)
 
     def observed_silence_s(self, peer_id: str) -> float:
-        """Returns how long a process has been silent during the local uninterrupted contact with a majority."""
+        """Return how long a process has been silent during the local uninterrupted contact with a majority."""
         if self.contact_since_s is None:
             return 0.0
         return min(self.since_last_received_s(peer_id), self.now_s - self.contact_since_s)
 
     def is_replaced(self, peer_id: str, name: str | None) -> bool:
-        """Returns whether the named machine is now running as another incarnation."""
+        """Return whether the named machine is now running as another incarnation."""
         if peer_id == self.local_peer.id or self.observed_silence_s(peer_id) <= ALIVE_WITHIN_S:
             return False
         return name == self.local_peer.name or self.peers.is_replaced(peer_id, name, self.now_s)
 
     def has_left(self, peer_id: str) -> bool:
-        """Returns whether the process announced its shutdown and is silent."""
+        """Return whether the process announced its shutdown and is silent."""
         peer = self.peers.peers.get(peer_id)
         return peer is not None and peer.is_leaving and self.observed_silence_s(peer_id) > ALIVE_WITHIN_S
 
     def has_joined_recently(self, peer: Peer) -> bool:
-        """Returns whether the process joined recently and after this process had started."""
+        """Return whether the process joined recently and after this process had started."""
         earliest_s = max(self.started_at_s + STARTUP_UNCERTAINTY_S, self.now_s - REPLACEMENT_JOINED_WITHIN_S)
         return peer.first_received_s >= earliest_s
 
     def replacement_timeout_s(self, peer_id: str) -> float:
-        """Returns the timeout for replacing a silent process if a spare is available.
+        """Return the timeout for replacing a silent process if a spare is available.
 
         It doubles with each recent interruption, so that a process that freezes repeatedly is not replaced every time.
         """
@@ -76,11 +76,11 @@
         return min(REPLACEMENT_TIMEOUT_S * 2.0**interruptions, REMOVAL_TIMEOUT_S)
 
     def is_alive(self, peer_id: str) -> bool:
-        """Returns whether the process was heard from within `ALIVE_WITHIN_S`."""
+        """Return whether the process was heard from within `ALIVE_WITHIN_S`."""
         return self.since_last_received_s(peer_id) < ALIVE_WITHIN_S
 
     def may_coordinate(self, peer_id: str) -> bool:
-        """Returns whether the process is alive and reports contact with a majority."""
+        """Return whether the process is alive and reports contact with a majority."""
         if peer_id == self.local_peer.id:
             return self.contact_since_s is not None
         peer = self.peers.peers.get(peer_id)
--- a/dewpin/controlplane/membership/heartbeat.py
+++ b/dewpin/controlplane/membership/heartbeat.py
@@ -51,20 +51,20 @@
         self._calls: set[asyncio.Task[None]] = set()
 
     def send_to_all(self) -> None:
-        """Sends a heartbeat to all peers now. A peer that lacks newer data requests it with a heartbeat of its own."""
+        """Send a heartbeat to all peers now. A peer that lacks newer data requests it with a heartbeat of its own."""
         self._freshness.update()
         for address in self._addresses():
             self._start_call(address)
 
     async def stop(self) -> None:
-        """Cancels the calls in flight."""
+        """Cancel the calls in flight."""
         calls = list(self._calls)
         for call in calls:
             call.cancel()
         await asyncio.gather(*calls, return_exceptions=True)
 
     async def handle(self, message: Message) -> Message:
-        """Replies to a heartbeat from a peer."""
+        """Reply to a heartbeat from a peer."""
         heartbeat = Heartbeat.decode(message)
         peer = self.peers.record_received(heartbeat.sender, self._clock())
         if self._is_behind(peer, heartbeat.receivers_version):
@@ -75,7 +75,7 @@
         self._calls.add(asyncio.ensure_future(self._call(address)))
 
     def _addresses(self) -> set[str]:
-        """Returns the heartbeat recipients: seeds, members, stores and recently heard peers."""
+        """Return the heartbeat recipients: seeds, members, stores and recently heard peers."""
         addresses = set(self._local_peer.seed_addresses())
         now_s = self._clock()
         peers = self.peers.peers.values()
@@ -118,13 +118,13 @@
         )
 
     def _is_behind(self, peer: Peer, receivers_version: DirectoryVersion) -> bool:
-        """Returns whether the peer has a newer state or receiver list than this process."""
+        """Return whether the peer has a newer state or receiver list than this process."""
         state = self._register.chosen
         version = state["version"] if state is not None else -1
         return peer.version > version or receivers_version > self._list_reader.directory.version
 
     async def _process_reply(self, reply: HeartbeatReply, sent_at_s: float, address: str) -> None:
-        """Adopts newer data from a reply. The state is adopted last, since its body may have to be fetched.
+        """Adopt newer data from a reply. The state is adopted last, since its body may have to be fetched.
 
         The age of the receiver list is measured from when the heartbeat was sent. If it were measured from the arrival
         of the reply, each exchange between two processes would make the list appear younger by the network latency.
--- a/dewpin/controlplane/membership/heartbeat_messages.py
+++ b/dewpin/controlplane/membership/heartbeat_messages.py
@@ -34,7 +34,7 @@
     body_digests: tuple[str, ...] = ()
 
     def encode(self) -> Message:
-        """Encodes the message for the wire."""
+        """Encode the message for the wire."""
         return {
             "type": HEARTBEAT,
             "from": self.sender.encode(),
@@ -44,7 +44,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> Heartbeat:
-        """Decodes a heartbeat. Raises KeyError, TypeError or ValueError if the message is malformed."""
+        """Decode a heartbeat. Raises KeyError, TypeError or ValueError if the message is malformed."""
         version = directory_version(message["receivers"])
         digests = digests_from_json(message.get("held", ()))
         return cls(PeerDescription.decode(message["from"]), version, digests)
@@ -80,7 +80,7 @@
     receivers: tuple[Receiver, ...] | None = None
 
     def encode(self) -> Message:
-        """Encodes the message for the wire."""
+        """Encode the message for the wire."""
         message: Message = {
             "type": HEARTBEAT,
             "from": self.sender.encode(),
@@ -97,7 +97,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> HeartbeatReply:
-        """Decodes a reply. Raises KeyError, TypeError or ValueError if the message is malformed."""
+        """Decode a reply. Raises KeyError, TypeError or ValueError if the message is malformed."""
         chosen = None
         if "state" in message:
             chosen = ChosenState(message["state"], ballot_from_json(message["ballot"]))
--- a/dewpin/controlplane/membership/leases.py
+++ b/dewpin/controlplane/membership/leases.py
@@ -42,11 +42,11 @@
         """Release times by sender, oldest first. A sender's id identifies one incarnation, so it is never reused."""
 
     def duration_s(self, grantors: int) -> float:
-        """Returns the lease duration for a number of grantors."""
+        """Return the lease duration for a number of grantors."""
         return self._period_s * max(LEASE_PERIODS, LEASE_CYCLES * grantors)
 
     def renew(self, sender: str, address: str, zone: str, now_s: float, grantors: int = 1) -> Lease:
-        """Grants or renews a sender's lease. A released lease stays released."""
+        """Grant or renew a sender's lease. A released lease stays released."""
         lease = Lease(sender, address, zone, now_s + self.duration_s(grantors))
         if sender in self._released_at_s:
             return lease
@@ -57,7 +57,7 @@
         return lease
 
     def release(self, sender: str, now_s: float) -> None:
-        """Removes a lease at its holder's request; later renewals have no effect."""
+        """Remove a lease at its holder's request; later renewals have no effect."""
         self._remove(sender)
         self._released_at_s.setdefault(sender, now_s)
         self._remove_old_releases(now_s)
@@ -74,17 +74,17 @@
             self._relay_order.remove((_relay_position(sender), sender))
 
     def live(self, now_s: float) -> list[Lease]:
-        """Returns the unexpired leases."""
+        """Return the unexpired leases."""
         self._remove_expired(now_s)
         return list(self._leases.values())
 
     def count(self, now_s: float) -> int:
-        """Returns the number of unexpired leases."""
+        """Return the number of unexpired leases."""
         self._remove_expired(now_s)
         return len(self._leases)
 
     def parents(self, sender: str, now_s: float) -> list[str]:
-        """Returns the addresses of a sender's ancestors in the relay tree, nearest first; empty for a root."""
+        """Return the addresses of a sender's ancestors in the relay tree, nearest first; empty for a root."""
         self._remove_expired(now_s)
         if sender not in self._leases:
             return []
--- a/dewpin/controlplane/membership/local_peer.py
+++ b/dewpin/controlplane/membership/local_peer.py
@@ -41,7 +41,7 @@
         self._is_bootstrap = settings.bootstrap
 
     async def load(self, storage: RegisterDatabase) -> None:
-        """Loads from disk whether the process was first started to bootstrap the register; settings may change."""
+        """Load from disk whether the process was first started to bootstrap the register; settings may change."""
         rows = await storage.query("SELECT value FROM meta WHERE name = 'bootstrap'")
         if rows:
             self._is_bootstrap = rows[0][0] == "1"
@@ -50,7 +50,7 @@
         await storage.write([("INSERT OR REPLACE INTO meta(name, value) VALUES ('bootstrap', ?)", (value,))])
 
     def description(self) -> PeerDescription:
-        """Returns the current description to send to peers."""
+        """Return the current description to send to peers."""
         state = self._register.chosen
         return PeerDescription(
             id=self._register.member,
@@ -68,10 +68,10 @@
         )
 
     def as_peer(self) -> Peer:
-        """Returns the same information in the form stored for other peers."""
+        """Return the same information in the form stored for other peers."""
         return Peer.from_description(self.description(), last_received_s=self._clock())
 
     def seed_addresses(self) -> list[str]:
-        """Returns the addresses of the control servers listed in the settings."""
+        """Return the addresses of the control servers listed in the settings."""
         ports = self.settings.port_range
         return [control_plane_address(seed.rpartition(":")[0], ports) for seed in self.settings.seeds]
--- a/dewpin/controlplane/membership/majority_contact.py
+++ b/dewpin/controlplane/membership/majority_contact.py
@@ -53,17 +53,17 @@
         self._contact_since_s: float | None = None
 
     def record_acknowledgement(self, member: str, acknowledgement: MemberAcknowledgement) -> None:
-        """Records a member's reply to a heartbeat. Replies may arrive out of order."""
+        """Record a member's reply to a heartbeat. Replies may arrive out of order."""
         known = self._acknowledgements.get(member)
         if known is None or acknowledgement.sent_at_s > known.sent_at_s:
             self._acknowledgements[member] = acknowledgement
 
     def record_quorum_read(self, started_at_s: float) -> None:
-        """Records that a quorum read started at `started_at_s` returned the locally known state."""
+        """Record that a quorum read started at `started_at_s` returned the locally known state."""
         self.confirmed_at_s = max(self.confirmed_at_s, started_at_s)
 
     def update(self, state: SystemState, own_accepted_version: int, now_s: float) -> None:
-        """Evaluates the acknowledgements for the newest locally known chosen state."""
+        """Evaluate the acknowledgements for the newest locally known chosen state."""
         version, sets = state["version"], quorum_sets(state)
         self._remove_non_members(sets)
         contact_at_s = {member: reply.sent_at_s for member, reply in self._acknowledgements.items()}
@@ -83,7 +83,7 @@
             self._contact_since_s = now_s
 
     def contact_since_s(self, now_s: float) -> float | None:
-        """Returns the start of the current uninterrupted contact with a majority; None if there is none."""
+        """Return the start of the current uninterrupted contact with a majority; None if there is none."""
         return self._contact_since_s if now_s - self._contact_at_s <= CONTACT_WITHIN_S else None
 
     @property
@@ -98,7 +98,7 @@
 
 
 def _time_of_majorities(sets: Iterable[frozenset[str]], times_s: dict[str, float]) -> float:
-    """Returns the latest time that a majority of each set has reached or passed."""
+    """Return the latest time that a majority of each set has reached or passed."""
     return min(_time_of_majority(members, times_s) for members in sets)
 
 
@@ -120,31 +120,31 @@
         self._contact = MajorityContact(register.member)
 
     def record_acknowledgement(self, member: str, sent_at_s: float, accepted_version: int | None) -> None:
-        """Records a member's reply to a heartbeat; see `MemberAcknowledgement`."""
+        """Record a member's reply to a heartbeat; see `MemberAcknowledgement`."""
         self._contact.record_acknowledgement(member, MemberAcknowledgement(sent_at_s, accepted_version))
         self.update()
 
     def record_quorum_read(self, started_at_s: float) -> None:
-        """Records that a quorum read started at `started_at_s` has completed."""
+        """Record that a quorum read started at `started_at_s` has completed."""
         self._contact.record_quorum_read(started_at_s)
 
     def age_s(self) -> float:
-        """Returns the time since the local state was last confirmed as the newest; infinite before the first time."""
+        """Return the time since the local state was last confirmed as the newest; infinite before the first time."""
         return self._clock() - self._contact.confirmed_at_s
 
     def is_current(self) -> bool:
-        """Returns whether the local state is fresh enough to be served."""
+        """Return whether the local state is fresh enough to be served."""
         return self.age_s() <= self._max_age_s
 
     def contact_since_s(self) -> float | None:
-        """Returns the start of the current uninterrupted contact with a majority; None if there is none."""
+        """Return the start of the current uninterrupted contact with a majority; None if there is none."""
         return self._contact.contact_since_s(self._clock())
 
     def needs_quorum_read(self) -> bool:
-        """Returns whether there is contact with a majority that has not confirmed the local state."""
+        """Return whether there is contact with a majority that has not confirmed the local state."""
         return self._contact.unconfirmed_s > QUORUM_READ_AFTER_S
 
     def update(self) -> None:
-        """Reevaluates the acknowledgements. Called for each heartbeat and each newly chosen state."""
+        """Reevaluate the acknowledgements. Called for each heartbeat and each newly chosen state."""
         if self._register.chosen is not None:
             self._contact.update(self._register.chosen, self._register.durable_version, self._clock())
--- a/dewpin/controlplane/membership/majority_loss.py
+++ b/dewpin/controlplane/membership/majority_loss.py
@@ -29,7 +29,7 @@
 
 
 def missing_members(state: SystemState, own_member: str, peers: PeerTable, now_s: float) -> MissingMembers:
-    """Returns the members of a state that are currently silent."""
+    """Return the members of a state that are currently silent."""
     silent: list[str] = []
     without_disk: list[str] = []
     for member in sorted({*state["members"], *state["former_members"]} - {own_member}):
@@ -51,7 +51,7 @@
     def update(
         self, state: SystemState, own_member: str, peers: PeerTable, has_contact: bool, now_s: float
     ) -> MissingMembers | None:
-        """Records the contact status. Returns the logged members, or None if nothing was logged."""
+        """Record the contact status. Return the logged members, or None if nothing was logged."""
         if has_contact:
             self._last_contact_s = now_s
             self._logged_at_s = float("-inf")
--- a/dewpin/controlplane/membership/peers.py
+++ b/dewpin/controlplane/membership/peers.py
@@ -51,7 +51,7 @@
     reaches_majority: bool | None = None
 
     def encode(self) -> Message:
-        """Encodes the description for the wire."""
+        """Encode the description for the wire."""
         message: Message = {
             "id": self.id,
             "name": self.name,
@@ -72,7 +72,7 @@
 
     @classmethod
     def decode(cls, record: Message) -> PeerDescription:
-        """Decodes a description; earlier releases omit the last two fields. Raises KeyError or TypeError on failure."""
+        """Decode a description; earlier releases omit the last two fields. Raises KeyError or TypeError on failure."""
         return cls(
             id=record["id"],
             name=record["name"],
@@ -115,7 +115,7 @@
         first_received_s: float = float("-inf"),
         interrupted_at_s: tuple[float, ...] = (),
     ) -> Peer:
-        """Creates a peer from its description."""
+        """Create a peer from its description."""
         return cls(
             id=description.id,
             name=description.name,
@@ -135,11 +135,11 @@
         )
 
     def since_last_received_s(self, now_s: float) -> float:
-        """Returns the time since its last message."""
+        """Return the time since its last message."""
         return now_s - self.last_received_s
 
     def interruptions(self, now_s: float) -> int:
-        """Returns the number of recent interruptions."""
+        """Return the number of recent interruptions."""
         return sum(now_s - at_s < INTERRUPTION_RETENTION_S for at_s in self.interrupted_at_s)
 
 
@@ -150,7 +150,7 @@
         self.peers: dict[str, Peer] = {}
 
     def record_received(self, description: PeerDescription, now_s: float) -> Peer:
-        """Records a description received from a peer. Any other incarnation at its address is marked as ended."""
+        """Record a description received from a peer. Any other incarnation at its address is marked as ended."""
         known = self.peers.get(description.id)
         peer = Peer.from_description(
             description,
@@ -170,12 +170,12 @@
         self.peers[peer.id] = replace(peer, last_received_s=ended_s)
 
     def at_address(self, address: str) -> Peer | None:
-        """Returns the peer last heard from at an address."""
+        """Return the peer last heard from at an address."""
         peers_at_address = [peer for peer in self.peers.values() if peer.address == address]
         return max(peers_at_address, key=lambda peer: peer.last_received_s, default=None)
 
     def is_replaced(self, peer_id: str, name: str | None, now_s: float) -> bool:
-        """Returns whether the named machine is alive as another incarnation while this peer is silent.
+        """Return whether the named machine is alive as another incarnation while this peer is silent.
 
         Two machines may temporarily share a name. Then both are heard from, and neither counts as replaced.
         """
@@ -189,7 +189,7 @@
         )
 
     def since_last_received_s(self, peer_id: str, now_s: float) -> float:
-        """Returns the time since the last message from a peer; infinite for an unknown peer."""
+        """Return the time since the last message from a peer; infinite for an unknown peer."""
         peer = self.peers.get(peer_id)
         return peer.since_last_received_s(now_s) if peer is not None else float("inf")
 
@@ -200,7 +200,7 @@
 
 
 def _interruption_times(known: Peer | None, now_s: float) -> tuple[float, ...]:
-    """Returns the ends of a peer's interruptions that still count, including one that ends with a message now."""
+    """Return the ends of a peer's interruptions that still count, including one that ends with a message now."""
     if known is None:
         return ()
     recent = tuple(at_s for at_s in known.interrupted_at_s if now_s - at_s < INTERRUPTION_RETENTION_S)
--- a/dewpin/controlplane/membership/reconfiguration.py
+++ b/dewpin/controlplane/membership/reconfiguration.py
@@ -34,13 +34,13 @@
 
 
 def is_coordinator(state: SystemState, observation: ClusterObservation) -> bool:
-    """Returns whether this process currently coordinates reconfigurations."""
+    """Return whether this process currently coordinates reconfigurations."""
     candidates = [member for member in state["members"] if observation.may_coordinate(member)]
     return observation.local_peer.id == min(candidates, default=None)
 
 
 def next_change(state: SystemState, observation: ClusterObservation) -> ChangeFunction | None:
-    """Returns the next due reconfiguration, which applies only to the version of `state`; None if none is due."""
+    """Return the next due reconfiguration, which applies only to the version of `state`; None if none is due."""
     if not is_membership_stable(state):
         return require_version(state["version"], successor)
     change = (
@@ -52,7 +52,7 @@
 
 
 def _join_candidates(state: SystemState, observation: ClusterObservation) -> list[Peer]:
-    """Returns the processes that are alive and may become members or stores, in ascending order of id."""
+    """Return the processes that are alive and may become members or stores, in ascending order of id."""
     candidates = [
         peer
         for peer in observation.all_peers()
@@ -65,7 +65,7 @@
 
 
 def _member_change(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
-    """Returns the change that replaces a member to be removed or adds a missing member."""
+    """Return the change that replaces a member to be removed or adds a missing member."""
     members = dict(state["members"])
     spares = [peer for peer in _join_candidates(state, observation) if peer.serves_control and peer.id not in members]
     for member in list(members):
@@ -86,7 +86,7 @@
 
 
 def _best_placed_spare(spares: list[Peer], members: Addresses, observation: ClusterObservation) -> Peer:
-    """Returns the spare whose region and zone have the fewest members, then the one with the fewest interruptions."""
+    """Return the spare whose region and zone have the fewest members, then the one with the fewest interruptions."""
     locations = _peer_locations(observation)
     location_count = LocationCount(locations.get(member, "") for member in members)
     now_s = observation.now_s
@@ -96,14 +96,14 @@
 def _must_be_removed(
     state: SystemState, observation: ClusterObservation, peer_id: str, name: str | None, timeout_s: float
 ) -> bool:
-    """Returns whether a member or store has to be removed: replaced, retiring, or silent longer than `timeout_s`."""
+    """Return whether a member or store has to be removed: replaced, retiring, or silent longer than `timeout_s`."""
     if observation.is_replaced(peer_id, name) or name in state["retiring"]:
         return True
     return observation.observed_silence_s(peer_id) > timeout_s
 
 
 def _store_change(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
-    """Returns the change to the target stores, or the completion of the one in progress once all have synced."""
+    """Return the change to the target stores, or the completion of the one in progress once all have synced."""
     view = state["stores"]
     if not view["stable"]:
         return _initial_stores(state, observation)
@@ -117,7 +117,7 @@
 
 
 def _initial_stores(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
-    """Returns the change that sets the initial stores: once enough have joined, or those present after the wait."""
+    """Return the change that sets the initial stores: once enough have joined, or those present after the wait."""
     stores = {peer.id: peer.address for peer in _join_candidates(state, observation) if peer.serves_store}
     has_waited = observation.now_s - observation.started_at_s > INITIAL_STORES_WAIT_S
     if len(stores) >= observation.replica_count or (stores and has_waited):
@@ -126,7 +126,7 @@
 
 
 def _target_stores(state: SystemState, observation: ClusterObservation) -> Addresses:
-    """Returns the stores that should have the records: those remaining in the view and those joining."""
+    """Return the stores that should have the records: those remaining in the view and those joining."""
     view = state["stores"]
     in_view = {**view["stable"], **(view["next"] or {})}
     joining = {peer.id: peer.address for peer in _join_candidates(state, observation) if peer.serves_store}
@@ -143,7 +143,7 @@
 def _remaining_stores(
     state: SystemState, observation: ClusterObservation, in_view: Addresses, joining: Addresses
 ) -> Addresses:
-    """Returns the stores in the view that do not have to be removed."""
+    """Return the stores in the view that do not have to be removed."""
     has_replacement = any(store not in in_view for store in joining) or state["stores"]["next"] is not None
     departed = _departed_stores_with_replacement(state, observation, in_view)
     remaining: Addresses = {}
@@ -158,7 +158,7 @@
 def _departed_stores_with_replacement(
     state: SystemState, observation: ClusterObservation, in_view: Addresses
 ) -> set[str]:
-    """Returns stores that announced their shutdown and are silent, at most one per recently joined store in the view.
+    """Return stores that announced their shutdown and are silent, at most one per recently joined store in the view.
 
     In a planned replacement, the new store joins before the old one leaves.
     """
@@ -184,13 +184,13 @@
 
 
 def _have_all_synced(stores: Addresses, epoch: int, observation: ClusterObservation) -> bool:
-    """Returns whether all these stores have copied the records for the epoch of the view."""
+    """Return whether all these stores have copied the records for the epoch of the view."""
     synced_epochs = {peer.id: peer.synced_epoch for peer in observation.all_peers()}
     return all(synced_epochs.get(store, -1) >= epoch for store in stores)
 
 
 def _finish_completed_retirement(state: SystemState, observation: ClusterObservation) -> _StateChange | None:
-    """Returns the change that completes the retirement of a machine that is no longer a store or a member."""
+    """Return the change that completes the retirement of a machine that is no longer a store or a member."""
     view = state["stores"]
     if view["next"] is not None:
         return None
--- a/dewpin/controlplane/membership/register_maintenance.py
+++ b/dewpin/controlplane/membership/register_maintenance.py
@@ -46,7 +46,7 @@
         self._majority_loss = MajorityLossLog(self._started_at_s)
 
     async def step(self) -> None:
-        """Sets the initial state, finishes unfinished values and makes due reconfigurations."""
+        """Set the initial state, finish unfinished values and make due reconfigurations."""
         if self._register.newest is None:
             await self._bootstrap_if_all_seeds_are_present()
             return
@@ -67,7 +67,7 @@
         return self._freshness.needs_quorum_read()
 
     async def _make_due_change(self) -> bool:
-        """Makes the next reconfiguration if this process is the coordinator. Returns whether one was made."""
+        """Make the next reconfiguration if this process is the coordinator. Return whether one was made."""
         state, observation = self._register.chosen, self._observation()
         if state is None or not is_coordinator(state, observation):
             return False
@@ -93,7 +93,7 @@
         )
 
     async def _bootstrap_if_all_seeds_are_present(self) -> None:
-        """Sets the initial state once all seeds were heard from, each without a state and started for bootstrap."""
+        """Set the initial state once all seeds were heard from, each without a state and started for bootstrap."""
         members: dict[str, str] = {}
         names: dict[str, str] = {}
         for address in self._local_peer.seed_addresses():
@@ -114,7 +114,7 @@
         return self._clock() - self._unfinished_since_s > UNFINISHED_WAIT_S
 
     async def _read_by_quorum(self) -> None:
-        """Performs a quorum read, which also finishes an unfinished value."""
+        """Perform a quorum read, which also finishes an unfinished value."""
         started_at_s = self._clock()
         try:
             await self._register.propose(lambda state: state, PROPOSE_TIMEOUT_S)
--- a/dewpin/controlplane/register/acceptor.py
+++ b/dewpin/controlplane/register/acceptor.py
@@ -40,7 +40,7 @@
         return {PREPARE: self.handle_prepare, ACCEPT: self.handle_accept}
 
     async def load(self) -> None:
-        """Loads the replica from disk. The caller sets `is_loaded` once the rest of the register is loaded as well."""
+        """Load the replica from disk. The caller sets `is_loaded` once the rest of the register is loaded as well."""
         await self._storage.load()
         if self.replica.value is not None:
             self._learner.learn_addresses(self.replica.value)
@@ -60,20 +60,20 @@
         return chosen is None or bool(self.replica.value["version"] > chosen["version"])
 
     async def bootstrap(self, state: SystemState) -> None:
-        """Accepts the initial state. It needs no ballot, since it is identical on all initial members."""
+        """Accept the initial state. It needs no ballot, since it is identical on all initial members."""
         if self.replica.value is None and self.replica.accepted == ZERO_BALLOT:
             self.replica.value = state
             await _synced(self._storage.persist())
 
     async def prepare(self, ballot: Ballot, known_ballot: Ballot | None) -> Promise | Conflict:
-        """Handles the first round of a ballot. Raises RpcError if the promise cannot be synced to disk."""
+        """Handle the first round of a ballot. Raises RpcError if the promise cannot be synced to disk."""
         reply = self.replica.prepare(ballot, known_ballot)
         if isinstance(reply, Promise):
             await _synced(self._storage.persist_promise())
         return reply
 
     async def accept(self, ballot: Ballot, state: SystemState) -> Accepted | Conflict:
-        """Handles the second round of a ballot. Raises RpcError if the value cannot be synced to disk."""
+        """Handle the second round of a ballot. Raises RpcError if the value cannot be synced to disk."""
         reply = self.replica.accept(ballot, state)
         if isinstance(reply, Accepted):
             self._learner.learn_addresses(state)
@@ -81,7 +81,7 @@
         return reply
 
     async def handle_prepare(self, message: Message) -> Message:
-        """Replies to a prepare request from another process."""
+        """Reply to a prepare request from another process."""
         request = PrepareRequest.decode(message)
         self._check_addressee(request.member)
         reply = await self.prepare(request.ballot, request.known_ballot)
@@ -90,7 +90,7 @@
         return encode_reply(reply)
 
     async def handle_accept(self, message: Message) -> Message:
-        """Replies to an accept request from another process."""
+        """Reply to an accept request from another process."""
         request = AcceptRequest.decode(message)
         self._check_addressee(request.member)
         if request.ballot < self.replica.promised:
@@ -99,7 +99,7 @@
         return encode_reply(await self.accept(request.ballot, state))
 
     def _check_addressee(self, member: str) -> None:
-        """Raises RpcError if this process is not ready or is not the incarnation that the request addresses."""
+        """Raise RpcError if this process is not ready or is not the incarnation that the request addresses."""
         if not self.is_loaded:
             raise RpcError("starting", self.member)
         if member != self.member:
--- a/dewpin/controlplane/register/change_history.py
+++ b/dewpin/controlplane/register/change_history.py
@@ -30,10 +30,10 @@
     """The storage interface that the history requires."""
 
     async def write(self, statements: list[tuple[str, tuple[Any, ...]]]) -> None:
-        """Executes the statements in one transaction and returns once it is synced to disk."""
+        """Execute the statements in one transaction and return once it is synced to disk."""
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """Returns the rows selected by a statement."""
+        """Return the rows selected by a statement."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,12 +56,12 @@
     before: int
 
     def encode(self) -> Message:
-        """Encodes the message for the wire."""
+        """Encode the message for the wire."""
         return {"type": CHANGE_HISTORY, "after": self.after, "before": self.before}
 
     @classmethod
     def decode(cls, message: Message) -> ChangeHistoryRequest:
-        """Decodes a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
+        """Decode a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
         return cls(int(message["after"]), int(message["before"]))
 
 
@@ -72,24 +72,24 @@
     changes: tuple[AcceptedChange, ...]
 
     def encode(self) -> Message:
-        """Encodes the message for the wire."""
+        """Encode the message for the wire."""
         rows = [[change.number, change.generation, change.digest] for change in self.changes]
         return {"type": CHANGE_HISTORY, "orders": rows}
 
     @classmethod
     def decode(cls, message: Message) -> ChangeHistoryPage:
-        """Decodes a page. Raises KeyError, TypeError or ValueError if the message is malformed."""
+        """Decode a page. Raises KeyError, TypeError or ValueError if the message is malformed."""
         return cls(tuple(AcceptedChange(int(row[0]), int(row[1]), str(row[2])) for row in message["orders"]))
 
     def starts_before(self, other: ChangeHistoryPage) -> bool:
-        """Returns whether this page starts with an older change than `other`. An empty page counts as the newest."""
+        """Return whether this page starts with an older change than `other`. An empty page counts as the newest."""
         if not self.changes:
             return False
         return not other.changes or self.changes[0].number < other.changes[0].number
 
 
 def changes_in_state(state: SystemState) -> list[AcceptedChange]:
-    """Returns the changes listed in a state in ascending order of number."""
+    """Return the changes listed in a state in ascending order of number."""
     entries = state["accepted"]
     first_number = accepted_change_count(state) - len(entries) + 1
     return [
@@ -109,12 +109,12 @@
         self._filling = asyncio.Lock()
 
     async def load(self) -> None:
-        """Loads the number of the newest recorded change from disk."""
+        """Load the number of the newest recorded change from disk."""
         rows = await self._storage.query("SELECT coalesce(max(number), 0) FROM orders")
         self._newest_number = int(rows[0][0])
 
     async def record(self, state: SystemState) -> None:
-        """Records the changes listed in a chosen state and fetches missing earlier ones from peers."""
+        """Record the changes listed in a chosen state and fetch missing earlier ones from peers."""
         changes = [change for change in changes_in_state(state) if change.number > self._newest_number]
         if not changes:
             return
@@ -125,7 +125,7 @@
             await self.fill_gaps()
 
     async def was_accepted(self, generation: int, digest: str) -> bool | None:
-        """Returns whether a change was accepted; None if neither the local history nor a peer can determine it."""
+        """Return whether a change was accepted; None if neither the local history nor a peer can determine it."""
         was_accepted = await self._look_up(generation, digest)
         if was_accepted is None:
             await self.fill_gaps()
@@ -133,7 +133,7 @@
         return was_accepted
 
     async def fill_gaps(self) -> None:
-        """Fetches missing changes from peers. Pages already received are kept if a later request fails."""
+        """Fetch missing changes from peers. Pages already received are kept if a later request fails."""
         async with self._filling:
             for gap in await self._gaps():
                 if not await self._fill(gap):
@@ -141,7 +141,7 @@
             self._may_have_gaps = False
 
     async def _fill(self, gap: ChangeHistoryRequest) -> bool:
-        """Fetches a gap page by page. Returns False if no peer replied, True even if the peers lack part of the gap."""
+        """Fetch a gap page by page. Return False if no peer replied, True even if the peers lack part of the gap."""
         after = gap.after
         while after + 1 < gap.before:
             page = await self._query_peers(ChangeHistoryRequest(after, gap.before))
@@ -154,7 +154,7 @@
         return True
 
     async def page(self, request: ChangeHistoryRequest) -> ChangeHistoryPage:
-        """Returns the first page of the changes requested by a peer, oldest first."""
+        """Return the first page of the changes requested by a peer, oldest first."""
         rows = await self._storage.query(
             "SELECT number, generation, digest FROM orders WHERE number > ? AND number < ? ORDER BY number LIMIT ?",
             (request.after, request.before, CHANGES_PER_PAGE),
@@ -162,7 +162,7 @@
         return ChangeHistoryPage(tuple(AcceptedChange(*row) for row in rows))
 
     async def _look_up(self, generation: int, digest: str) -> bool | None:
-        """Returns whether a change was accepted according to the local rows; None if they cannot determine it.
+        """Return whether a change was accepted according to the local rows; None if they cannot determine it.
 
         A row with that generation is conclusive. So are two rows with consecutive numbers and generations below and
         above it, since no change was accepted between them.
@@ -182,7 +182,7 @@
         return AcceptedChange(*rows[0]) if rows else None
 
     async def _gaps(self) -> list[ChangeHistoryRequest]:
-        """Returns the ranges of missing numbers below the newest one, within the maximum length of the history."""
+        """Return the ranges of missing numbers below the newest one, within the maximum length of the history."""
         oldest = max(0, self._newest_number - MAX_CHANGES_IN_HISTORY)
         rows = await self._storage.query(
             "SELECT number, (SELECT coalesce(max(number), 0) FROM orders AS lower WHERE lower.number < upper.number)"
--- a/dewpin/controlplane/register/configuration_bodies.py
+++ b/dewpin/controlplane/register/configuration_bodies.py
@@ -46,15 +46,15 @@
         self._partial_pages: list[str] = []
 
     def digests(self) -> tuple[str, ...]:
-        """Returns the digests of the known bodies."""
+        """Return the digests of the known bodies."""
         return tuple(self._bodies)
 
     def body(self, digest: str) -> str | None:
-        """Returns the body with a digest; None if it is unknown."""
+        """Return the body with a digest; None if it is unknown."""
         return self._bodies.get(digest)
 
     def add(self, state: SystemState) -> None:
-        """Stores the body of a state's configuration and evicts the least recently used bodies above the limits."""
+        """Store the body of a state's configuration and evict the least recently used bodies above the limits."""
         configuration = state["configuration"]
         if configuration is None:
             return
@@ -67,7 +67,7 @@
         return len(self._bodies) > MAX_BODIES or sum(map(len, self._bodies.values())) > MAX_CHARACTERS
 
     def to_wire(self, state: SystemState, known_digests: Collection[str]) -> WireState:
-        """Returns the state to send to a process with these bodies. Omits a body that it has or that is too long."""
+        """Return the state to send to a process with these bodies. Omit a body that it has or that is too long."""
         self.add(state)
         configuration = state["configuration"]
         if configuration is None:
@@ -77,7 +77,7 @@
         return {**state, "configuration": {name: field for name, field in configuration.items() if name != "body"}}
 
     async def from_wire(self, state: WireState, source: str) -> SystemState:
-        """Returns the complete state, fetching a missing body from the address `source`. Raises RpcError on failure."""
+        """Return the complete state, fetching a missing body from the address `source`. Raises RpcError on failure."""
         configuration = state["configuration"]
         if configuration is not None and "body" not in configuration:
             body = await self._get_or_fetch(
@@ -89,7 +89,7 @@
         return complete_state
 
     async def handle_request(self, message: Message) -> Message:
-        """Replies with one page of a body. Raises BodyUnavailableError if the body is unknown."""
+        """Reply with one page of a body. Raises BodyUnavailableError if the body is unknown."""
         request = BodyRequest.decode(message)
         body = self._bodies.get(request.digest)
         if body is None:
@@ -97,7 +97,7 @@
         return BodyPage(body[request.offset : request.offset + PAGE_CHARACTERS], len(body)).encode()
 
     async def _get_or_fetch(self, digest: str, base_generation: int, source: str) -> str:
-        """Returns a body from the cache or fetches it from `source`.
+        """Return a body from the cache or fetch it from `source`.
 
         Only one body is fetched at a time: concurrent fetches would share the link, and each would exceed its timeout.
         """
--- a/dewpin/controlplane/register/learner.py
+++ b/dewpin/controlplane/register/learner.py
@@ -35,7 +35,7 @@
         self._adopt_lock = asyncio.Lock()
 
     def record_chosen(self, ballot: Ballot, state: SystemState) -> None:
-        """Records a state known to be chosen. Calls `on_chosen` if it is newer than the current one."""
+        """Record a state known to be chosen. Call `on_chosen` if it is newer than the current one."""
         if self.chosen is not None and state["version"] <= self.chosen["version"]:
             if state["version"] == self.chosen["version"]:
                 self.chosen_ballot = max(ballot, self.chosen_ballot)
@@ -48,7 +48,7 @@
         self._on_chosen(state)
 
     async def adopt_chosen(self, ballot: Ballot, state: WireState, source: str) -> None:
-        """Records a chosen state received from the process at `source`, after fetching its body.
+        """Record a chosen state received from the process at `source`, after fetching its body.
 
         Raises RpcError if the body cannot be fetched; pages received so far are kept for the next attempt.
         """
@@ -57,7 +57,7 @@
                 self.record_chosen(ballot, await self.bodies.from_wire(state, source))
 
     def learn_addresses(self, state: SystemState) -> None:
-        """Records the member addresses in a state that may still be chosen."""
+        """Record the member addresses in a state that may still be chosen."""
         version = state["version"]
         if self.chosen is not None and version <= self.chosen["version"]:
             return
@@ -67,17 +67,17 @@
                 self._proposed_addresses[member] = _ProposedAddress(address, version)
 
     def address_of(self, member: str) -> str | None:
-        """Returns the address of a member; None if no chosen or possibly chosen state names it."""
+        """Return the address of a member; None if no chosen or possibly chosen state names it."""
         proposed = self._proposed_addresses.get(member)
         return proposed.address if proposed is not None else self._chosen_addresses.get(member)
 
     def addresses(self) -> set[str]:
-        """Returns the addresses of all members named in chosen or possibly chosen states."""
+        """Return the addresses of all members named in chosen or possibly chosen states."""
         proposed = {known.address for known in self._proposed_addresses.values()}
         return proposed | set(self._chosen_addresses.values())
 
     def _forget_superseded_addresses(self, chosen_version: int) -> None:
-        """Removes addresses that are named only in values that can no longer be chosen."""
+        """Remove addresses that are named only in values that can no longer be chosen."""
         self._proposed_addresses = {
             member: known for member, known in self._proposed_addresses.items() if known.version > chosen_version
         }
--- a/dewpin/controlplane/register/messages.py
+++ b/dewpin/controlplane/register/messages.py
@@ -38,7 +38,7 @@
     body_digests: tuple[str, ...] = ()
 
     def encode(self) -> Message:
-        """Encodes the message for the wire."""
+        """Encode the message for the wire."""
         return {
             "type": PREPARE,
             "to": self.member,
@@ -49,7 +49,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> PrepareRequest:
-        """Decodes a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
+        """Decode a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
         known = message.get("known")
         return cls(
             member=str(message["to"]),
@@ -76,7 +76,7 @@
     body_source: str = ""
 
     def encode(self) -> Message:
-        """Encodes the message for the wire."""
+        """Encode the message for the wire."""
         return {
             "type": ACCEPT,
             "to": self.member,
@@ -87,7 +87,7 @@
 
     @classmethod
     def decode(cls, message: Message) -> AcceptRequest:
-        """Decodes a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
+        """Decode a request. Raises KeyError, TypeError or ValueError if the message is malformed."""
         value = message["value"]
         if not isinstance(value, dict):
             raise ValueError("the field value is not an object")
@@ -95,5 +95,5 @@
 
 
 def digests_from_json(values: Iterable[object]) -> tuple[str, ...]:
-    """Decodes a list of digests from a message field."""
+    """Decode a list of digests from a message field."""
     return tuple(str(value) for value in values)
--- a/dewpin/controlplane/register/proposer.py
+++ b/dewpin/controlplane/register/proposer.py
@@ -63,11 +63,11 @@
         self._proposal_lock = asyncio.Lock()
 
     def resume(self) -> None:
-        """Continues above the ballots that the replica on disk has promised."""
+        """Continue above the ballots that the replica on disk has promised."""
         self._counter = self._acceptor.replica.promised.counter
 
     async def propose(self, change: ChangeFunction, timeout_s: float) -> SystemState:
-        """Makes a change, retrying with new ballots until one succeeds, and returns the chosen state.
+        """Make a change, retrying with new ballots until one succeeds, and return the chosen state.
 
         Raises RegisterUnavailableError on timeout and propagates exceptions of `change`; a ChangeRejectedError is
         raised only on the basis of a chosen state. Proposals of one process run one at a time: concurrent ones would
@@ -95,7 +95,7 @@
             backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def _run_ballot(self, change: ChangeFunction) -> SystemState | None:
-        """Proposes the change under one ballot. Returns None if it has to be proposed again."""
+        """Propose the change under one ballot. Return None if it has to be proposed again."""
         guarded_change = _GuardedChange(change)
         initial, proposal = self._new_proposal(guarded_change)
         await self._drive(proposal, _body_digests_of(initial))
@@ -114,7 +114,7 @@
         return state
 
     def _new_proposal(self, guarded_change: _GuardedChange) -> tuple[SystemState, Proposal]:
-        """Returns the newest known state and a proposal based on it, with a ballot greater than all seen."""
+        """Return the newest known state and a proposal based on it, with a ballot greater than all seen."""
         replica, learner = self._acceptor.replica, self._learner
         initial = learner.chosen or replica.value
         if initial is None:
@@ -125,7 +125,7 @@
         return initial, Proposal(ballot, initial, quorum_sets, guarded_change.apply, initial_ballot)
 
     async def _drive(self, proposal: Proposal, body_digests: tuple[str, ...]) -> None:
-        """Sends the proposal's requests and passes it the replies until it ends or no reply is pending.
+        """Send the proposal's requests and pass it the replies until it ends or no reply is pending.
 
         `body_digests`: the bodies that members are assumed to have; a member that lacks one fetches it.
         """
@@ -163,7 +163,7 @@
             replies.put_nowait((request.member, reply))
 
     async def _send(self, request: Request, body_digests: tuple[str, ...]) -> Reply:
-        """Returns a member's reply; calls the local replica directly, without a message."""
+        """Return a member's reply; call the local replica directly, without a message."""
         body = request.body
         if request.member == self._acceptor.member:
             if isinstance(body, Prepare):
@@ -204,7 +204,7 @@
         self._change = change
 
     def apply(self, state: SystemState) -> SystemState:
-        """Returns the changed state, or the same state if the change is rejected."""
+        """Return the changed state, or the same state if the change is rejected."""
         try:
             return self._change(state)
         except ChangeRejectedError as rejection:
--- a/dewpin/controlplane/register/recovery.py
+++ b/dewpin/controlplane/register/recovery.py
@@ -83,7 +83,7 @@
 
 
 def describe_replica(data_dir: Path) -> ReplicaDescription:
-    """Describes the replica in a data directory. Raises RecoveryFileError or RecoveryRefusedError."""
+    """Describe the replica in a data directory. Raises RecoveryFileError or RecoveryRefusedError."""
     with _open_database(data_dir) as connection:
         replica = _load(connection)
         member, state = incarnation_of(connection), _state_of(replica)
@@ -99,7 +99,7 @@
 
 
 def plan_recovery(data_dir: Path, lost: Collection[str]) -> RecoveryPlan:
-    """Returns the changes that `recover` would make, without writing anything.
+    """Return the changes that `recover` would make, without writing anything.
 
     `lost`: ids of the permanently lost members and stores. Raises RecoveryFileError, or RecoveryRefusedError with all
     errors: the disk does not belong to a member with a stable store, an id is unknown or is this member's own, or a
@@ -111,7 +111,7 @@
 
 
 def recover(data_dir: Path, lost: Collection[str]) -> RecoveryPlan:
-    """Removes the lost members and stores from the state on disk, in one transaction. Raises as `plan_recovery`."""
+    """Remove the lost members and stores from the state on disk, in one transaction. Raises as `plan_recovery`."""
     with _open_database(data_dir) as connection:
         replica = _load(connection)
         state = _state_of(replica)
@@ -136,18 +136,18 @@
         self._connection = connection
 
     async def write(self, statements: list[Statement]) -> None:
-        """Executes the statements in the open transaction."""
+        """Execute the statements in the open transaction."""
         for sql, values in statements:
             self._connection.execute(sql, values)
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """Returns the rows selected by a statement."""
+        """Return the rows selected by a statement."""
         return self._connection.execute(sql, arguments).fetchall()
 
 
 @contextmanager
 def _open_database(data_dir: Path) -> Iterator[sqlite3.Connection]:
-    """Opens the database of a stopped control server. Raises RecoveryFileError."""
+    """Open the database of a stopped control server. Raises RecoveryFileError."""
     try:
         connection = open_intact_database(data_dir)
     except (StorageError, SchemaTooNewError) as error:
@@ -212,7 +212,7 @@
 
 
 def _recovered_state(state: SystemState, plan: RecoveryPlan, member: str) -> SystemState:
-    """Returns the state in which the survivor is the only member, under its new id `member`."""
+    """Return the state in which the survivor is the only member, under its new id `member`."""
 
     def with_new_id(entries: Mapping[str, str]) -> dict[str, str]:
         remaining_entries = {peer_id: value for peer_id, value in entries.items() if peer_id in plan.remaining_stores}
--- a/dewpin/controlplane/register/register.py
+++ b/dewpin/controlplane/register/register.py
@@ -72,7 +72,7 @@
         }
 
     async def load(self) -> None:
-        """Loads the register from disk. Until then the replica rejects all ballots."""
+        """Load the register from disk. Until then the replica rejects all ballots."""
         await self.acceptor.load()
         self._proposer.resume()
         await self._history.load()
@@ -80,11 +80,11 @@
         self.acceptor.is_loaded = True
 
     async def stop(self) -> None:
-        """Cancels ballot requests and change history writes. The next chosen state lists these changes again."""
+        """Cancel ballot requests and change history writes. The next chosen state lists these changes again."""
         await self._background.stop()
 
     async def _log_recovery(self) -> None:
-        """Logs a recovery that an operator performed on this disk (`recovery.py`)."""
+        """Log a recovery that an operator performed on this disk (`recovery.py`)."""
         for (plan,) in await self._storage.query("SELECT value FROM meta WHERE name = ?", (RECOVERY_KEY,)):
             log.warning("register.recovered", extra={"plan": json.loads(plan)})
 
@@ -114,36 +114,36 @@
         return self.acceptor.has_unfinished_value
 
     async def bootstrap(self, state: SystemState) -> None:
-        """Records the initial state, identical on all initial members, as chosen."""
+        """Record the initial state, identical on all initial members, as chosen."""
         await self.acceptor.bootstrap(state)
         self.record_chosen(ZERO_BALLOT, state)
 
     def record_chosen(self, ballot: Ballot, state: SystemState) -> None:
-        """Records a state known to be chosen."""
+        """Record a state known to be chosen."""
         self._learner.record_chosen(ballot, state)
 
     async def adopt_chosen(self, ballot: Ballot, state: WireState, source: str) -> None:
-        """Records a chosen state received from the address `source`. Raises RpcError if its body cannot be fetched."""
+        """Record a chosen state received from the address `source`. Raises RpcError if its body cannot be fetched."""
         await self._learner.adopt_chosen(ballot, state, source)
 
     async def propose(self, change: ChangeFunction, timeout_s: float) -> SystemState:
-        """Proposes a change; see `RegisterProposer.propose`."""
+        """Propose a change; see `RegisterProposer.propose`."""
         return await self._proposer.propose(change, timeout_s)
 
     def body(self, digest: str) -> str | None:
-        """Returns a configuration body by its digest; None if it is unknown."""
+        """Return a configuration body by its digest; None if it is unknown."""
         return self._bodies.body(digest)
 
     def body_digests(self) -> tuple[str, ...]:
-        """Returns the digests of the known configuration bodies."""
+        """Return the digests of the known configuration bodies."""
         return self._bodies.digests()
 
     def to_wire(self, state: SystemState, body_digests: tuple[str, ...]) -> WireState:
-        """Returns the state to send to a process that has these bodies."""
+        """Return the state to send to a process that has these bodies."""
         return self._bodies.to_wire(state, body_digests)
 
     async def was_accepted(self, generation: int, digest: str, timeout_s: float) -> bool | None:
-        """Returns whether a change no longer listed in the newest state was accepted; None if unknown on timeout."""
+        """Return whether a change no longer listed in the newest state was accepted; None if unknown on timeout."""
         if self.chosen is None:
             return None
         try:
@@ -167,7 +167,7 @@
         return (await self._history.page(ChangeHistoryRequest.decode(message))).encode()
 
     async def _query_peers(self, request: ChangeHistoryRequest) -> ChangeHistoryPage | None:
-        """Returns the page that starts with the oldest of the requested changes; None if no peer replies."""
+        """Return the page that starts with the oldest of the requested changes; None if no peer replies."""
         oldest_page: ChangeHistoryPage | None = None
         for address in sorted(self._learner.addresses() - {self.address}):
             try:
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -27,10 +27,10 @@
     """The storage interface that the register requires."""
 
     async def write(self, statements: list[Statement]) -> None:
-        """Writes in one transaction; returns once synced. Raises StorageError if the write may have failed."""
+        """Write in one transaction; return once synced. Raises StorageError if the write may have failed."""
 
     async def query(self, sql: str, arguments: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-        """Returns the rows selected by a statement."""
+        """Return the rows selected by a statement."""
 
 
 class ReplicaStorage:
@@ -43,7 +43,7 @@
         self._durable_ballot = ZERO_BALLOT
 
     async def load(self) -> None:
-        """Loads the replica from disk. Raises StorageDamagedError if the body of its configuration is missing."""
+        """Load the replica from disk. Raises StorageDamagedError if the body of its configuration is missing."""
         rows = await self._storage.query(
             "SELECT promised, accepted_ballot, value FROM register_replica WHERE key IN (?, ?)",
             (REGISTER_KEY, PROMISE_KEY),
@@ -57,7 +57,7 @@
         self._durable_ballot = self._replica.accepted
 
     async def persist(self) -> None:
-        """Writes the complete replica; returns once synced. Raises StorageError if the write may have failed."""
+        """Write the complete replica; return once synced. Raises StorageError if the write may have failed."""
         replica, accepted = self._replica, self._replica.accepted
         value, bodies = _without_body(replica.value)
         row = (REGISTER_KEY, json.dumps(replica.promised), json.dumps(accepted), json.dumps(value))
@@ -67,14 +67,14 @@
             self.durable_version = value["version"]
 
     async def persist_promise(self) -> None:
-        """Writes only the promise, or the whole replica if its accepted value, part of the reply, is not on disk."""
+        """Write only the promise, or the whole replica if its accepted value, part of the reply, is not on disk."""
         if self._replica.accepted > self._durable_ballot:
             await self.persist()
             return
         await self._storage.write([(_REPLACE_REPLICA, (PROMISE_KEY, json.dumps(self._replica.promised), None, None))])
 
     async def _with_body(self, value: dict[str, Any]) -> SystemState:
-        """Returns the value with its configuration body. Earlier releases stored the body inside the value."""
+        """Return the value with its configuration body. Earlier releases stored the body inside the value."""
         configuration = value["configuration"]
         if configuration is not None and "body" not in configuration:
             digest = configuration["digest"]
@@ -87,7 +87,7 @@
 
 
 def _without_body(state: SystemState | None) -> tuple[WireState | None, list[Statement]]:
-    """Returns the value for the replica's row and the statements that store its body and delete all others.
+    """Return the value for the replica's row and the statements that store its body and delete all others.
 
     All are executed in one transaction. The INSERT statement itself checks whether the body is already stored, because
     an earlier write of it may still fail.
--- a/dewpin/controlplane/register/system_state.py
+++ b/dewpin/controlplane/register/system_state.py
@@ -114,7 +114,7 @@
 
 
 def initial_state(members: Addresses, names: Mapping[str, str]) -> SystemState:
-    """Returns the state before the first change. It is identical on every member that creates it."""
+    """Return the state before the first change. It is identical on every member that creates it."""
     return SystemState(
         version=0,
         members=dict(sorted(members.items())),
@@ -130,17 +130,17 @@
 
 
 def quorum_sets(state: SystemState) -> list[frozenset[str]]:
-    """Returns the member sets that must each provide a majority."""
+    """Return the member sets that must each provide a majority."""
     return [frozenset(state["members"]), frozenset(state["former_members"])]
 
 
 def is_membership_stable(state: SystemState) -> bool:
-    """Returns whether no membership change of the register is in progress."""
+    """Return whether no membership change of the register is in progress."""
     return state["members"] == state["former_members"]
 
 
 def successor(state: SystemState) -> SystemState:
-    """Returns a copy with the next version and the current members as the former ones."""
+    """Return a copy with the next version and the current members as the former ones."""
     next_state = state.copy()
     next_state["version"] = state["version"] + 1
     next_state["former_members"] = state["members"]
@@ -148,13 +148,13 @@
 
 
 def base_generation_of(state: SystemState) -> int:
-    """Returns the generation that the current configuration is based on; 0 for the first configuration."""
+    """Return the generation that the current configuration is based on; 0 for the first configuration."""
     listed = state["accepted"]
     return int(listed[-2][0]) if len(listed) > 1 else 0
 
 
 def accepted_change_count(state: SystemState) -> int:
-    """Returns the total number of accepted operator changes.
+    """Return the total number of accepted operator changes.
 
     States of earlier releases do not have this count. Once their list is full, they are assumed to have dropped some.
     """
@@ -163,7 +163,7 @@
 
 
 def is_forgotten(state: SystemState, generation: int, base: int) -> bool:
-    """Returns whether a change with this generation may have been accepted before all changes listed in the state.
+    """Return whether a change with this generation may have been accepted before all changes listed in the state.
 
     Generations increase from change to change, and an accepted generation is greater than its base.
     """
@@ -174,13 +174,13 @@
 
 
 def put_configuration(body: bytes, generation: int, base: int) -> ChangeFunction:
-    """Returns the change that stores a valid configuration. A repeated request changes nothing."""
+    """Return the change that stores a valid configuration. A repeated request changes nothing."""
     digest = configuration_digest(body, base)
     return _accept_configuration(generation, base, digest, lambda current: body)
 
 
 def patch_configuration(patch: ConfigurationPatch, request_digest: str, base: int) -> ChangeFunction:
-    """Returns the change that patches the configuration of generation `base`. A repeated request changes nothing.
+    """Return the change that patches the configuration of generation `base`. A repeated request changes nothing.
 
     The change raises InvalidPatchError if the patched configuration would be invalid.
     """
@@ -199,7 +199,7 @@
 def _accept_configuration(
     generation: int, base: int, request_digest: str, new_body: Callable[[StoredConfiguration | None], bytes]
 ) -> ChangeFunction:
-    """Returns the change that stores the body returned by `new_body`. `request_digest` identifies the request.
+    """Return the change that stores the body returned by `new_body`. `request_digest` identifies the request.
 
     The change raises ChangeForgottenError, VersionMismatchError or GenerationTooLowError.
     """
@@ -229,7 +229,7 @@
 
 
 def require_version(version: int, change: Callable[[SystemState], SystemState]) -> ChangeFunction:
-    """Applies `change` only to a state with this version; raises StateVersionChangedError for any other."""
+    """Apply `change` only to a state with this version. Raises StateVersionChangedError for any other."""
 
     def change_if_version(state: SystemState) -> SystemState:
         if state["version"] != version:
@@ -240,7 +240,7 @@
 
 
 def set_members(members: Addresses, names: Mapping[str, str]) -> Callable[[SystemState], SystemState]:
-    """Returns the change that replaces the register's members."""
+    """Return the change that replaces the register's members."""
 
     def change(state: SystemState) -> SystemState:
         next_state = successor(state)
@@ -254,7 +254,7 @@
 def set_initial_stores(
     stores: Addresses, names: Mapping[str, str], locations: Mapping[str, str] = MappingProxyType({})
 ) -> Callable[[SystemState], SystemState]:
-    """Returns the change that sets the initial stores, which have no records to copy."""
+    """Return the change that sets the initial stores, which have no records to copy."""
 
     def change(state: SystemState) -> SystemState:
         view = StoreViewState(epoch=state["stores"]["epoch"] + 1, stable=dict(sorted(stores.items())), next=None)
@@ -266,7 +266,7 @@
 def start_store_change(
     stores: Addresses, names: Mapping[str, str], locations: Mapping[str, str] = MappingProxyType({})
 ) -> Callable[[SystemState], SystemState]:
-    """Returns the change that starts a store change, or sets a new target for the one in progress."""
+    """Return the change that starts a store change, or sets a new target for the one in progress."""
 
     def change(state: SystemState) -> SystemState:
         current = state["stores"]
@@ -277,7 +277,7 @@
 
 
 def finish_store_change(state: SystemState) -> SystemState:
-    """Completes the store change in progress, once all next stores have copied the records."""
+    """Complete the store change in progress, once all next stores have copied the records."""
     current = state["stores"]
     assert current["next"] is not None
     view = StoreViewState(epoch=current["epoch"] + 1, stable=current["next"], next=None)
@@ -285,7 +285,7 @@
 
 
 def start_retirement(name: str, min_stores: int) -> ChangeFunction:
-    """Returns the change that starts the retirement of the named machine. At least `min_stores` have to remain.
+    """Return the change that starts the retirement of the named machine. At least `min_stores` have to remain.
 
     The change raises UnknownMachineError or TooFewStoresRemainError. It changes nothing if the machine is already
     retiring or retired.
@@ -310,7 +310,7 @@
 
 
 def finish_retirement(name: str) -> Callable[[SystemState], SystemState]:
-    """Returns the change that marks a machine as retired, once it is neither a store nor a member."""
+    """Return the change that marks a machine as retired, once it is neither a store nor a member."""
 
     def change(state: SystemState) -> SystemState:
         next_state = successor(state)
@@ -322,7 +322,7 @@
 
 
 def is_retired(state: SystemState, name: str) -> bool:
-    """Returns whether a machine is retired."""
+    """Return whether a machine is retired."""
     return name in state["retired"] and name not in state["retiring"]
 
 
--- a/dewpin/controlplane/storage/storage.py
+++ b/dewpin/controlplane/storage/storage.py
@@ -73,7 +73,7 @@
         clock: Callable[[], float] = time.monotonic,
         on_damaged: Callable[[], None] = _ignore_damage,
     ) -> None:
-        """Open or create the database; blocks until it is durable. Raises StorageError or SchemaTooNewError.
+        """Open or create the database, blocking until it is durable. Raises StorageError or SchemaTooNewError.
 
         `log` receives messages for the operator; `clock` returns monotonic seconds; `on_damaged` is called on the
         storage thread when the file is found to be damaged: the process should then exit.
@@ -211,7 +211,7 @@
 
 
 def _resolve_futures(jobs: list[_Job[Any]]) -> None:
-    """Resolve the futures of `jobs`; runs on their event loop."""
+    """Resolve the futures of `jobs`; called on their event loop."""
     for job in jobs:
         if job.future.done():
             continue
--- a/dewpin/controlplane/store/ledger_retention.py
+++ b/dewpin/controlplane/store/ledger_retention.py
@@ -77,7 +77,7 @@
 def update(connection: sqlite3.Connection, longest_retain_s: float | None, now_ms: int) -> LedgerRetention | None:
     """Apply the newest configuration to the stored retention, write it if it changed, and return it.
 
-    `longest_retain_s` is None while no configuration is known. Returns None before the first configuration.
+    `longest_retain_s` is None while no configuration is known. Return None before the first configuration.
     """
     before = load(connection)
     if longest_retain_s is None:
--- a/dewpin/controlplane/store/store.py
+++ b/dewpin/controlplane/store/store.py
@@ -85,7 +85,7 @@
         return await self._guard.make_view_durable()
 
     def set_ledger_retention(self, longest_retain_s: float) -> None:
-        """Set the longest `retain_s` of the newest configuration; takes effect at the next purge."""
+        """Set the longest `retain_s` of the newest configuration, effective from the next purge."""
         self._longest_retain_s = longest_retain_s
 
     async def purge_forever(self) -> None:
--- a/dewpin/controlplane/store/turn_transfer.py
+++ b/dewpin/controlplane/store/turn_transfer.py
@@ -50,5 +50,5 @@
         return self.deleted_keys.union((record.turn, record.program) for record in self.records)
 
     def write_to(self, connection: sqlite3.Connection, now_ms: int) -> None:
-        """Store the turns with the retention that they have at the source; runs on the storage thread."""
+        """Store the turns with the retention that they have at the source; called on the storage thread."""
         turn_table.put_copies(connection, self.records, self.remaining_ms, now_ms)
--- a/dewpin/core/call_tracker.py
+++ b/dewpin/core/call_tracker.py
@@ -38,7 +38,7 @@
         self.selector = selector
 
     def start(self, message: Message, receiver: Receiver, now: float) -> Call:
-        """Puts a message in flight, in a call of its own or in the batch of a call that starts at the same time."""
+        """Put a message in flight, in a call of its own or in the batch of a call that starts at the same time."""
         state, queue, health = message.dispatch_state, message.destination.queue, health_of(receiver)
         queue.recent_slot_time(now)
         state.stage = Stage.IN_FLIGHT
@@ -65,7 +65,7 @@
         return call
 
     def end(self, message: Message, call: Call, now: float) -> None:
-        """Removes a message from its call; the last one frees the slot."""
+        """Remove a message from its call; the last one frees the slot."""
         queue = message.destination.queue
         queue.recent_slot_time(now)
         call.open_count -= 1
--- a/dewpin/core/circuit_breaker.py
+++ b/dewpin/core/circuit_breaker.py
@@ -33,7 +33,7 @@
         self.traffic = traffic
 
     def rejected_recently(self, receiver: Receiver, now: float) -> bool:
-        """Returns whether the receiver's latest response is a recent rejection.
+        """Return whether the receiver's latest response is a recent rejection.
 
         A receiver may reject for reasons of its own: it is draining, shut down or gone. A rejection leaves it idle, so
         it would attract all messages, and it would set the rate limit of the whole destination.
@@ -42,7 +42,7 @@
         return health.rejected_at > max(health.good_at, now - SUSTAINED_REJECTION_MS)
 
     def check_new_receiver(self, receiver: Receiver, now: float) -> None:
-        """Opens the breaker of a new receiver if limits are shared and its destination is failing or being probed.
+        """Open the breaker of a new receiver if limits are shared and its destination is failing or being probed.
 
         During an outage the list may replace receivers. The messages pending at all senders would go at once to a
         receiver that no sender has seen fail, although its destination is cold.
@@ -56,7 +56,7 @@
             self.open(receiver, health, now)
 
     def open(self, receiver: Receiver, health: ReceiverHealth, now: float, is_sparse: bool = False) -> None:
-        """Opens a receiver's circuit breaker; the probe calls of all senders together stay below its cold capacity.
+        """Open a receiver's circuit breaker; the probe calls of all senders together stay below its cold capacity.
 
         The capacity per overload window is derived from the queue's own traffic, so that the sum over hundreds of
         senders is right. If a call of a sparse queue is rejected (`is_sparse`), the rate is estimated from the earlier
--- a/dewpin/core/destination_limits.py
+++ b/dewpin/core/destination_limits.py
@@ -62,7 +62,7 @@
         self.first_rejected_at = 0.0
 
     def stuck_at(self) -> float:
-        """Returns when the oldest call in flight counts as stuck; infinity if a call has succeeded since it started."""
+        """Return when the oldest call in flight counts as stuck; infinity if a call has succeeded since it started."""
         while self.calls and self.calls[0].open_count == 0:
             self.calls.popleft()
         if not self.calls or self.calls[0].sent_at < self.good_at:
@@ -70,7 +70,7 @@
         return self.calls[0].sent_at + max(MIN_STUCK_MS, STUCK_CALL_FACTOR * (self.usual_call_ms or 0.0))
 
     def concurrency_limit(self, now: float, receivers: int) -> float:
-        """Returns how many calls may be in flight: measured rate times latency (Little's law), with headroom.
+        """Return how many calls may be in flight: measured rate times latency (Little's law), with headroom.
 
         A destination that accepts calls without responding (it hangs, is silent, or has become very slow) would
         otherwise occupy all slots and take all messages that may be sent only once. While its oldest call is stuck, no
@@ -85,7 +85,7 @@
 
 
 def limits_of(receiver: Receiver, kinds_with_own_limits: frozenset[int]) -> DestinationLimits:
-    """Returns the limits that apply to a receiver: its own if its kind has them, else those of its destination."""
+    """Return the limits that apply to a receiver: its own if its kind has them, else those of its destination."""
     owner = receiver if receiver.kind in kinds_with_own_limits else receiver.destination
     limits = owner.limits
     if limits is None:
--- a/dewpin/core/destination_queue.py
+++ b/dewpin/core/destination_queue.py
@@ -54,7 +54,7 @@
         self.started_at = started_at
 
     def add(self, message: Message) -> None:
-        """Inserts a message, ordered by the end of its latency target."""
+        """Insert a message, ordered by the end of its latency target."""
         self.waiting += 1
         messages = self.fresh[message.queue_class]
         if messages and _target_at(messages[-1]) > _target_at(message):
@@ -63,7 +63,7 @@
             messages.append(message)
 
     def remove(self, message: Message) -> bool:
-        """Removes a message; returns False if it is not in the queue."""
+        """Remove a message; return False if it is not in the queue."""
         for messages in (self.fresh[message.queue_class], self.late[message.queue_class]):
             if message in messages:
                 messages.remove(message)
@@ -72,7 +72,7 @@
         return False
 
     def arrival_rate(self, now: float, count_correction: float = 0.0) -> float:
-        """Returns this sender's messages per second for the destination: few if many senders share the traffic.
+        """Return this sender's messages per second for the destination: few if many senders share the traffic.
 
         `count_correction` is subtracted from the count, for callers that are triggered by an arrival.
         """
@@ -80,7 +80,7 @@
         return (max(1.0, sum(self.arrivals.recent(now, 10))) - count_correction) * 1000.0 / span_ms
 
     def recent_slot_time(self, now: float) -> float:
-        """Returns the slot time in ms that its calls used recently, including those in flight."""
+        """Return the slot time in ms that its calls used recently, including those in flight."""
         span_ms = now - self.slot_time_at
         if span_ms > 0.0:
             decay = 0.5 ** (span_ms / SLOT_TIME_HALF_LIFE_MS)
--- a/dewpin/core/dispatcher.py
+++ b/dewpin/core/dispatcher.py
@@ -103,7 +103,7 @@
     """
 
     def __init__(self, settings: Mapping[str, Any], seed: int) -> None:
-        """Raises KeyError if a setting is missing or has an unknown value."""
+        """Raise KeyError if a setting is missing or has an unknown value."""
         self.random = RandomSource(seed)
         random_sender_number = int(self.random.uniform(0.0, 1e6))
         self.settings = DispatcherSettings(settings, random_sender_number)
@@ -127,7 +127,7 @@
     # -- message life cycle --------------------------------------------------------------------------------------------
 
     def dispatch(self, message: Message, now: float) -> DispatchResult:
-        """Processes a message from its arrival up to its next attempt."""
+        """Process a message from its arrival up to its next attempt."""
         state = message.dispatch_state
         if state is None:
             self._admit(message, now)
@@ -152,7 +152,7 @@
         return DispatchResult(Decision.SEND, receiver, min(timeout_ms, time_left_ms))
 
     def last_byte_within_ms(self, message: Message, receiver: Receiver, now: float) -> float:
-        """Returns within how many ms the last byte of an attempt must be sent; called right before the first byte.
+        """Return within how many ms the last byte of an attempt must be sent; called right before the first byte.
 
         0 means that the message must not be sent. This covers a connection that is established long after the receiver
         was selected: by then the retry window may have ended, the receiver may be draining, or a retry-after may apply.
@@ -162,7 +162,7 @@
         return max(0.0, self.retry_policy.last_byte_at(message) - now)
 
     def record_outcome(self, message: Message, outcome: Outcome, now: float) -> OutcomeResult:
-        """Records the outcome of an attempt, classifies it, and then decides whether the message is retried."""
+        """Record the outcome of an attempt, classify it, and then decide whether the message is retried."""
         state = message.dispatch_state
         call = state.call
         assert call is not None  # it is in flight
@@ -183,7 +183,7 @@
         return OutcomeResult(decision, retry_after_ms, self.should_close_idle(call.receiver, now))
 
     def adopt_attempt(self, message: Message, receiver: Receiver, sent_at: float, now: float) -> None:
-        """Takes over an attempt in flight that the previous process started."""
+        """Take over an attempt in flight that the previous process started."""
         state = message.dispatch_state
         if state.stage is Stage.QUEUED:
             self._dequeue(message)
@@ -192,12 +192,12 @@
     # -- timing --------------------------------------------------------------------------------------------------------
 
     def next_due(self, now: float) -> NextDue:
-        """Returns the message to call `dispatch` for next, and the delay in ms."""
+        """Return the message to call `dispatch` for next, and the delay in ms."""
         message = self._resume_paused(now) or self._next_to_give_up(now) or self._next_to_shed(now)
         return NextDue(0.0, message) if message else self._next_sendable(now)
 
     def _resume_paused(self, now: float) -> Message | None:
-        """Enqueues messages whose pause is over; returns the first of them that was withdrawn in the meantime."""
+        """Enqueue messages whose pause is over; return the first of them that was withdrawn in the meantime."""
         while self._paused and self._paused[0][0] <= now:
             message = heappop(self._paused)[2]
             state = message.dispatch_state
@@ -221,7 +221,7 @@
         return None
 
     def _next_to_shed(self, now: float) -> Message | None:
-        """Returns a message to shed so that messages for other destinations can still be accepted."""
+        """Return a message to shed so that messages for other destinations can still be accepted."""
         if not self._waiting_queues or self.sender.pending_messages <= SHEDDING_THRESHOLD * self.settings.max_pending:
             return None
         message = self.ranking.least_valuable(self._waiting_queues, now)
@@ -230,9 +230,9 @@
         return message
 
     def _next_sendable(self, now: float) -> NextDue:
-        """Returns the next message of the queue with the least recent slot time among those that can send one now.
+        """Return the next message of the queue with the least recent slot time among those that can send one now.
 
-        If none can, returns the message that becomes due first.
+        If none can, return the message that becomes due first.
         """
         next_entries = [heap[0] for heap in (self._give_ups, self._paused) if heap]
         earliest = min(next_entries, key=lambda entry: entry[0], default=None)
@@ -259,7 +259,7 @@
     # -- admission -----------------------------------------------------------------------------------------------------
 
     def first_submitted_at(self, queue_class: int, time_left_ms: float, is_resubmission: bool, now: float) -> float:
-        """Estimates when a message was first submitted; the age of a resubmission is the elapsed part of its lifetime.
+        """Estimate when a message was first submitted; the age of a resubmission is the elapsed part of its lifetime.
 
         Otherwise resubmissions would be treated as new messages, and during an overload they make up most of a queue.
         Where clients mark resubmissions, an unmarked message with little time left is a new one with a short deadline.
@@ -270,7 +270,7 @@
         return now - max(0.0, age_ms)
 
     def retry_after_ms(self, destination: Destination, now: float) -> float:
-        """Returns when a client should resubmit a message that was deferred or not accepted; 0: no suggestion."""
+        """Return when a client should resubmit a message that was deferred or not accepted; 0: no suggestion."""
         if not self.settings.suggests_retry_after:
             return 0.0
         limits = [self.limits_of(receiver) for receiver in destination.receivers if receiver.state == READY]
@@ -295,15 +295,15 @@
         return self.sender.ejected_receivers
 
     def limits_of(self, receiver: Receiver) -> DestinationLimits:
-        """Returns the rate and concurrency limits that apply to a receiver."""
+        """Return the rate and concurrency limits that apply to a receiver."""
         return limits_of(receiver, self.settings.kinds_with_own_limits)
 
     def health_of(self, receiver: Receiver) -> ReceiverHealth:
-        """Returns the health record of a receiver."""
+        """Return the health record of a receiver."""
         return health_of(receiver)
 
     def queue_of(self, destination: Destination) -> DestinationQueue:
-        """Returns the queue of a destination; creates it if needed."""
+        """Return the queue of a destination; create it if needed."""
         queue = destination.queue
         if queue is None:
             self._queue_count += 1
@@ -314,39 +314,39 @@
         return queue
 
     def should_close_idle(self, receiver: Receiver, now: float) -> bool:
-        """Returns whether idle connections to a receiver should be closed."""
+        """Return whether idle connections to a receiver should be closed."""
         return should_close_idle_connections(receiver, now, self.sender, self.ranking, self.selector)
 
     def forget_receiver(self, receiver: Receiver) -> None:
-        """Drops the state of a receiver that has been removed permanently."""
+        """Drop the state of a receiver that has been removed permanently."""
         self.sender.ejected_receivers.discard(receiver)
 
     def forget_queue(self, queue: DestinationQueue) -> None:
-        """Drops the queue of a destination that has no receivers, messages or calls."""
+        """Drop the queue of a destination that has no receivers, messages or calls."""
         self.queues.remove(queue)
 
     # -- hand-over to the next process ---------------------------------------------------------------------------------
 
     def export_sender_state(self) -> dict[str, Any]:
-        """Exports the state that covers all destinations, as plain values under the names in the hand-over file."""
+        """Export the state that covers all destinations, as plain values under the names in the hand-over file."""
         return learned_state.export_sender(self.sender, self.key_order)
 
     def export_destination_state(self, destination: Destination) -> tuple[dict[str, Any] | None, dict[str, Any] | None]:
-        """Exports the queue and the limits of a destination in the same format."""
+        """Export the queue and the limits of a destination in the same format."""
         return learned_state.export_queue(destination.queue), learned_state.export_limits(destination.limits)
 
     def export_receiver_state(self, receiver: Receiver) -> tuple[dict[str, Any] | None, dict[str, Any] | None]:
-        """Exports the health and the own limits of a receiver in the same format."""
+        """Export the health and the own limits of a receiver in the same format."""
         return learned_state.export_health(receiver.health), learned_state.export_limits(receiver.limits)
 
     def restore_sender_state(self, exported: Mapping[str, Any]) -> None:
-        """Restores the result of `export_sender_state`; existing messages and calls are kept."""
+        """Restore the result of `export_sender_state`; existing messages and calls are kept."""
         learned_state.restore_sender(self.sender, self.key_order, exported)
 
     def restore_destination_state(
         self, destination: Destination, queue: Mapping[str, Any] | None, limits: Mapping[str, Any] | None
     ) -> None:
-        """Restores the result of `export_destination_state`."""
+        """Restore the result of `export_destination_state`."""
         if queue is not None:
             learned_state.restore_queue(self.queue_of(destination), queue)
         if limits is not None:
@@ -355,7 +355,7 @@
     def restore_receiver_state(
         self, receiver: Receiver, health: Mapping[str, Any] | None, limits: Mapping[str, Any] | None
     ) -> None:
-        """Restores the result of `export_receiver_state`."""
+        """Restore the result of `export_receiver_state`."""
         if health is not None:
             learned_state.restore_health(health_of(receiver), health)
             if receiver.health.slow_start:
@@ -389,7 +389,7 @@
         return DispatchResult(decision, retry_after_ms=self._finish(message, decision, now))
 
     def _finish(self, message: Message, decision: Decision, now: float) -> float:
-        """Finishes a message; returns the ms after which its client should resubmit it, 0 without a suggestion."""
+        """Finish a message; return the ms after which its client should resubmit it, 0 without a suggestion."""
         state = message.dispatch_state
         if state.stage is Stage.QUEUED:
             self._dequeue(message)
--- a/dewpin/core/idle_connections.py
+++ b/dewpin/core/idle_connections.py
@@ -13,7 +13,7 @@
 def should_close_idle_connections(
     receiver: Receiver, now: float, sender: SenderState, ranking: MessageRanking, selector: ReceiverSelector
 ) -> bool:
-    """Returns whether idle connections to a receiver should be closed.
+    """Return whether idle connections to a receiver should be closed.
 
     Some receivers accept few connections, including idle ones. With many senders, the connections would stay idle at
     senders that sent last or that delay messages because of a rate limit, and calls of other senders would be refused.
--- a/dewpin/core/key_order.py
+++ b/dewpin/core/key_order.py
@@ -26,21 +26,21 @@
         self.gaps: dict[Hashable, float] = {}
 
     def is_ordered(self, message: Message) -> bool:
-        """Returns whether a message has to wait for earlier messages of its key."""
+        """Return whether a message has to wait for earlier messages of its key."""
         return bool(self.classes[message.queue_class].is_ordered and message.ordering_key)
 
     def add(self, message: Message) -> bool:
-        """Appends a message to those of its key; returns whether it is the first."""
+        """Append a message to those of its key; return whether it is the first."""
         messages = self.messages_by_key.setdefault(message.ordering_key, deque())
         messages.append(message)
         return len(messages) == 1
 
     def next_allowed_at(self, message: Message, now: float) -> float:
-        """Returns when the first message of a key may be sent."""
+        """Return when the first message of a key may be sent."""
         return self.gaps.get(message.ordering_key, now)
 
     def begin_gap(self, message: Message, now: float) -> None:
-        """Delays the next message of the key, as the receiver may still be processing this one.
+        """Delay the next message of the key, as the receiver may still be processing this one.
 
         The delay applies whether this message is later retried successfully or given up, and also if no other message
         of the key is waiting yet.
@@ -52,7 +52,7 @@
             self.gaps = {key: until for key, until in self.gaps.items() if until > now}
 
     def remove(self, message: Message) -> Message | None:
-        """Removes a finished message; returns the message that may be sent next because of that, or None."""
+        """Remove a finished message; return the message that may be sent next because of that, or None."""
         messages = self.messages_by_key.get(message.ordering_key) if self.is_ordered(message) else None
         if not messages or message not in messages:
             return None
--- a/dewpin/core/learned_state.py
+++ b/dewpin/core/learned_state.py
@@ -61,7 +61,7 @@
 
 
 def export_sender(sender: SenderState, key_order: KeyOrder) -> dict[str, Any]:
-    """Exports the state of a sender that covers all destinations."""
+    """Export the state of a sender that covers all destinations."""
     return {
         "sender": _export(sender, SENDER_FIELDS),
         "crowded": list(sender.full_table_kinds),
@@ -71,22 +71,22 @@
 
 
 def export_queue(queue: DestinationQueue | None) -> dict[str, Any] | None:
-    """Exports the measurements of a queue, without its messages."""
+    """Export the measurements of a queue, without its messages."""
     return None if queue is None else _export(queue, QUEUE_FIELDS)
 
 
 def export_limits(limits: DestinationLimits | None) -> dict[str, Any] | None:
-    """Exports learned limits, without the calls in flight."""
+    """Export learned limits, without the calls in flight."""
     return None if limits is None else _export(limits, LIMITS_FIELDS)
 
 
 def export_health(health: ReceiverHealth | None) -> dict[str, Any] | None:
-    """Exports the health of a receiver, without the calls in flight."""
+    """Export the health of a receiver, without the calls in flight."""
     return None if health is None else _export(health, HEALTH_FIELDS)
 
 
 def restore_sender(sender: SenderState, key_order: KeyOrder, exported: Mapping[str, Any]) -> None:
-    """Restores the result of `export_sender`; existing entries are kept."""
+    """Restore the result of `export_sender`; existing entries are kept."""
     _restore(sender, exported["sender"], SENDER_FIELDS)
     sender.full_table_kinds.update(exported["crowded"])
     sender.failed_connection_shares.update(exported.get("turned", ()))
@@ -94,19 +94,19 @@
 
 
 def restore_queue(queue: DestinationQueue, exported: Mapping[str, Any]) -> None:
-    """Restores the result of `export_queue`."""
+    """Restore the result of `export_queue`."""
     _restore(queue, exported, QUEUE_FIELDS)
 
 
 def restore_limits(owner: Destination | Receiver, exported: Mapping[str, Any]) -> None:
-    """Restores the result of `export_limits` for a destination, or for a receiver with limits of its own."""
+    """Restore the result of `export_limits` for a destination, or for a receiver with limits of its own."""
     if owner.limits is None:
         owner.limits = DestinationLimits()
     _restore(owner.limits, exported, LIMITS_FIELDS)
 
 
 def restore_health(health: ReceiverHealth, exported: Mapping[str, Any]) -> None:
-    """Restores the result of `export_health`."""
+    """Restore the result of `export_health`."""
     _restore(health, exported, HEALTH_FIELDS)
 
 
@@ -129,7 +129,7 @@
 
 
 def _rebuild(exported: Mapping[str, Any], name: str) -> RateLimiter | SlidingWindowCounter:
-    """Rebuilds a limiter or counter from plain values; a slow start is recognized by its field name."""
+    """Rebuild a limiter or counter from plain values; a slow start is recognized by its field name."""
     if "rate" in exported:
         limiter_type = SlowStart if name == "trickle" else RateLimiter
         limiter = limiter_type.__new__(limiter_type)
--- a/dewpin/core/message_ranking.py
+++ b/dewpin/core/message_ranking.py
@@ -26,7 +26,7 @@
         self.has_safe_class = any(queue_class.effect is Effect.SAFE for queue_class in settings.classes)
 
     def next_message(self, queue: DestinationQueue, now: float) -> Message | None:
-        """Returns the next message of a queue: the one that loses the most value by waiting.
+        """Return the next message of a queue: the one that loses the most value by waiting.
 
         Among messages that lose the same value, it is the one whose latency target ends first.
 
@@ -60,7 +60,7 @@
         return best
 
     def least_valuable(self, queues: Iterable[DestinationQueue], now: float) -> Message | None:
-        """Returns the message to shed: in the longest queue, the one with the least remaining value.
+        """Return the message to shed: in the longest queue, the one with the least remaining value.
 
         A queue that cannot drain (because of an outage, or a limit far below its traffic) would otherwise fill the
         sender, and messages for all other destinations would be rejected. Only messages that clients may submit again
@@ -81,7 +81,7 @@
         return min(candidates, key=remaining_value)[1] if candidates else None
 
     def _first_and_last_messages(self, queue: DestinationQueue) -> Iterator[tuple[QueueClass, Message]]:
-        """Yields the first and the last message of each queue class."""
+        """Yield the first and the last message of each queue class."""
         for index, queue_class in enumerate(self.settings.classes):
             for messages in (queue.fresh[index], queue.late[index]):
                 if messages:
@@ -95,7 +95,7 @@
         return self.sender.usual_ms(limits.usual_call_ms if limits else None)
 
     def _value_at(self, queue_class: QueueClass, message: Message, age_ms: float) -> float:
-        """Returns the value of a message that is relayed at this age."""
+        """Return the value of a message that is relayed at this age."""
         target_ms = queue_class.target_ms
         late_ms = age_ms - target_ms
         if late_ms <= 0:
--- a/dewpin/core/outcome_recorder.py
+++ b/dewpin/core/outcome_recorder.py
@@ -76,7 +76,7 @@
         self.rates = rates
 
     def record(self, message: Message, call: Call, outcome: Outcome, now: float) -> None:
-        """Records the outcome of an attempt."""
+        """Record the outcome of an attempt."""
         health = health_of(call.receiver)
         arrival_rate = message.destination.queue.arrival_rate(now)
         result = AttemptResult(
@@ -128,7 +128,7 @@
             self.sender.ejected_receivers.discard(receiver)
 
     def _is_warmed_up(self, slow_start: SlowStart, now: float) -> bool:
-        """Returns whether a receiver has full capacity again; on a lossy network path it was never at fault."""
+        """Return whether a receiver has full capacity again; on a lossy network path it was never at fault."""
         assert slow_start.growing_since is not None  # set by the first success
         return self.sender.is_path_lossy or now - slow_start.growing_since > self.settings.warm_up_ms
 
@@ -143,7 +143,7 @@
         limits.usual_call_ms = usual_ms + weight * (duration_ms - usual_ms)
 
     def _grow_limiters(self, limits: DestinationLimits, health: ReceiverHealth, now: float) -> None:
-        """Grows the rate limits after a success; the receiver recovered between the latest failure and this success."""
+        """Grow the rate limits after a success; the receiver recovered between the latest failure and this success."""
         for limiter in (limits.rate_limiter, health.slow_start):
             if not limiter:
                 continue
@@ -158,7 +158,7 @@
     # -- rejections ---------------------------------------------------------------------------------------------------
 
     def _record_rejection(self, result: AttemptResult, now: float) -> None:
-        """Records a rejection, or a connection that was refused at once."""
+        """Record a rejection, or a connection that was refused at once."""
         limits, health, receiver = result.limits, result.health, result.call.receiver
         # no success since its last rejection: the rejection concerns the receiver, not its destination
         is_receiver_specific = health.good_at <= health.rejected_at
@@ -208,7 +208,7 @@
         )
 
     def _eject_unreachable_receivers(self, result: AttemptResult, now: float) -> None:
-        """Ejects the other receivers of a destination that also refused their latest connection."""
+        """Eject the other receivers of a destination that also refused their latest connection."""
         kinds_with_own_limits = self.settings.kinds_with_own_limits
         for receiver in result.message.destination.receivers:
             health = receiver.health  # None: `check_new_receiver` decides on first use
--- a/dewpin/core/random_source.py
+++ b/dewpin/core/random_source.py
@@ -12,6 +12,6 @@
         self.state = (seed ^ SEED_MASK) & BITS_64
 
     def uniform(self, low: float, high: float) -> float:
-        """Returns a number from `low` up to, but not including, `high`."""
+        """Return a number from `low` up to, but not including, `high`."""
         self.state = (self.state * MULTIPLIER + INCREMENT) & BITS_64
         return low + (high - low) * (self.state >> 32) / 4294967296.0
--- a/dewpin/core/rate_control.py
+++ b/dewpin/core/rate_control.py
@@ -31,7 +31,7 @@
         self.traffic = traffic
 
     def reduce_rate(self, receiver: Receiver, limits: DestinationLimits, now: float) -> None:
-        """Limits calls to the recently accepted rate or half of the previous limit, from the end of the requested wait.
+        """Limit calls to the recently accepted rate or half of the previous limit, from the end of the requested wait.
 
         Otherwise calls that were held back by one rejection or wait would all become due together, at one sender or at
         hundreds. This also prevents rejected calls from permanently using up the destination's limit: if a rejection
--- a/dewpin/core/rate_limiter.py
+++ b/dewpin/core/rate_limiter.py
@@ -25,12 +25,12 @@
         self.good_answers = 0
 
     def rate_at(self, now: float) -> float:
-        """Returns the limit at `now`, in calls per second."""
+        """Return the limit at `now`, in calls per second."""
         doublings = 0.0 if self.growing_since is None else (now - self.growing_since) / self.growth_ms
         return float(self.initial_rate * 2.0 ** min(doublings, 60.0))  # no overflow after hours without traffic
 
     def time_after(self, now: float, calls: float) -> float:
-        """Returns when `calls` calls fit under the limit, counted from `now` and with the growth until then."""
+        """Return when `calls` calls fit under the limit, counted from `now` and with the growth until then."""
         rate = self.rate_at(now) / 1000.0
         if self.growing_since is None:
             return now + calls / rate
--- a/dewpin/core/receiver_health.py
+++ b/dewpin/core/receiver_health.py
@@ -47,7 +47,7 @@
 
 
 def health_of(receiver: Receiver) -> ReceiverHealth:
-    """Returns the health of a receiver; creates it on first use."""
+    """Return the health of a receiver; create it on first use."""
     health = receiver.health
     if health is None:
         health = receiver.health = ReceiverHealth()
@@ -55,6 +55,6 @@
 
 
 def is_probing(receiver: Receiver) -> bool:
-    """Returns whether the circuit breaker is open and no probe call has succeeded yet."""
+    """Return whether the circuit breaker is open and no probe call has succeeded yet."""
     slow_start = health_of(receiver).slow_start
     return slow_start is not None and slow_start.growing_since is None
--- a/dewpin/core/receiver_selection.py
+++ b/dewpin/core/receiver_selection.py
@@ -42,7 +42,7 @@
         self.idle_timeout_ms = max(1.0, settings.idle_close_ms)
 
     def select(self, queue: DestinationQueue, message: Message, now: float) -> Receiver | None:
-        """Returns the available receiver with the fewest calls in flight, or None if no receiver is available now.
+        """Return the available receiver with the fewest calls in flight, or None if no receiver is available now.
 
         Ties are resolved in favor of this sender's zone, then of the receiver that responded last.
 
@@ -79,7 +79,7 @@
         return tied[int(self.rotation_offset * len(tied) + rotation) % len(tied)]
 
     def available_at(self, receiver: Receiver, message: Message, now: float) -> float:
-        """Returns when this receiver is available for the message; `UNKNOWN_TIME` if that depends on an update."""
+        """Return when this receiver is available for the message; `UNKNOWN_TIME` if that depends on an update."""
         if receiver.state != READY or not self._is_in_retry_scope(receiver, message):
             return UNKNOWN_TIME
         if receiver.health is None:
@@ -102,7 +102,7 @@
         return available_at
 
     def open_batch(self, receiver: Receiver, now: float) -> Call | None:
-        """Returns the call that started at `now` and whose batch has room; the first probe call carries one message."""
+        """Return the call that started at `now` and whose batch has room; the first probe call carries one message."""
         call = health_of(receiver).latest_call
         if call is None or call.sent_at != now or receiver.kind >= len(self.settings.batch_sizes):
             return None
@@ -114,7 +114,7 @@
         return call if has_room else None
 
     def _is_in_retry_scope(self, receiver: Receiver, message: Message) -> bool:
-        """Returns whether the receiver may get a retry, which requires that it knows the message's idempotency key."""
+        """Return whether the receiver may get a retry, which requires that it knows the message's idempotency key."""
         state = message.dispatch_state
         if state.executed_at is None:
             return True
@@ -128,7 +128,7 @@
     def _deprioritized_zones(
         self, receivers: list[Receiver], available: list[Receiver], ready_count: int, is_sparse: bool, rotation: float
     ) -> set[int]:
-        """Returns the zones whose receivers lose ties; only zones with an available receiver are considered."""
+        """Return the zones whose receivers lose ties; only zones with an available receiver are considered."""
         zones = {receiver.zone for receiver in available}
         shares = {
             zone: self.settings.zone_count
@@ -144,7 +144,7 @@
     def _rank(
         self, receiver: Receiver, message: Message, now: float, recent_since: float, is_deprioritized: bool
     ) -> tuple[bool, bool, bool, bool, int, bool]:
-        """Returns the rank of a receiver for a message; the lowest rank is best."""
+        """Return the rank of a receiver for a message; the lowest rank is best."""
         health = receiver.health
         return (
             self.open_batch(receiver, now) is None,
--- a/dewpin/core/retry_policy.py
+++ b/dewpin/core/retry_policy.py
@@ -34,7 +34,7 @@
         self.margin_ms = settings.deadline_margin_ms
 
     def classify(self, message: Message, outcome: Outcome, now: float) -> Classification:
-        """Determines what an outcome proves about a message, and from that the next step."""
+        """Determine what an outcome proves about a message, and from that the next step."""
         if outcome == Outcome.DELIVERED:
             return Classification(Decision.RELAYED)
         state = message.dispatch_state
@@ -49,13 +49,13 @@
         return Classification(Decision.NOT_YET, pause_ms)
 
     def ending(self, message: Message) -> Decision:
-        """Returns how an abandoned message ends: deferred if it is safe to submit it again, else bounced."""
+        """Return how an abandoned message ends: deferred if it is safe to submit it again, else bounced."""
         if message.dispatch_state.executed_at is None or self.settings.classes[message.queue_class].effect is SAFE:
             return Decision.DEFERRED
         return Decision.BOUNCED
 
     def give_up_at(self, message: Message) -> float:
-        """Returns when a message that is not in flight must be given up; 0, which means now, if no attempts are left.
+        """Return when a message that is not in flight must be given up; 0, which means now, if no attempts are left.
 
         This also holds after a restart: a message that may be sent only once and that was in flight, or one without
         attempts left, is not sent again.
@@ -65,7 +65,7 @@
         return 0.0
 
     def last_byte_at(self, message: Message) -> float:
-        """Returns the deadline for the last byte of an attempt: the end of the lifetime or of the retry window."""
+        """Return the deadline for the last byte of an attempt: the end of the lifetime or of the retry window."""
         state, queue_class = message.dispatch_state, self.settings.classes[message.queue_class]
         end_at = message.expires_at - self.margin_ms
         if state.executed_at is None or queue_class.effect is SAFE:
@@ -74,11 +74,11 @@
         return min(end_at, state.executed_at + window_ms - self.margin_ms)
 
     def suggested_retry_after_ms(self, requested_wait_ms: float) -> float:
-        """Returns how long a client should wait before resubmission, given the longest wait requested by receivers."""
+        """Return how long a client should wait before resubmission, given the longest wait requested by receivers."""
         wait_ms = max(requested_wait_ms, FIRST_BACKOFF_MS) * self.random.uniform(*RETRY_AFTER_JITTER)
         return min(wait_ms, self.settings.max_retry_after_ms)
 
     def _backoff_ms(self, state: MessageState) -> float:
-        """Returns the exponential backoff with jitter."""
+        """Return the exponential backoff with jitter."""
         exponential_ms = FIRST_BACKOFF_MS * 2.0 ** (state.attempts - 1)
         return max(exponential_ms, 2.0 * state.waited_ms) * self.random.uniform(*BACKOFF_JITTER)
--- a/dewpin/core/sender_state.py
+++ b/dewpin/core/sender_state.py
@@ -43,7 +43,7 @@
         self.pending_messages = 0
 
     def usual_ms(self, destination_usual_ms: float | None) -> float:
-        """Returns the average call time of a destination, or of all if unknown; 0 before the first success."""
+        """Return the average call time of a destination, or of all if unknown; 0 before the first success."""
         return destination_usual_ms or self.usual_call_ms or 0.0
 
     @property
--- a/dewpin/core/settings.py
+++ b/dewpin/core/settings.py
@@ -51,7 +51,7 @@
     )
 
     def __init__(self, keys: Mapping[str, Any]) -> None:
-        """Parses one entry of `Services`."""
+        """Parse one entry of `Services`."""
         self.effect = Effect(keys["Effect"])
         is_keyed = self.effect is Effect.KEYED
         self.retry_scope: str = keys["KeyScope"] if is_keyed else RetryScope.ALL
@@ -89,7 +89,7 @@
     """
 
     def __init__(self, keys: Mapping[str, Any], random_sender_number: int) -> None:
-        """Parses the settings of a deployment; `random_sender_number` is used if they contain no sender number.
+        """Parse the settings of a deployment; `random_sender_number` is used if they contain no sender number.
 
         Raises KeyError if a key is missing or an effect is unknown.
         """
@@ -130,7 +130,7 @@
     rules: Mapping[str, Any],
     family: Mapping[str, Any],
 ) -> None:
-    """Checks that all required keys are present, so that none is found missing after the first message."""
+    """Check that all required keys are present, so that none is found missing after the first message."""
     for service in services:
         if service["Effect"] not in tuple(Effect):
             raise KeyError(f"Services[].Effect: unknown effect {service['Effect']!r}")
--- a/dewpin/core/sliding_window_counter.py
+++ b/dewpin/core/sliding_window_counter.py
@@ -17,7 +17,7 @@
         self.bucket_numbers = [-1] * buckets
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """Adds `amount` to the current bucket."""
+        """Add `amount` to the current bucket."""
         number = int(now // self.bucket_ms)
         index = number % len(self.counts)
         if self.bucket_numbers[index] != number:
@@ -26,7 +26,7 @@
         self.counts[index] += amount
 
     def recent(self, now: float, buckets: int) -> list[float]:
-        """Returns the counts of the last `buckets` complete buckets and of the current one, oldest first."""
+        """Return the counts of the last `buckets` complete buckets and of the current one, oldest first."""
         counts, numbers = self.counts, self.bucket_numbers
         size = len(counts)
         current = int(now // self.bucket_ms)
--- a/dewpin/core/slow_start.py
+++ b/dewpin/core/slow_start.py
@@ -15,13 +15,13 @@
     __slots__ = ()
 
     def rate_at(self, now: float) -> float:
-        """Returns the limit at `now`, in calls per second."""
+        """Return the limit at `now`, in calls per second."""
         return self.initial_rate * (
             1.0 + (0.0 if self.growing_since is None else (now - self.growing_since) / self.growth_ms)
         )
 
     def time_after(self, now: float, calls: float) -> float:
-        """Returns when `calls` calls fit under the limit, counted from `now` and with the growth until then."""
+        """Return when `calls` calls fit under the limit, counted from `now` and with the growth until then."""
         rate = self.rate_at(now) / 1000.0
         if self.growing_since is None:
             return now + calls / rate
--- a/dewpin/core/timeouts.py
+++ b/dewpin/core/timeouts.py
@@ -16,7 +16,7 @@
 def attempt_timeout_ms(
     limits: DestinationLimits, message: Message, sender: SenderState, settings: DispatcherSettings
 ) -> float:
-    """Returns the learned time-out for a destination, doubled if a time-out would end the message.
+    """Return the learned time-out for a destination, doubled if a time-out would end the message.
 
     For a destination without a success so far it is at least the latency target. Otherwise each sender would give up a
     slow destination at its first call, and the destination would only process calls that were already abandoned.
--- a/dewpin/core/traffic_share.py
+++ b/dewpin/core/traffic_share.py
@@ -14,7 +14,7 @@
         self.fleet_size = settings.fleet_size
 
     def estimate(self, receiver: Receiver, now: float, cold_receivers: int = 0, count_correction: float = 0.0) -> float:
-        """Returns messages per second: the sender's own rate, averaged with its share of a reported or listed limit.
+        """Return messages per second: the sender's own rate, averaged with its share of a reported or listed limit.
 
         Such a limit is delayed, approximate, and applies to all senders together. `cold_receivers`: the rate is for one
         of this many receivers that have limits of their own and return cold; it then never exceeds the share of the
--- a/dewpin/daemon/handover.py
+++ b/dewpin/daemon/handover.py
@@ -52,7 +52,7 @@
     """Hand journal and decisions over to the next process, then drain.
 
     The hand-over itself takes place within one event loop iteration. Afterwards this process finishes its calls in
-    flight, and accepts messages on its open connections on behalf of the next process. Returns False, with nothing
+    flight, and accepts messages on its open connections on behalf of the next process. Return False, with nothing
     changed, if writing to the folder fails.
     """
     loop = asyncio.get_running_loop()
--- a/dewpin/daemon/upgrade.py
+++ b/dewpin/daemon/upgrade.py
@@ -67,7 +67,7 @@
         raise busy_error
 
     async def _lock_claim_file(self, busy_error: OSError) -> None:
-        """Lock the claim file; raises `busy_error` if another process keeps it locked."""
+        """Lock the claim file. Raises `busy_error` if another process keeps it locked."""
         self.file = os.open(os.path.join(self.folder, CLAIM_FILE), os.O_RDWR | os.O_CREAT, 0o600)
         for attempts_left in reversed(range(LOCK_ATTEMPTS)):  # the old process locks it briefly at each check
             try:
@@ -102,7 +102,7 @@
 
 
 async def wait_until_claimed(folder: str) -> None:
-    """Wait until a new process claims the folder. Ignores an unlocked claim file, which a killed process has left."""
+    """Wait until a new process claims the folder. Ignore an unlocked claim file, which a killed process has left."""
     path = os.path.join(folder, CLAIM_FILE)
     while not is_locked(path):
         await asyncio.sleep(CLAIM_POLL_SECONDS)
--- a/dewpin/dataplane/__main__.py
+++ b/dewpin/dataplane/__main__.py
@@ -91,7 +91,7 @@
 
 
 def main() -> int:
-    """Run the sender; does not return, since the process exits without waiting for daemon threads."""
+    """Run the sender; never return, since the process exits without waiting for daemon threads."""
     settings = settings_or_exit()
     logs.configure(settings.log_level, settings.node_name, settings.role)
     sender = Sender(settings)
--- a/dewpin/dataplane/http11/messages.py
+++ b/dewpin/dataplane/http11/messages.py
@@ -119,7 +119,7 @@
     """A body that is forwarded as it arrives."""
 
     def __iter__(self) -> Iterator[bytes]:
-        """Return the bytes in order; raises IncompleteBodyError if the body cannot be completed."""
+        """Return the bytes in order. Raises IncompleteBodyError if the body cannot be completed."""
 
     def close(self) -> None:
         """Stop reading and discard the rest; may be called at any time and is idempotent."""
--- a/dewpin/dataplane/http11/request_parsing.py
+++ b/dewpin/dataplane/http11/request_parsing.py
@@ -44,7 +44,7 @@
 
 
 def parse_head(head: bytes) -> RequestHead:
-    """Parse a head without its final empty line; raises MalformedMessageError."""
+    """Parse a head without its final empty line. Raises MalformedMessageError."""
     request_line, *lines = head.decode("latin-1").split("\r\n")
     method, target, version = _parse_request_line(request_line)
     headers = Headers(_parse_field(line) for line in lines)
@@ -55,7 +55,7 @@
 
 
 def parse_chunk_size(line: bytes) -> int:
-    """Parse a chunk-size line without its CRLF (RFC 9112, 7.1); raises MalformedMessageError."""
+    """Parse a chunk-size line without its CRLF (RFC 9112, 7.1). Raises MalformedMessageError."""
     size = line.partition(b";")[0].rstrip(b" \t")
     if not _CHUNK_SIZE.fullmatch(size):
         raise MalformedMessageError("invalid chunk size")
--- a/dewpin/dataplane/ingress/client_connection.py
+++ b/dewpin/dataplane/ingress/client_connection.py
@@ -69,7 +69,7 @@
         return True
 
     def read_until(self, delimiter: bytes, limit: int, deadline: float) -> bytes:
-        """Return the bytes before `delimiter` and consume both; raises MessageTooLargeError beyond `limit` bytes."""
+        """Return the bytes before `delimiter` and consume both. Raises MessageTooLargeError beyond `limit` bytes."""
         searched = 0
         while True:
             end = self._buffer.find(delimiter, searched)
@@ -101,7 +101,7 @@
             del self._buffer[:2]
 
     def send_all(self, data: bytes, deadline: float) -> None:
-        """Send all bytes; raises TimeoutError at the deadline and OSError if the connection is broken."""
+        """Send all bytes. Raises TimeoutError at the deadline and OSError if the connection is broken."""
         view = memoryview(data)
         while view:
             try:
@@ -136,7 +136,7 @@
         self.close()
 
     def _receive_by(self, deadline: float) -> None:
-        """Receive some bytes; raises ClientDisconnectedError at end of input and TimeoutError at the deadline."""
+        """Receive some bytes. Raises ClientDisconnectedError at end of input and TimeoutError at the deadline."""
         while not self._receive():
             if self._is_eof:
                 raise ClientDisconnectedError
--- a/dewpin/dataplane/ingress/connection_acceptor.py
+++ b/dewpin/dataplane/ingress/connection_acceptor.py
@@ -34,7 +34,7 @@
         serve: Callable[[socket.socket], None],
         on_closed: Callable[[], None],
     ) -> None:
-        """Listen on a host and port; raises OSError if that fails."""
+        """Listen on a host and port. Raises OSError if that fails."""
         self._try_admit = try_admit
         self._serve = serve
         self._on_closed = on_closed
--- a/dewpin/dataplane/ingress/connection_handler.py
+++ b/dewpin/dataplane/ingress/connection_handler.py
@@ -45,7 +45,7 @@
         self._reader = RequestReader(connection, clock)
 
     def serve(self) -> None:
-        """Serve requests until the connection is closed; raises OSError and IncompleteBodyError on failure."""
+        """Serve requests until the connection is closed. Raises OSError and IncompleteBodyError on failure."""
         while self._connection.wait_for_request(self._idle_timeout_s):
             self._connection.skip_empty_lines()
             if not self._connection.has_buffered_bytes:
--- a/dewpin/dataplane/ingress/readiness.py
+++ b/dewpin/dataplane/ingress/readiness.py
@@ -31,7 +31,7 @@
         return str(host), int(port)
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listen on a host and port and serve in the background; raises OSError if it cannot listen."""
+        """Listen on a host and port and serve in the background. Raises OSError if it cannot listen."""
         server = self._server = _HttpServer(address, _handler_class(self.PATH, self._is_ready))
         threading.Thread(target=server.serve_forever, args=(SHUTDOWN_POLL_S,), name="ready", daemon=True).start()
 
--- a/dewpin/dataplane/ingress/request_reader.py
+++ b/dewpin/dataplane/ingress/request_reader.py
@@ -42,7 +42,7 @@
         self._clock = clock
 
     def read(self, configuration: Configuration | None) -> ReceivedRequest | ErrorKind:
-        """Read the next request; return it or the error to respond with; raises ClientDisconnectedError and OSError."""
+        """Read the next request; return it or the error to respond with. Raises ClientDisconnectedError and OSError."""
         limits = limits_of(configuration)
         received_at = self._clock()
         head_deadline = received_at + limits.header_timeout_ms / 1000
--- a/dewpin/dataplane/ingress/server.py
+++ b/dewpin/dataplane/ingress/server.py
@@ -67,7 +67,7 @@
         return self._connection_count
 
     def start(self, address: tuple[str, int]) -> None:
-        """Listen on a host and port and serve in the background; raises OSError if it cannot listen."""
+        """Listen on a host and port and serve in the background. Raises OSError if it cannot listen."""
         threading.stack_size(THREAD_STACK_BYTES)
         acceptor = ConnectionAcceptor(address, self._try_admit, self._serve_connection, self._on_connection_closed)
         self._acceptor = acceptor
--- a/dewpin/dataplane/ingress/worker_threads.py
+++ b/dewpin/dataplane/ingress/worker_threads.py
@@ -27,7 +27,7 @@
         self._idle_count = 0
 
     def submit(self, sock: socket.socket) -> None:
-        """Serve a socket on an idle or new thread; raises RuntimeError if no thread can be started."""
+        """Serve a socket on an idle or new thread. Raises RuntimeError if no thread can be started."""
         with self._lock:
             if self._idle_count > 0:
                 self._idle_count -= 1
--- a/dewpin/dataplane/membership/local_system_state.py
+++ b/dewpin/dataplane/membership/local_system_state.py
@@ -40,7 +40,7 @@
 
     @property
     def missing_body(self) -> BodyName | None:
-        """Identifies the missing body of the newest state; None if the state is complete."""
+        """The name of the missing body of the newest state; None if the state is complete."""
         if self.newest is None or self.is_complete:
             return None
         configuration = self.newest["configuration"]
--- a/dewpin/dataplane/programs/ledger_ballot.py
+++ b/dewpin/dataplane/programs/ledger_ballot.py
@@ -43,7 +43,7 @@
 
 
 def ledger_reply(message: Message) -> Reply:
-    """Decode a replica's reply to a prepare or accept request; raises MalformedMessageError."""
+    """Decode a replica's reply to a prepare or accept request. Raises MalformedMessageError."""
     try:
         return decode_reply(message)
     except (KeyError, TypeError, ValueError) as error:
@@ -152,7 +152,7 @@
         return LedgerBallot(program, view, quorum_sets, proposal, next_ballot)
 
     def end_ballot(self, ballot: LedgerBallot) -> Result | None:
-        """Return the result of a ballot; None if it is unknown. Keeps the promise that was given with the result."""
+        """Return the result of a ballot; None if it is unknown. Keep the promise that was given with the result."""
         result = ballot.proposal.result
         if result is None:
             return None
--- a/dewpin/dataplane/programs/ledger_client.py
+++ b/dewpin/dataplane/programs/ledger_client.py
@@ -66,7 +66,7 @@
         self._pending_settlements: dict[str, dict[str, int]] = {}
 
     async def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve tokens of the program's budget for a turn; raises BudgetExceededError or StoreUnavailableError."""
+        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError or StoreUnavailableError."""
         reservation = Reservation(program, turn_id, max_tokens)
         try:
             await run_with_timeout(self._reserve(program, turn_id, max_tokens, budget), timeout_s)
--- a/dewpin/dataplane/programs/program_store.py
+++ b/dewpin/dataplane/programs/program_store.py
@@ -73,7 +73,7 @@
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
         """Replace a reservation by the tokens that the client received.
 
-        Returns immediately; the settlement is made, and retried, in the background.
+        Return immediately; the settlement is made, and retried, in the background.
         """
 
     def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
@@ -91,7 +91,7 @@
         """
 
     def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Store a turn durably; raises StoreUnavailableError.
+        """Store a turn durably. Raises StoreUnavailableError.
 
         The settlement is sent with the turn and retried in the background, even if the turn cannot be stored.
         """
--- a/dewpin/dataplane/programs/quorum_round.py
+++ b/dewpin/dataplane/programs/quorum_round.py
@@ -85,7 +85,7 @@
         self._send(first)
 
     async def next_reply(self) -> ReplicaReply[Content]:
-        """Wait for the next reply; raises StaleViewError once a newer view is known."""
+        """Wait for the next reply. Raises StaleViewError once a newer view is known."""
         if self._deferred and self.replica_round.unanswered:
             try:
                 async with asyncio.timeout_at(self._hedge_at_s):
--- a/dewpin/dataplane/programs/replica_calls.py
+++ b/dewpin/dataplane/programs/replica_calls.py
@@ -39,7 +39,7 @@
     """The interface of `RpcClient` that this module uses."""
 
     async def call(self, address: str, message: Message, timeout_s: float) -> Message:
-        """Send a request and return the reply; raises RpcError."""
+        """Send a request and return the reply. Raises RpcError."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -152,7 +152,7 @@
         includes_view: bool,
         timeout_s: float,
     ) -> Content:
-        """Make one attempt and return the decoded reply; raises RpcError, also if the reply cannot be decoded."""
+        """Make one attempt and return the decoded reply. Raises RpcError, also if the reply cannot be decoded."""
         view = replica_round.view
         message = request.for_member(view, member, includes_view)
         reply = await self._rpc.call(view.members[member].address, message, timeout_s)
@@ -215,7 +215,7 @@
             self._calls.start(self, member, encoded, deadline_s)
 
     async def next_reply(self) -> ReplicaReply[Content]:
-        """Wait for the next reply; raises StaleViewError once a newer view is known."""
+        """Wait for the next reply. Raises StaleViewError once a newer view is known."""
         reply = await self.replies.get()
         self.unanswered -= 1
         if reply.has_newer_view:
--- a/dewpin/dataplane/programs/store_client.py
+++ b/dewpin/dataplane/programs/store_client.py
@@ -46,7 +46,7 @@
         wall_clock_ms: Callable[[], int] = lambda: int(time.time() * 1000),
         location: str = "",
     ) -> None:
-        """Create the client of a process at `location`; requires a running event loop.
+        """Create the client of a process at `location`; a running event loop is required.
 
         Each program is replicated on `replica_count` stores (2 f + 1).
         """
@@ -73,7 +73,7 @@
         self._calls.close()
 
     async def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve tokens of the program's budget for a turn; raises BudgetExceededError or StoreUnavailableError."""
+        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError or StoreUnavailableError."""
         return await self._ledgers.reserve(program, turn_id, max_tokens, budget, timeout_s)
 
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
@@ -85,7 +85,7 @@
         return await self._ledgers.read(program)
 
     async def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
-        """Return the conversation up to turn `previous_id`; raises TurnNotFoundError or StoreUnavailableError."""
+        """Return the conversation up to turn `previous_id`. Raises TurnNotFoundError or StoreUnavailableError."""
         return await run_with_timeout(self._turns.read_history(program, previous_id), timeout_s)
 
     async def begin_turn(
@@ -106,7 +106,7 @@
             raise
 
     async def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Store a turn durably, and settle its reservation with it or later; raises StoreUnavailableError."""
+        """Store a turn durably, and settle its reservation with it or later. Raises StoreUnavailableError."""
         retain_ms = int(turn.retain_s * 1000)
         record = TurnRecord(turn.id, turn.program, turn.previous_id, retain_ms, turn.input, turn.output)
         async with self._ledgers.piggybacked_settlement(settlement) as ballot:
@@ -126,15 +126,15 @@
         self._loop = loop
 
     def reserve(self, program: str, turn_id: str, max_tokens: int, budget: int, timeout_s: float) -> Reservation:
-        """Reserve tokens of the program's budget for a turn; raises BudgetExceededError or StoreUnavailableError."""
+        """Reserve tokens of the program's budget for a turn. Raises BudgetExceededError or StoreUnavailableError."""
         return self._wait_for(self._client.reserve(program, turn_id, max_tokens, budget, timeout_s), timeout_s)
 
     def settle(self, reservation: Reservation, used_tokens: int) -> None:
-        """Replace a reservation by the tokens used; returns immediately."""
+        """Replace a reservation by the tokens used; return immediately."""
         self._loop.call_soon_threadsafe(self._client.settle, reservation, used_tokens)
 
     def read_history(self, program: str, previous_id: str, timeout_s: float) -> bytes:
-        """Return the conversation up to turn `previous_id`; raises TurnNotFoundError or StoreUnavailableError."""
+        """Return the conversation up to turn `previous_id`. Raises TurnNotFoundError or StoreUnavailableError."""
         cached = self._client.cache.complete_history(program, previous_id)
         if cached is not None:
             return cached
@@ -151,7 +151,7 @@
         return self._wait_for(operation, timeout_s)
 
     def store_turn(self, turn: Turn, timeout_s: float, settlement: Settlement | None = None) -> None:
-        """Store a turn durably, and settle its reservation with it or later; raises StoreUnavailableError."""
+        """Store a turn durably, and settle its reservation with it or later. Raises StoreUnavailableError."""
         try:
             self._wait_for(self._client.store_turn(turn, timeout_s, settlement), timeout_s)
         except StoreUnavailableError:
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -41,7 +41,7 @@
 
 
 def _decode_stored_reply(message: Message) -> _StoredReply:
-    """Decode a store's reply to a write of turns; raises MalformedMessageError."""
+    """Decode a store's reply to a write of turns. Raises MalformedMessageError."""
     stored = PutTurnsReply.decode(message)
     return _StoredReply(None if stored.reply is None else ledger_reply(stored.reply))
 
@@ -174,7 +174,7 @@
         self._round = ReplicaRound(calls, view, HistoryPage.from_json, self._ask_next_group)
 
     async def run(self) -> HistoryPage:
-        """Return the turns; raises TurnNotFoundError, StoreUnavailableError or StaleViewError."""
+        """Return the turns. Raises TurnNotFoundError, StoreUnavailableError or StaleViewError."""
         without_turn: set[str] = set()
         with self._round as replica_round:
             while len(self._view.stable) - len(without_turn) > self._view.max_unreachable(self._replica_count):
--- a/dewpin/dataplane/programs/turns.py
+++ b/dewpin/dataplane/programs/turns.py
@@ -109,7 +109,7 @@
             self._output.append(event.data or b"")
 
     def store(self, timeout_s: float) -> None:
-        """Store the turn, whose response must be complete; raises StoreUnavailableError if it may not be durable."""
+        """Store the turn, whose response must be complete. Raises StoreUnavailableError if it may not be durable."""
         plan = self._plan
         if not plan.is_retained:
             return
--- a/dewpin/dataplane/routing/event_relay.py
+++ b/dewpin/dataplane/routing/event_relay.py
@@ -24,7 +24,7 @@
         """Return whether only the end of the connection delimits the body (RFC 9112, 6.3)."""
 
     def read_next(self) -> bytes:
-        """Return the next bytes, or b"" at the end of a complete body; raises IncompleteResponseError."""
+        """Return the next bytes, or b"" at the end of a complete body. Raises IncompleteResponseError."""
 
     def close(self) -> None:
         """Stop reading and discard the rest of the body."""
@@ -77,7 +77,7 @@
         self._first_events = self._read_events()
 
     def __iter__(self) -> Iterator[bytes]:
-        """Yield the bytes of complete events as they arrive; raises IncompleteBodyError if the stream ends early."""
+        """Yield the bytes of complete events as they arrive. Raises IncompleteBodyError if the stream ends early."""
         try:
             events = self._next_events() if self._first_events is None else self._first_events
             while events:
--- a/dewpin/dataplane/upstream/connection_pool.py
+++ b/dewpin/dataplane/upstream/connection_pool.py
@@ -97,7 +97,7 @@
         return True
 
     def connect(self, timeout_s: float) -> ReceiverConnection:
-        """Open a new connection; raises OSError if it is not established in time."""
+        """Open a new connection. Raises OSError if it is not established in time."""
         started_at = self._clock()
         connection = ReceiverConnection(self._host, self._port, self._clock)
         connection.connect_within(min(timeout_s, self._connect_timeout_s))
--- a/dewpin/dataplane/upstream/receiver_connection.py
+++ b/dewpin/dataplane/upstream/receiver_connection.py
@@ -71,7 +71,7 @@
         self._earlier_ids = earlier_ids
 
     def begin(self) -> None:
-        """Read the head of the expected response; raises IncompleteResponseError if it is invalid."""
+        """Read the head of the expected response. Raises IncompleteResponseError if it is invalid."""
         for _ in range(MAX_SKIPPED_RESPONSES):
             super().begin()
             self._check_head()
@@ -133,7 +133,7 @@
         return self._reader
 
     def connect_within(self, timeout_s: float) -> None:
-        """Connect; raises OSError if that fails or takes longer than `timeout_s`."""
+        """Connect. Raises OSError if that fails or takes longer than `timeout_s`."""
         sock = socket.socket(socket.AF_INET6 if ":" in self.host else socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/dewpin/dataplane/upstream/receiver_socket.py
+++ b/dewpin/dataplane/upstream/receiver_socket.py
@@ -149,7 +149,7 @@
                 raise IncompleteResponseError(Outcome.CLIENT_DISCONNECTED)
 
     def _time_left_s(self) -> float:
-        """Return the seconds until the deadline; raises IncompleteResponseError if it has passed."""
+        """Return the seconds until the deadline. Raises IncompleteResponseError if it has passed."""
         left_s = self._deadline - self._clock()
         if left_s <= 0:
             raise IncompleteResponseError(Outcome.TIMED_OUT)
--- a/dewpin/dataplane/upstream/response_body.py
+++ b/dewpin/dataplane/upstream/response_body.py
@@ -55,7 +55,7 @@
 
 
 def framing_of(method: str | None, status: int, get_all: GetAll) -> BodyFraming:
-    """Return the framing of a response body (RFC 9112, 6.3); raises IncompleteResponseError if it is ambiguous."""
+    """Return the framing of a response body (RFC 9112, 6.3). Raises IncompleteResponseError if it is ambiguous."""
     if method == "HEAD" or status in _STATUSES_WITHOUT_BODY:
         return BodyFraming(BodyEnd.LENGTH)
     codings = [coding.strip().lower() for value in get_all("transfer-encoding") for coding in value.split(",")]
@@ -73,7 +73,7 @@
 
 
 def read_body(reader: ByteReader, framing: BodyFraming) -> Iterator[bytes]:
-    """Yield the bytes of a body as they arrive until it is complete; raises IncompleteResponseError and OSError."""
+    """Yield the bytes of a body as they arrive until it is complete. Raises IncompleteResponseError and OSError."""
     if framing.end is BodyEnd.LAST_CHUNK:
         return _read_chunks(reader)
     if framing.end is BodyEnd.LENGTH:
--- a/dewpin/dataplane/upstream/response_stream.py
+++ b/dewpin/dataplane/upstream/response_stream.py
@@ -40,7 +40,7 @@
         return self._framing.end is BodyEnd.CLOSE
 
     def read_next(self) -> bytes:
-        """Return the next bytes, or b"" at the end of a complete body; raises IncompleteResponseError."""
+        """Return the next bytes, or b"" at the end of a complete body. Raises IncompleteResponseError."""
         try:
             data = next(self._parts, b"")
         except IncompleteResponseError:
@@ -56,7 +56,7 @@
         return data
 
     def read_all(self) -> bytes:
-        """Return the whole body; raises IncompleteResponseError."""
+        """Return the whole body. Raises IncompleteResponseError."""
         parts = []
         while data := self.read_next():
             parts.append(data)
--- a/dewpin/lab/fleet/scenario.py
+++ b/dewpin/lab/fleet/scenario.py
@@ -179,7 +179,7 @@
 
 
 def parse_scenario(text: str) -> Scenario:
-    """Parse a scenario in TOML; raises ValueError, which names the invalid key."""
+    """Parse a scenario in TOML. Raises ValueError, which names the invalid key."""
     try:
         return make_scenario(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
@@ -187,7 +187,7 @@
 
 
 def make_scenario(tables: dict[str, Any]) -> Scenario:
-    """Create a scenario from the tables of its file; raises ValueError, which names the invalid key."""
+    """Create a scenario from the tables of its file. Raises ValueError, which names the invalid key."""
     try:
         scenario = msgspec.convert(tables, Scenario)
     except msgspec.ValidationError as error:
--- a/dewpin/lab/fleet/sender_process.py
+++ b/dewpin/lab/fleet/sender_process.py
@@ -85,7 +85,7 @@
             self.process.send_signal(number)
 
     async def wait_until_ready(self, timeout_seconds: float = START_TIMEOUT_SECONDS) -> None:
-        """Wait until the sender reports itself ready; raises SenderStartError if it ends or is not ready in time."""
+        """Wait until the sender reports itself ready. Raises SenderStartError if it ends or is not ready in time."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_seconds
         while True:
--- a/dewpin/lab/network.py
+++ b/dewpin/lab/network.py
@@ -84,7 +84,7 @@
         self.loop.call_at(when, function, *arguments, context=Context())
 
     def listen(self, address: Address, protocol_factory: Callable[[], Any]) -> SimulatedListener:
-        """Listen for the calling machine; raises OSError if the address is in use."""
+        """Listen for the calling machine. Raises OSError if the address is in use."""
         if address in self.listeners:
             raise OSError(98, f"address in use: {address}")
         machine = CURRENT_MACHINE.get()
--- a/dewpin/net/connection_table.py
+++ b/dewpin/net/connection_table.py
@@ -47,7 +47,7 @@
 
         @property
         def has_partial_message(self) -> bool:
-            """Whether part of a request has been received."""
+            """Return whether part of a request has been received."""
 
     class TrackedConnection(Protocol):
         """The interface of `ClientConnection` that the table uses."""
--- a/dewpin/peers/dissemination.py
+++ b/dewpin/peers/dissemination.py
@@ -10,13 +10,13 @@
         self._by_times_sent: list[dict[str, MemberRecord]] = [{}]
 
     def add(self, record: MemberRecord) -> None:
-        """Queues a new update; replaces an earlier one of the same member."""
+        """Queue a new update; replace an earlier one of the same member."""
         for records in self._by_times_sent:
             records.pop(record.name, None)
         self._by_times_sent[0][record.name] = record
 
     def take(self, first: MemberRecord | None, max_times_sent: int) -> tuple[MemberRecord, ...]:
-        """Returns the updates for one datagram: the record `first` if given, then those sent least often.
+        """Return the updates for one datagram: the record `first` if given, then those sent least often.
 
         An update is removed after it was sent `max_times_sent` times."""
         leading = [] if first is None else [first]
--- a/dewpin/peers/fencing.py
+++ b/dewpin/peers/fencing.py
@@ -11,7 +11,7 @@
         self.rejected_count = 0
 
     def accepts(self, fencing_token: int) -> bool:
-        """Returns whether an operation with this token may take effect."""
+        """Return whether an operation with this token may take effect."""
         if fencing_token < self.highest_token:
             self.rejected_count += 1
             return False
--- a/dewpin/peers/lease_candidate.py
+++ b/dewpin/peers/lease_candidate.py
@@ -61,11 +61,11 @@
         self.longest_wait_ms = 0.0  # of the replies in this round
 
     def held_token(self, now_ms: float) -> int | None:
-        """Returns the token if the lease is held at `now_ms` by the local clock; to be checked before each action."""
+        """Return the token if the lease is held at `now_ms` by the local clock; to be checked before each action."""
         return self.fencing_token if self.fencing_token and now_ms < self.lease_expires_at_ms else None
 
     def tick(self, now_ms: float) -> list[LeaseEnvelope]:
-        """Returns the requests that are due."""
+        """Return the requests that are due."""
         if not self.wants_lease or now_ms < self.next_request_at_ms:
             return []
         is_holder = self.held_token(now_ms) is not None
@@ -86,7 +86,7 @@
         return [LeaseEnvelope(voter, self._request_for(voter)) for voter in self.voters]
 
     def receive(self, peer: str, message: LeaseMessage, now_ms: float) -> list[LeaseEnvelope]:
-        """Handles a message from a peer; returns the messages to send."""
+        """Handle a message from a peer; return the messages to send."""
         if isinstance(message, LeaseFreed) and message.role == self.role:
             if self.wants_lease and self.held_token(now_ms) is None:  # random delay: not all candidates at once
                 self.next_request_at_ms = min(self.next_request_at_ms, now_ms + self._random_delay_ms(0.02))
@@ -95,7 +95,7 @@
         return self._handle_reply(peer, message, now_ms)
 
     def release(self, now_ms: float) -> list[LeaseEnvelope]:
-        """Releases the lease, which is no longer held when this returns; returns the messages to send."""
+        """Release the lease, which is no longer held when this returns; return the messages to send."""
         token, self.wants_lease, self.lease_expires_at_ms = self.fencing_token, False, NEVER_MS
         self.round += 1
         return self._release_envelopes(self.voters, token) if token else []
@@ -147,7 +147,7 @@
         return releases
 
     def _random_delay_ms(self, share: float) -> float:
-        """Returns a random delay that spreads the requests of competing candidates.
+        """Return a random delay that spreads the requests of competing candidates.
 
         The upper bound is a share of the term, or two round trips if that is longer. It doubles with each split vote,
         up to half a term plus two round trips. Without the delay candidates can repeatedly split the vote."""
--- a/dewpin/peers/lease_messages.py
+++ b/dewpin/peers/lease_messages.py
@@ -71,5 +71,5 @@
 
 
 def majority(voters: int) -> int:
-    """Returns the size of a majority of `voters` voters."""
+    """Return the size of a majority of `voters` voters."""
     return voters // 2 + 1
--- a/dewpin/peers/lease_voter.py
+++ b/dewpin/peers/lease_voter.py
@@ -52,13 +52,13 @@
         return len(self.recovered_tokens) < self.recovery_replies_needed
 
     def start_recovery(self) -> list[LeaseEnvelope]:
-        """Returns a recovering voter's requests to the others; to be repeated until it has recovered."""
+        """Return a recovering voter's requests to the others; to be repeated until it has recovered."""
         if not self.is_recovering:
             return []
         return [LeaseEnvelope(voter, RecoveryRequest(0)) for voter in self.other_voters]
 
     def receive(self, peer: str, message: LeaseMessage, now_ms: float) -> list[LeaseEnvelope]:
-        """Handles a message from a peer; returns the messages to send."""
+        """Handle a message from a peer; return the messages to send."""
         if isinstance(message, LeaseRequest):
             return self._handle_request(peer, message, now_ms)
         if isinstance(message, LeaseRelease):
--- a/dewpin/peers/membership.py
+++ b/dewpin/peers/membership.py
@@ -91,22 +91,22 @@
     # -- interface of the process -----------------------------------------------------------------------------
 
     def active_members(self) -> list[str]:
-        """Returns the sorted names of all active members, including this one and suspected ones."""
+        """Return the sorted names of all active members, including this one and suspected ones."""
         own = [] if self.has_left or self.is_replaced else [self.name]
         return sorted(own + [name for name, member in self.members.items() if member.is_active])
 
     def address_of(self, name: str) -> Address | None:
-        """Returns the address of an active member, or None."""
+        """Return the address of an active member, or None."""
         member = self.members.get(name)
         return member.record.address if member and member.is_active else None
 
     def take_changes(self) -> list[tuple[str, int]]:
-        """Returns the changes since the last call: name and new state (of `MemberState`)."""
+        """Return the changes since the last call: name and new state (of `MemberState`)."""
         changes, self._changes = self._changes, []
         return changes
 
     def leave(self) -> list[MembershipEnvelope]:
-        """Leaves the group; returns notifications for some members, which disseminate it. Sends nothing afterwards."""
+        """Leave the group; return notifications for some members, which disseminate it. Send nothing afterwards."""
         self.own_record = msgspec.structs.replace(self.own_record, state=MemberState.LEFT)
         self.has_left = True
         self._updates.add(self.own_record)
@@ -116,7 +116,7 @@
         ]
 
     def tick(self, now_ms: float) -> list[MembershipEnvelope]:
-        """Returns the messages that are due.
+        """Return the messages that are due.
 
         To be called several times per `timeout_ms`: a longer gap is taken for a pause of this process."""
         pause_ms, self._last_tick_ms = now_ms - self._last_tick_ms, now_ms
@@ -135,7 +135,7 @@
     def receive(
         self, peer: str, address: Address, message: MembershipMessage, now_ms: float
     ) -> list[MembershipEnvelope]:
-        """Handles a message from a peer; returns the messages to send."""
+        """Handle a message from a peer; return the messages to send."""
         if self.has_left or self.is_replaced:
             return []
         if isinstance(message, Ping):
@@ -158,7 +158,7 @@
     # -- interface of the prober ------------------------------------------------------------------------------
 
     def updates_for(self, name: str) -> tuple[MemberRecord, ...]:
-        """Returns the updates to piggyback on a message to this member.
+        """Return the updates to piggyback on a message to this member.
 
         The first one is the member's own record unless that says alive, so that the member can refute it."""
         member = self.members.get(name)
@@ -167,16 +167,16 @@
         return self._updates.take(first, ceil(RETRANSMIT_FACTOR * log2(self.active_count + 2)))
 
     def envelope_to(self, name: str, message: MembershipMessage) -> MembershipEnvelope:
-        """Addresses a message to a known member."""
+        """Address a message to a known member."""
         return MembershipEnvelope(name, self.members[name].record.address, message)
 
     def random_members(self, count: int, excluding: str = "") -> list[str]:
-        """Returns up to `count` randomly chosen active members."""
+        """Return up to `count` randomly chosen active members."""
         names = [name for name, member in self.members.items() if member.is_active and name != excluding]
         return self.random.sample(names, min(count, len(names)))
 
     def suspect(self, name: str, now_ms: float) -> None:
-        """Handles a failed probe: suspects an active member, or confirms an existing suspicion."""
+        """Handle a failed probe: suspect an active member, or confirm an existing suspicion."""
         member = self.members.get(name)
         if member and member.is_active:
             suspicion = msgspec.structs.replace(member.record, state=MemberState.SUSPECT, suspected_by=self.name)
@@ -185,7 +185,7 @@
     # -- timeouts ---------------------------------------------------------------------------------------------
 
     def _handle_local_pause(self, pause_ms: float) -> None:
-        """Extends all deadlines by the length of a pause of this process and lowers its local health.
+        """Extend all deadlines by the length of a pause of this process and lower its local health.
 
         Without this a suspended process would declare all others lost on waking up, before it has read the messages
         that they sent meanwhile."""
@@ -207,7 +207,7 @@
     # -- joining and anti-entropy -----------------------------------------------------------------------------
 
     def _request_sync(self, now_ms: float) -> list[MembershipEnvelope]:
-        """Requests the whole list: from seeds until one responds, later periodically from a random member.
+        """Request the whole list: from seeds until one responds, later periodically from a random member.
 
         This repairs updates that the dissemination missed."""
         periods = SYNC_PERIODS * self.random.uniform(0.8, 1.2) if self.has_joined else 1.0
@@ -222,9 +222,9 @@
         return [MembershipEnvelope("", seed, request) for seed in seeds if seed != self.own_record.address]
 
     def _rejoin(self, now_ms: float) -> list[MembershipEnvelope]:
-        """Contacts a lost member and a seed, so that the sides of a healed partition merge.
+        """Contact a lost member and a seed, so that the sides of a healed partition merge.
 
-        Removes members that have been inactive for `LOST_MEMBER_PERIODS`."""
+        Remove members that have been inactive for `LOST_MEMBER_PERIODS`."""
         self._next_rejoin_at_ms = now_ms + REJOIN_PERIODS * self.period_ms * self.random.uniform(0.8, 1.2)
         inactive = [member for member in self.members.values() if not member.is_active]
         for member in inactive:
@@ -263,7 +263,7 @@
         return SyncPage(tuple(records), False)
 
     def _digest(self) -> int:
-        """Returns a checksum of the list; never 0, which means no digest."""
+        """Return a checksum of the list; never 0, which means no digest."""
         records = {name: member.record for name, member in self.members.items()}
         pairs = sorted([(self.name, self.own_record), *records.items()], key=lambda pair: pair[0])
         text = "".join(f"{name}{record.precedence}" for name, record in pairs)
@@ -281,7 +281,7 @@
                 self._merge_record(record, now_ms)
 
     def _handle_own_record(self, record: MemberRecord) -> None:
-        """Handles a record of this member received from others; refutes a suspicion."""
+        """Handle a record of this member received from others; refute a suspicion."""
         own = self.own_record
         if record.incarnation > own.incarnation:
             self.is_replaced = True
@@ -327,7 +327,7 @@
             self._confirm_suspicion(member, record, now_ms)
 
     def _confirm_suspicion(self, member: KnownMember, record: MemberRecord, now_ms: float) -> None:
-        """Adds an accuser, which shortens the suspicion (Lifeguard), and disseminates it if it had an effect."""
+        """Add an accuser, which shortens the suspicion (Lifeguard), and disseminate it if it had an effect."""
         if not member.add_accuser(record.suspected_by, self.active_count, self.period_ms):
             return
         heappush(self._suspicion_deadlines, (max(now_ms, member.suspicion_ends_at_ms), record.name))
--- a/dewpin/peers/membership_messages.py
+++ b/dewpin/peers/membership_messages.py
@@ -112,5 +112,5 @@
 
 
 def estimated_bytes(record: MemberRecord) -> int:
-    """Returns the approximate size of a record in a datagram."""
+    """Return the approximate size of a record in a datagram."""
     return len((record.name + record.host + record.suspected_by).encode()) + 32
--- a/dewpin/peers/node.py
+++ b/dewpin/peers/node.py
@@ -25,12 +25,12 @@
 
 
 def boot_time_ms() -> float:
-    """Returns ms of a clock that never steps and continues while the machine is suspended."""
+    """Return ms of a clock that never steps and continues while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 def is_reachable(address: Address) -> bool:
-    """Returns whether an address can be sent to without resolving it.
+    """Return whether an address can be sent to without resolving it.
 
     Addresses of members come from datagrams: a host name would block the event loop in a lookup, and a port out of
     range would raise an exception."""
@@ -47,7 +47,7 @@
         self.path = os.path.join(folder, VOTES_FILE)
 
     def read(self) -> Votes | None:
-        """Returns the stored votes; None if they are missing or unreadable, so that earlier grants are unknown."""
+        """Return the stored votes; None if they are missing or unreadable, so that earlier grants are unknown."""
         try:
             with open(self.path, "rb") as file:
                 return msgspec.json.decode(file.read(), type=Votes)
@@ -55,7 +55,7 @@
             return None
 
     def write(self, votes: Votes) -> None:
-        """Stores the votes. Raises OSError."""
+        """Store the votes. Raises OSError."""
         with open(self.path + ".new", "wb") as file:
             file.write(msgspec.json.encode(votes))
             file.flush()
@@ -96,7 +96,7 @@
             self.voter = LeaseVoter(name, voters, term_ms, boot_time_ms(), votes)
 
     async def open(self, host: str, port: int) -> Address:
-        """Opens the socket and starts the timer; returns the bound address."""
+        """Open the socket and start the timer; return the bound address."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, (host, port))
         self._transport = transport
@@ -105,28 +105,28 @@
         return address
 
     def close(self) -> None:
-        """Closes the socket and stops the timer."""
+        """Close the socket and stop the timer."""
         self._ticking.cancel()
         if self._transport:
             self._transport.close()
 
     def release(self, candidate: LeaseCandidate) -> None:
-        """Releases a lease."""
+        """Release a lease."""
         self._send_lease_messages(candidate.release(boot_time_ms()))
 
     def leave(self) -> None:
-        """Leaves the membership voluntarily."""
+        """Leave the membership voluntarily."""
         if self.membership:
             self._send_membership_messages(self.membership.leave())
 
     def datagram_received(self, data: bytes, address: Address) -> None:
-        """Handles a datagram; counts one that is malformed or not from a known peer."""
+        """Handle a datagram; count one that is malformed or not from a known peer."""
         datagram = decode_datagram(data)
         if datagram is None or not self._handle_datagram(datagram, address):
             self.dropped_datagrams += 1
 
     def error_received(self, error: Exception) -> None:
-        """Ignores a peer's closed port, which implies nothing about the grants that it made."""
+        """Ignore a peer's closed port, which implies nothing about the grants that it made."""
 
     async def _tick_forever(self) -> None:
         ticks = 0
--- a/dewpin/peers/probing.py
+++ b/dewpin/peers/probing.py
@@ -57,16 +57,16 @@
     members: dict[str, KnownMember]
 
     def updates_for(self, name: str) -> tuple[MemberRecord, ...]:
-        """Returns the updates to piggyback on a message to a member."""
+        """Return the updates to piggyback on a message to a member."""
 
     def envelope_to(self, name: str, message: MembershipMessage) -> MembershipEnvelope:
-        """Addresses a message to a member."""
+        """Address a message to a member."""
 
     def random_members(self, count: int, excluding: str = "") -> list[str]:
-        """Returns up to `count` randomly chosen active members."""
+        """Return up to `count` randomly chosen active members."""
 
     def suspect(self, name: str, now_ms: float) -> None:
-        """Marks a member as suspected."""
+        """Mark a member as suspected."""
 
 
 class Prober:
@@ -85,23 +85,23 @@
         self._sequence = 0
 
     def next_sequence(self) -> int:
-        """Returns a new sequence number for a ping."""
+        """Return a new sequence number for a ping."""
         self._sequence += 1
         return self._sequence
 
     def schedule(self, name: str) -> None:
-        """Inserts a new member at a random position of the current round."""
+        """Insert a new member at a random position of the current round."""
         self._probe_order.insert(self._membership.random.randint(0, len(self._probe_order)), name)
 
     def postpone(self, delay_ms: float) -> None:
-        """Extends all deadlines by the length of a pause of this process."""
+        """Extend all deadlines by the length of a pause of this process."""
         self.next_probe_at_ms += delay_ms
         if self.probe:
             self.probe.sent_at_ms += delay_ms
         self._indirect_deadlines = [(at_ms + delay_ms, sequence) for at_ms, sequence in self._indirect_deadlines]
 
     def tick(self, now_ms: float) -> list[MembershipEnvelope]:
-        """Returns the messages that are due: nacks, the ping of a new period, or requests for indirect probes."""
+        """Return the messages that are due: nacks, the ping of a new period, or requests for indirect probes."""
         membership = self._membership
         envelopes = self._expire_indirect_probes(now_ms)
         if now_ms >= self.next_probe_at_ms:
@@ -114,7 +114,7 @@
         return envelopes
 
     def handle_ack(self, sequence: int) -> list[MembershipEnvelope]:
-        """Handles an ack of the current probe, or of an indirect probe, which is forwarded to its requester."""
+        """Handle an ack of the current probe, or of an indirect probe, which is forwarded to its requester."""
         membership = self._membership
         if self.probe and sequence == self.probe.sequence:
             if not self.probe.is_acknowledged:
@@ -128,14 +128,14 @@
         return [MembershipEnvelope(indirect.requester, indirect.address, ack)]
 
     def handle_nack(self, sequence: int) -> None:
-        """Counts a nack: a member that was asked for an indirect probe received no ack."""
+        """Count a nack: a member that was asked for an indirect probe received no ack."""
         if self.probe and sequence == self.probe.sequence:
             self.probe.nacks += 1
 
     def handle_ping_request(
         self, requester: str, address: Address, request: PingRequest, now_ms: float
     ) -> list[MembershipEnvelope]:
-        """Pings a member on behalf of another one."""
+        """Ping a member on behalf of another one."""
         if len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return [MembershipEnvelope(requester, address, Nack(request.sequence))]
         sequence = self.next_sequence()
@@ -192,7 +192,7 @@
         return envelopes
 
     def _next_member(self) -> str | None:
-        """Returns the next member in a round robin that is shuffled each round: each one is probed in bounded time."""
+        """Return the next member in a round robin that is shuffled each round: each one is probed in bounded time."""
         members = self._membership.members
         for _ in range(2):
             while self._probe_order:
--- a/dewpin/peers/suspicion.py
+++ b/dewpin/peers/suspicion.py
@@ -29,12 +29,12 @@
         return self.record.state <= MemberState.SUSPECT
 
     def start_suspicion(self, now_ms: float) -> None:
-        """Starts a suspicion without accusers."""
+        """Start a suspicion without accusers."""
         self.accusers = set()
         self.suspected_at_ms = now_ms
 
     def add_accuser(self, name: str, active_count: int, period_ms: float) -> bool:
-        """Adds an accuser, which shortens the suspicion; returns False if it has no effect.
+        """Add an accuser, which shortens the suspicion; return False if it has no effect.
 
         `active_count`: number of other active members."""
         if name in self.accusers or len(self.accusers) > MAX_CONFIRMATIONS:
@@ -46,7 +46,7 @@
 
 
 def suspicion_timeout_ms(accusers: int, active_count: int, period_ms: float) -> float:
-    """Returns the time in ms after which a suspected member is declared lost."""
+    """Return the time in ms after which a suspected member is declared lost."""
     shortest_ms = MIN_TIMEOUT_FACTOR * max(1.0, log10(max(1, active_count))) * period_ms
     confirmations_needed = min(MAX_CONFIRMATIONS, max(0, active_count - 2))
     share = log(accusers) / log(confirmations_needed + 1) if confirmations_needed else 1.0
@@ -65,5 +65,5 @@
         return 1 + self.score
 
     def adjust(self, change: int) -> None:
-        """Adds to the score, within its bounds."""
+        """Add to the score, within its bounds."""
         self.score = min(MAX_LOCAL_HEALTH_SCORE, max(0, self.score + change))
--- a/dewpin/peers/wire.py
+++ b/dewpin/peers/wire.py
@@ -28,7 +28,7 @@
 
 
 def encode_datagram(name: str, message: PeerMessage) -> bytes:
-    """Returns the bytes of a datagram. Raises ValueError if it is too large."""
+    """Return the bytes of a datagram. Raises ValueError if it is too large."""
     content = _encoder.encode(Datagram(VERSION, name, message))
     if len(content) > MAX_DATAGRAM_BYTES:
         raise ValueError(f"datagram of {len(content)} bytes exceeds the limit of {MAX_DATAGRAM_BYTES} bytes")
@@ -36,7 +36,7 @@
 
 
 def decode_datagram(content: bytes) -> Datagram | None:
-    """Returns the datagram, or None if it is malformed or of another version."""
+    """Return the datagram, or None if it is malformed or of another version."""
     if len(content) > MAX_DATAGRAM_BYTES:
         return None
     try:
--- a/dewpin/ports.py
+++ b/dewpin/ports.py
@@ -111,7 +111,7 @@
     is_draining: bool
 
     def submit(self, request: SubmitRequest) -> SubmitResult:
-        """Accepts, defers or rejects the message immediately."""
+        """Accept, defer or reject the message immediately."""
 
 
 class Frontend(Protocol):
@@ -120,26 +120,26 @@
     clients: Any
 
     async def open(self, host: str, port: int) -> tuple[str, int]:
-        """Starts listening; returns the bound address."""
+        """Start listening; return the bound address."""
 
     def stop(self) -> None:
-        """Rejects new messages from now on; requests that have started to arrive still get a response."""
+        """Reject new messages from now on; requests that have started to arrive still get a response."""
 
     def close(self) -> None:
-        """Closes the listener and all connections."""
+        """Close the listener and all connections."""
 
 
 class Transport(Protocol):
     """The interface of a transport for the relay."""
 
     def send(self, request: AttemptRequest) -> None:
-        """Starts an attempt."""
+        """Start an attempt."""
 
     def cancel_unsent(self, address: Address) -> None:
-        """Ends attempts to this address of which no byte was sent, with the outcome `NOT_SENT`."""
+        """End attempts to this address of which no byte was sent, with the outcome `NOT_SENT`."""
 
     def close_idle(self, address: Address) -> None:
-        """Closes the idle connections to this address."""
+        """Close the idle connections to this address."""
 
 
 class NoticePublisher(Protocol):
@@ -152,11 +152,11 @@
     def publish(
         self, message_id: bytes, is_deferred: bool, retry_after_ms: float, on_acknowledged: Callable[[], None]
     ) -> None:
-        """Sends a notice repeatedly until it is acknowledged, then calls `on_acknowledged` once."""
+        """Send a notice repeatedly until it is acknowledged, then call `on_acknowledged` once."""
 
 
 class EndpointListener(Protocol):
     """Receives updates of the endpoint list. `is_complete`: whether the entries are the complete list."""
 
     def __call__(self, entries: Sequence[EndpointEntry | tuple[Any, ...]], is_complete: bool) -> None:
-        """Applies an update."""
+        """Apply an update."""
--- a/dewpin/relay/clock.py
+++ b/dewpin/relay/clock.py
@@ -14,5 +14,5 @@
         self.offset_seconds = time.time() - loop.time()
 
     def now_ms(self) -> float:
-        """Returns the current time in ms."""
+        """Return the current time in ms."""
         return (self._loop.time() + self.offset_seconds) * 1000.0
--- a/dewpin/relay/endpoint_directory.py
+++ b/dewpin/relay/endpoint_directory.py
@@ -29,7 +29,7 @@
         self._dispatcher = dispatcher
 
     def update(self, entries: Sequence[EndpointEntry | tuple[Any, ...]], is_complete: bool) -> list[Address]:
-        """Applies an update of the endpoint list; returns the addresses that get no new attempts."""
+        """Apply an update of the endpoint list; return the addresses that get no new attempts."""
         listed_ids: set[bytes] = set()
         unused_addresses: list[Address] = []
         for entry in entries:
@@ -53,11 +53,11 @@
         return [address for address in unused_addresses if address and address not in ready]
 
     def is_known(self, receiver_id: bytes) -> bool:
-        """Returns whether the receiver is known from an endpoint list or an operator."""
+        """Return whether the receiver is known from an endpoint list or an operator."""
         return receiver_id in self.receivers or receiver_id in self.detached_receivers
 
     def detach(self, receiver_id: bytes) -> Address | None:
-        """Detaches a receiver: it counts as draining even if the list says that it is ready. Returns its address, or
+        """Detach a receiver: it counts as draining even if the list says that it is ready. Return its address, or
         None."""
         receiver = self.receivers.get(receiver_id)
         self.detached_receivers.setdefault(receiver_id, receiver.state if receiver else ReceiverState.GONE)
@@ -68,13 +68,13 @@
         return address
 
     def attach(self, receiver_id: bytes) -> None:
-        """Attaches a receiver again; its state in the list applies."""
+        """Attach a receiver again; its state in the list applies."""
         listed_state = self.detached_receivers.pop(receiver_id, None)
         if listed_state and receiver_id in self.receivers:
             self._set_listed_state(self.receivers[receiver_id], listed_state)
 
     def avoided_count(self) -> int:
-        """Returns the number of listed receivers that get few or no messages because they are detached or ejected."""
+        """Return the number of listed receivers that get few or no messages because they are detached or ejected."""
         detached = {
             self.receivers[receiver_id] for receiver_id in self.detached_receivers if receiver_id in self.receivers
         }
@@ -82,13 +82,13 @@
         return sum(1 for receiver in avoided if self._listed_state(receiver) != ReceiverState.GONE)
 
     def destination(self, destination_id: int) -> Destination:
-        """Returns the destination with this id; creates it if needed."""
+        """Return the destination with this id; create it if needed."""
         if destination_id not in self.destinations:
             self.destinations[destination_id] = Destination(destination_id)
         return self.destinations[destination_id]
 
     def receiver(self, receiver_id: bytes, destination: Destination) -> Receiver:
-        """Returns the receiver with this id; one that is not in any list is created in the state `GONE`."""
+        """Return the receiver with this id; one that is not in any list is created in the state `GONE`."""
         if receiver_id not in self.receivers:
             self.receivers[receiver_id] = Receiver(
                 receiver_id, destination, zone=UNKNOWN_ZONE, state=ReceiverState.GONE
@@ -96,7 +96,7 @@
         return self.receivers[receiver_id]
 
     def _apply_entry(self, entry: EndpointEntry | tuple[Any, ...]) -> Address | None:
-        """Applies an entry of the endpoint list; returns the receiver's previous address if it has changed."""
+        """Apply an entry of the endpoint list; return the receiver's previous address if it has changed."""
         receiver_id, destination_id, state, (host, port), zone, kind, weight = entry
         receiver = self.receiver(receiver_id, self.destination(destination_id))
         self._set_listed_state(receiver, state)
@@ -119,7 +119,7 @@
         return self.detached_receivers.get(receiver.receiver_id, receiver.state)
 
     def _forget_receiver(self, receiver: Receiver) -> None:
-        """Releases a receiver, and its destination if unused; otherwise memory would grow with each one ever listed."""
+        """Release a receiver, and its destination if unused; otherwise memory would grow with each one ever listed."""
         destination = receiver.destination
         destination.receivers.remove(receiver)
         self._dispatcher.forget_receiver(receiver)
--- a/dewpin/relay/facade.py
+++ b/dewpin/relay/facade.py
@@ -71,12 +71,12 @@
     # -- due messages -----------------------------------------------------------------------------------------
 
     def time_until_due_ms(self, now_ms: float) -> float | None:
-        """Returns the ms until the next message is due: 0 if it is due now, None if there is none."""
+        """Return the ms until the next message is due: 0 if it is due now, None if there is none."""
         wait_ms, self._due_message = self.dispatcher.next_due(now_ms)
         return None if self._due_message is None else wait_ms
 
     def decide_due(self, now_ms: float) -> Send | GiveUp | None:
-        """Returns the decision on the message that is due now; None if it stays queued."""
+        """Return the decision on the message that is due now; None if it stays queued."""
         message = self._due_message
         assert message is not None
         result = self.dispatcher.dispatch(message, now_ms)
@@ -87,7 +87,7 @@
         return GiveUp(message.message_id, result.decision, result.retry_after_ms)
 
     def report_result(self, record: MessageRecord, result: AttemptResult, now_ms: float) -> FollowUp:
-        """Reports the result of an attempt to the dispatcher; returns the next step."""
+        """Report the result of an attempt to the dispatcher; return the next step."""
         message: Message = record.message
         message.retry_after_ms, message.duration_ms = result.retry_after_ms, result.duration_ms
         message.is_withdrawn = message.is_withdrawn or result.is_withdrawn
@@ -106,20 +106,20 @@
         return FollowUp(ending, retry_after_ms, closes_idle_connections)
 
     def backoff_ms(self, record: MessageRecord, now_ms: float) -> float:
-        """Returns the ms until the retry of a message."""
+        """Return the ms until the retry of a message."""
         message = record.message
         return max(0.0, message.dispatch_state.due_at - now_ms) if message and message.dispatch_state else 0.0
 
     # -- messages ---------------------------------------------------------------------------------------------
 
     def is_known_class(self, queue_class: bytes, account: bytes) -> bool:
-        """Returns whether the settings define this queue class and, if they define accounts, this account."""
+        """Return whether the settings define this queue class and, if they define accounts, this account."""
         return queue_class in self.queue_class_indexes and (
             not self._account_indexes or account in self._account_indexes
         )
 
     def overload_retry_after_ms(self, destination: bytes, now_ms: float) -> float | None:
-        """Returns the retry-after if no further message can be accepted, or if no list names the destination; else
+        """Return the retry-after if no further message can be accepted, or if no list names the destination; else
         None."""
         known = self.endpoints.destinations.get(int(destination))
         if known and known.receivers and self.dispatcher.pending_messages < self.max_messages:
@@ -127,26 +127,26 @@
         return self.dispatcher.retry_after_ms(known or Destination(None), now_ms)
 
     def lifetime_ms(self, queue_class: bytes) -> float:
-        """Returns the maximum lifetime of a message of this class."""
+        """Return the maximum lifetime of a message of this class."""
         return self.lifetimes_ms[self.queue_class_indexes[queue_class]]
 
     def first_submitted_at_ms(
         self, queue_class: bytes, remaining_ms: float, is_resubmission: bool, now_ms: float
     ) -> float:
-        """Estimates when the message was first submitted, to this sender or to another one."""
+        """Estimate when the message was first submitted, to this sender or to another one."""
         index = self.queue_class_indexes[queue_class]
         return self.dispatcher.first_submitted_at(index, remaining_ms, is_resubmission, now_ms)
 
     def may_have_executed(self, outcome: str) -> bool:
-        """Returns whether the receiver may have executed the message, given this outcome."""
+        """Return whether the receiver may have executed the message, given this outcome."""
         return outcome not in NOT_EXECUTED_OUTCOMES
 
     def send_window_ms(self, record: MessageRecord, receiver: Receiver, now_ms: float) -> float:
-        """Returns within how many ms the last byte of an attempt must be sent; 0: the attempt must not be sent."""
+        """Return within how many ms the last byte of an attempt must be sent; 0: the attempt must not be sent."""
         return self.dispatcher.last_byte_within_ms(record.message, receiver, now_ms)
 
     def add_message(self, record: MessageRecord, now_ms: float) -> None:
-        """Passes an accepted message to the dispatcher."""
+        """Pass an accepted message to the dispatcher."""
         destination = self.endpoints.destination(int(record.destination))
         executed = record.possibly_executed
         executed_by = None if executed is None else self.endpoints.receiver(executed.receiver, destination)
@@ -164,7 +164,7 @@
         self.dispatcher.dispatch(record.message, now_ms)
 
     def adopt_attempt(self, record: MessageRecord, now_ms: float) -> Receiver:
-        """Passes on a message that the previous process has in flight; returns the receiver of that attempt."""
+        """Pass on a message that the previous process has in flight; return the receiver of that attempt."""
         assert record.in_flight is not None
         attempt = record.in_flight
         receiver = self.endpoints.receiver(attempt.receiver, self.endpoints.destination(int(record.destination)))
@@ -175,14 +175,14 @@
         return receiver
 
     def forget_message(self, record: MessageRecord) -> None:
-        """Unlinks a finished message from its record, as the dispatcher may keep the message until its lifetime ends.
+        """Unlink a finished message from its record, as the dispatcher may keep the message until its lifetime ends.
 
         Otherwise only a full garbage collection would free the memory."""
         if record.message:
             record.message.message_id = record.message = None
 
     def addresses_under_same_limits(self, receiver: Receiver) -> list[Address]:
-        """Returns the addresses of all receivers that a retry-after of this receiver applies to."""
+        """Return the addresses of all receivers that a retry-after of this receiver applies to."""
         limits_of = self.dispatcher.limits_of
         limits = limits_of(receiver)
         receivers = receiver.destination.receivers
--- a/dewpin/relay/learned_state.py
+++ b/dewpin/relay/learned_state.py
@@ -16,7 +16,7 @@
 
 
 def export_learned_state(facade: Facade) -> LearnedState:
-    """Returns the endpoint list and the learned state of the sender, its destinations and their receivers."""
+    """Return the endpoint list and the learned state of the sender, its destinations and their receivers."""
     dispatcher, endpoints = facade.dispatcher, facade.endpoints
     return {
         "list": _export_endpoints(facade),
@@ -33,12 +33,12 @@
 
 
 def endpoint_entries(state: LearnedState) -> list[EndpointEntry]:
-    """Returns the endpoint list of an exported state."""
+    """Return the endpoint list of an exported state."""
     return [decode_row(row) for row in state["list"]]
 
 
 def import_learned_state(facade: Facade, state: LearnedState) -> None:
-    """Imports an exported state; existing attempts and messages are kept."""
+    """Import an exported state; existing attempts and messages are kept."""
     dispatcher = facade.dispatcher
     dispatcher.restore_sender_state(state)
     for destination_id, queue, limits in state["destinations"]:
--- a/dewpin/relay/lifecycle_log.py
+++ b/dewpin/relay/lifecycle_log.py
@@ -7,7 +7,7 @@
 
 
 def log_accepted(record: MessageRecord, now_ms: float) -> None:
-    """Logs that a message was accepted, here or by the previous process."""
+    """Log that a message was accepted, here or by the previous process."""
     log_event(
         events.MESSAGE_ACCEPTED,
         message=record.message_id,
@@ -21,7 +21,7 @@
 
 
 def log_resumed(record: MessageRecord, now_ms: float) -> None:
-    """Logs that a message of an earlier process was resumed."""
+    """Log that a message of an earlier process was resumed."""
     log_event(
         events.MESSAGE_RESUMED,
         message=record.message_id,
@@ -35,7 +35,7 @@
 
 
 def log_attempt_postponed(record: MessageRecord, receiver: Receiver) -> None:
-    """Logs that an attempt waits for the acknowledgement of a notice."""
+    """Log that an attempt waits for the acknowledgement of a notice."""
     log_event(
         events.ATTEMPT_POSTPONED,
         message=record.message_id,
@@ -45,7 +45,7 @@
 
 
 def log_attempt_started(record: MessageRecord, receiver: Receiver, timeout_ms: float) -> None:
-    """Logs that an attempt was recorded and its first byte is about to be sent."""
+    """Log that an attempt was recorded and its first byte is about to be sent."""
     log_event(
         events.ATTEMPT_STARTED,
         message=record.message_id,
@@ -59,7 +59,7 @@
 def log_attempt_finished(
     record: MessageRecord, receiver: Receiver, result: AttemptResult, may_have_executed: bool
 ) -> None:
-    """Logs the result of an attempt, before it is recorded."""
+    """Log the result of an attempt, before it is recorded."""
     log_event(
         events.ATTEMPT_FINISHED,
         message=record.message_id,
@@ -74,17 +74,17 @@
 
 
 def log_retry_scheduled(record: MessageRecord, backoff_ms: float) -> None:
-    """Logs that a message waits for its next attempt."""
+    """Log that a message waits for its next attempt."""
     log_event(events.RETRY_SCHEDULED, message=record.message_id, attempt=record.attempts, retry_after_ms=backoff_ms)
 
 
 def log_relayed(record: MessageRecord) -> None:
-    """Logs the end of a message that was delivered or withdrawn."""
+    """Log the end of a message that was delivered or withdrawn."""
     log_event(events.MESSAGE_ENDED, message=record.message_id, ending=Decision.RELAYED, attempt=record.attempts)
 
 
 def log_given_up(record: MessageRecord, ending: Decision, retry_after_ms: float) -> None:
-    """Logs the end of a message that was deferred or bounced."""
+    """Log the end of a message that was deferred or bounced."""
     log_event(
         events.MESSAGE_ENDED,
         message=record.message_id,
--- a/dewpin/relay/message_lifecycle.py
+++ b/dewpin/relay/message_lifecycle.py
@@ -104,7 +104,7 @@
     def resume(
         self, handover_reader: HandoverLogReader | None = None, serials_in_flight: set[int] | None = None
     ) -> None:
-        """Resumes the messages that an earlier process left in the journal.
+        """Resume the messages that an earlier process left in the journal.
 
         `handover_reader`: the log in which the previous process reports the results of its attempts in flight; without
         it those attempts are lost and may have been executed. `serials_in_flight`: serial numbers of the messages of
@@ -142,7 +142,7 @@
             self.facade.add_message(record, now_ms)
 
     def submit(self, request: SubmitRequest) -> SubmitResult:
-        """Accepts, defers or rejects a message immediately.
+        """Accept, defer or reject a message immediately.
 
         An exception of the dispatcher is passed on; the message is then not accepted."""
         if not self.facade.is_known_class(request.queue_class, request.account):
@@ -204,7 +204,7 @@
     # -- dispatch and attempts --------------------------------------------------------------------------------
 
     def wake(self) -> None:
-        """Schedules a dispatch after a change, once for all changes in this iteration of the event loop."""
+        """Schedule a dispatch after a change, once for all changes in this iteration of the event loop."""
         if not self._is_wake_scheduled:
             self._is_wake_scheduled = True
             self._loop.call_soon(self._dispatch_due)
@@ -258,7 +258,7 @@
         )
 
     def _send_window_opener(self, record: MessageRecord, receiver: Receiver, timeout_ms: float) -> Callable[[], float]:
-        """Returns a function that the transport calls right before the first byte of an attempt.
+        """Return a function that the transport calls right before the first byte of an attempt.
 
         It records the attempt and returns the ms within which the last byte must be sent, or 0 if the attempt must not
         be sent. A connection may be established long after the decision: by then the retry window may have ended, the
@@ -277,12 +277,12 @@
         return open_send_window
 
     def _drop_postponed_attempt(self, record: MessageRecord, receiver: Receiver) -> None:
-        """Ends a postponed attempt as not sent: the notice of an earlier message was not acknowledged in time."""
+        """End a postponed attempt as not sent: the notice of an earlier message was not acknowledged in time."""
         self.notice_barrier.drop(record)
         self.handle_result(record, receiver, AttemptResult(Outcome.NOT_SENT, 0.0, 0.0, {}, False))
 
     def handle_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
-        """Handles the result of an attempt of this process or of the previous one."""
+        """Handle the result of an attempt of this process or of the previous one."""
         self.attempts_in_flight -= 1
         if self.handover_log:
             self.handover_log.finish_attempt(record, result)
@@ -302,7 +302,7 @@
         self.journal.finish_attempt(record, may_have_executed)
 
     def _continue_after_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
-        """Finishes the message, or leaves it with the dispatcher for a retry."""
+        """Finish the message, or leave it with the dispatcher for a retry."""
         follow_up = self.facade.report_result(record, result, self.clock.now_ms())
         if follow_up.ending == Decision.RELAYED:
             log_relayed(record)
@@ -353,20 +353,20 @@
     # -- hand-over between two processes of one sender --------------------------------------------------------
 
     def hand_over(self, handover_log: HandoverLogWriter) -> None:
-        """Leaves journal and decisions to the next process; later events of this process go to the hand-over log."""
+        """Leave journal and decisions to the next process; later events of this process go to the hand-over log."""
         self.may_start_attempts = False
         self.attempts_in_flight -= self.notice_barrier.drop_all()  # these attempts were never sent
         self.handover_log = handover_log
 
     def consume_handover_log(self, is_writer_gone: bool = False) -> None:
-        """Handles the new entries of the previous process; see `PreviousProcess.consume_log`."""
+        """Handle the new entries of the previous process; see `PreviousProcess.consume_log`."""
         if self._previous_process is not None:
             self._previous_process.consume_log(is_writer_gone)
             if is_writer_gone:
                 self._previous_process = None
 
     def handle_accepted_elsewhere(self, record: MessageRecord) -> None:
-        """Takes over a message that the previous process has accepted."""
+        """Take over a message that the previous process has accepted."""
         if record.message_id in self._recent_ids:
             return  # already read before this process was killed, but not marked as consumed
         now_ms = self.clock.now_ms()
@@ -379,9 +379,9 @@
     # -- receivers that operators detach ----------------------------------------------------------------------
 
     def detach(self, receiver_id: bytes) -> DetachmentResult:
-        """Stops new attempts to this receiver, regardless of the endpoint list, until it is attached again."""
+        """Stop new attempts to this receiver, regardless of the endpoint list, until it is attached again."""
         return self._detachment.detach(receiver_id)
 
     def attach(self, receiver_id: bytes) -> DetachmentResult:
-        """Applies the state of this receiver in the endpoint list again."""
+        """Apply the state of this receiver in the endpoint list again."""
         return self._detachment.attach(receiver_id)
--- a/dewpin/relay/notice_barrier.py
+++ b/dewpin/relay/notice_barrier.py
@@ -25,20 +25,20 @@
         self._postponed: dict[bytes, dict[MessageRecord, PostponedAttempt]] = {}
 
     def blocks(self, ordering_key: bytes) -> bool:
-        """Returns whether a notice of this key is unacknowledged."""
+        """Return whether a notice of this key is unacknowledged."""
         return ordering_key in self._unacknowledged
 
     def postponed_count(self) -> int:
-        """Returns the number of waiting attempts."""
+        """Return the number of waiting attempts."""
         return sum(map(len, self._postponed.values()))
 
     def add_notice(self, ordering_key: bytes) -> None:
-        """Records that a notice was published for a message with this key; messages without a key are unordered."""
+        """Record that a notice was published for a message with this key; messages without a key are unordered."""
         if ordering_key:
             self._unacknowledged[ordering_key] = self._unacknowledged.get(ordering_key, 0) + 1
 
     def acknowledge_notice(self, ordering_key: bytes) -> list[PostponedAttempt]:
-        """Records an acknowledgement; returns the attempts that no longer have to wait, with their timers cancelled."""
+        """Record an acknowledgement; return the attempts that no longer have to wait, with their timers cancelled."""
         if not ordering_key:
             return []
         self._unacknowledged[ordering_key] -= 1
@@ -51,15 +51,15 @@
         return released
 
     def postpone(self, attempt: PostponedAttempt) -> None:
-        """Makes an attempt wait for the notices of its key."""
+        """Make an attempt wait for the notices of its key."""
         self._postponed.setdefault(attempt.record.ordering_key, {})[attempt.record] = attempt
 
     def drop(self, record: MessageRecord) -> None:
-        """Removes the waiting attempt of a message."""
+        """Remove the waiting attempt of a message."""
         del self._postponed[record.ordering_key][record]
 
     def drop_all(self) -> int:
-        """Removes all waiting attempts; returns their number."""
+        """Remove all waiting attempts; return their number."""
         count = self.postponed_count()
         for attempts in self._postponed.values():
             for attempt in attempts.values():
--- a/dewpin/relay/previous_process.py
+++ b/dewpin/relay/previous_process.py
@@ -15,16 +15,16 @@
         """The part of `Relay` that takes over from the previous process."""
 
         def handle_accepted_elsewhere(self, record: MessageRecord) -> None:
-            """Takes over a message that the previous process has accepted."""
+            """Take over a message that the previous process has accepted."""
 
         def handle_result(self, record: MessageRecord, receiver: Receiver, result: AttemptResult) -> None:
-            """Handles the result of an attempt."""
+            """Handle the result of an attempt."""
 
         def detach(self, receiver_id: bytes) -> object:
-            """Detaches a receiver."""
+            """Detach a receiver."""
 
         def attach(self, receiver_id: bytes) -> object:
-            """Attaches a receiver."""
+            """Attach a receiver."""
 
 
 class PreviousProcess:
@@ -41,11 +41,11 @@
         return len(self._attempts)
 
     def add_attempt(self, record: MessageRecord, receiver: Receiver) -> None:
-        """Records an attempt that the previous process has in flight."""
+        """Record an attempt that the previous process has in flight."""
         self._attempts[record.serial] = record, receiver
 
     def consume_log(self, is_gone: bool) -> None:
-        """Handles the log entries that the previous process has written since the last call.
+        """Handle the log entries that the previous process has written since the last call.
 
         `is_gone`: whether that process has ended; attempts without a reported result are then lost. Exceptions of the
         successor are passed on; the next call handles the event again.
--- a/dewpin/relay/queue_description.py
+++ b/dewpin/relay/queue_description.py
@@ -6,13 +6,13 @@
 
 
 def queue_size(queue: Any) -> int:
-    """Returns the number of messages of a queue that wait for a slot or are in flight."""
+    """Return the number of messages of a queue that wait for a slot or are in flight."""
     size: int = queue.waiting + queue.in_flight
     return size
 
 
 def describe_queue(queue: Any, now_ms: float) -> dict[str, Any]:
-    """Returns a queue as plain values, with the keys of `dewpin status`: waiting messages, calls in flight, and the
+    """Return a queue as plain values, with the keys of `dewpin status`: waiting messages, calls in flight, and the
     limits of each of its receivers."""
     return {
         "destination": queue.destination.destination_id,
--- a/dewpin/relay/receiver_detachment.py
+++ b/dewpin/relay/receiver_detachment.py
@@ -30,7 +30,7 @@
         """Storage of detachments: the journal or the hand-over log."""
 
         def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
-            """Records a detachment or its end; returns False if that is not possible."""
+            """Record a detachment or its end; return False if that is not possible."""
 
 
 class ReceiverDetachment:
@@ -49,7 +49,7 @@
         self._on_change = on_change
 
     def detach(self, receiver_id: bytes) -> DetachmentResult:
-        """Stops new attempts to this receiver, regardless of the endpoint list, until it is attached again."""
+        """Stop new attempts to this receiver, regardless of the endpoint list, until it is attached again."""
         if not self._endpoints.is_known(receiver_id):
             return DetachmentResult.UNKNOWN_RECEIVER
         if not self._records().set_detached(receiver_id, True):
@@ -63,7 +63,7 @@
         return DetachmentResult.APPLIED
 
     def attach(self, receiver_id: bytes) -> DetachmentResult:
-        """Applies the state of this receiver in the endpoint list again."""
+        """Apply the state of this receiver in the endpoint list again."""
         if not self._endpoints.is_known(receiver_id):
             return DetachmentResult.UNKNOWN_RECEIVER
         if not self._records().set_detached(receiver_id, False):
