--- a/dewpin/relay/recent_message_ids.py
+++ b/dewpin/relay/recent_message_ids.py
@@ -20,7 +20,7 @@
         return message_id in self._current or message_id in self._previous
 
     def add(self, message_id: bytes, now_ms: float) -> None:
-        """Stores an id."""
+        """Store an id."""
         if now_ms > self._next_generation_at_ms or len(self._current) >= MAX_IDS_PER_GENERATION:
             self._current, self._previous = set(), self._current
             self._next_generation_at_ms = now_ms + self._lifetime_ms
--- a/dewpin/spool/codec.py
+++ b/dewpin/spool/codec.py
@@ -52,13 +52,13 @@
 
 
 def encode_record(kind: RecordKind, serial: int, *fields: bytes) -> bytes:
-    """Returns a record with these fields, which are already encoded."""
+    """Return a record with these fields, which are already encoded."""
     payload = KIND_AND_SERIAL.pack(kind, serial) + b"".join(fields)
     return RECORD_HEADER.pack(len(payload), crc32(payload)) + payload
 
 
 def encode_accepted(message: MessageRecord) -> bytes:
-    """Returns the record that a message was accepted."""
+    """Return the record that a message was accepted."""
     texts = (
         message.message_id,
         message.queue_class,
@@ -77,17 +77,17 @@
 
 
 def encode_attempt_started(serial: int, attempt: Attempt) -> bytes:
-    """Returns the record of an attempt, written before its first byte is sent."""
+    """Return the record of an attempt, written before its first byte is sent."""
     return encode_record(RecordKind.ATTEMPT_STARTED, serial, SENT_AT.pack(attempt.sent_at_ms), attempt.receiver)
 
 
 def encode_given_up(serial: int, notice: PendingNotice) -> bytes:
-    """Returns the record that a message was given up, written before its notice is sent."""
+    """Return the record that a message was given up, written before its notice is sent."""
     return encode_record(RecordKind.GIVEN_UP, serial, NOTICE_FIELDS.pack(notice.is_deferred, notice.retry_after_ms))
 
 
 def encode_pending_message(message: MessageRecord) -> bytes:
-    """Returns all records of a pending message in a compacted journal."""
+    """Return all records of a pending message in a compacted journal."""
     records = [encode_accepted(message)]
     finished_attempts = message.attempts - (message.in_flight is not None)
     if finished_attempts:
@@ -110,7 +110,7 @@
 
 
 def read_frame(content: bytes, offset: int) -> Frame | DamagedFrame:
-    """Returns the record at this offset, or the reason why there is none."""
+    """Return the record at this offset, or the reason why there is none."""
     if offset + RECORD_HEADER.size > len(content):
         return DamagedFrame("torn: it ends within a record's head")
     length, checksum = RECORD_HEADER.unpack_from(content, offset)
@@ -125,20 +125,20 @@
 
 
 def decode_kind_and_serial(payload: bytes) -> tuple[bytes, int]:
-    """Returns a record's kind, which may be unknown if a newer version wrote it, and its serial number."""
+    """Return a record's kind, which may be unknown if a newer version wrote it, and its serial number."""
     code, serial = KIND_AND_SERIAL.unpack_from(payload)
     return code, serial
 
 
 def decode_fields(payload: bytes) -> bytes:
-    """Returns the bytes after the kind and the serial number.
+    """Return the bytes after the kind and the serial number.
 
     They are the id in records about receivers, and JSON in an `ATTEMPT_FINISHED` record."""
     return payload[KIND_AND_SERIAL.size :]
 
 
 def decode_message(serial: int, payload: bytes) -> MessageRecord:
-    """Returns the message of an `ACCEPTED` record. Raises struct.error if the fields are invalid."""
+    """Return the message of an `ACCEPTED` record. Raises struct.error if the fields are invalid."""
     arrived_at_ms, expires_at_ms = MESSAGE_TIMES.unpack_from(payload, KIND_AND_SERIAL.size)
     offset = KIND_AND_SERIAL.size + MESSAGE_TIMES.size
     texts = []
@@ -163,19 +163,19 @@
 
 
 def decode_attempt(payload: bytes) -> Attempt:
-    """Returns the attempt of an `ATTEMPT_STARTED` record. Raises struct.error if the fields are invalid."""
+    """Return the attempt of an `ATTEMPT_STARTED` record. Raises struct.error if the fields are invalid."""
     (sent_at_ms,) = SENT_AT.unpack_from(payload, KIND_AND_SERIAL.size)
     return Attempt(payload[KIND_AND_SERIAL.size + SENT_AT.size :], sent_at_ms)
 
 
 def decode_summary(payload: bytes) -> AttemptSummary:
-    """Returns the attempts of an `ATTEMPT_SUMMARY` record. Raises struct.error if the fields are invalid."""
+    """Return the attempts of an `ATTEMPT_SUMMARY` record. Raises struct.error if the fields are invalid."""
     attempts, sent_at_ms = ATTEMPT_SUMMARY.unpack_from(payload, KIND_AND_SERIAL.size)
     receiver = payload[KIND_AND_SERIAL.size + ATTEMPT_SUMMARY.size :]
     return AttemptSummary(attempts, Attempt(receiver, sent_at_ms) if sent_at_ms >= 0.0 else None)
 
 
 def decode_notice(payload: bytes) -> PendingNotice:
-    """Returns the notice of a `GIVEN_UP` record. Raises struct.error if the fields are invalid."""
+    """Return the notice of a `GIVEN_UP` record. Raises struct.error if the fields are invalid."""
     is_deferred, retry_after_ms = NOTICE_FIELDS.unpack_from(payload, KIND_AND_SERIAL.size)
     return PendingNotice(is_deferred, retry_after_ms)
--- a/dewpin/spool/endpoint_cache.py
+++ b/dewpin/spool/endpoint_cache.py
@@ -28,19 +28,19 @@
 
 
 def encode_row(entry: EndpointEntry | tuple[Any, ...]) -> Row:
-    """Returns an entry as a row for JSON."""
+    """Return an entry as a row for JSON."""
     receiver_id, destination, state, address, zone, kind, weight = entry
     return [receiver_id.decode("latin-1"), destination, state, *address, zone, kind, weight]
 
 
 def decode_row(row: Sequence[Any]) -> EndpointEntry:
-    """Returns the entry of a row. Raises ValueError if the row has the wrong length."""
+    """Return the entry of a row. Raises ValueError if the row has the wrong length."""
     receiver_id, destination, state, host, port, zone, kind, weight = row
     return EndpointEntry(receiver_id.encode("latin-1"), destination, state, (host, port), zone, kind, weight)
 
 
 def max_cache_bytes(disk_bytes: float) -> float:
-    """Returns the part of a disk limit that the cache may use."""
+    """Return the part of a disk limit that the cache may use."""
     return disk_bytes * DISK_SHARE
 
 
@@ -69,15 +69,15 @@
             self._discard(f"{type(error).__name__}: {error}")
 
     def is_newer_than(self, revision: int) -> bool:
-        """Returns whether this list is newer than that revision; always False if another agent sent it."""
+        """Return whether this list is newer than that revision; always False if another agent sent it."""
         return self.revision is not None and not self.is_from_other_agent and self.revision > revision
 
     def entries(self) -> list[EndpointEntry]:
-        """Returns all receivers in the list, including those that are gone."""
+        """Return all receivers in the list, including those that are gone."""
         return [decode_row(row) for row in self.rows.values()]
 
     def unavailable_at_other_agent(self) -> list[EndpointEntry]:
-        """Returns the receivers that another agent reported as draining or gone.
+        """Return the receivers that another agent reported as draining or gone.
 
         A list of the current agent does not override these states, as it may be the older one."""
         return [
@@ -87,7 +87,7 @@
     def update(
         self, entries: Sequence[EndpointEntry | tuple[Any, ...]], is_complete: bool, revision: int, now_ms: float
     ) -> None:
-        """Stores a complete list or a change to it; `now_ms` is Unix time. An error is logged and clears the cache."""
+        """Store a complete list or a change to it; `now_ms` is Unix time. An error is logged and clears the cache."""
         has_no_snapshot = self.revision is None or self.is_from_other_agent
         if not self._is_writable or not is_complete and has_no_snapshot:
             return
@@ -106,13 +106,13 @@
             self._discard(str(error))
 
     def reconfigure(self, agent_address: str, disk_bytes: float) -> None:
-        """Applies changed settings. The list of a new agent is cached once it has sent a complete one."""
+        """Apply changed settings. The list of a new agent is cached once it has sent a complete one."""
         self.max_bytes = max_cache_bytes(disk_bytes)
         if agent_address != self.agent_address:
             self.agent_address, self.is_from_other_agent = agent_address, True
 
     def stop_writing(self) -> None:
-        """Disables writing, as another process owns the folder from now on."""
+        """Disable writing, as another process owns the folder from now on."""
         self._is_writable = False
 
     def _load(self, content: bytes) -> None:
@@ -154,7 +154,7 @@
             del self.rows[receiver_id]
 
     def _discard(self, reason: str) -> None:
-        """Clears the cache until the next complete list; until then a start uses the list in the platform's file."""
+        """Clear the cache until the next complete list; until then a start uses the list in the platform's file."""
         log_event(events.LIST_NOT_CACHED, why=reason)
         self.rows, self.revision, self.size_bytes, self.snapshot_bytes = {}, None, 0, 0
         for path in (self.path, self.path + ".new"):
--- a/dewpin/spool/folder_lock.py
+++ b/dewpin/spool/folder_lock.py
@@ -23,7 +23,7 @@
 
     @classmethod
     def acquire(cls, folder: Any, attempts: int = LOCK_ATTEMPTS) -> "FolderLock":
-        """Locks the folder, which is created if needed. Raises OSError (EBUSY) if another sender holds the lock.
+        """Lock the folder, which is created if needed. Raises OSError (EBUSY) if another sender holds the lock.
 
         Succeeds on a file system without locks, where the operator must ensure that only one sender uses the folder."""
         os.makedirs(folder, exist_ok=True)
@@ -42,14 +42,14 @@
         return cls(descriptor)
 
     def release(self) -> None:
-        """Releases the lock; further calls have no effect."""
+        """Release the lock; further calls have no effect."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
 
 
 def is_locked(path: Any) -> bool | None:
-    """Returns whether a live process holds the lock on a folder or file; None if that can't be determined."""
+    """Return whether a live process holds the lock on a folder or file; None if that can't be determined."""
     try:
         descriptor = os.open(path, os.O_RDONLY)
     except OSError:
--- a/dewpin/spool/handover_log.py
+++ b/dewpin/spool/handover_log.py
@@ -64,7 +64,7 @@
         self._descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND, 0o600)
 
     def accept(self, message: MessageRecord) -> bool:
-        """Records a message before its acceptance is acknowledged. Returns False if it can't be written."""
+        """Record a message before its acceptance is acknowledged. Return False if it can't be written."""
         self.last_serial += 1
         message.serial = self.last_serial
         if not self._write(codec.encode_accepted(message)):
@@ -73,22 +73,22 @@
         return True
 
     def finish_attempt(self, message: MessageRecord, result: AttemptResult) -> None:
-        """Records the result of an attempt, even above the capacity, as the next process waits for it."""
+        """Record the result of an attempt, even above the capacity, as the next process waits for it."""
         self.pending.pop(message.serial, None)
         fields = msgspec.json.encode(result)
         self._write(codec.encode_record(RecordKind.ATTEMPT_FINISHED, message.serial, fields), over_limit=True)
 
     def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
-        """Records that a receiver was detached or attached, before that is acknowledged. Returns False on failure."""
+        """Record that a receiver was detached or attached, before that is acknowledged. Return False on failure."""
         kind = RecordKind.RECEIVER_DETACHED if is_detached else RecordKind.RECEIVER_ATTACHED
         return self._write(codec.encode_record(kind, 0, receiver))
 
     def report_descriptors(self, descriptors: int) -> None:
-        """Records how many descriptors this process still holds, as it shares one limit with the next process."""
+        """Record how many descriptors this process still holds, as it shares one limit with the next process."""
         self._write(codec.encode_record(RecordKind.DESCRIPTOR_COUNT, descriptors), over_limit=True)
 
     def close(self) -> None:
-        """Closes the file."""
+        """Close the file."""
         os.close(self._descriptor)
 
     def _write(self, record: bytes, over_limit: bool = False) -> bool:
@@ -116,11 +116,11 @@
         self._descriptor: int | None = None
 
     def exists(self) -> bool:
-        """Returns whether there is a hand-over log."""
+        """Return whether there is a hand-over log."""
         return os.path.exists(self.path)
 
     def read_events(self) -> Iterator[HandoverEvent]:
-        """Yields the events written since the last call. An event is consumed when the next one is requested.
+        """Yield the events written since the last call. An event is consumed when the next one is requested.
 
         Reading starts at the first event that is not consumed, so an event whose handling raises is read again.
         """
@@ -145,7 +145,7 @@
             unparsed = unparsed[offset:]
 
     def close(self) -> None:
-        """Removes the file, once all of it is consumed and its writer has ended."""
+        """Remove the file, once all of it is consumed and its writer has ended."""
         if self._descriptor is not None:
             os.close(self._descriptor)
             self._descriptor = None
@@ -155,7 +155,7 @@
             pass
 
     def _decode(self, payload: bytes) -> HandoverEvent | None:
-        """Returns the event of a record; None for unknown kinds and for a descriptor count, which is stored here."""
+        """Return the event of a record; None for unknown kinds and for a descriptor count, which is stored here."""
         code, serial = codec.decode_kind_and_serial(payload)
         if code == RecordKind.ACCEPTED:
             return AcceptedMessage(codec.decode_message(serial, payload))
--- a/dewpin/spool/inspector.py
+++ b/dewpin/spool/inspector.py
@@ -76,15 +76,15 @@
         self.is_sender_running = is_locked(folder)
 
     def pending(self) -> list[MessageRecord]:
-        """Returns the pending messages, in order of acceptance."""
+        """Return the pending messages, in order of acceptance."""
         return list(self.replay.pending.values())
 
     def find(self, message_id: bytes) -> list[MessageRecord]:
-        """Returns the pending messages with this id: more than one if a client has used the id repeatedly."""
+        """Return the pending messages with this id: more than one if a client has used the id repeatedly."""
         return [message for message in self.replay.pending.values() if message.message_id == message_id]
 
     def records_of(self, serial: int) -> list[RecordView]:
-        """Returns all records of a message that are still in the file."""
+        """Return all records of a message that are still in the file."""
         views, offset = [], 0
         while offset < self.readable_bytes:
             frame = codec.read_frame(self.content, offset)
@@ -116,7 +116,7 @@
 
 
 def describe_state(message: MessageRecord) -> str:
-    """Returns the state that a message would have at a start, as `dewpin spool` prints it."""
+    """Return the state that a message would have at a start, as `dewpin spool` prints it."""
     if message.pending_notice:
         return "deferred, notice owed" if message.pending_notice.is_deferred else "bounced, notice owed"
     if message.in_flight:
@@ -127,7 +127,7 @@
 
 
 def _record_fields(code: bytes, payload: bytes) -> dict[str, Any]:
-    """Returns the fields of a record by the names that `dewpin spool show` prints."""
+    """Return the fields of a record by the names that `dewpin spool show` prints."""
     if code == RecordKind.ATTEMPT_STARTED:
         attempt = codec.decode_attempt(payload)
         return {"sent": attempt.sent_at_ms, "receiver": attempt.receiver}
@@ -145,7 +145,7 @@
 
 
 def _find_next_record(content: bytes, offset: int) -> int:
-    """Returns the offset of the next complete record of a known kind, or the length of the file."""
+    """Return the offset of the next complete record of a known kind, or the length of the file."""
     while offset < len(content):
         frame = codec.read_frame(content, offset)
         if isinstance(frame, Frame) and frame.payload[:1] in codec.KNOWN_KIND_CODES:
--- a/dewpin/spool/journal.py
+++ b/dewpin/spool/journal.py
@@ -25,7 +25,7 @@
 
 
 def write_all(descriptor: int, content: bytes) -> None:
-    """Writes all bytes, with as many system calls as needed. Raises OSError."""
+    """Write all bytes, with as many system calls as needed. Raises OSError."""
     unwritten = memoryview(content)
     while unwritten:
         unwritten = unwritten[os.write(descriptor, unwritten) :]
@@ -66,18 +66,18 @@
             os.ftruncate(self._descriptor, self.size_bytes)
 
     def set_disk_limit(self, disk_bytes: float) -> None:
-        """Sets the capacity to the part of the disk limit that the endpoint cache may not use."""
+        """Set the capacity to the part of the disk limit that the endpoint cache may not use."""
         self.capacity_bytes = disk_bytes - RESERVED_BLOCKS * BLOCK_BYTES - max_cache_bytes(disk_bytes)
 
     def assume_attempts_executed(self) -> None:
-        """Ends the attempts that were in flight when the previous process ended, as possibly executed."""
+        """End the attempts that were in flight when the previous process ended, as possibly executed."""
         for message in self.pending.values():
             message.finish_attempt(may_have_executed=True)
 
     # -- messages -------------------------------------------------------------------------------------------
 
     def accept(self, message: MessageRecord, already_accepted: bool = False) -> bool:
-        """Records a message before its acceptance is acknowledged. Returns False if it can't be recorded.
+        """Record a message before its acceptance is acknowledged. Return False if it can't be recorded.
 
         `already_accepted`: the previous process has acknowledged it, so it is recorded even above the capacity."""
         self.last_serial += 1
@@ -94,7 +94,7 @@
         return True
 
     def start_attempt(self, message: MessageRecord, receiver: bytes, now_ms: float) -> bool:
-        """Records an attempt before its first byte is sent. Returns False if it can't be recorded."""
+        """Record an attempt before its first byte is sent. Return False if it can't be recorded."""
         message.finish_attempt(may_have_executed=True)
         attempt = Attempt(receiver, now_ms)
         if not self._append(codec.encode_attempt_started(message.serial, attempt)):
@@ -105,18 +105,18 @@
         return True
 
     def finish_attempt(self, message: MessageRecord, may_have_executed: bool) -> None:
-        """Ends the attempt in flight; a record is written only if it was not executed."""
+        """End the attempt in flight; a record is written only if it was not executed."""
         message.finish_attempt(may_have_executed)
         if not may_have_executed:
             self._append(codec.encode_record(RecordKind.ATTEMPT_NOT_EXECUTED, message.serial))
 
     def give_up(self, message: MessageRecord, notice: PendingNotice) -> None:
-        """Records the notice for a message that was given up, before it is sent."""
+        """Record the notice for a message that was given up, before it is sent."""
         message.pending_notice = notice
         self._append(codec.encode_given_up(message.serial, notice))
 
     def finish(self, message: MessageRecord) -> None:
-        """Records the end of a message; has no effect if it is not pending."""
+        """Record the end of a message; do nothing if it is not pending."""
         if message.serial in self.pending:
             self._remove(message)
             self._append(codec.encode_record(RecordKind.FINISHED, message.serial))
@@ -124,7 +124,7 @@
     # -- receivers and hand-over ----------------------------------------------------------------------------
 
     def set_detached(self, receiver: bytes, is_detached: bool) -> bool:
-        """Records that a receiver was detached or attached, before that is acknowledged. Returns False on failure."""
+        """Record that a receiver was detached or attached, before that is acknowledged. Return False on failure."""
         if is_detached == (receiver in self.detached_receivers):
             return True
         if is_detached and not self._has_capacity_for(RESERVED_BYTES_PER_MESSAGE):
@@ -141,14 +141,14 @@
         return True
 
     def mark_handover_consumed(self, offset: int) -> None:
-        """Records that the previous process's hand-over log is consumed up to this offset."""
+        """Record that the previous process's hand-over log is consumed up to this offset."""
         self._append(codec.encode_record(RecordKind.HANDOVER_CONSUMED, offset))
         self.consumed_handover_bytes = offset
 
     # -- the file -------------------------------------------------------------------------------------------
 
     def compact(self) -> None:
-        """Writes the live state to a second file and renames it over the journal.
+        """Write the live state to a second file and rename it over the journal.
 
         An error is logged, and the journal remains unchanged."""
         content = self._live_content()
@@ -169,7 +169,7 @@
         self.size_bytes = len(content)
 
     def close(self) -> None:
-        """Closes the file."""
+        """Close the file."""
         os.close(self._descriptor)
 
     def _live_content(self) -> bytes:
@@ -181,7 +181,7 @@
         return b"".join(records)
 
     def _has_capacity_for(self, needed_bytes: int) -> bool:
-        """Returns whether one more item leaves capacity for all its later records and for a compaction."""
+        """Return whether one more item leaves capacity for all its later records and for a compaction."""
         used_bytes = max(self.size_bytes, self.live_bytes) + self.live_bytes
         return used_bytes + 2 * needed_bytes <= self.capacity_bytes
 
--- a/dewpin/spool/records.py
+++ b/dewpin/spool/records.py
@@ -99,7 +99,7 @@
         self.message: Any = None
 
     def finish_attempt(self, may_have_executed: bool) -> None:
-        """Ends the attempt in flight, if any."""
+        """End the attempt in flight, if any."""
         if self.in_flight and may_have_executed and self.possibly_executed is None:
             self.possibly_executed = self.in_flight
         self.in_flight = None
--- a/dewpin/spool/replay.py
+++ b/dewpin/spool/replay.py
@@ -45,7 +45,7 @@
         self.counts_by_code: dict[bytes, int] = {kind.value: 0 for kind in RecordKind}
 
     def run(self, content: bytes) -> int:
-        """Applies records from the start; returns the offset of the first incomplete or invalid one, or the end."""
+        """Apply records from the start; return the offset of the first incomplete or invalid one, or the end."""
         offset = 0
         while True:
             frame = read_frame(content, offset)
@@ -54,7 +54,7 @@
             offset = frame.end_offset
 
     def _apply(self, payload: bytes, size_bytes: int) -> bool:
-        """Applies one record. Returns False if its fields are invalid."""
+        """Apply one record. Return False if its fields are invalid."""
         code, serial = decode_kind_and_serial(payload)
         try:
             if code == _ACCEPTED:
--- a/dewpin/standin/addresses.py
+++ b/dewpin/standin/addresses.py
@@ -27,12 +27,12 @@
     """
 
     def __init__(self) -> None:
-        """Reserve a network; raises AddressesExhaustedError if none is free."""
+        """Reserve a network. Raises AddressesExhaustedError if none is free."""
         self._used_count = 0
         self._number, self._reservation = _reserve()
 
     def take_address(self) -> str:
-        """Return the address for another machine; raises AddressesExhaustedError."""
+        """Return the address for another machine. Raises AddressesExhaustedError."""
         if self._used_count >= MAX_MACHINES:
             raise AddressesExhaustedError(f"all {MAX_MACHINES} addresses of 127.0.{self._number}.0 are in use")
         self._used_count += 1
--- a/dewpin/standin/client.py
+++ b/dewpin/standin/client.py
@@ -55,7 +55,7 @@
     """A response whose body is read event by event; a context manager that closes its connection."""
 
     def __init__(self, sender: str, request: ClientRequest) -> None:
-        """Send the request and read the header of the response; raises OSError or HTTPException."""
+        """Send the request and read the header of the response. Raises OSError or HTTPException."""
         self.request_id = request.id or secrets.token_hex(8)
         self._connection = http.client.HTTPConnection(*split_address(sender), timeout=SOCKET_TIMEOUT_S)
         fields = {
@@ -70,7 +70,7 @@
         self.fields = {name.lower(): value for name, value in self._response.getheaders()}
 
     def read_event(self) -> tuple[int, str] | None:
-        """Return the id and data of the next event, None at the end; raises HTTPException if the body is incomplete."""
+        """Return the id and data of the next event, None at the end. Raises HTTPException if the body is incomplete."""
         lines = []
         while line := self._response.readline(MAX_LINE_BYTES):
             if not line.strip():
@@ -79,7 +79,7 @@
         return next(parse_events(b"".join(lines) + b"\n"), None) if lines else None
 
     def read_rest(self) -> ClientResponse:
-        """Read the rest of the body; raises HTTPException if it is incomplete."""
+        """Read the rest of the body. Raises HTTPException if it is incomplete."""
         return ClientResponse(self.request_id, self.status, self.fields, self._response.read())
 
     def close(self) -> None:
@@ -98,7 +98,7 @@
 
 
 def send(sender: str, request: ClientRequest) -> ClientResponse:
-    """Send a request to a sender and return the complete response; raises OSError or HTTPException."""
+    """Send a request to a sender and return the complete response. Raises OSError or HTTPException."""
     with StreamingResponse(sender, request) as response:
         return response.read_rest()
 
--- a/dewpin/standin/demonstration.py
+++ b/dewpin/standin/demonstration.py
@@ -56,7 +56,7 @@
         self._program = ProgramClient(HOST, STREAM_PATH, BUDGET_TOKENS, MAX_TOKENS_PER_TURN)
 
     def run(self, fault: InjectedFault | None) -> None:
-        """Run all steps; raises DemonstrationError or ConditionNotMetError."""
+        """Run all steps. Raises DemonstrationError or ConditionNotMetError."""
         self._announce_processes()
         self._put_configuration(PLAIN_PATH)
         self._tier.wait_until_ready()
--- a/dewpin/standin/instances.py
+++ b/dewpin/standin/instances.py
@@ -81,7 +81,7 @@
         self._append((*others, instance), now_s)
 
     def drain(self, instance_id: str, now_s: float) -> None:
-        """Mark a receiver as draining; raises KeyError if the id is unknown."""
+        """Mark a receiver as draining. Raises KeyError if the id is unknown."""
         if all(instance.id != instance_id for instance in self._latest):
             raise KeyError(instance_id)
         drained = (
--- a/dewpin/standin/machine.py
+++ b/dewpin/standin/machine.py
@@ -44,7 +44,7 @@
         return f"{self.ip}:{READY_PORT}"
 
     def is_ready(self) -> bool:
-        """Return whether a sender reports itself ready; raises ConditionNotMetError if its process has ended."""
+        """Return whether a sender reports itself ready. Raises ConditionNotMetError if its process has ended."""
         if not self.process.is_running:
             raise ConditionNotMetError(
                 f"the process of {self.name} has ended; end of its log:\n{self.process.log_tail()}"
--- a/dewpin/standin/operator_client.py
+++ b/dewpin/standin/operator_client.py
@@ -44,13 +44,13 @@
     def put(
         self, configuration: JsonObject, base: int, timeout_s: float = 10.0, control_servers: Sequence[str] = ()
     ) -> OperatorResponse:
-        """Send a configuration based on version `base`; raises ConditionNotMetError if there is no final response."""
+        """Send a configuration based on version `base`. Raises ConditionNotMetError if there is no final response."""
         body = json.dumps(configuration).encode()
         fields = {BASE_VERSION: str(base), "Content-Type": "application/json"}
         return self._call("POST", PUT_PATH, body, fields, timeout_s, control_servers)
 
     def get(self, timeout_s: float = 10.0, control_servers: Sequence[str] = ()) -> JsonObject:
-        """Return the newest configuration; raises ConditionNotMetError if it cannot be read."""
+        """Return the newest configuration. Raises ConditionNotMetError if it cannot be read."""
         response = self._call("GET", GET_PATH, b"", {}, timeout_s, control_servers)
         if response.status != http.HTTPStatus.OK:
             raise ConditionNotMetError(f"Config.Get: {response.status} {response.body.decode(errors='replace')}")
@@ -87,7 +87,7 @@
 def call_control_server(
     control_server: str, method: str, path: str, body: bytes, fields: dict[str, str]
 ) -> OperatorResponse:
-    """Make one call; raises OSError or HTTPException if there is no response."""
+    """Make one call. Raises OSError or HTTPException if there is no response."""
     connection = http.client.HTTPConnection(*split_address(control_server), timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, body or None, fields)
--- a/dewpin/standin/tier.py
+++ b/dewpin/standin/tier.py
@@ -87,14 +87,14 @@
         self.stop()
 
     def wait_until_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
-        """Wait until all senders are ready; raises ConditionNotMetError, at once if a sender has ended."""
+        """Wait until all senders are ready. Raises ConditionNotMetError, at once if a sender has ended."""
         for sender in self.senders:
             wait_until(sender.is_ready, timeout_s, f"{sender.name} is ready")
 
     def settled_view(self) -> SystemView | None:
         """Return the system state if it is the same on all running control servers and each of them is a member.
 
-        Returns None while the states differ or a change of members or stores is in progress.
+        Return None while the states differ or a change of members or stores is in progress.
         """
         running = [control_server for control_server in self.control_servers if control_server.process.is_running]
         views = [read_system_view(control_server.ip) for control_server in running]
@@ -110,7 +110,7 @@
     def wait_until_replaced(
         self, control_server: Machine, incarnation: str, timeout_s: float = SETTLED_TIMEOUT_S
     ) -> None:
-        """Wait until a control server is a member with a new incarnation; raises ConditionNotMetError."""
+        """Wait until a control server is a member with a new incarnation. Raises ConditionNotMetError."""
 
         def is_replaced() -> bool:
             view = self.settled_view()
--- a/dewpin/tier_cli/operator_client.py
+++ b/dewpin/tier_cli/operator_client.py
@@ -46,11 +46,11 @@
         )
 
     def get_configuration(self) -> OperatorResponse:
-        """Request the current configuration; raises NoResponseError."""
+        """Request the current configuration. Raises NoResponseError."""
         return self._call("GET", GET_PATH, None, {})
 
     def put_configuration(self, body: bytes, base_version: int) -> OperatorResponse:
-        """Submit a configuration that replaces version `base_version`; raises NoResponseError."""
+        """Submit a configuration that replaces version `base_version`. Raises NoResponseError."""
         headers = {BASE_VERSION_HEADER: str(base_version), "Content-Type": "application/json"}
         return self._call("POST", PUT_PATH, body, headers)
 
