--- a/dewpin/core/receiver_selection.py
+++ b/dewpin/core/receiver_selection.py
@@ -14,14 +14,15 @@
 UNKNOWN_TIME = float("inf")
 """The time of an event that depends on an update that has not arrived."""
 
-# The fractional parts of their multiples are evenly distributed over 0 to 1, also if only every second one is used.
+# The fractional parts of the multiples of these numbers are evenly distributed over 0 to 1, also if only every second
+# multiple is used.
 GOLDEN_RATIO = 0.5 * (5.0**0.5 - 1.0)
 SILVER_RATIO = 2.0**0.5 - 1.0
 
 ROTATION_IDLE_TIMES = 4.0
 """A sender stays with a receiver for this many idle time-outs, so that most idle connections are reused."""
 RECENT_FAILURE_MESSAGES_MS = 10000.0
-"""Divided by the message rate, how long a failure counts as recent: the time of ten messages."""
+"""A failure counts as recent for this time divided by the messages per second: the time of ten messages."""
 
 
 class ReceiverSelector:
@@ -41,16 +42,17 @@
         self.idle_timeout_ms = max(1.0, settings.idle_close_ms)
 
     def select(self, queue: DestinationQueue, message: Message, now: float) -> Receiver | None:
-        """Returns the available receiver with the fewest calls in flight, or None if no receiver is available now.
+        """Return the available receiver with the fewest calls in flight, or None if no receiver is available now.
 
-        Ties are resolved in favor of this sender's zone, then of the receiver that responded last. Where hardly any of
-        the sender's calls overlap, its own zone is preferred only for a share of its messages, which is the share of
-        all receivers that the zone has; for the rest, zones with more than their share are preferred. Then the rotation
-        decides: each sender starts at its own position in an order that is the same at all senders, and advances by one
-        so rarely that most idle connections are reused.
+        Ties are resolved in favor of this sender's zone, then of the receiver that responded last.
 
-        This prevents that all senders prefer the same receivers, that a zone with few receivers takes the load of all
-        of its senders, and that other receivers stay idle, where each sender observes little of the load.
+        If hardly any of the sender's calls overlap, ties are resolved differently. The sender's own zone is preferred
+        only for a share of the messages: the zone's number of receivers, divided by the average over all zones. For the
+        other messages, zones with more receivers than the average are preferred. Remaining ties are resolved by
+        rotation: each sender starts at its own position in an order that is the same at all senders, and advances by
+        one position so rarely that most idle connections are reused. Such a sender observes little of the load;
+        otherwise all senders would prefer the same receivers, a zone with few receivers would take the load of all of
+        its senders, and other receivers would stay idle.
         """
         receivers = queue.destination.receivers
         available = [receiver for receiver in receivers if self.available_at(receiver, message, now) <= now]
@@ -77,7 +79,7 @@
         return tied[int(self.rotation_offset * len(tied) + rotation) % len(tied)]
 
     def available_at(self, receiver: Receiver, message: Message, now: float) -> float:
-        """Returns when this receiver is available for the message; `UNKNOWN_TIME` if that depends on an update."""
+        """Return when this receiver is available for the message; `UNKNOWN_TIME` if that depends on an update."""
         if receiver.state != READY or not self._is_in_retry_scope(receiver, message):
             return UNKNOWN_TIME
         if receiver.health is None:
@@ -100,7 +102,7 @@
         return available_at
 
     def open_batch(self, receiver: Receiver, now: float) -> Call | None:
-        """Returns the call that started at `now` and whose batch has room; the first probe call carries one message."""
+        """Return the call that started at `now` and whose batch has room; the first probe call carries one message."""
         call = health_of(receiver).latest_call
         if call is None or call.sent_at != now or receiver.kind >= len(self.settings.batch_sizes):
             return None
@@ -112,7 +114,7 @@
         return call if has_room else None
 
     def _is_in_retry_scope(self, receiver: Receiver, message: Message) -> bool:
-        """Returns whether the receiver may get a retry, which requires that it knows the message's idempotency key."""
+        """Return whether the receiver may get a retry, which requires that it knows the message's idempotency key."""
         state = message.dispatch_state
         if state.executed_at is None:
             return True
@@ -126,7 +128,7 @@
     def _deprioritized_zones(
         self, receivers: list[Receiver], available: list[Receiver], ready_count: int, is_sparse: bool, rotation: float
     ) -> set[int]:
-        """Returns the zones, of those with an available receiver, whose receivers lose ties."""
+        """Return the zones whose receivers lose ties; only zones with an available receiver are considered."""
         zones = {receiver.zone for receiver in available}
         shares = {
             zone: self.settings.zone_count
@@ -142,7 +144,7 @@
     def _rank(
         self, receiver: Receiver, message: Message, now: float, recent_since: float, is_deprioritized: bool
     ) -> tuple[bool, bool, bool, bool, int, bool]:
-        """Returns the rank of a receiver for a message; the lowest rank is best."""
+        """Return the rank of a receiver for a message; the lowest rank is best."""
         health = receiver.health
         return (
             self.open_batch(receiver, now) is None,
--- a/dewpin/dataplane/programs/turn_client.py
+++ b/dewpin/dataplane/programs/turn_client.py
@@ -41,7 +41,7 @@
 
 
 def _decode_stored_reply(message: Message) -> _StoredReply:
-    """Decode a store's reply to a write of turns; raises MalformedMessageError."""
+    """Decode a store's reply to a write of turns. Raises MalformedMessageError."""
     stored = PutTurnsReply.decode(message)
     return _StoredReply(None if stored.reply is None else ledger_reply(stored.reply))
 
@@ -174,7 +174,7 @@
         self._round = ReplicaRound(calls, view, HistoryPage.from_json, self._ask_next_group)
 
     async def run(self) -> HistoryPage:
-        """Return the turns; raises TurnNotFoundError, StoreUnavailableError or StaleViewError."""
+        """Return the turns. Raises TurnNotFoundError, StoreUnavailableError or StaleViewError."""
         without_turn: set[str] = set()
         with self._round as replica_round:
             while len(self._view.stable) - len(without_turn) > self._view.max_unreachable(self._replica_count):
@@ -205,7 +205,7 @@
     """Return the groups of members in the order to ask them.
 
     The first groups are single replicas, nearest first, and form a majority, so that at least one of them has each
-    durable turn; then follow the other replicas as one group and all other stores as another.
+    durable turn. The other replicas follow as one group, and all other stores as another.
     """
     now_s = asyncio.get_running_loop().time()
     replicas = calls.health.nearest_first(view, view.stable_replicas(program, replica_count), now_s)
--- a/dewpin/lab/fleet/scenario.py
+++ b/dewpin/lab/fleet/scenario.py
@@ -179,15 +179,15 @@
 
 
 def parse_scenario(text: str) -> Scenario:
-    """Parse a scenario in TOML; raises ValueError, which names the invalid key."""
+    """Parse a scenario in TOML. Raises ValueError, which names the invalid key."""
     try:
         return make_scenario(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
-        raise ValueError(f"no TOML: {error}") from None
+        raise ValueError(f"invalid TOML: {error}") from None
 
 
 def make_scenario(tables: dict[str, Any]) -> Scenario:
-    """Create a scenario from the tables of its file; raises ValueError, which names the invalid key."""
+    """Create a scenario from the tables of its file. Raises ValueError, which names the invalid key."""
     try:
         scenario = msgspec.convert(tables, Scenario)
     except msgspec.ValidationError as error:
@@ -204,7 +204,7 @@
 
 
 def platform_settings(scenario: Scenario, sender_number: int) -> dict[str, Any]:
-    """Return the settings of a sender's decision module in the platform's format."""
+    """Return the settings of a sender's dispatcher in the platform's format."""
     senders, receivers, load = scenario.senders, scenario.receivers, scenario.load
     services = [
         {
--- a/dewpin/standin/instances.py
+++ b/dewpin/standin/instances.py
@@ -81,7 +81,7 @@
         self._append((*others, instance), now_s)
 
     def drain(self, instance_id: str, now_s: float) -> None:
-        """Mark a receiver as draining; raises KeyError if the id is unknown."""
+        """Mark a receiver as draining. Raises KeyError if the id is unknown."""
         if all(instance.id != instance_id for instance in self._latest):
             raise KeyError(instance_id)
         drained = (
@@ -94,7 +94,7 @@
         self._append(tuple(instance for instance in self._latest if instance.id != instance_id), now_s)
 
     def page(self, now_s: float, token: str | None = None, zone: str | None = None) -> InstancePage:
-        """Return a page, without a token the first; all pages show the state of the list at the first page.
+        """Return the page of a token, or the first page without one; all pages show the list as of the first page.
 
         Raises UnknownPageTokenError.
         """
