--- a/dewpin/cluster/body_pages.py
+++ b/dewpin/cluster/body_pages.py
@@ -89,7 +89,7 @@
         now_s = self._clock()
         self._served_until_s = {served: until_s for served, until_s in self._served_until_s.items() if until_s > now_s}
         if caller not in self._served_until_s and len(self._served_until_s) >= MAX_CALLERS:
-            raise RpcError(ErrorKind.OVERLOADED, "too many other callers are being served")
+            raise RpcError(ErrorKind.OVERLOADED, "others are being served")
         self._served_until_s[caller] = now_s + CALLER_EXPIRY_S
 
     def _page(self, request: BodyRequest) -> BodyPage | None:
--- a/dewpin/cluster/message_fields.py
+++ b/dewpin/cluster/message_fields.py
@@ -30,7 +30,7 @@
     """Return a string field."""
     value = message.get(field)
     if not isinstance(value, str):
-        raise MalformedMessageError(field, "a string")
+        raise MalformedMessageError(field, "text")
     return value
 
 
@@ -43,7 +43,7 @@
     """Return an integer field."""
     value = message.get(field)
     if type(value) is not int:
-        raise MalformedMessageError(field, "an integer")
+        raise MalformedMessageError(field, "a whole number")
     return value
 
 
@@ -51,7 +51,7 @@
     """Return a boolean field."""
     value = message.get(field)
     if not isinstance(value, bool):
-        raise MalformedMessageError(field, "a boolean")
+        raise MalformedMessageError(field, "true or false")
     return value
 
 
@@ -60,7 +60,7 @@
     try:
         return text(message, field).encode("latin-1")
     except UnicodeEncodeError:
-        raise MalformedMessageError(field, "bytes as a latin-1 string") from None
+        raise MalformedMessageError(field, "bytes as latin-1 text") from None
 
 
 def object_or_none(message: Message, field: str) -> Message | None:
@@ -91,7 +91,7 @@
     """Return a field that is a list of strings."""
     values = message.get(field)
     if not isinstance(values, list) or not all(isinstance(value, str) for value in values):
-        raise MalformedMessageError(field, "a list of strings")
+        raise MalformedMessageError(field, "a list of texts")
     return values
 
 
--- a/dewpin/cluster/netstring.py
+++ b/dewpin/cluster/netstring.py
@@ -37,7 +37,7 @@
     if isinstance(raw, bytes):
         return _netstring(_json({**message, RAW: len(raw)}), max_bytes) + _netstring(raw, max_bytes)
     if raw is not None:
-        raise FrameError("`raw` is not bytes")
+        raise FrameError("raw is not bytes")
     return _netstring(_json(message), max_bytes)
 
 
@@ -47,7 +47,7 @@
 
 def _netstring(payload: bytes, max_bytes: int) -> bytes:
     if len(payload) > max_bytes:
-        raise FrameError(f"{len(payload)} bytes exceed the limit")
+        raise FrameError(f"{len(payload)} bytes")
     return b"%d:%b," % (len(payload), payload)
 
 
--- a/dewpin/cluster/relay_service.py
+++ b/dewpin/cluster/relay_service.py
@@ -66,7 +66,7 @@
     def _current_knowledge(self) -> RelayedKnowledge:
         knowledge = self._knowledge()
         if not knowledge.is_current:
-            raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed the state recently")
+            raise RpcError(ErrorKind.NO_QUORUM, "no majority has confirmed what is known here")
         return knowledge
 
 
@@ -86,7 +86,7 @@
         return state
     if request.body_generation is None:
         if not has_body(state):
-            raise RpcError(ErrorKind.NO_QUORUM, "the body of the newest configuration is incomplete")
+            raise RpcError(ErrorKind.NO_QUORUM, "the newest configuration is not whole here")
         return state
     if not has_body(state) or "base" not in configuration:  # states of control servers of earlier releases lack `base`
         return state
--- a/dewpin/cluster/store_requests.py
+++ b/dewpin/cluster/store_requests.py
@@ -192,4 +192,4 @@
     try:
         return StoreView.from_json(message["view"])
     except ValueError as error:
-        raise read.MalformedMessageError("view", "a store view") from error
+        raise read.MalformedMessageError("view", "a view of stores") from error
--- a/dewpin/controlplane/register/configuration_bodies.py
+++ b/dewpin/controlplane/register/configuration_bodies.py
@@ -108,7 +108,7 @@
                 return self._bodies[digest]
             body = await self._fetch(digest, source)
             if configuration_digest(body.encode(), base_generation) != digest:
-                raise BodyUnavailableError(f"{digest}: the received body does not match the digest")
+                raise BodyUnavailableError(f"{digest}: other bytes")
             self._bodies[digest] = body
             return body
 
--- a/dewpin/controlplane/register/replica_storage.py
+++ b/dewpin/controlplane/register/replica_storage.py
@@ -80,7 +80,7 @@
             digest = configuration["digest"]
             rows = await self._storage.query("SELECT body FROM register_bodies WHERE digest = ?", (digest,))
             if not rows:
-                raise StorageDamagedError(f"the configuration body {digest} is missing")
+                raise StorageDamagedError(f"no body {digest}")
             configuration["body"] = rows[0][0]
         state: SystemState = value  # type: ignore[assignment]
         return state
--- a/dewpin/controlplane/storage/storage.py
+++ b/dewpin/controlplane/storage/storage.py
@@ -112,14 +112,14 @@
         StorageError; the write may have been committed nevertheless.
         """
         if self._is_disk_unresponsive():
-            raise StorageError("the disk is unresponsive")
+            raise StorageError("the disk does not answer")
         loop = asyncio.get_running_loop()
         job: _Job[Result] = _Job(work, loop, loop.create_future())
         with self._jobs_changed:
             if self._is_closing:
                 raise StorageError("the storage is closed")
             if len(self._jobs) >= MAX_PENDING_JOBS:
-                raise StorageError("too many storage jobs are pending")
+                raise StorageError("too many reads and writes wait for the disk")
             self._jobs.append(job)
             self._jobs_changed.notify()
         return await job.future
--- a/tests/controlplane/test_storage.py
+++ b/tests/controlplane/test_storage.py
@@ -149,7 +149,7 @@
         waiting = asyncio.ensure_future(storage.write(put("patient")))
         await asyncio.sleep(0)
         now_s[0] += 0.1
-        with pytest.raises(StorageError, match="is unresponsive"):
+        with pytest.raises(StorageError, match="does not answer"):
             await storage.write(put("late"))
         resume.set()
         await asyncio.gather(slow, waiting)
